--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,14 +1,14 @@
 import js from '@eslint/js';
 import ts from 'typescript-eslint';
 
-/** Imports between packages go down this table only; a product package never depends on the lab. */
+/** Imports between packages go down this table only; a product package never depends on the simulation. */
 const MAY_IMPORT = {
-  base: [],
-  snapshot: ['base'],
-  controller: ['base', 'snapshot'],
-  lab: ['base', 'snapshot', 'controller'],
-  operate: ['base', 'snapshot', 'controller'],
-  scale: ['base', 'controller'],
+  runtime: [],
+  snapshot: ['runtime'],
+  controller: ['runtime', 'snapshot'],
+  simulation: ['runtime', 'snapshot', 'controller'],
+  'operator-cli': ['runtime', 'snapshot', 'controller'],
+  'scale-test': ['runtime', 'controller'],
 };
 const downOnly = Object.entries(MAY_IMPORT).map(([name, allowed]) => ({
   files: [`packages/${name}/**/*.ts`],
--- a/packages/controller/src/accounts/booking.ts
+++ b/packages/controller/src/accounts/booking.ts
@@ -1,5 +1,5 @@
 /** What the leader's next record says for the accounts: prepared before it is drafted, as of the record's time of day. */
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Job } from '../jobs/model.js';
 import { borrowedBy } from '../lending/loans.js';
 import type { Turn } from '../scheduler/turn.js';
--- a/packages/controller/src/accounts/codec.ts
+++ b/packages/controller/src/accounts/codec.ts
@@ -1,5 +1,5 @@
 /** Durable forms of accounts: a record's part in its head, the checkpoint, pages. Amounts are hexadecimal text. */
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import { compact } from './fold.js';
 import {
   type Accounts,
--- a/packages/controller/src/accounts/fold.ts
+++ b/packages/controller/src/accounts/fold.ts
@@ -1,5 +1,5 @@
 /** Folds records into accounts: pure, in the records' order, the same on every controller. */
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import {
   type Accounts,
   type Amounts,
--- a/packages/controller/src/accounts/ledger.ts
+++ b/packages/controller/src/accounts/ledger.ts
@@ -1,5 +1,5 @@
 /** What a leader gathers in its reign for the next pages. Nothing of it is durable before its page is. */
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import type { JobCache } from '../jobs/cache.js';
 import { addAmounts, amountsOf } from './fold.js';
 import { type Amounts, groupKey, type Rows, SPLITS } from './model.js';
--- a/packages/controller/src/accounts/model.ts
+++ b/packages/controller/src/accounts/model.ts
@@ -2,7 +2,7 @@
  * Accounts of machine time: what is booked, for whom, and what is known to be missing (docs/accounts.md). All amounts are
  * integers: microseconds of placement times whole units (tasks, thousandths of a CPU, of a GPU, of a GB of memory).
  */
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 
 /**
  * What the time of a placement was: running what need not be run again; running what must be run again after a loss;
--- a/packages/controller/src/accounts/pages.ts
+++ b/packages/controller/src/accounts/pages.ts
@@ -2,7 +2,7 @@
  * Pages of past periods: minutes, joined to hours, days and months (UTC). A page says what was booked in its period, what
  * stood open at its end, and who waited meanwhile. Pure: keys, forms, and which pages are to be joined.
  */
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import { chunks, decodeRows, encodeRows, type StoredRow } from './codec.js';
 import { compact, joinRows } from './fold.js';
 import { MINUTE, type Rows } from './model.js';
--- a/packages/controller/src/accounts/phases.ts
+++ b/packages/controller/src/accounts/phases.ts
@@ -2,7 +2,7 @@
  * What the leader has seen of a placement: from when on it was on its way, waited for its gang, ran. Kept in the leader's
  * book by task; times are the book's clock.
  */
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 
 export type Phase = 'fetching' | 'gathering' | 'running';
 
--- a/packages/controller/src/accounts/share.ts
+++ b/packages/controller/src/accounts/share.ts
@@ -3,7 +3,7 @@
  * millionths of the room of all machines (by the resource that a group takes most of) times milliseconds; a month of all
  * room is 2.7e15 and exact.
  */
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Job } from '../jobs/model.js';
 import type { CycleInput, CycleResult, Room } from '../scheduler/model.js';
 import { add, fits, room } from '../scheduler/model.js';
--- a/packages/controller/src/accounts/upkeep.ts
+++ b/packages/controller/src/accounts/upkeep.ts
@@ -1,6 +1,6 @@
 /** The accounts' part of the leader's upkeep: pages of periods that are over, and joining old ones. */
-import { info } from '@lilacvalve/base/log';
-import type { Micros } from '@lilacvalve/base/micros';
+import { info } from '@lilacvalve/runtime/log';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import { Effect } from 'effect';
 import { ACCOUNTS, accountsKey, TERM } from '../jobs/keys.js';
 import type { Turn } from '../scheduler/turn.js';
--- a/packages/controller/src/api/handlers.ts
+++ b/packages/controller/src/api/handlers.ts
@@ -4,10 +4,10 @@
  * needs a view at least as new as the request.
  */
 import { Effect, Either, Random } from 'effect';
-import { type Answer, type Incoming, json, retryLater } from '@lilacvalve/base/http-server';
-import { debug } from '@lilacvalve/base/log';
+import { type Answer, type Incoming, json, retryLater } from '@lilacvalve/runtime/http-server';
+import { debug } from '@lilacvalve/runtime/log';
 import { tally } from '../tally.js';
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import { tieOf } from '../calendar/tie.js';
 import type { MachineType } from '../fleet/model.js';
 import type { Doubt } from '../doubt/doubt.js';
--- a/packages/controller/src/calendar/codec.ts
+++ b/packages/controller/src/calendar/codec.ts
@@ -1,6 +1,6 @@
 /** Durable form of the calendar: a head and its pages. Durable names stay in this file. */
 import { createHash } from 'node:crypto';
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import { CALENDAR_PAGE } from '../jobs/keys.js';
 import type { Shape, Urgency } from '../jobs/model.js';
 import { type Calendar, type Cutoff, makeCalendar, type Occurrence, type Tally } from './model.js';
--- a/packages/controller/src/calendar/duty.ts
+++ b/packages/controller/src/calendar/duty.ts
@@ -1,7 +1,7 @@
 /** The leader's part: what is said of cutoffs with each record, the counts of what is over, and what classes have shown. */
 import { Effect } from 'effect';
-import { info } from '@lilacvalve/base/log';
-import { type Micros, seconds } from '@lilacvalve/base/micros';
+import { info } from '@lilacvalve/runtime/log';
+import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import type { JobCache } from '../jobs/cache.js';
 import { OCCURRENCE, SHOWN, TERM } from '../jobs/keys.js';
 import { type FinalState, isComplete, type Job, type JobChange } from '../jobs/model.js';
--- a/packages/controller/src/calendar/model.ts
+++ b/packages/controller/src/calendar/model.ts
@@ -2,7 +2,7 @@
  * The calendar of cutoffs as controllers know it: a bounded table of instants, compiled by the operators' command
  * (docs/calendar.md). Nothing here knows a time zone or a recurrence.
  */
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Shape, Urgency } from '../jobs/model.js';
 
 /** More are refused by `calendar apply`: the table stays within a few pages and some MB of memory. */
--- a/packages/controller/src/calendar/publish.ts
+++ b/packages/controller/src/calendar/publish.ts
@@ -4,7 +4,7 @@
  * by no head and is deleted by the next one who applies.
  */
 import { Effect } from 'effect';
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import { CALENDAR_HEAD, CALENDAR_PAGE, INCARNATION, OCCURRENCE, REBUILD } from '../jobs/keys.js';
 import { Priority } from '../state-store/budget.js';
 import type { Condition, Entry, StateFailure, Write } from '../state-store/client.js';
--- a/packages/controller/src/calendar/slack.ts
+++ b/packages/controller/src/calendar/slack.ts
@@ -3,7 +3,7 @@
  * has the formulae. Estimates are often wrong by half, so there are two views of what is left: a careful one that orders and
  * says what is at risk, and a hopeful one that says what can't make it any more.
  */
-import { type Micros, seconds } from '@lilacvalve/base/micros';
+import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import type { Job, JobSpec } from '../jobs/model.js';
 import type { TeamSettings } from '../settings/settings.js';
 import { type Calendar, type Occurrence, SAID } from './model.js';
--- a/packages/controller/src/doors.ts
+++ b/packages/controller/src/doors.ts
@@ -1,6 +1,6 @@
 /** The node's three doors: users, workers, and the other controllers. Each is answered by the slice it belongs to. */
-import { type Answer, type Incoming, json, type Quick, retryLater } from '@lilacvalve/base/http-server';
-import { type Micros, seconds } from '@lilacvalve/base/micros';
+import { type Answer, type Incoming, json, type Quick, retryLater } from '@lilacvalve/runtime/http-server';
+import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { Effect } from 'effect';
 import { type ApiDeps, route, userHandlers, workOf } from './api/handlers.js';
 import type { Contacts } from './leadership/contacts.js';
--- a/packages/controller/src/doubt/doubt.ts
+++ b/packages/controller/src/doubt/doubt.ts
@@ -3,7 +3,7 @@
  * what can't follow from that is evidence of a loss, and from then on nothing is committed, started, rented or returned,
  * and users are told to come back, until the store is seen to be as it was or has been rebuilt (docs/rebuild.md).
  */
-import { DRIFT, type Micros, millis, seconds } from '@lilacvalve/base/micros';
+import { DRIFT, type Micros, millis, seconds } from '@lilacvalve/runtime/micros';
 import type { Condition } from '../state-store/client.js';
 import { INCARNATION } from '../jobs/keys.js';
 import type { Evidence, EvidenceKind, Incarnation, Known } from './model.js';
--- a/packages/controller/src/doubt/duty.ts
+++ b/packages/controller/src/doubt/duty.ts
@@ -2,9 +2,9 @@
  * Looks at a doubted store until it is certain what became of it, and looks for lost keys while nothing is doubted. What
  * follows from a loss (a new incarnation, and its rebuild) is the leadership's and the rebuild's.
  */
-import { duty } from '@lilacvalve/base/duty';
-import { info } from '@lilacvalve/base/log';
-import type { Micros } from '@lilacvalve/base/micros';
+import { duty } from '@lilacvalve/runtime/duty';
+import { info } from '@lilacvalve/runtime/log';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import { Effect, Option, Queue, Random } from 'effect';
 import { JobCache } from '../jobs/cache.js';
 import type { Feed } from '../jobs/feed.js';
--- a/packages/controller/src/doubt/guard.ts
+++ b/packages/controller/src/doubt/guard.ts
@@ -3,8 +3,8 @@
  * answer is held against what was known when it was asked for, and while the store is doubted nothing is asked of it.
  * Leases are not: keeping one costs nothing if the store turns out to be sound.
  */
-import { NoAnswer } from '@lilacvalve/base/http-client';
-import type { Micros } from '@lilacvalve/base/micros';
+import { NoAnswer } from '@lilacvalve/runtime/http-client';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import { Effect } from 'effect';
 import type { Priority } from '../state-store/budget.js';
 import {
--- a/packages/controller/src/fleet/boots.ts
+++ b/packages/controller/src/fleet/boots.ts
@@ -3,7 +3,7 @@
  * coming, so nothing else is rented for the work that waits for it; but one that is overdue may come very late, or
  * never. It counts for less the longer it is overdue, and what it counts less is rented elsewhere.
  */
-import { type Micros, seconds } from '@lilacvalve/base/micros';
+import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 
 /** Most machines are up within this many times their stated boot time. */
 const USUAL = 1.5;
--- a/packages/controller/src/fleet/cloud.ts
+++ b/packages/controller/src/fleet/cloud.ts
@@ -1,7 +1,7 @@
 /** Client of the cloud's interface; its wire names stay here. */
 import { Data, Effect, Schema } from 'effect';
-import { HttpClient, keptOpen, type NoAnswer, type Reply } from '@lilacvalve/base/http-client';
-import { seconds } from '@lilacvalve/base/micros';
+import { HttpClient, keptOpen, type NoAnswer, type Reply } from '@lilacvalve/runtime/http-client';
+import { seconds } from '@lilacvalve/runtime/micros';
 import type { Settings } from '../settings/settings.js';
 import { Budget, Priority } from '../state-store/budget.js';
 import type { ListedMachine, MachineType } from './model.js';
--- a/packages/controller/src/fleet/duty.ts
+++ b/packages/controller/src/fleet/duty.ts
@@ -1,8 +1,8 @@
 /** The leader's dealings with the cloud: listing, renting, returning. */
 import { Effect } from 'effect';
-import { duty } from '@lilacvalve/base/duty';
-import { info } from '@lilacvalve/base/log';
-import { type Micros, plus, seconds } from '@lilacvalve/base/micros';
+import { duty } from '@lilacvalve/runtime/duty';
+import { info } from '@lilacvalve/runtime/log';
+import { type Micros, plus, seconds } from '@lilacvalve/runtime/micros';
 import { dayOf } from '../calendar/duty.js';
 import { pressing } from '../calendar/slack.js';
 import type { CycleView, Turn } from '../scheduler/turn.js';
--- a/packages/controller/src/fleet/hires.ts
+++ b/packages/controller/src/fleet/hires.ts
@@ -3,7 +3,7 @@
  * same answer under its name again and rents nothing, so whoever wants the same again asks by that name: under a new one it
  * was rented twice for the same want.
  */
-import { type Micros, plus } from '@lilacvalve/base/micros';
+import { type Micros, plus } from '@lilacvalve/runtime/micros';
 import type { Hire } from './cloud.js';
 import { type FleetNews, type Offer, offerKey } from './model.js';
 
--- a/packages/controller/src/fleet/model.ts
+++ b/packages/controller/src/fleet/model.ts
@@ -1,4 +1,4 @@
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 
 export interface MachineType {
   readonly name: string;
--- a/packages/controller/src/fleet/plan.ts
+++ b/packages/controller/src/fleet/plan.ts
@@ -1,5 +1,5 @@
 /** What to rent and what to return: a pure function of demand, machines and time. */
-import { type Micros, seconds } from '@lilacvalve/base/micros';
+import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import type { Job } from '../jobs/model.js';
 import { add, type Companion, fits, type Room, room, times } from '../scheduler/model.js';
 import { guardsOf, strands } from '../scheduler/state.js';
--- a/packages/controller/src/jobs/cache.ts
+++ b/packages/controller/src/jobs/cache.ts
@@ -2,7 +2,7 @@
  * The watch-fed view of the store on every node: jobs that are not over, the tail of cycle records, the
  * term, the leader. Pure: changes go in, in revision order; nothing here talks to anybody.
  */
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import { decodeAccounts } from '../accounts/codec.js';
 import { fold } from '../accounts/fold.js';
 import { type Accounts, NO_ACCOUNTS } from '../accounts/model.js';
--- a/packages/controller/src/jobs/codec.ts
+++ b/packages/controller/src/jobs/codec.ts
@@ -1,6 +1,6 @@
 /** Wire and durable forms of jobs. Wire names stay in this file. */
 import { Either, ParseResult, Schema } from 'effect';
-import { type Micros, seconds } from '@lilacvalve/base/micros';
+import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { decodeSpent, encodeSpent, type StoredSpent } from '../accounts/codec.js';
 import {
   decodeLoans,
--- a/packages/controller/src/jobs/feed.ts
+++ b/packages/controller/src/jobs/feed.ts
@@ -3,10 +3,10 @@
  * question. All waiting questions share one read.
  */
 import { Deferred, Effect } from 'effect';
-import { duty } from '@lilacvalve/base/duty';
-import { info } from '@lilacvalve/base/log';
-import { type Micros, millis, toMillis } from '@lilacvalve/base/micros';
-import { tick } from '@lilacvalve/base/tick';
+import { duty } from '@lilacvalve/runtime/duty';
+import { info } from '@lilacvalve/runtime/log';
+import { type Micros, millis, toMillis } from '@lilacvalve/runtime/micros';
+import { tick } from '@lilacvalve/runtime/tick';
 import type { Doubt } from '../doubt/doubt.js';
 import { doubted } from '../doubt/guard.js';
 import { Priority } from '../state-store/budget.js';
--- a/packages/controller/src/jobs/model.ts
+++ b/packages/controller/src/jobs/model.ts
@@ -2,7 +2,7 @@
  * The domain model: what a job is, what is durably known of it, and the one transition function. Every
  * node applies the same events in the same order, so every node's view at a revision is the same.
  */
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import { NOTHING_SPENT, type Spent } from '../accounts/model.js';
 import { applyLoans, type Loan, type Part } from '../lending/model.js';
 
--- a/packages/controller/src/leadership/contacts.ts
+++ b/packages/controller/src/leadership/contacts.ts
@@ -4,7 +4,7 @@
  * that did reach this node and do not any more, and a peer they knock at instead. Where all nodes are equally cut
  * off, nobody gives way.
  */
-import { type Micros, plus, seconds } from '@lilacvalve/base/micros';
+import { type Micros, plus, seconds } from '@lilacvalve/runtime/micros';
 import type { Settings } from '../settings/settings.js';
 
 /** Of the workers heard within a lease: fewer than this part heard lately means cut off. */
--- a/packages/controller/src/leadership/hold.ts
+++ b/packages/controller/src/leadership/hold.ts
@@ -4,7 +4,7 @@
  * therefore know every cancellation confirmed more than `cancel - lease` before (docs/design.md, "A leader without the
  * state service", has the chain of times).
  */
-import { DRIFT, type Micros, millis, plus, seconds } from '@lilacvalve/base/micros';
+import { DRIFT, type Micros, millis, plus, seconds } from '@lilacvalve/runtime/micros';
 import type { Settings } from '../settings/settings.js';
 
 /** For steps of timers on both sides; clocks that drift are counted apart. */
--- a/packages/controller/src/leadership/leadership.ts
+++ b/packages/controller/src/leadership/leadership.ts
@@ -4,10 +4,10 @@
  * conditional on its revision, so that a deposed leader's late transaction fails.
  */
 import { Clock, Effect, Queue, Random } from 'effect';
-import { duty } from '@lilacvalve/base/duty';
-import { info } from '@lilacvalve/base/log';
-import { DRIFT, type Micros, millis, plus, seconds, toMillis } from '@lilacvalve/base/micros';
-import { orTick } from '@lilacvalve/base/tick';
+import { duty } from '@lilacvalve/runtime/duty';
+import { info } from '@lilacvalve/runtime/log';
+import { DRIFT, type Micros, millis, plus, seconds, toMillis } from '@lilacvalve/runtime/micros';
+import { orTick } from '@lilacvalve/runtime/tick';
 import type { JobCache } from '../jobs/cache.js';
 import type { Feed } from '../jobs/feed.js';
 import { type Doubt } from '../doubt/doubt.js';
--- a/packages/controller/src/leadership/peers.ts
+++ b/packages/controller/src/leadership/peers.ts
@@ -8,11 +8,11 @@
  */
 import { Effect } from 'effect';
 import { pack, unpack } from 'msgpackr';
-import { duty } from '@lilacvalve/base/duty';
-import type { NoAnswer } from '@lilacvalve/base/http-client';
-import { type Answer, json } from '@lilacvalve/base/http-server';
-import { type Micros, plus, seconds } from '@lilacvalve/base/micros';
-import { tick } from '@lilacvalve/base/tick';
+import { duty } from '@lilacvalve/runtime/duty';
+import type { NoAnswer } from '@lilacvalve/runtime/http-client';
+import { type Answer, json } from '@lilacvalve/runtime/http-server';
+import { type Micros, plus, seconds } from '@lilacvalve/runtime/micros';
+import { tick } from '@lilacvalve/runtime/tick';
 import type { FleetNews } from '../fleet/model.js';
 import type { Peer, Settings } from '../settings/settings.js';
 import { nothingAfter, type Said } from './hold.js';
--- a/packages/controller/src/lending/choose.ts
+++ b/packages/controller/src/lending/choose.ts
@@ -3,7 +3,7 @@
  * the time until the replica serves, what it is late for its class's aim, and what is lost for it, all in seconds. See
  * docs/lending.md for the ways weighed and the figures.
  */
-import { type Micros, seconds } from '@lilacvalve/base/micros';
+import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 
 /** A second later than the aim weighs as many more. */
 const LATE = 1;
--- a/packages/controller/src/lending/codec.ts
+++ b/packages/controller/src/lending/codec.ts
@@ -1,5 +1,5 @@
 /** Durable forms of loans, inside a job's key and inside a record's change of a job. */
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Loan, Part } from './model.js';
 
 /** lender -> [thousandths of a GPU, tasks, microseconds from the taker's submission to the first record] */
--- a/packages/controller/src/lending/duty.ts
+++ b/packages/controller/src/lending/duty.ts
@@ -1,6 +1,6 @@
 /** Keeps the hint of who holds which weights. */
 import { Effect } from 'effect';
-import { duty } from '@lilacvalve/base/duty';
+import { duty } from '@lilacvalve/runtime/duty';
 import { TERM, WEIGHTS } from '../jobs/keys.js';
 import type { Job } from '../jobs/model.js';
 import { hintWriter } from '../state-store/hint.js';
--- a/packages/controller/src/lending/model.ts
+++ b/packages/controller/src/lending/model.ts
@@ -2,7 +2,7 @@
  * Loans: GPUs that a service runs on because tasks of another job were stopped for it. A loan is part of the taker's
  * durable state, so whoever has the jobs has the loans: followers, a new leader, a rebuild, a snapshot.
  */
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 
 /** GPUs are counted in thousandths, as whole numbers: sums of loans are exact. */
 export const milli = (gpus: number): number => Math.round(gpus * 1000);
--- a/packages/controller/src/links.ts
+++ b/packages/controller/src/links.ts
@@ -1,6 +1,6 @@
 /** Everything that controllers say to each other, over one link to each: beats, reports passed on, views. */
-import { NoAnswer, type Reply } from '@lilacvalve/base/http-client';
-import { Link } from '@lilacvalve/base/link';
+import { NoAnswer, type Reply } from '@lilacvalve/runtime/http-client';
+import { Link } from '@lilacvalve/runtime/link';
 import { Effect } from 'effect';
 import { pack } from 'msgpackr';
 import { type Beat, type PeerPort, readBeat } from './leadership/peers.js';
--- a/packages/controller/src/main.ts
+++ b/packages/controller/src/main.ts
@@ -2,11 +2,11 @@
 import { Command, InvalidArgumentError } from 'commander';
 import { Effect, Either, Fiber } from 'effect';
 import { DiskFiles } from '@lilacvalve/snapshot/files';
-import { parseAddress } from '@lilacvalve/base/http-client';
-import { serve } from '@lilacvalve/base/http-server';
-import { serveLinks } from '@lilacvalve/base/link';
-import { error, info, logLayer } from '@lilacvalve/base/log';
-import { micros, now, seconds } from '@lilacvalve/base/micros';
+import { parseAddress } from '@lilacvalve/runtime/http-client';
+import { serve } from '@lilacvalve/runtime/http-server';
+import { serveLinks } from '@lilacvalve/runtime/link';
+import { error, info, logLayer } from '@lilacvalve/runtime/log';
+import { micros, now, seconds } from '@lilacvalve/runtime/micros';
 import { Cloud } from './fleet/cloud.js';
 import { Links } from './links.js';
 import { makeNode } from './node.js';
--- a/packages/controller/src/node.ts
+++ b/packages/controller/src/node.ts
@@ -1,8 +1,8 @@
 /** One controller node: wires the slices together. Effects of the outside world come in as ports. */
-import { duty } from '@lilacvalve/base/duty';
-import type { Answer, Incoming, Quick } from '@lilacvalve/base/http-server';
-import { type Micros, plus } from '@lilacvalve/base/micros';
-import { tick } from '@lilacvalve/base/tick';
+import { duty } from '@lilacvalve/runtime/duty';
+import type { Answer, Incoming, Quick } from '@lilacvalve/runtime/http-server';
+import { type Micros, plus } from '@lilacvalve/runtime/micros';
+import { tick } from '@lilacvalve/runtime/tick';
 import type { Files } from '@lilacvalve/snapshot/files';
 import { Effect } from 'effect';
 import { Doubt } from './doubt/doubt.js';
--- a/packages/controller/src/overload/admission.ts
+++ b/packages/controller/src/overload/admission.ts
@@ -1,6 +1,6 @@
 /** Keeps the counts and the lag that `admit` decides from. */
-import { type Answer, retryLater } from '@lilacvalve/base/http-server';
-import { type Micros, plus } from '@lilacvalve/base/micros';
+import { type Answer, retryLater } from '@lilacvalve/runtime/http-server';
+import { type Micros, plus } from '@lilacvalve/runtime/micros';
 import { tally } from '../tally.js';
 import { admit } from './admit.js';
 import { MEMORY_LIMITS } from './memory.js';
--- a/packages/controller/src/overload/admit.ts
+++ b/packages/controller/src/overload/admit.ts
@@ -3,7 +3,7 @@
  * once when to come back, spread over a time that grows with what there is too much of, so that the refused do not
  * come back together. A poll is refused only out of its job's turn (turns.ts), up to a bound on what turns may cost.
  */
-import { toSeconds } from '@lilacvalve/base/micros';
+import { toSeconds } from '@lilacvalve/runtime/micros';
 import { MEMORY_LIMITS } from './memory.js';
 import type { Limits, Load, Work } from './model.js';
 import type { Turn } from './turns.js';
--- a/packages/controller/src/overload/model.ts
+++ b/packages/controller/src/overload/model.ts
@@ -1,5 +1,5 @@
 /** What a node may have more of than its share of a core, or of the state service, allows. */
-import { type Micros, millis, seconds } from '@lilacvalve/base/micros';
+import { type Micros, millis, seconds } from '@lilacvalve/runtime/micros';
 import { SHARES } from './turns.js';
 
 /** Kinds of work, the least worth first. A lease's renewal is this node's own doing and is never shed. */
--- a/packages/controller/src/overload/turns.ts
+++ b/packages/controller/src/overload/turns.ts
@@ -3,7 +3,7 @@
  * which of them are its own: so each job has its turn, whoever is asked, and nobody keeps a list of who was refused
  * (docs/answers.md states the bound). Pure functions of (id, time of day).
  */
-import { type Micros, seconds } from '@lilacvalve/base/micros';
+import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 
 /** Longer than from one poll of a user to the next, so that one falls into each slot: 5 s, give or take, and 2 s unanswered. */
 export const SLOT = seconds(8);
--- a/packages/controller/src/pulse.ts
+++ b/packages/controller/src/pulse.ts
@@ -1,8 +1,8 @@
 /** What a node does whether it leads or not, to know how it stands: its pulse, its counts, its tie to the state service. */
-import { duty } from '@lilacvalve/base/duty';
-import { debug, info } from '@lilacvalve/base/log';
-import { type Micros, millis, toMillis } from '@lilacvalve/base/micros';
-import { tick, untilTick } from '@lilacvalve/base/tick';
+import { duty } from '@lilacvalve/runtime/duty';
+import { debug, info } from '@lilacvalve/runtime/log';
+import { type Micros, millis, toMillis } from '@lilacvalve/runtime/micros';
+import { tick, untilTick } from '@lilacvalve/runtime/tick';
 import { Clock, Effect, FiberRef, LogLevel, Runtime } from 'effect';
 import type { Feed } from './jobs/feed.js';
 import type { Admission } from './overload/admission.js';
--- a/packages/controller/src/rebuild/duty.ts
+++ b/packages/controller/src/rebuild/duty.ts
@@ -3,8 +3,8 @@
  * nothing is missing any more. Each step can be begun again by another node: what is written is written under conditions,
  * and a view is forgotten only once its content is durable.
  */
-import { info } from '@lilacvalve/base/log';
-import { type Micros, seconds } from '@lilacvalve/base/micros';
+import { info } from '@lilacvalve/runtime/log';
+import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { Effect, Random } from 'effect';
 import { encodeAccounts } from '../accounts/codec.js';
 import { joinAccounts } from '../accounts/fold.js';
--- a/packages/controller/src/rebuild/exchange.ts
+++ b/packages/controller/src/rebuild/exchange.ts
@@ -1,6 +1,6 @@
 /** Views between controllers: what a node tells the rebuilder, and how that one asks. */
-import { type Answer, type Incoming, json } from '@lilacvalve/base/http-server';
-import { NoAnswer } from '@lilacvalve/base/http-client';
+import { type Answer, type Incoming, json } from '@lilacvalve/runtime/http-server';
+import { NoAnswer } from '@lilacvalve/runtime/http-client';
 import { Effect } from 'effect';
 import type { JobCache } from '../jobs/cache.js';
 import type { FinalState, Job } from '../jobs/model.js';
--- a/packages/controller/src/rebuild/wards.ts
+++ b/packages/controller/src/rebuild/wards.ts
@@ -3,8 +3,8 @@
  * held, they are never answered 404, and when their user submits them again what runs becomes the submitted job's. After
  * a stated time they are stopped.
  */
-import { info } from '@lilacvalve/base/log';
-import { seconds } from '@lilacvalve/base/micros';
+import { info } from '@lilacvalve/runtime/log';
+import { seconds } from '@lilacvalve/runtime/micros';
 import { Effect } from 'effect';
 import type { Ward } from '../jobs/codec.js';
 import { activeKey, finalKey, TERM, wardKey } from '../jobs/keys.js';
--- a/packages/controller/src/reign/session.ts
+++ b/packages/controller/src/reign/session.ts
@@ -1,9 +1,9 @@
 /** One reign: everything a leader does from the moment it leads until it does not. */
 import { Ledger } from '../accounts/ledger.js';
-import { duty } from '@lilacvalve/base/duty';
-import { info } from '@lilacvalve/base/log';
-import { type Micros, millis, seconds, toMillis } from '@lilacvalve/base/micros';
-import { tick } from '@lilacvalve/base/tick';
+import { duty } from '@lilacvalve/runtime/duty';
+import { info } from '@lilacvalve/runtime/log';
+import { type Micros, millis, seconds, toMillis } from '@lilacvalve/runtime/micros';
+import { tick } from '@lilacvalve/runtime/tick';
 import { Effect, Queue } from 'effect';
 import { Learned } from '../calendar/duty.js';
 import type { Doubt } from '../doubt/doubt.js';
--- a/packages/controller/src/scheduler/commit.ts
+++ b/packages/controller/src/scheduler/commit.ts
@@ -1,7 +1,7 @@
 /** Makes a turn's ends and starts durable, in records that one transaction commits. Conditional on the term. */
 import { Effect } from 'effect';
-import { debug, info } from '@lilacvalve/base/log';
-import { type Micros, plus } from '@lilacvalve/base/micros';
+import { debug, info } from '@lilacvalve/runtime/log';
+import { type Micros, plus } from '@lilacvalve/runtime/micros';
 import { Booking } from '../accounts/booking.js';
 import { NOTHING_SPENT } from '../accounts/model.js';
 import { learn, logSaid, saidOf } from '../calendar/duty.js';
--- a/packages/controller/src/scheduler/duty.ts
+++ b/packages/controller/src/scheduler/duty.ts
@@ -3,8 +3,8 @@
  * then lets them take effect. A start is never sent before its record is committed.
  */
 import { Effect } from 'effect';
-import { info } from '@lilacvalve/base/log';
-import { type Micros, plus, seconds } from '@lilacvalve/base/micros';
+import { info } from '@lilacvalve/runtime/log';
+import { type Micros, plus, seconds } from '@lilacvalve/runtime/micros';
 import { sharesOf } from '../accounts/share.js';
 import { firstOnRoom } from '../lending/give-back.js';
 import { loansOf } from '../lending/loans.js';
--- a/packages/controller/src/scheduler/largest.ts
+++ b/packages/controller/src/scheduler/largest.ts
@@ -4,7 +4,7 @@
  * largest ones (day: cairo fleet restart, where every controller ends three times).
  */
 import { Effect } from 'effect';
-import { duty } from '@lilacvalve/base/duty';
+import { duty } from '@lilacvalve/runtime/duty';
 import { LARGEST, TERM } from '../jobs/keys.js';
 import type { JobSpec } from '../jobs/model.js';
 import { hintWriter } from '../state-store/hint.js';
--- a/packages/controller/src/scheduler/model.ts
+++ b/packages/controller/src/scheduler/model.ts
@@ -1,4 +1,4 @@
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Job } from '../jobs/model.js';
 import type { ImageThere, Victim } from '../lending/choose.js';
 import type { TeamSettings } from '../settings/settings.js';
--- a/packages/controller/src/scheduler/rank.ts
+++ b/packages/controller/src/scheduler/rank.ts
@@ -10,7 +10,7 @@
  *    counts: estimates are off by half, and jobs in progress would fall behind for nothing.
  * 4. What failed wherever it ran, in the order of submission.
  */
-import { type Micros, seconds } from '@lilacvalve/base/micros';
+import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import type { Job } from '../jobs/model.js';
 import type { TeamSettings } from '../settings/settings.js';
 
--- a/packages/controller/src/scheduler/replicas.ts
+++ b/packages/controller/src/scheduler/replicas.ts
@@ -3,7 +3,7 @@
  * being left, or by stopping others, as src/lending says. Everything else goes as place.ts has it. An exception to the
  * cycle's levels (docs/design.md): free room without the weights can be the worse place by a minute.
  */
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Job } from '../jobs/model.js';
 import {
   costOf,
--- a/packages/controller/src/scheduler/reserve.ts
+++ b/packages/controller/src/scheduler/reserve.ts
@@ -4,7 +4,7 @@
  * would soon be stopped again. What ends before the gang could begin, though its estimate be wrong by half, may use them.
  * Made anew at each turn from what is there, for one gang at a time; nothing of it is durable.
  */
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Job } from '../jobs/model.js';
 import { type Holder, type Room, room, times } from './model.js';
 import { type Floor, type NodeState, outranked, reach, type TeamState, zonesAllowed } from './state.js';
--- a/packages/controller/src/scheduler/state.ts
+++ b/packages/controller/src/scheduler/state.ts
@@ -1,5 +1,5 @@
 /** What one cycle works on: rooms, evicted tasks and teams, as they stand at a moment of the refill. */
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Job } from '../jobs/model.js';
 import type { TeamSettings } from '../settings/settings.js';
 import { type Companion, EPSILON, type Holder, type NodeView, type Room, goes } from './model.js';
--- a/packages/controller/src/scheduler/turn.ts
+++ b/packages/controller/src/scheduler/turn.ts
@@ -1,6 +1,6 @@
 /** What one reign's duties share: the ports, the book, and the questions a decision must ask. */
 import type { Ledger } from '../accounts/ledger.js';
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Learned } from '../calendar/duty.js';
 import type { FleetNews, MachineType } from '../fleet/model.js';
 import type { Doubt } from '../doubt/doubt.js';
--- a/packages/controller/src/scheduler/upkeep.ts
+++ b/packages/controller/src/scheduler/upkeep.ts
@@ -1,6 +1,6 @@
 /** Tidies up what older records and jobs that are over leave behind. Every write is conditional on the term. */
 import { Effect } from 'effect';
-import { info } from '@lilacvalve/base/log';
+import { info } from '@lilacvalve/runtime/log';
 import { checkpointWrites, joinOld, writePage } from '../accounts/upkeep.js';
 import { tallying, tendCalendar } from '../calendar/duty.js';
 import { encodeFinal, encodeJob } from '../jobs/codec.js';
--- a/packages/controller/src/scheduler/views.ts
+++ b/packages/controller/src/scheduler/views.ts
@@ -1,5 +1,5 @@
 /** What the cycle is given: holders, machines, queues, weights and companions as the book and the jobs have them now. */
-import { type Micros, seconds } from '@lilacvalve/base/micros';
+import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { dayOf, paceOf } from '../calendar/duty.js';
 import { cutoffRank } from '../calendar/slack.js';
 import { isComplete, type Job, taskKey } from '../jobs/model.js';
--- a/packages/controller/src/scheduler/waits.ts
+++ b/packages/controller/src/scheduler/waits.ts
@@ -2,7 +2,7 @@
  * For how long jobs have waited in this reign without a start. What is kept for others ends there for them: no job is left
  * waiting for 90 s beside room that it could use.
  */
-import { type Micros, seconds } from '@lilacvalve/base/micros';
+import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import type { Job } from '../jobs/model.js';
 
 /** A start takes a turn, its record and the machine's next report. */
--- a/packages/controller/src/settings/settings.ts
+++ b/packages/controller/src/settings/settings.ts
@@ -1,8 +1,8 @@
 /** The platform's settings file: TOML checked by Schema. Unknown fields are ignored. */
 import { readFileSync } from 'node:fs';
 import { Either, Schema } from 'effect';
-import { type Micros, millis, seconds } from '@lilacvalve/base/micros';
-import { checkedToml } from '@lilacvalve/base/toml';
+import { type Micros, millis, seconds } from '@lilacvalve/runtime/micros';
+import { checkedToml } from '@lilacvalve/runtime/toml';
 
 const Address = Schema.String.pipe(
   Schema.pattern(/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/, { message: () => 'must be IPv4:port' }),
--- a/packages/controller/src/snapshots/command.ts
+++ b/packages/controller/src/snapshots/command.ts
@@ -1,5 +1,5 @@
 /** The snapshots' command: looks at what controllers have kept on a disk, and puts it back. */
-import { logLayer } from '@lilacvalve/base/log';
+import { logLayer } from '@lilacvalve/runtime/log';
 import { DiskFiles } from '@lilacvalve/snapshot/files';
 import { check, type Content, differences, load } from '@lilacvalve/snapshot/read';
 import { Command, InvalidArgumentError } from 'commander';
--- a/packages/controller/src/snapshots/duty.ts
+++ b/packages/controller/src/snapshots/duty.ts
@@ -2,8 +2,8 @@
  * Keeps a snapshot of the store on this node's disk, where operators have turned that on, and remembers what one from
  * before says when the node starts: a store that has lost what the snapshot holds is rebuilt from it, too.
  */
-import { duty } from '@lilacvalve/base/duty';
-import { error, info } from '@lilacvalve/base/log';
+import { duty } from '@lilacvalve/runtime/duty';
+import { error, info } from '@lilacvalve/runtime/log';
 import type { Files } from '@lilacvalve/snapshot/files';
 import { type Content, load } from '@lilacvalve/snapshot/read';
 import { SnapshotWriter, type SourcePage, type WriterOptions } from '@lilacvalve/snapshot/writer';
--- a/packages/controller/src/state-store/budget.ts
+++ b/packages/controller/src/state-store/budget.ts
@@ -3,7 +3,7 @@
  * of the whole, and within it leases go before commits and commits before reads.
  */
 import { Effect } from 'effect';
-import { type Micros, now } from '@lilacvalve/base/micros';
+import { type Micros, now } from '@lilacvalve/runtime/micros';
 
 export const enum Priority {
   Lease = 0,
--- a/packages/controller/src/state-store/client.ts
+++ b/packages/controller/src/state-store/client.ts
@@ -3,8 +3,8 @@
  * surely not carried out, `NoAnswer` may have been, or may be later.
  */
 import { Data, Effect } from 'effect';
-import { HttpClient, keptOpen, type NoAnswer, type Reply } from '@lilacvalve/base/http-client';
-import { type Micros, now, toMillis } from '@lilacvalve/base/micros';
+import { HttpClient, keptOpen, type NoAnswer, type Reply } from '@lilacvalve/runtime/http-client';
+import { type Micros, now, toMillis } from '@lilacvalve/runtime/micros';
 import { tally } from '../tally.js';
 import type { Settings } from '../settings/settings.js';
 import { Parts, Priority } from './budget.js';
--- a/packages/controller/src/tally.ts
+++ b/packages/controller/src/tally.ts
@@ -2,7 +2,7 @@
  * Counts of what a node did, by kind of message, since last asked: where its processor time goes is a question of
  * how many of each. One counter a kind, so that counting costs next to nothing.
  */
-import type { Fields } from '@lilacvalve/base/log';
+import type { Fields } from '@lilacvalve/runtime/log';
 
 export type Kind =
   | 'reports'
--- a/packages/controller/src/workers/blame.ts
+++ b/packages/controller/src/workers/blame.ts
@@ -4,7 +4,7 @@
  * wherever it runs; it is tried on, seldom and little of it, until its user cancels it. A machine is blamed for
  * jobs that are not themselves under suspicion, and the blame is taken back when they turn out to be.
  */
-import { type Micros, plus, seconds } from '@lilacvalve/base/micros';
+import { type Micros, plus, seconds } from '@lilacvalve/runtime/micros';
 import type { Job } from '../jobs/model.js';
 
 /** A job that failed on so many machines, and completed on none, is under suspicion. */
--- a/packages/controller/src/workers/book.ts
+++ b/packages/controller/src/workers/book.ts
@@ -3,7 +3,7 @@
  * the time go in; orders and observed ends come out. Nothing here is durable: the starts and ends that
  * count stand in the store, and the book is made anew by every term.
  */
-import { DRIFT, type Micros, plus, seconds } from '@lilacvalve/base/micros';
+import { DRIFT, type Micros, plus, seconds } from '@lilacvalve/runtime/micros';
 import type { FleetNews, ListedMachine } from '../fleet/model.js';
 import type { JobCache } from '../jobs/cache.js';
 import { type Job, type Placement, taskKey } from '../jobs/model.js';
--- a/packages/controller/src/workers/codec.ts
+++ b/packages/controller/src/workers/codec.ts
@@ -1,5 +1,5 @@
 /** Wire form of reports and orders. */
-import { type Micros, seconds, toSeconds } from '@lilacvalve/base/micros';
+import { type Micros, seconds, toSeconds } from '@lilacvalve/runtime/micros';
 
 export type TaskStatus = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
 export type ExitCause = 'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'no-room' | 'busy' | 'unknown';
--- a/packages/controller/src/workers/duty.ts
+++ b/packages/controller/src/workers/duty.ts
@@ -1,9 +1,9 @@
 /** Answers reports while this node leads, and sends urgent stops directly. */
 import * as http from 'node:http';
 import { Effect } from 'effect';
-import { type Answer, json, type Quick } from '@lilacvalve/base/http-server';
-import { HttpClient } from '@lilacvalve/base/http-client';
-import { type Micros, seconds } from '@lilacvalve/base/micros';
+import { type Answer, json, type Quick } from '@lilacvalve/runtime/http-server';
+import { HttpClient } from '@lilacvalve/runtime/http-client';
+import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { odd, tally } from '../tally.js';
 import type { Contacts } from '../leadership/contacts.js';
 import type { Leadership } from '../leadership/leadership.js';
--- a/packages/controller/src/workers/places.ts
+++ b/packages/controller/src/workers/places.ts
@@ -3,7 +3,7 @@
  * to do, and when it ends or stands still, a worker that talks to another node loses no time. And no node that stands
  * before one that is gone in the workers' list: a worker that lost both would try them one after the other, 4 s each.
  */
-import { type Micros, seconds } from '@lilacvalve/base/micros';
+import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 
 /** A worker is sent elsewhere at most so often; if it comes back sooner, it is answered. */
 const AGAIN = seconds(20);
--- a/packages/controller/src/workers/relay.ts
+++ b/packages/controller/src/workers/relay.ts
@@ -10,10 +10,10 @@
  */
 import { Effect, Queue } from 'effect';
 import { pack, unpack } from 'msgpackr';
-import { duty } from '@lilacvalve/base/duty';
-import { type Answer, json, type Quick, retryLater } from '@lilacvalve/base/http-server';
-import type { NoAnswer } from '@lilacvalve/base/http-client';
-import { type Micros, millis } from '@lilacvalve/base/micros';
+import { duty } from '@lilacvalve/runtime/duty';
+import { type Answer, json, type Quick, retryLater } from '@lilacvalve/runtime/http-server';
+import type { NoAnswer } from '@lilacvalve/runtime/http-client';
+import { type Micros, millis } from '@lilacvalve/runtime/micros';
 import { odd, tally } from '../tally.js';
 import type { Peer } from '../settings/settings.js';
 import { type Answers, plainBody, type Receive, type ReportReader, senderOf } from './codec.js';
--- a/packages/controller/test/accounts.test.ts
+++ b/packages/controller/test/accounts.test.ts
@@ -1,7 +1,7 @@
 /** Accounts: what is booked is what was placed, exactly, however it is split, folded, written and joined. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import { Effect } from 'effect';
 import fc from 'fast-check';
 import { decodeAccounts, decodeAmounts, encodeAccounts, encodeAmounts } from '../src/accounts/codec.js';
--- a/packages/controller/test/answer-lost.test.ts
+++ b/packages/controller/test/answer-lost.test.ts
@@ -4,8 +4,8 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { NoAnswer } from '@lilacvalve/base/http-client';
-import { type Micros, micros } from '@lilacvalve/base/micros';
+import { NoAnswer } from '@lilacvalve/runtime/http-client';
+import { type Micros, micros } from '@lilacvalve/runtime/micros';
 import { Effect } from 'effect';
 import { encodeAccounts } from '../src/accounts/codec.js';
 import { MINUTE, NO_ACCOUNTS } from '../src/accounts/model.js';
--- a/packages/controller/test/answers.test.ts
+++ b/packages/controller/test/answers.test.ts
@@ -1,7 +1,7 @@
 /** Which reads an answer to a user rests on, where reads, commits and answers of one node overlap. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type Micros, now } from '@lilacvalve/base/micros';
+import { type Micros, now } from '@lilacvalve/runtime/micros';
 import { Effect, Fiber, Logger } from 'effect';
 import { userHandlers } from '../src/api/handlers.js';
 import { Doubt } from '../src/doubt/doubt.js';
--- a/packages/controller/test/blame.test.ts
+++ b/packages/controller/test/blame.test.ts
@@ -1,7 +1,7 @@
 /** Blame: a seeded fleet with faulty machines and jobs submitted with a mistake, tried as the scheduler would. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type Micros, plus, seconds } from '@lilacvalve/base/micros';
+import { type Micros, plus, seconds } from '@lilacvalve/runtime/micros';
 import type { Job } from '../src/jobs/model.js';
 import { Blame } from '../src/workers/blame.js';
 import { job } from './support/job.js';
--- a/packages/controller/test/book.test.ts
+++ b/packages/controller/test/book.test.ts
@@ -1,7 +1,7 @@
 /** The leader's book: when a placement counts as gone. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type Micros, seconds } from '@lilacvalve/base/micros';
+import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { JobCache } from '../src/jobs/cache.js';
 import { encodeJob } from '../src/jobs/codec.js';
 import { activeKey } from '../src/jobs/keys.js';
--- a/packages/controller/test/cache.test.ts
+++ b/packages/controller/test/cache.test.ts
@@ -1,6 +1,6 @@
 /** The watch-fed cache: every node must read the same end of a job from the same keys. */
 import assert from 'node:assert/strict';
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import { test } from 'node:test';
 import { JobCache } from '../src/jobs/cache.js';
 import { encodeJob, encodeRecord } from '../src/jobs/codec.js';
--- a/packages/controller/test/calendar.test.ts
+++ b/packages/controller/test/calendar.test.ts
@@ -1,7 +1,7 @@
 /** Ties and slack: pure properties, seeded. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type Micros, seconds } from '@lilacvalve/base/micros';
+import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { makeCalendar } from '../src/calendar/model.js';
 import { SAID } from '../src/calendar/model.js';
 import { addShown, ratioOf } from '../src/calendar/shown.js';
--- a/packages/controller/test/doubt.test.ts
+++ b/packages/controller/test/doubt.test.ts
@@ -1,7 +1,7 @@
 /** Noticing a loss: what counts as evidence, and what looks at a doubted store say of it. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import { audit, keysOf } from '../src/doubt/audit.js';
 import { Doubt } from '../src/doubt/doubt.js';
 import { judge } from '../src/doubt/judge.js';
--- a/packages/controller/test/draft.test.ts
+++ b/packages/controller/test/draft.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Effect } from 'effect';
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import { RECORD } from '../src/jobs/keys.js';
 import type { Job } from '../src/jobs/model.js';
 import { turnGapMs } from '../src/reign/session.js';
--- a/packages/controller/test/fleet.test.ts
+++ b/packages/controller/test/fleet.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { readList } from '../src/fleet/cloud.js';
-import { type Micros, seconds } from '@lilacvalve/base/micros';
+import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { type Awaited, Boots, countsFor, isOverdue, roomOnTheWay } from '../src/fleet/boots.js';
 import type { Offer } from '../src/fleet/model.js';
 import { type PlanInput, type Rental, rentals, returns, typesWanted } from '../src/fleet/plan.js';
--- a/packages/controller/test/hold.test.ts
+++ b/packages/controller/test/hold.test.ts
@@ -1,7 +1,7 @@
 /** Reports are answered only while no cancellation can be overdue by it, whatever the times of reads, beats and clocks. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { DRIFT, type Micros, seconds } from '@lilacvalve/base/micros';
+import { DRIFT, type Micros, seconds } from '@lilacvalve/runtime/micros';
 import type { Doubt } from '../src/doubt/doubt.js';
 import { JobCache } from '../src/jobs/cache.js';
 import { Feed } from '../src/jobs/feed.js';
--- a/packages/controller/test/late-answers.test.ts
+++ b/packages/controller/test/late-answers.test.ts
@@ -3,7 +3,7 @@
 import * as http from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { test } from 'node:test';
-import { type Micros, seconds } from '@lilacvalve/base/micros';
+import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { Effect } from 'effect';
 import { Doubt } from '../src/doubt/doubt.js';
 import { countsFor } from '../src/fleet/boots.js';
--- a/packages/controller/test/late-writes.test.ts
+++ b/packages/controller/test/late-writes.test.ts
@@ -1,8 +1,8 @@
 /** Transactions without an answer that are carried out late, after newer ones of the same controller (docs/state.md). */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type Micros, micros } from '@lilacvalve/base/micros';
-import { NoAnswer } from '@lilacvalve/base/http-client';
+import { type Micros, micros } from '@lilacvalve/runtime/micros';
+import { NoAnswer } from '@lilacvalve/runtime/http-client';
 import { Effect } from 'effect';
 import { encodeAccounts } from '../src/accounts/codec.js';
 import { MINUTE, NO_ACCOUNTS } from '../src/accounts/model.js';
--- a/packages/controller/test/lending.test.ts
+++ b/packages/controller/test/lending.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { type Micros, seconds } from '@lilacvalve/base/micros';
+import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { decodeJob, encodeJob } from '../src/jobs/codec.js';
 import { applyChange, type Job, type JobSpec, type Urgency } from '../src/jobs/model.js';
 import { costOf, endsFirst, fetchTime, lossOf, mayTakeMore } from '../src/lending/choose.js';
--- a/packages/controller/test/link.test.ts
+++ b/packages/controller/test/link.test.ts
@@ -3,8 +3,8 @@
 import * as net from 'node:net';
 import { test } from 'node:test';
 import { Effect, Exit, Scope } from 'effect';
-import { Link, serveLinks } from '@lilacvalve/base/link';
-import { type Answer, json } from '@lilacvalve/base/http-server';
+import { Link, serveLinks } from '@lilacvalve/runtime/link';
+import { type Answer, json } from '@lilacvalve/runtime/http-server';
 import { Luck } from './support/luck.js';
 
 interface Peer {
--- a/packages/controller/test/meetings.test.ts
+++ b/packages/controller/test/meetings.test.ts
@@ -5,7 +5,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pack, unpack } from 'msgpackr';
-import { type Micros, seconds } from '@lilacvalve/base/micros';
+import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { isDeaf } from '../src/fleet/duty.js';
 import { JobCache } from '../src/jobs/cache.js';
 import { encodeJob } from '../src/jobs/codec.js';
--- a/packages/controller/test/overload.test.ts
+++ b/packages/controller/test/overload.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { type Micros, millis, seconds } from '@lilacvalve/base/micros';
+import { type Micros, millis, seconds } from '@lilacvalve/runtime/micros';
 import { turnGapMs } from '../src/reign/session.js';
 import { Admission } from '../src/overload/admission.js';
 import { admit } from '../src/overload/admit.js';
--- a/packages/controller/test/places.test.ts
+++ b/packages/controller/test/places.test.ts
@@ -1,7 +1,7 @@
 /** Which node a worker reports to. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type Micros, seconds } from '@lilacvalve/base/micros';
+import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { goodPlaces, placeOf, Places } from '../src/workers/places.js';
 
 const NODES = ['n0', 'n1', 'n2', 'n3', 'n4'];
--- a/packages/controller/test/program.test.ts
+++ b/packages/controller/test/program.test.ts
@@ -1,6 +1,6 @@
 /** Settings, the built program's command line, and the small codecs. */
 import assert from 'node:assert/strict';
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import { spawn, spawnSync } from 'node:child_process';
 import { readFileSync, writeFileSync, mkdtempSync } from 'node:fs';
 import { tmpdir } from 'node:os';
--- a/packages/controller/test/rebuild.test.ts
+++ b/packages/controller/test/rebuild.test.ts
@@ -1,6 +1,6 @@
 /** Joining what several nodes remember, finding where they differ, and planning what must be written. */
 import assert from 'node:assert/strict';
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { JobCache } from '../src/jobs/cache.js';
--- a/packages/controller/test/reports.test.ts
+++ b/packages/controller/test/reports.test.ts
@@ -1,7 +1,7 @@
 /** Reports as the leader reads them: one that repeats what its machine said is read less, and means the same. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import { JobCache } from '../src/jobs/cache.js';
 import { encodeJob } from '../src/jobs/codec.js';
 import { activeKey } from '../src/jobs/keys.js';
--- a/packages/controller/test/scheduler.test.ts
+++ b/packages/controller/test/scheduler.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { type Micros, seconds } from '@lilacvalve/base/micros';
+import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import type { Job, JobSpec, Urgency } from '../src/jobs/model.js';
 import { schedule } from '../src/scheduler/cycle.js';
 import { Largest } from '../src/scheduler/largest.js';
--- a/packages/controller/test/server.test.ts
+++ b/packages/controller/test/server.test.ts
@@ -4,10 +4,10 @@
 import type { AddressInfo } from 'node:net';
 import { test } from 'node:test';
 import { Effect, Exit, Scope } from 'effect';
-import { json, serve } from '@lilacvalve/base/http-server';
-import { untilTick } from '@lilacvalve/base/tick';
+import { json, serve } from '@lilacvalve/runtime/http-server';
+import { untilTick } from '@lilacvalve/runtime/tick';
 import { Gate } from '../src/workers/duty.js';
-import { type Micros, seconds } from '@lilacvalve/base/micros';
+import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { Luck } from './support/luck.js';
 
 const get = (port: number, path: string): Promise<{ status: number; retry: string | undefined }> =>
--- a/packages/controller/test/session.test.ts
+++ b/packages/controller/test/session.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Effect, Fiber } from 'effect';
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import { JobCache } from '../src/jobs/cache.js';
 import { type SessionParts, Sessions } from '../src/reign/session.js';
 import { worldSettings } from './support/settings.js';
--- a/packages/controller/test/support/cycle.ts
+++ b/packages/controller/test/support/cycle.ts
@@ -1,5 +1,5 @@
 /** What a cycle is given, with nothing in it but what a test says. */
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import type { CycleInput } from '../../src/scheduler/model.js';
 
 export const input = (over: Partial<CycleInput>): CycleInput => ({
--- a/packages/controller/test/support/job.ts
+++ b/packages/controller/test/support/job.ts
@@ -1,5 +1,5 @@
 /** A job as the store has it, with nothing started; tests say what differs. */
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Job, JobSpec } from '../../src/jobs/model.js';
 
 const ZERO = 0 as Micros;
--- a/packages/controller/test/support/late-store.ts
+++ b/packages/controller/test/support/late-store.ts
@@ -1,7 +1,7 @@
 /** A state service on virtual time that loses answers or is late, and a controller's parts before it. */
 import assert from 'node:assert/strict';
-import { type Micros, micros } from '@lilacvalve/base/micros';
-import { NoAnswer } from '@lilacvalve/base/http-client';
+import { type Micros, micros } from '@lilacvalve/runtime/micros';
+import { NoAnswer } from '@lilacvalve/runtime/http-client';
 import { Cause, Clock, Duration, Effect, Logger, Random, Scheduler } from 'effect';
 import { Ledger } from '../../src/accounts/ledger.js';
 import { userHandlers } from '../../src/api/handlers.js';
--- a/packages/controller/test/support/machines.ts
+++ b/packages/controller/test/support/machines.ts
@@ -2,7 +2,7 @@
  * Machines and their workers by the protocol, small: sessions, tokens, leases, gangs, one report in flight. Messages are
  * lost, held, and come again; what runs where is written down.
  */
-import { seconds } from '@lilacvalve/base/micros';
+import { seconds } from '@lilacvalve/runtime/micros';
 import type { Luck } from './luck.js';
 import { worldSettings } from './settings.js';
 
--- a/packages/controller/test/support/settings.ts
+++ b/packages/controller/test/support/settings.ts
@@ -1,5 +1,5 @@
 /** A small deployment's settings and machine types, for tests and for the lab's small days. */
-import { micros, seconds } from '@lilacvalve/base/micros';
+import { micros, seconds } from '@lilacvalve/runtime/micros';
 import type { MachineType } from '../../src/fleet/model.js';
 import type { Settings } from '../../src/settings/settings.js';
 
--- a/packages/operate/src/accounts/desks.ts
+++ b/packages/operator-cli/src/accounts/desks.ts
@@ -1,5 +1,5 @@
 /** Desks: named sets of teams and classes, in a checked file of the operators'. Only reports know of them. */
-import { checkedToml } from '@lilacvalve/base/toml';
+import { checkedToml } from '@lilacvalve/runtime/toml';
 import { Either, Schema } from 'effect';
 
 const Name = Schema.NonEmptyString;
--- a/packages/operate/src/calendar/command.ts
+++ b/packages/operator-cli/src/calendar/command.ts
@@ -1,7 +1,7 @@
 /** `calendar check | next | diff | apply | show | retire`. */
 import type { Command } from 'commander';
 import { Effect, Either } from 'effect';
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import { decodeCalendar, type Head } from '@lilacvalve/controller/calendar/codec';
 import type { Calendar } from '@lilacvalve/controller/calendar/model';
 import { listAll, publish, readHead, retire, type Published } from '@lilacvalve/controller/calendar/publish';
--- a/packages/operate/src/calendar/compile.ts
+++ b/packages/operator-cli/src/calendar/compile.ts
@@ -6,7 +6,7 @@
 import { Either } from 'effect';
 import { RRuleTemporal } from 'rrule-temporal';
 import { Temporal } from 'temporal-polyfill';
-import { type Micros, seconds } from '@lilacvalve/base/micros';
+import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import {
   type Calendar,
   type Cutoff,
--- a/packages/operate/src/calendar/file.ts
+++ b/packages/operator-cli/src/calendar/file.ts
@@ -1,6 +1,6 @@
 /** The calendar's file: TOML checked by a schema; every error names the field and what to do about it. */
 import { Either, Schema } from 'effect';
-import { checkedToml } from '@lilacvalve/base/toml';
+import { checkedToml } from '@lilacvalve/runtime/toml';
 import { MOST_CUTOFFS } from '@lilacvalve/controller/calendar/model';
 
 const or = <A, I>(s: Schema.Schema<A, I>, value: A) => Schema.optionalWith(s, { default: () => value });
--- a/packages/operate/src/cutoffs.ts
+++ b/packages/operator-cli/src/cutoffs.ts
@@ -1,7 +1,7 @@
 /** `cutoffs`: by occurrence the jobs that are tied to it, what has become of them, and which are at risk and why. */
 import type { Command } from 'commander';
 import { Effect } from 'effect';
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import { isRisk, NO_TALLY, SAID, WHY } from '@lilacvalve/controller/calendar/model';
 import { listAll } from '@lilacvalve/controller/calendar/publish';
 import { JobCache } from '@lilacvalve/controller/jobs/cache';
--- a/packages/operate/src/io.ts
+++ b/packages/operator-cli/src/io.ts
@@ -5,7 +5,7 @@
 import { readFileSync } from 'node:fs';
 import type { Command } from 'commander';
 import { Effect, Either } from 'effect';
-import { logLayer } from '@lilacvalve/base/log';
+import { logLayer } from '@lilacvalve/runtime/log';
 import { readSettings, type Settings } from '@lilacvalve/controller/settings/settings';
 import { StateStore, type StateFailure } from '@lilacvalve/controller/state-store/client';
 import type { StatePort } from '@lilacvalve/controller/state-store/port';
--- a/packages/operate/test/accounts.test.ts
+++ b/packages/operator-cli/test/accounts.test.ts
@@ -1,7 +1,7 @@
 /** Reports and `verify`, over a store as controllers leave it. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import { encodeAccounts } from '@lilacvalve/controller/accounts/codec';
 import { fold } from '@lilacvalve/controller/accounts/fold';
 import { openAt } from '@lilacvalve/controller/accounts/ledger';
--- a/packages/scale/src/capacity/capacity.ts
+++ b/packages/scale-test/src/capacity/capacity.ts
@@ -3,7 +3,7 @@
  * `npm run capacity`. Exit status 2 where a file can't be read or is wrong.
  */
 import { readFileSync, writeFileSync } from 'node:fs';
-import { endOnClosedPipe } from '@lilacvalve/base/closed-pipe';
+import { endOnClosedPipe } from '@lilacvalve/runtime/closed-pipe';
 import { Command } from 'commander';
 import { readCapacityInput } from './model.js';
 import { capacityTables, withTables } from './table.js';
--- a/packages/scale/src/scale.ts
+++ b/packages/scale-test/src/scale-test.ts
@@ -3,8 +3,8 @@
  * `npm run scale`. Exit status 1 when a rule was broken or a controller ended by itself, 2 for bad flags or too few
  * sockets, 3 when the run would have taken more of the machine than it may.
  */
-import { endOnClosedPipe } from '@lilacvalve/base/closed-pipe';
-import { positive, share, wholeNumber } from '@lilacvalve/base/flag-values';
+import { endOnClosedPipe } from '@lilacvalve/runtime/closed-pipe';
+import { positive, share, wholeNumber } from '@lilacvalve/runtime/flag-values';
 import { Command, Option } from 'commander';
 import { runChild } from './child.js';
 import { deployedFlags } from './controllers.js';
--- a/packages/scale/src/truth.ts
+++ b/packages/scale-test/src/truth.ts
@@ -1,6 +1,6 @@
 /**
  * The protocol's rules, checked against what really happened on the hollow workers and what users were told. Every event
- * costs a constant time, since thousands come in a second; the lab's checker (`packages/lab`, `world/rules.ts`) walks over
+ * costs a constant time, since thousands come in a second; the lab's checker (`packages/simulation`, `world/rules.ts`) walks over
  * all running tasks instead. Events of several processes are taken in the order of their times.
  */
 import type { JobDescription, MachineDescription, WorkerEvent } from './model.js';
--- a/packages/lab/src/experiment.ts
+++ b/packages/simulation/src/experiment.ts
@@ -1,6 +1,6 @@
-/** An experiment: a checked TOML file that says what a day is like. `docs/lab.md` shows one. */
+/** An experiment: a checked TOML file that says what a day is like. `docs/simulation.md` shows one. */
 import { Schema } from 'effect';
-import { checkedToml } from '@lilacvalve/base/toml';
+import { checkedToml } from '@lilacvalve/runtime/toml';
 import { LINK_STATES } from './world/links.js';
 import { MEETINGS } from './world/meetings/index.js';
 import type { Loss } from './world/state.js';
--- a/packages/lab/src/sample-fleet.ts
+++ b/packages/simulation/src/sample-fleet.ts
@@ -1,5 +1,5 @@
 /** Inputs of one scheduling cycle, made up at a given size: what measurements and property tests of the cycle run on. */
-import type { Micros } from '@lilacvalve/base/micros';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Job, JobSpec } from '@lilacvalve/controller/jobs/model';
 import type { CycleInput, Holder, NodeView, QueuedJob } from '@lilacvalve/controller/scheduler/model';
 import { surplusOf } from '@lilacvalve/controller/scheduler/surplus';
--- a/packages/lab/src/lab.ts
+++ b/packages/simulation/src/simulate.ts
@@ -18,7 +18,7 @@
   return [Number(m[1]), Number(m[2] ?? m[1])];
 };
 
-const cli = new Command().name('lab').description('Plays deployments in virtual time');
+const cli = new Command().name('simulate').description('Plays deployments in virtual time');
 const load = (file: string): Experiment => {
   let text: string;
   try {
--- a/packages/lab/src/turns.ts
+++ b/packages/simulation/src/turns.ts
@@ -7,9 +7,9 @@
  * fleet whose tasks last for seconds: the turn has to place as many tasks as have ended.
  */
 import { Command } from 'commander';
-import { endOnClosedPipe } from '@lilacvalve/base/closed-pipe';
-import { share, wholeNumber } from '@lilacvalve/base/flag-values';
-import type { Micros } from '@lilacvalve/base/micros';
+import { endOnClosedPipe } from '@lilacvalve/runtime/closed-pipe';
+import { share, wholeNumber } from '@lilacvalve/runtime/flag-values';
+import type { Micros } from '@lilacvalve/runtime/micros';
 import { makeCalendar } from '@lilacvalve/controller/calendar/model';
 import { cutoffRank, sayOf } from '@lilacvalve/controller/calendar/slack';
 import type { Job } from '@lilacvalve/controller/jobs/model';
--- a/packages/lab/src/world/cutoffs.ts
+++ b/packages/simulation/src/world/cutoffs.ts
@@ -3,7 +3,7 @@
  * records, counts and views. Read from the state service's own content, not from what controllers say of it.
  */
 import { Effect, Exit } from 'effect';
-import { type Micros, micros, seconds } from '@lilacvalve/base/micros';
+import { type Micros, micros, seconds } from '@lilacvalve/runtime/micros';
 import { type Calendar, makeCalendar, SAID } from '@lilacvalve/controller/calendar/model';
 import { publish } from '@lilacvalve/controller/calendar/publish';
 import type { JobCache } from '@lilacvalve/controller/jobs/cache';
--- a/packages/lab/src/world/meetings/atLimit.ts
+++ b/packages/simulation/src/world/meetings/atLimit.ts
@@ -1,4 +1,4 @@
-import { DRIFT } from '@lilacvalve/base/micros';
+import { DRIFT } from '@lilacvalve/runtime/micros';
 import { activeKey } from '@lilacvalve/controller/jobs/keys';
 import type { TeamSettings } from '@lilacvalve/controller/settings/settings';
 import type { JobTruth, Worker } from '../worker.js';
--- a/packages/lab/src/world/state.ts
+++ b/packages/simulation/src/world/state.ts
@@ -1,7 +1,7 @@
 /** Stand-in for the state service, with outages, refusals, lost answers and late transactions. */
 import { Effect } from 'effect';
-import type { NoAnswer } from '@lilacvalve/base/http-client';
-import { NoAnswer as Lost } from '@lilacvalve/base/http-client';
+import type { NoAnswer } from '@lilacvalve/runtime/http-client';
+import { NoAnswer as Lost } from '@lilacvalve/runtime/http-client';
 import {
   Refused,
   type Change,
@@ -13,7 +13,7 @@
 } from '@lilacvalve/controller/state-store/client';
 import { Parts, Priority } from '@lilacvalve/controller/state-store/budget';
 import type { StatePort } from '@lilacvalve/controller/state-store/port';
-import { micros } from '@lilacvalve/base/micros';
+import { micros } from '@lilacvalve/runtime/micros';
 import type { Links } from './links.js';
 import type { Luck } from '@lilacvalve/controller/support/luck';
 import type { Time } from './time.js';
--- a/packages/lab/src/world/time.ts
+++ b/packages/simulation/src/world/time.ts
@@ -1,6 +1,6 @@
 /** A virtual clock and a scheduler of our own: the real program runs, on seeded, simulated time. */
 import { Clock, Duration, Effect, Fiber, Layer, Logger, Random, Scheduler } from 'effect';
-import { type Micros, micros } from '@lilacvalve/base/micros';
+import { type Micros, micros } from '@lilacvalve/runtime/micros';
 
 interface Event {
   readonly at: number;
--- a/packages/lab/src/world/worker.ts
+++ b/packages/simulation/src/world/worker.ts
@@ -1,6 +1,6 @@
 /** Stand-in for one machine and its worker, by the protocol: sessions, tokens, leases, gangs, late commands. */
 import { type Effect, Exit } from 'effect';
-import type { Answer, Incoming } from '@lilacvalve/base/http-server';
+import type { Answer, Incoming } from '@lilacvalve/runtime/http-server';
 import type { Begun } from './begun.js';
 import type { Place, Rules, Spec } from './rules.js';
 import type { Links } from './links.js';
--- a/packages/lab/src/world/world.ts
+++ b/packages/simulation/src/world/world.ts
@@ -3,9 +3,9 @@
  * the protocol's rules checked after every step.
  */
 import { Duration, Effect, Exit, Fiber } from 'effect';
-import { NoAnswer } from '@lilacvalve/base/http-client';
-import type { Answer, Incoming, Quick } from '@lilacvalve/base/http-server';
-import { type Micros, micros, seconds } from '@lilacvalve/base/micros';
+import { NoAnswer } from '@lilacvalve/runtime/http-client';
+import type { Answer, Incoming, Quick } from '@lilacvalve/runtime/http-server';
+import { type Micros, micros, seconds } from '@lilacvalve/runtime/micros';
 import { CloudRefused, type CloudPort } from '@lilacvalve/controller/fleet/cloud';
 import type { ListedMachine, MachineType } from '@lilacvalve/controller/fleet/model';
 import { INCARNATION, REBUILD, RECORD } from '@lilacvalve/controller/jobs/keys';
--- a/packages/lab/test/ask.ts
+++ b/packages/simulation/test/ask.ts
@@ -1,7 +1,7 @@
 /** One question of a user, or of a worker, to a node of a world that is not being played. */
 import assert from 'node:assert/strict';
 import { Exit } from 'effect';
-import type { Answer } from '@lilacvalve/base/http-server';
+import type { Answer } from '@lilacvalve/runtime/http-server';
 import type { World } from '../src/world/world.js';
 
 /** The answer, once it is there: users wait no longer than 6 s. A body that is no text is written as JSON. */
--- a/packages/lab/test/calendar.test.ts
+++ b/packages/simulation/test/calendar.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Exit } from 'effect';
-import { type Micros, seconds } from '@lilacvalve/base/micros';
+import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { encodeCalendar } from '@lilacvalve/controller/calendar/codec';
 import { type Calendar, makeCalendar } from '@lilacvalve/controller/calendar/model';
 import { publish, type Published, retire } from '@lilacvalve/controller/calendar/publish';
--- a/packages/lab/test/cutoffs.test.ts
+++ b/packages/simulation/test/cutoffs.test.ts
@@ -13,7 +13,7 @@
 ] as const)
   for (const seed of seeds)
     test(`${name} (seed ${seed}): every tie is kept and every end counted`, () => {
-      const read = readExperiment(readFileSync(`packages/lab/experiments/${name}.toml`, 'utf8'));
+      const read = readExperiment(readFileSync(`packages/simulation/experiments/${name}.toml`, 'utf8'));
       assert.ok(read._tag === 'Right');
       const day = playDay(read.right, seed);
       assert.deepEqual(faultsOf(day), []);
--- a/packages/lab/test/leadership.test.ts
+++ b/packages/simulation/test/leadership.test.ts
@@ -1,7 +1,7 @@
 /** Who leads after an outage, on the real nodes over the stand-in state service. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { NoAnswer } from '@lilacvalve/base/http-client';
+import { NoAnswer } from '@lilacvalve/runtime/http-client';
 import { LEADER } from '@lilacvalve/controller/jobs/keys';
 import { worldSettings } from '@lilacvalve/controller/support/settings';
 import { Effect } from 'effect';
--- a/packages/lab/test/lending.test.ts
+++ b/packages/simulation/test/lending.test.ts
@@ -6,7 +6,7 @@
 import { faultsOf, playDay } from '../src/play.js';
 
 test('rules hold: lending (seed 2)', () => {
-  const read = readExperiment(readFileSync('packages/lab/experiments/lending.toml', 'utf8'));
+  const read = readExperiment(readFileSync('packages/simulation/experiments/lending.toml', 'utf8'));
   assert.ok(read._tag === 'Right');
   const day = playDay(read.right, 2);
   assert.deepEqual(faultsOf(day), []);
--- a/packages/lab/test/loss.test.ts
+++ b/packages/simulation/test/loss.test.ts
@@ -13,7 +13,7 @@
 import { shrink, smaller } from '../src/shrink.js';
 import { World } from '../src/world/world.js';
 
-const DIR = 'packages/lab/experiments';
+const DIR = 'packages/simulation/experiments';
 const read = (name: string): Experiment => {
   const x = readExperiment(readFileSync(`${DIR}/${name}.toml`, 'utf8'));
   assert.ok(x._tag === 'Right', String(x._tag === 'Left' && x.left));
--- a/packages/lab/test/submissions.test.ts
+++ b/packages/simulation/test/submissions.test.ts
@@ -5,7 +5,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Either } from 'effect';
-import { type Micros, seconds } from '@lilacvalve/base/micros';
+import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { impossible } from '@lilacvalve/controller/api/handlers';
 import { encodeFinal, readSubmission } from '@lilacvalve/controller/jobs/codec';
 import { finalKey, TYPES as TYPES_KEY } from '@lilacvalve/controller/jobs/keys';
