--- a/packages/simulation/test/support/recorded-day.ts
+++ b/packages/simulation/test/support/recorded-day.ts
@@ -40,12 +40,15 @@
 
 /** Members that are named after jobs, machines, images or classes, not by the code. */
 const GIVEN_NAME = /^(job-|vm-|img|m\d|[a-z-]+\d)/;
+/** Texts that the code tells apart: they are part of the form as names are. */
+const WORDS = /^(s\/l\/rebuild\.phase|s\/a\/now\.x\.#\.#)$/;
 const NAMES_ONLY = new Set(['s/types/weights', 's/types/largest']);
 
 /** The names of fields that a value has, each with those above it; `#`: an element of an array. */
 export const fieldsOf = (kind: string, value: unknown): Set<string> => {
   const out = new Set<string>();
   const walk = (at: string, v: unknown, depth: number): void => {
+    if (typeof v === 'string' && WORDS.test(at)) out.add(`${at}=${v}`);
     if (Array.isArray(v)) for (const x of v) walk(`${at}.#`, x, depth + 1);
     else if (typeof v === 'object' && v !== null && !(v instanceof Uint8Array))
       for (const [name, x] of Object.entries(v)) {
