--- a/tools/known-red.mjs
+++ b/tools/known-red.mjs
@@ -1,5 +1,6 @@
 // Runs the test files under a directory as `node --test --test-reporter=spec` does, and knows the tests that fail for a
-// fault not mended yet. KNOWN-RED.txt in the working directory lists them, three at most: test name | cause | issue.
+// fault not mended yet. KNOWN-RED.txt in the working directory lists them, one entry a line:
+//   test name | command and seed | what was seen | issue
 // The failure of a listed test is passed over, and nothing else is: its counts stay in node's own closing lines.
 //   node tools/known-red.mjs target/test
 import { existsSync, readdirSync, readFileSync } from 'node:fs';
@@ -8,19 +9,17 @@
 import { spec } from 'node:test/reporters';
 
 const LIST = 'KNOWN-RED.txt';
-const MOST = 3;
 
 const faults = [];
 const listed = new Map();
 const lines = existsSync(LIST) ? readFileSync(LIST, 'utf8').split('\n') : [];
 if (lines.at(-1) === '') lines.pop();
-if (lines.length > MOST) faults.push(`${lines.length} lines, at most ${MOST} may be listed`);
 for (const line of lines) {
-  const [name, cause, issue, ...rest] = line.split('|').map((part) => part.trim());
-  if (!name || !cause || !/^#?\d+$/.test(issue ?? '') || rest.length > 0)
-    faults.push(`"${line}" is not: test name | cause | issue`);
+  const [name, command, seen, issue, ...rest] = line.split('|').map((part) => part.trim());
+  if (!name || !command || !seen || !/^#?\d+$/.test(issue ?? '') || rest.length > 0)
+    faults.push(`"${line}" is not: test name | command and seed | what was seen | issue`);
   else if (listed.has(name)) faults.push(`"${name}" is listed twice`);
-  else listed.set(name, { cause, issue: issue.replace('#', ''), seen: 0, red: false });
+  else listed.set(name, { command, seen, issue: issue.replace('#', ''), runs: 0, failed: false });
 }
 
 const files = readdirSync(process.argv[2], { recursive: true, withFileTypes: true })
@@ -47,10 +46,10 @@
     const known = own ? undefined : listed.get(data.name);
     const failure = type === 'test:fail' && data.todo === undefined ? data.details.error.failureType : null;
     if (!own) file.open--;
-    if (known) known.seen++;
+    if (known) known.runs++;
     // Only what the test itself throws: one that is cancelled or cut short has not shown its fault.
     if (known && failure === 'testCodeFailure') {
-      known.red = true;
+      known.failed = true;
       file.red++;
     } else if (failure !== null && failure !== 'subtestsFailed') file.others++; // Subtests are judged one by one.
   }
@@ -64,11 +63,11 @@
 const report = run({ files, concurrency: true }).compose(judged).compose(new spec());
 for await (const text of report) process.stdout.write(text);
 
-for (const [name, { cause, issue, seen, red }] of listed) {
-  const note = `"${name}" (${cause}; issue ${issue})`;
-  if (seen === 1 && red) console.log(`known red: ${note}`);
-  else if (seen === 1) faults.push(`${note} does not fail by itself any more: its line goes`);
-  else faults.push(`${note} was found ${seen} times`);
+for (const [name, { command, seen, issue, runs, failed }] of listed) {
+  const note = `"${name}" (${command}: ${seen}; issue ${issue})`;
+  if (runs === 1 && failed) console.log(`known red: ${note}`);
+  else if (runs === 1) faults.push(`${note} does not fail by itself any more: its entry goes`);
+  else faults.push(`${note} was found ${runs} times`);
 }
 // A file that holds a listed failure ends with 1; any other end, or a test without a result, is a crash of its own.
 const failed = [...state].filter(
