--- a/packages/controller/test/support/machines.ts
+++ b/packages/controller/test/support/machines.ts
@@ -74,7 +74,6 @@
   private readonly reaped = new Set<string>();
   private leaseFrom: number;
   private flying = false;
-  private lastSent = Number.NEGATIVE_INFINITY;
 
   constructor(
     readonly id: string,
@@ -219,7 +218,7 @@
     const { time, luck } = this.g;
     if (!this.alive || this.flying) return;
     this.flying = true;
-    const sent = (this.lastSent = time.now);
+    const sent = time.now;
     const { tenure } = this;
     const body = this.body();
     let open = true;
