--- a/packages/scale-test/src/controllers.ts
+++ b/packages/scale-test/src/controllers.ts
@@ -8,8 +8,12 @@
 import type { ControllerAddress, Timing } from './model.js';
 import { type ProcessUsage, usageOf } from './process-usage.js';
 
+/** A team as the settings files name it: without guarantees and limits. */
 export interface TeamOfSettings {
   readonly name: string;
+}
+/** A team with what it is guaranteed of CPUs and GPUs and what it may use of them at most. */
+export interface LimitedTeamOfSettings extends TeamOfSettings {
   readonly cpus: number;
   readonly cpus_max: number;
   readonly gpus: number;
--- a/packages/scale-test/src/hollow-worker.ts
+++ b/packages/scale-test/src/hollow-worker.ts
@@ -113,6 +113,12 @@
     return this.tasks.size;
   }
 
+  /** It holds an attempt of the task that has not ended. */
+  holds(task: string): boolean {
+    for (const held of this.tasks.values()) if (held.name === task && held.status !== 'ended') return true;
+    return false;
+  }
+
   /** The machine is gone, with all that is on it. */
   end(): void {
     this.alive = false;
--- a/packages/scale-test/src/users.ts
+++ b/packages/scale-test/src/users.ts
@@ -66,8 +66,8 @@
 export const isUrgent = (job: JobDescription): boolean =>
   job.urgency === 'high' || job.urgency === 'production';
 
-/** The wire form of a submission. */
-export const writeSubmission = (job: JobDescription): string =>
+/** The wire form of a submission. `dueS`: seconds within which it is due; null: none. */
+export const writeSubmission = (job: JobDescription, dueS: number | null = null): string =>
   JSON.stringify({
     id: job.id,
     jobClass: job.jobClass,
@@ -88,7 +88,7 @@
     expectS: job.runMs / 1000,
     saveEveryS: job.saveEveryMs / 1000,
     saveTakesS: job.saveTakesMs / 1000,
-    dueS: null,
+    dueS,
   });
 
 export class Users {
--- a/packages/scale-test/src/worker-group.ts
+++ b/packages/scale-test/src/worker-group.ts
@@ -20,6 +20,8 @@
   readonly random: Random;
   readonly emit: (event: WorkerEvent) => void;
   readonly keepResult: (job: string, task: number) => void;
+  /** A job as a worker fetches it; by default as its user described it. */
+  readonly jobOf?: (id: string) => JobDescription | undefined;
 }
 
 export class WorkerGroup {
@@ -39,7 +41,7 @@
       counters: emptyCounters(),
       answered: (ms) => this.answerMs.recordValue(Math.max(0, Math.round(ms))),
       emit: parts.emit,
-      job: (id) => this.jobs.get(id),
+      job: parts.jobOf ?? ((id) => this.jobs.get(id)),
       progressMs: (job, task) => this.progress.get(taskName(job, task)) ?? 0,
       isFinished: (job, task) => this.finished.has(taskName(job, task)),
       keepResult: parts.keepResult,
@@ -76,6 +78,11 @@
     }
   }
 
+  /** The machines that hold a task which has not ended, one whose image is still fetched included. */
+  machinesWith(task: string): string[] {
+    return [...this.workers].filter(([, worker]) => worker.holds(task)).map(([id]) => id);
+  }
+
   /** A measurement begins. */
   resetFigures(): void {
     Object.assign(this.host.counters, emptyCounters());
--- a/packages/scale-test/src/workload.ts
+++ b/packages/scale-test/src/workload.ts
@@ -1,5 +1,5 @@
 /** The jobs that a run's users submit, and the machines that it can have: drawn from the options and a seed. */
-import type { ObjectiveOfSettings, TeamOfSettings } from './controllers.js';
+import type { LimitedTeamOfSettings, ObjectiveOfSettings } from './controllers.js';
 import type { JobDescription, MachineKind } from './model.js';
 import type { Random } from './random.js';
 
@@ -57,7 +57,7 @@
     : [kind('box', 0, o.machines - accelerated, 0.8), kind('gpu', ACCELERATORS, accelerated, 1.6)];
 };
 
-export const teamSettings = (o: WorkloadOptions): TeamOfSettings[] => {
+export const teamSettings = (o: WorkloadOptions): LimitedTeamOfSettings[] => {
   const cpus = o.machines * o.slots;
   const gpus = o.accelerated === 0 ? 0 : Math.round(o.machines * ACCELERATED_MACHINES) * ACCELERATORS;
   return Array.from({ length: o.teams }, (_, i) => ({
