--- a/packages/simulation/src/experiment.ts
+++ b/packages/simulation/src/experiment.ts
@@ -4,15 +4,8 @@
 import { LINK_STATES } from './world/links.js';
 import { MEETINGS } from './world/meetings/index.js';
 import type { Loss } from './world/state.js';
-import {
-  CROWDED,
-  GROWN,
-  type LinkPlan,
-  type LossPlan,
-  type Size,
-  SMALL,
-  type Troubles,
-} from './world/world.js';
+import { CROWDED, GROWN, type Size, SMALL } from './world/deployment-size.js';
+import type { Faults, LinkPlan, LossPlan } from './world/faults.js';
 
 const FLAGS = [
   'nodeCrash',
@@ -42,7 +35,7 @@
   'clockSteps',
   'meetings',
   ...MEETINGS,
-] as const satisfies readonly (keyof Troubles)[];
+] as const satisfies readonly (keyof Faults)[];
 
 const Seconds = Schema.Finite.pipe(Schema.nonNegative());
 const Between = Schema.Tuple(Schema.Finite, Schema.Finite);
@@ -100,7 +93,7 @@
   readonly room: boolean;
   readonly troubledUs: number;
   readonly quietUs: number;
-  readonly troubles: Troubles;
+  readonly troubles: Faults;
 }
 
 const us = (s: number): number => Math.round(s * 1e6);
--- a/packages/simulation/src/play.ts
+++ b/packages/simulation/src/play.ts
@@ -92,32 +92,32 @@
   let incarnation: string | null = null;
   world.time.onStep = () => {
     step();
-    if (world.lossAt.length > losses) {
-      losses = world.lossAt.length;
+    if (world.dataLoss.at.length > losses) {
+      losses = world.dataLoss.at.length;
       startedBefore = world.rules.started;
       incarnation = world.up()[0]?.node.doubt.incarnation?.id ?? null;
       Object.assign(took, { noticed: null, answers: null, durable: null, started: null });
     }
     if (losses === 0 || took.started !== null) return;
-    const at = world.lossAt[losses - 1]!;
+    const at = world.dataLoss.at[losses - 1]!;
     const ms = (now: number): number => Math.round((now - at) / 1000);
     if (took.noticed === null) {
       if (world.up().some((u) => u.node.doubt.active)) took.noticed = ms(world.time.now);
       return;
     }
     if (took.durable === null) {
-      if (world.rebuilt(incarnation)) took.durable = ms(world.time.now);
+      if (world.dataLoss.rebuilt(incarnation)) took.durable = ms(world.time.now);
       return;
     }
-    if (took.answers === null && world.answersAt > at + took.durable * 1000)
-      took.answers = ms(world.answersAt);
+    if (took.answers === null && world.users.answersAt > at + took.durable * 1000)
+      took.answers = ms(world.users.answersAt);
     if (world.rules.started > startedBefore) {
       // What was sent before the loss may still start; what counts is a start after the rebuild.
-      if (world.lastStart > at + took.durable * 1000) took.started = ms(world.lastStart);
+      if (world.rules.startedAt > at + took.durable * 1000) took.started = ms(world.rules.startedAt);
     }
   };
   world.play(x.jobs, x.troubledUs, x.quietUs);
-  if (world.cutoffs !== null && world.lossAt.length === 0 && world.unfinished().length === 0) {
+  if (world.cutoffs !== null && world.dataLoss.at.length === 0 && world.unfinished().length === 0) {
     const miscounted = world.cutoffs.counted();
     if (miscounted !== null) world.rules.broken.push(`miscounted: ${miscounted}`);
   }
@@ -126,18 +126,18 @@
     seed,
     broken: [...world.rules.broken],
     unfinished: world.unfinished().length,
-    accepted: world.accepted,
-    over: world.over,
+    accepted: world.users.accepted,
+    over: world.users.over,
     started: world.rules.started,
     killed: world.killed,
-    losses: world.lossAt.length,
-    unwitnessed: world.diedIn,
+    losses: world.dataLoss.at.length,
+    unwitnessed: world.dataLoss.unwitnessed,
     silence: world.rules.silence / 1e6,
-    excused: world.excused,
+    excused: world.dataLoss.excused,
     served: world.served(),
     least: world.least(),
     room: x.room,
-    struck: { ...world.struck },
+    struck: { ...world.log.struck },
     met: { ...world.meetings?.met },
     recovery: { ...took },
     lending: world.loans && {
--- a/packages/simulation/src/recovery.ts
+++ b/packages/simulation/src/recovery.ts
@@ -36,13 +36,13 @@
     const token = Math.max(0, ...[...world.workers.values()].map((w) => w.token));
     if (back === null) {
       back = world.time.now;
-      before = { accepted: world.accepted, started: world.rules.started, term: token };
+      before = { accepted: world.users.accepted, started: world.rules.started, term: token };
     }
     if (marks.size === MARKS.length) return;
     mark('leads', world.leader() !== undefined);
-    const ready = world.nodes.filter((n) => world.ready(n)).length;
+    const ready = world.nodes.filter((label) => world.controllers.ready(label)).length;
     mark('ready on a majority', ready > world.nodes.length / 2);
-    mark('first submission accepted', world.accepted > before.accepted);
+    mark('first submission accepted', world.users.accepted > before.accepted);
     mark('first start', world.rules.started > before.started);
     const up = [...world.workers.values()];
     const renewed = up.filter((w) => w.token > before.term).length;
--- /dev/null
+++ b/packages/simulation/src/world/scenario-host.ts
@@ -0,0 +1,102 @@
+/** What the scenarios of compound faults are given of a simulation: observations of controllers, and ways to act on it. */
+import type { Settings } from '@lilacvalve/controller/settings/settings';
+import { ZONES } from '@lilacvalve/controller/support/settings';
+import type { Cloud } from './cloud.js';
+import type { Controllers } from './controllers.js';
+import type { FaultInjector } from './fault-injector.js';
+import type { FaultLog } from './fault-log.js';
+import type { Links } from './links.js';
+import type { Stage } from './meetings/stage.js';
+import type { Rules } from './rules.js';
+import type { StateService } from './state.js';
+import type { Time } from './time.js';
+import type { Users } from './users.js';
+import type { Worker } from './worker.js';
+import type { Luck } from '@lilacvalve/controller/support/luck';
+
+/** The parts of a simulation that scenarios look at and act on. */
+export interface ScenarioHostParts {
+  readonly time: Time;
+  readonly random: Luck;
+  readonly links: Links;
+  readonly state: StateService;
+  readonly rules: Rules;
+  readonly controllers: Controllers;
+  readonly cloud: Cloud;
+  readonly workers: Map<string, Worker>;
+  readonly users: Users;
+  readonly log: FaultLog;
+  readonly settings: Settings['workers'];
+  /** Made after the scenarios, and not used before the day begins. */
+  readonly injector: () => FaultInjector;
+}
+
+/** The tasks that the acting leader counts against a team's limit, with their attempts; null: nobody acts. */
+const countedAgainstLimit = (controllers: Controllers, team: string): Map<string, number> | null => {
+  const node = controllers.leading()?.node;
+  const book = node?.book() ?? null;
+  if (node === undefined || book === null) return null;
+  const counted = new Map<string, number>();
+  for (const { spec, placed } of node.cache.jobs.values())
+    if (spec.team === team)
+      for (const placement of placed.values())
+        if (!book.isEnding(spec.id, placement.task))
+          counted.set(`${spec.id}/${placement.task}`, placement.attempt);
+  return counted;
+};
+
+/** Joins the parts to what a scenario sees. */
+export const hostScenarios = (parts: ScenarioHostParts): Stage => {
+  const { cloud, controllers, links, log, random, rules, settings, state, time, users, workers } = parts;
+  return {
+    cloud: cloud.ways,
+    time,
+    luck: random,
+    state,
+    rules,
+    jobs: users.jobs,
+    workers,
+    nodes: controllers.nodes,
+    zones: ZONES,
+    lease: settings.lease,
+    cancelWithin: settings.cancel,
+    strike: (what) => log.strike(what),
+    troubled: (lasts) => log.troubled(lasts),
+    leader: () => controllers.leader(),
+    term: () => controllers.leading()?.node.leadership.leads() ?? null,
+    process: (label) => controllers.process(label),
+    answering: (label) => (controllers.process(label)?.node.leadership.answering() ?? null) !== null,
+    heardFrom: (machine) => controllers.leading()?.node.book()?.machines.get(machine)?.reported === true,
+    counted: (team) => countedAgainstLimit(controllers, team),
+    places: (label, job) => (controllers.process(label)?.node.cache.jobs.get(job)?.placed.size ?? 0) > 0,
+    placedOn: (machine) => [...(controllers.leading()?.node.cache.byMachine.get(machine)?.keys() ?? [])],
+    isDeleted: (machine) => cloud.isDeleted(machine),
+    node: () => controllers.any(),
+    caches: () =>
+      controllers.up().map(({ node: { cache } }) => ({
+        jobs: cache.jobs.size,
+        tail: cache.tail.size,
+        finals: cache.finals.size,
+      })),
+    crash: (label, back) => controllers.crash(label, back),
+    freeze: (label, lasts) => {
+      log.troubled(lasts);
+      controllers.freeze(label, lasts);
+    },
+    giveWay: (label, forMicros) => {
+      const process = controllers.process(label);
+      if (process) time.fork(process.node.leadership.giveWay('handover', forMicros), process.host);
+    },
+    cut: (one, other, linkState, lasts) => parts.injector().cut(one, other, linkState, lasts),
+    link: (from, to, linkState, lasts) => {
+      log.troubled(lasts);
+      links.set(from, to, linkState, lasts);
+    },
+    take: (machine) => cloud.lose(machine),
+    submit: (arrival, via) => users.submit({ arrival, via }),
+    bodies: users.bodies,
+    call: (label, method, path, body, then) => users.call(label, method, path, body, then),
+    cancel: (id, via, confirmed) => users.cancel(id, via, confirmed),
+    ask: (what, id, label, then) => users.ask(what, id, label, then),
+  };
+};
--- a/packages/simulation/test/checks.test.ts
+++ b/packages/simulation/test/checks.test.ts
@@ -461,7 +461,7 @@
   w.time.run(15e6);
   w.meetings!.kinds.farEnds();
   w.time.run(w.time.now + 1e6);
-  const id = [...w.jobs.keys()][0]!;
+  const id = [...w.users.jobs.keys()][0]!;
   assert.ok(w.state.keys.has(activeKey(id)), 'accepted');
   const early = (): string[] => w.rules.broken.filter((b) => b.startsWith('reaped_early: '));
   w.meetings!.reaped(`${id}/0`, false);
@@ -488,7 +488,7 @@
   assert.deepEqual(twice(), []);
   put(1001, '{"@":{"t":3}}');
   assert.equal(twice().length, 1);
-  w.lossAt.push(w.time.now);
+  w.dataLoss.at.push(w.time.now);
   put(1002, '{"@":{"t":4}}');
   assert.equal(twice().length, 1);
   w.stop();
--- a/packages/simulation/test/leadership.test.ts
+++ b/packages/simulation/test/leadership.test.ts
@@ -80,7 +80,7 @@
     // The others know of changes that it has not read.
     const other = w.nodes.find((n) => n !== leader)!;
     for (let i = 1; i < 60; i++)
-      w.time.after(i * 1e6, () => w.submit(null, { tasks: 1, cpus: 1 }, null, () => other));
+      w.time.after(i * 1e6, () => w.submit({ guest: { tasks: 1, cpus: 1 }, via: () => other }));
     const { leadership } = w.up().find((u) => u.name === leader)!.node;
     const { workers } = worldSettings('n0');
     const since = w.time.now;
--- a/packages/simulation/test/loss.test.ts
+++ b/packages/simulation/test/loss.test.ts
@@ -116,23 +116,25 @@
   for (const seed of [2, 4]) {
     const world = new World(seed, {});
     const submit = (tasks: number, cpus: number, runUs: number): string =>
-      world.submit(null, undefined, {
-        job: {
-          team: 'blue',
-          shape: 'array',
-          tasks,
-          cpus,
-          gpus: 0,
-          types: ['c8'],
-          zone: null,
-          oneZone: false,
-          spread: false,
-          spot: false,
-          broken: false,
-          runUs,
+      world.submit({
+        arrival: {
+          job: {
+            team: 'blue',
+            shape: 'array',
+            tasks,
+            cpus,
+            gpus: 0,
+            types: ['c8'],
+            zone: null,
+            oneZone: false,
+            spread: false,
+            spot: false,
+            broken: false,
+            runUs,
+          },
+          urgency: 'high',
+          due: null,
         },
-        urgency: 'high',
-        due: null,
       })!;
     const placed = (node: string, id: string): number =>
       world
@@ -147,15 +149,15 @@
     while (!key().includes('"p":') && world.time.now < 90e6) world.time.run(world.time.now + 100_000);
     assert.match(key(), /"p":/);
     // Nothing else is rented: what its machines held is over by records, and waits.
-    world['cloudOut'] = true;
-    for (const id of [...world.workers.keys()]) world['take'](id, false);
+    world.cloud.out = true;
+    for (const id of [...world.workers.keys()]) world.cloud.lose(id);
     const leader = world.leader()!;
     const [other, late] = world.nodes.filter((n) => n !== leader) as [string, string];
     while (placed(leader, long) > 0 && world.time.now < 150e6) world.time.run(world.time.now + 100_000);
     assert.equal(placed(leader, long), 0);
     world.time.run(world.time.now + 1e6);
     if (key().includes('"p":')) {
-      world.lossAt.push(world.time.now);
+      world.dataLoss.at.push(world.time.now);
       world.state.lose({ kind: 'keys', prefix: 's/r/', part: 1 });
       // It starts anew, and nobody tells it what there was.
       world.crash(late, 200_000);
@@ -163,7 +165,8 @@
       for (let i = 0; i < 100 && placed(late, long) <= 0; i++) world.time.run(world.time.now + 20_000);
       if (placed(late, long) === 4 && placed(other, long) === 0) met++;
       const before = world.up().find((u) => u.name === other)!.node.doubt.incarnation!.id;
-      while (!world.rebuilt(before) && world.time.now < 250e6) world.time.run(world.time.now + 100_000);
+      while (!world.dataLoss.rebuilt(before) && world.time.now < 250e6)
+        world.time.run(world.time.now + 100_000);
       world.time.run(world.time.now + 1e6);
       for (const n of world.nodes) assert.equal(placed(n, long), 0, `seed ${seed}: ${n}`);
       assert.deepEqual(world.accountsWrong(), []);
--- a/packages/simulation/test/meeting-days.ts
+++ b/packages/simulation/test/meeting-days.ts
@@ -5,9 +5,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { faultsOf, playDay } from '../src/play.js';
-import { type Size, SMALL, type Troubles } from '../src/world/world.js';
+import { type Size, SMALL } from '../src/world/deployment-size.js';
+import type { Faults } from '../src/world/faults.js';
 
-export type Row = readonly [meeting: string, troubles: Troubles, met: readonly string[], size?: Size];
+export type Row = readonly [meeting: string, troubles: Faults, met: readonly string[], size?: Size];
 
 /** Days are played until all of the meeting has happened, one or two mostly; never more than these. */
 const SEEDS = [1, 2, 3, 4, 5, 6];
--- a/packages/simulation/test/meetings-cancel.test.ts
+++ b/packages/simulation/test/meetings-cancel.test.ts
@@ -1,5 +1,5 @@
 /** Cancellations that meet a change of hands, and machines that hang and go on. */
-import { CLOSE } from '../src/world/world.js';
+import { CLOSE } from '../src/world/deployment-size.js';
 import { playMeetings } from './meeting-days.js';
 
 const hung = [
--- a/packages/simulation/test/meetings-many-small.test.ts
+++ b/packages/simulation/test/meetings-many-small.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { faultsOf, playDay } from '../src/play.js';
-import { SMALL } from '../src/world/world.js';
+import { SMALL } from '../src/world/deployment-size.js';
 
 test('rules hold, and nobody waits long: many small jobs, a quarter cancelled', () => {
   const size = { size: SMALL, jobs: 4, room: false, troubledUs: 130e6, quietUs: 300e6 };
--- a/packages/simulation/test/rules-met.test.ts
+++ b/packages/simulation/test/rules-met.test.ts
@@ -1,8 +1,8 @@
 /** What the operators met later: slow, silent, half reachable, or wrong. */
 import { everything, playDays } from './days.js';
-import type { Troubles } from '../src/world/world.js';
+import type { Faults } from '../src/world/faults.js';
 
-const met: Troubles = {
+const met: Faults = {
   freeze: true,
   workersCut: true,
   peersCut: true,
--- a/packages/simulation/test/submissions.test.ts
+++ b/packages/simulation/test/submissions.test.ts
@@ -273,7 +273,7 @@
 test('while the machine types are not known, 503 only for what hangs on them', () => {
   // A node that starts while the cloud is out, and the hint in the store is lost.
   const w = world();
-  w['cloudOut'] = true;
+  w.cloud.out = true;
   w.time.fork(w.state.port('n0').transact([], [{ delete: TYPES_KEY }], 1, 1000));
   w.time.run(w.time.now + 1e6);
   w.crash('n2', 1e6);
