--- a/packages/simulation/src/world/calendar-operators.ts
+++ b/packages/simulation/src/world/calendar-operators.ts
@@ -4,7 +4,7 @@
 import { calendarOf, Cutoffs } from './cutoffs.js';
 import type { FaultLog } from './fault-log.js';
 import type { Rules } from './rules.js';
-import type { StateService } from './state.js';
+import type { StateService } from './state-service/state-service.js';
 import type { Time } from './time.js';
 
 /** How often the store's content is looked through for cutoffs, microseconds. */
--- a/packages/simulation/src/world/controllers.ts
+++ b/packages/simulation/src/world/controllers.ts
@@ -12,7 +12,7 @@
 import type { FaultLog } from './fault-log.js';
 import type { Links } from './links.js';
 import type { Process } from './memory.js';
-import type { StateService } from './state.js';
+import type { StateService } from './state-service/state-service.js';
 import { Host, type Time } from './time.js';
 import type { Worker } from './worker.js';
 
--- a/packages/simulation/src/world/cutoffs.ts
+++ b/packages/simulation/src/world/cutoffs.ts
@@ -10,7 +10,7 @@
 import { decodeTally } from '@lilacvalve/controller/calendar/codec';
 import { decodeRecord } from '@lilacvalve/controller/jobs/codec';
 import { ACTIVE, FINAL, INCARNATION, OCCURRENCE, RECORD, TERM } from '@lilacvalve/controller/jobs/keys';
-import type { StateService } from './state.js';
+import type { StateService } from './state-service/state-service.js';
 import type { Time } from './time.js';
 
 const LIMITS = { valueBytes: 1500, txnOps: 10 };
--- a/packages/simulation/src/world/data-loss.ts
+++ b/packages/simulation/src/world/data-loss.ts
@@ -8,7 +8,7 @@
 import type { Links } from './links.js';
 import { Memory, type Process } from './memory.js';
 import { BY_MEMORY, type Rules } from './rules.js';
-import type { StateService } from './state.js';
+import type { StateService } from './state-service/state-service.js';
 import type { Time } from './time.js';
 
 /** How often it is noted how each controller stands, microseconds. */
--- a/packages/simulation/src/world/meetings/stage.ts
+++ b/packages/simulation/src/world/meetings/stage.ts
@@ -5,7 +5,7 @@
 import type { Answered, Ask, Asked } from '../history.js';
 import type { LinkState } from '../links.js';
 import type { Got, Rules } from '../rules.js';
-import type { StateService } from '../state.js';
+import type { StateService } from '../state-service/state-service.js';
 import type { Time } from '../time.js';
 import type { JobTruth, Worker } from '../worker.js';
 import type { Meeting } from './index.js';
--- a/packages/simulation/src/world/scenario-host.ts
+++ b/packages/simulation/src/world/scenario-host.ts
@@ -8,7 +8,7 @@
 import type { Links } from './links.js';
 import type { Stage } from './meetings/stage.js';
 import type { Rules } from './rules.js';
-import type { StateService } from './state.js';
+import type { StateService } from './state-service/state-service.js';
 import type { Time } from './time.js';
 import type { Users } from './users.js';
 import type { Worker } from './worker.js';
--- a/packages/simulation/src/world/world.ts
+++ b/packages/simulation/src/world/world.ts
@@ -32,7 +32,7 @@
 import { Meetings, MEETINGS } from './meetings/index.js';
 import { type Place, Rules } from './rules.js';
 import { hostScenarios } from './scenario-host.js';
-import { StateService } from './state.js';
+import { StateService } from './state-service/state-service.js';
 import { Time } from './time.js';
 import { type Submission, Users } from './users.js';
 import { type GangWorld, type JobTruth, type Net, Worker } from './worker.js';
--- a/packages/simulation/test/calendar.test.ts
+++ b/packages/simulation/test/calendar.test.ts
@@ -10,7 +10,7 @@
 import { CALENDAR_HEAD, CALENDAR_PAGE, INCARNATION } from '@lilacvalve/controller/jobs/keys';
 import { Luck } from '@lilacvalve/controller/support/luck';
 import { Links } from '../src/world/links.js';
-import { StateService } from '../src/world/state.js';
+import { StateService } from '../src/world/state-service/state-service.js';
 import { Time } from '../src/world/time.js';
 
 const limits = { valueBytes: 1000, txnOps: 10 };
--- a/packages/simulation/test/checks.test.ts
+++ b/packages/simulation/test/checks.test.ts
@@ -14,7 +14,7 @@
 import { ODD, wrongly } from '../src/world/meetings/oddRequests.js';
 import { Memory } from '../src/world/memory.js';
 import { Rules, type Spec } from '../src/world/rules.js';
-import { StateService } from '../src/world/state.js';
+import { StateService } from '../src/world/state-service/state-service.js';
 import { Time } from '../src/world/time.js';
 import { type Amounts, amounts, fitsNow, type RoomOn, Waiting, type Wanted } from '../src/world/waiting.js';
 import type { JobTruth } from '../src/world/worker.js';
--- a/packages/simulation/test/restore.test.ts
+++ b/packages/simulation/test/restore.test.ts
@@ -11,7 +11,7 @@
 import type { Entry } from '@lilacvalve/snapshot/format';
 import type { Content } from '@lilacvalve/snapshot/read';
 import { Links } from '../src/world/links.js';
-import { StateService } from '../src/world/state.js';
+import { StateService } from '../src/world/state-service/state-service.js';
 import { Time } from '../src/world/time.js';
 
 const content = (jobs: number): Content => {
