--- a/packages/simulation/src/world/begun.ts
+++ b/packages/simulation/src/world/begun.ts
@@ -4,7 +4,7 @@
  * have run as must be there at once: all of a gang or service, of an array what its team's limit lets. A task that a
  * command stops within 30 s has not run.
  */
-import type { JobTruth } from './worker.js';
+import type { JobTruth } from './job-truth.js';
 
 /** A job begins in time within this, microseconds. */
 export const BEGIN_BY = 240e6;
--- a/packages/simulation/src/world/capacity-check.ts
+++ b/packages/simulation/src/world/capacity-check.ts
@@ -4,7 +4,8 @@
 import type { Rules } from './rules.js';
 import type { Time } from './time.js';
 import { type Amounts, amounts, type Limit, type RoomOn, Waiting, type Wanted } from './waiting.js';
-import { type JobTruth, TASK_MEM_GB, type Worker } from './worker.js';
+import { type JobTruth, TASK_MEM_GB } from './job-truth.js';
+import type { Worker } from './worker/worker.js';
 
 /** A machine that is overdue by this part of its boot time does not count as room. */
 const OVERDUE = 1.5;
--- a/packages/simulation/src/world/cloud.ts
+++ b/packages/simulation/src/world/cloud.ts
@@ -11,7 +11,7 @@
 import type { CloudWays } from './meetings/stage.js';
 import type { Place, Rules } from './rules.js';
 import type { Time } from './time.js';
-import type { Worker } from './worker.js';
+import type { Worker } from './worker/worker.js';
 
 /** Machines of one type in one zone at most. */
 const ROOM = 6;
--- a/packages/simulation/src/world/controllers.ts
+++ b/packages/simulation/src/world/controllers.ts
@@ -14,7 +14,7 @@
 import type { Process } from './memory.js';
 import type { StateService } from './state-service/state-service.js';
 import { Host, type Time } from './time.js';
-import type { Worker } from './worker.js';
+import type { Worker } from './worker/worker.js';
 
 /** Time of day when a simulation begins, microseconds since 1970. */
 export const DAY_BEGINS = 1e12;
--- a/packages/simulation/src/world/crowd.ts
+++ b/packages/simulation/src/world/crowd.ts
@@ -4,7 +4,7 @@
  * the longest arrays last; what takes whichever gang fits begins the largest gangs last.
  */
 import type { Luck } from '@lilacvalve/controller/support/luck';
-import type { JobTruth } from './worker.js';
+import type { JobTruth } from './job-truth.js';
 
 export interface Arrival {
   readonly job: Partial<JobTruth>;
--- a/packages/simulation/src/world/fault-injector.ts
+++ b/packages/simulation/src/world/fault-injector.ts
@@ -18,7 +18,7 @@
 import type { StateService } from './state-service/state-service.js';
 import type { Time } from './time.js';
 import type { Users } from './users.js';
-import type { Worker } from './worker.js';
+import type { Worker } from './worker/worker.js';
 
 /** The first drawn fault, microseconds. */
 const FIRST_FAULT = 15e6;
--- a/packages/simulation/src/world/lending.ts
+++ b/packages/simulation/src/world/lending.ts
@@ -10,7 +10,7 @@
 import type { TeamSettings } from '@lilacvalve/controller/settings/settings';
 import type { Luck } from '@lilacvalve/controller/support/luck';
 import type { Arrival } from './crowd.js';
-import type { JobTruth } from './worker.js';
+import type { JobTruth } from './job-truth.js';
 
 /** Moments after which the leader may die. */
 export type Step = 'stopped' | 'saved' | 'recorded' | 'started' | 'weights';
--- a/packages/simulation/src/world/meetings/allAway.ts
+++ b/packages/simulation/src/world/meetings/allAway.ts
@@ -1,5 +1,5 @@
 /** All controllers are away for longer than a lease, and come back one by one; users cancel in the second before. */
-import type { Worker } from '../worker.js';
+import type { Worker } from '../worker/worker.js';
 import type { Shared, Trouble } from './stage.js';
 
 export const allAway = (m: Shared): Trouble => {
@@ -21,18 +21,19 @@
       back += l.between(3e6, 12e6);
     }
     const gone = (): boolean => w.nodes.every((n) => w.process(n) === undefined);
-    const ran = new Map<string, { readonly on: Worker; readonly tenure: number }>();
+    const ran = new Map<string, { readonly on: Worker; readonly incarnation: number }>();
     m.at(500_000, () => {
       if (!gone()) return void (on = false);
       for (const x of w.workers.values())
         for (const t of x.tasks.values())
-          if (t.status === 'running') ran.set(t.key, { on: x, tenure: x.tenure });
+          if (t.status === 'running') ran.set(t.key, { on: x, incarnation: x.incarnation });
       for (const id of ids)
         if (w.rules.state(id) === 'aborted' && w.rules.isOn(id)) m.meet('cancelled as all went away');
       m.at(w.lease * 1.01, () => {
         if (!gone()) return;
         m.meet('all away beyond the lease');
-        if ([...ran.values()].some((r) => r.on.tenure > r.tenure)) m.meet('leases lapsed with all away');
+        if ([...ran.values()].some((r) => r.on.incarnation > r.incarnation))
+          m.meet('leases lapsed with all away');
       });
       const met = new Set<string>();
       const once = (what: string): void => {
@@ -48,7 +49,7 @@
           for (const x of w.workers.values())
             for (const t of x.tasks.values()) {
               const r = ran.get(t.key);
-              if (r !== undefined && t.status === 'running' && (x !== r.on || x.tenure > r.tenure))
+              if (r !== undefined && t.status === 'running' && (x !== r.on || x.incarnation > r.incarnation))
                 once('started again by the one that is back');
             }
         }
--- a/packages/simulation/src/world/meetings/atLimit.ts
+++ b/packages/simulation/src/world/meetings/atLimit.ts
@@ -1,7 +1,8 @@
 import { DRIFT } from '@lilacvalve/runtime/micros';
 import { activeKey } from '@lilacvalve/controller/jobs/keys';
 import type { TeamSettings } from '@lilacvalve/controller/settings/settings';
-import type { JobTruth, Worker } from '../worker.js';
+import type { JobTruth } from '../job-truth.js';
+import type { Worker } from '../worker/worker.js';
 import { PLAIN, type Shared, type Trouble } from './stage.js';
 
 /** Every team of these days is at its limit as soon as a few jobs of it are there. */
--- a/packages/simulation/src/world/meetings/cancelNow.ts
+++ b/packages/simulation/src/world/meetings/cancelNow.ts
@@ -1,4 +1,4 @@
-import type { Worker } from '../worker.js';
+import type { Worker } from '../worker/worker.js';
 import type { Shared, Trouble } from './stage.js';
 
 /** Machines that hang at once, at the most. */
--- a/packages/simulation/src/world/meetings/index.ts
+++ b/packages/simulation/src/world/meetings/index.ts
@@ -2,7 +2,7 @@
  * Troubles that meet: what is late, held up, deaf, slow or refused while leaders change and users cancel. Each is drawn
  * with the others of the day, or laid over them by `together`.
  */
-import type { Worker } from '../worker.js';
+import type { Worker } from '../worker/worker.js';
 import type { Answered, Asked } from '../history.js';
 import { cancelAtEnd } from './cancelAtEnd.js';
 import { closeLooks } from './closeLooks.js';
--- a/packages/simulation/src/world/meetings/lateReports.ts
+++ b/packages/simulation/src/world/meetings/lateReports.ts
@@ -26,12 +26,12 @@
       const { w } = m;
       const l = w.luck;
       if (w.time.now >= copies.until || !l.chance(copies.share)) return;
-      const { tenure, token } = by;
+      const { incarnation, token } = by;
       const process = w.process(node);
       const late = l.chance(0.5) ? l.between(2e6, w.lease) : l.between(w.lease, 2.5 * w.lease);
       m.at(late, () => {
         const to = l.chance(0.5) ? node : w.node();
-        if (by.alive && by.tenure > tenure) m.meet('report of an older tenure');
+        if (by.alive && by.incarnation > incarnation) m.meet('report of an older tenure');
         if (by.token > token) m.meet('report of an older term');
         if (by.alive && w.leader() !== undefined && !w.heardFrom(by.place.id))
           m.meet('old report before any other');
--- a/packages/simulation/src/world/meetings/machineMute.ts
+++ b/packages/simulation/src/world/meetings/machineMute.ts
@@ -1,4 +1,4 @@
-import type { Worker } from '../worker.js';
+import type { Worker } from '../worker/worker.js';
 import type { Shared, Trouble } from './stage.js';
 
 /** Machines reach no controller, while direct orders reach them; some come up so. Users cancel what runs there. */
@@ -6,7 +6,7 @@
   const { w } = m;
   const l = w.luck;
   /** By task that was on a mute machine: which, and in which session. */
-  const held = new Map<string, { readonly on: Worker; readonly tenure: number }>();
+  const held = new Map<string, { readonly on: Worker; readonly incarnation: number }>();
   const bornMute = new Set<Worker>();
 
   return {
@@ -24,7 +24,7 @@
         for (const x of mute) {
           x.mute = true;
           m.at(lasts, () => (x.mute = false));
-          for (const task of x.held()) held.set(task, { on: x, tenure: x.tenure });
+          for (const task of x.held()) held.set(task, { on: x, incarnation: x.incarnation });
         }
         // Half of them: the rest is neither counted on nor lost.
         const there = ids.filter((id) => [...held.keys()].some((task) => task.startsWith(`${id}/`)));
@@ -52,7 +52,7 @@
       if (before === undefined || before.on.place.id === machine) return;
       held.delete(task);
       if (!before.on.alive) m.meet('started again after the machine was deleted');
-      else if (before.on.tenure > before.tenure) m.meet('started again elsewhere after the lease');
+      else if (before.on.incarnation > before.incarnation) m.meet('started again elsewhere after the lease');
     },
     deleted: (x) => {
       if (x?.mute !== true) return;
--- a/packages/simulation/src/world/meetings/reportForNext.ts
+++ b/packages/simulation/src/world/meetings/reportForNext.ts
@@ -4,14 +4,14 @@
  * raised the worker's token before any report has.
  */
 import { ZONES } from '@lilacvalve/controller/support/settings';
-import type { Worker } from '../worker.js';
+import type { Worker } from '../worker/worker.js';
 import { PLAIN, type Shared, type Trouble } from './stage.js';
 
 interface Kept {
   readonly by: Worker;
   readonly at: number;
   readonly body: Buffer;
-  readonly tenure: number;
+  readonly incarnation: number;
   readonly token: number;
   readonly recalled: boolean;
   /** Tasks that had not ended, with the attempt. */
@@ -44,7 +44,7 @@
       if (first && lacks) m.meet('first, lacks a task that runs');
       if (first && gone) m.meet('first, shows a task that is gone');
       if (first && k.recalled) m.meet('first, with an old notice');
-      if (first && k.tenure < by.tenure) m.meet('first, of an earlier session');
+      if (first && k.incarnation < by.incarnation) m.meet('first, of an earlier session');
       if (!first && by.token >= term) m.meet('old report after the first answer');
       const raised = mute.get(by);
       if (raised !== undefined && raised < term && by.token === term)
@@ -149,7 +149,7 @@
         by,
         at: w.time.now,
         body,
-        tenure: by.tenure,
+        incarnation: by.incarnation,
         token: by.token,
         recalled: v.recallS !== null,
         tasks: new Map(going.map((p) => [p.piece, p.try])),
--- a/packages/simulation/src/world/meetings/stage.ts
+++ b/packages/simulation/src/world/meetings/stage.ts
@@ -7,7 +7,8 @@
 import type { Got, Rules } from '../rules.js';
 import type { StateService } from '../state-service/state-service.js';
 import type { Time } from '../time.js';
-import type { JobTruth, Worker } from '../worker.js';
+import type { JobTruth } from '../job-truth.js';
+import type { Worker } from '../worker/worker.js';
 import type { Meeting } from './index.js';
 
 /** What of the world they need. */
--- a/packages/simulation/src/world/meetings/zoneCutLong.ts
+++ b/packages/simulation/src/world/meetings/zoneCutLong.ts
@@ -1,6 +1,6 @@
 /** A controller and the workers of a zone are cut off together, from everything else, for longer than a lease. */
 import { ZONES } from '@lilacvalve/controller/support/settings';
-import type { Worker } from '../worker.js';
+import type { Worker } from '../worker/worker.js';
 import { PLAIN, type Shared, type Trouble } from './stage.js';
 
 export const zoneCutLong = (m: Shared): Trouble => {
@@ -22,7 +22,7 @@
 
     const began = w.time.now;
     const inside = [...w.workers.values()].filter((x) => x.place.zone === zone);
-    const tenures = new Map(inside.map((x) => [x, x.tenure]));
+    const incarnations = new Map(inside.map((x) => [x, x.incarnation]));
     const ran = new Map<string, Worker>();
     for (const x of inside) for (const t of x.tasks.values()) if (t.status === 'running') ran.set(t.key, x);
     // Work that the rest begins meanwhile.
@@ -38,7 +38,7 @@
     };
     const look = (): void => {
       const outside = [...w.workers.values()].filter((x) => x.place.zone !== zone);
-      const lapsed = inside.filter((x) => x.alive && x.tenure > tenures.get(x)!);
+      const lapsed = inside.filter((x) => x.alive && x.incarnation > incarnations.get(x)!);
       if (lapsed.some((x) => [...ran.values()].includes(x)))
         once('a lease with tasks lapsed in the cut zone');
       const goesOn = [...ran].some(([key, x]) => x.tasks.get(key)?.status === 'running');
--- a/packages/simulation/src/world/scenario-host.ts
+++ b/packages/simulation/src/world/scenario-host.ts
@@ -11,7 +11,7 @@
 import type { StateService } from './state-service/state-service.js';
 import type { Time } from './time.js';
 import type { Users } from './users.js';
-import type { Worker } from './worker.js';
+import type { Worker } from './worker/worker.js';
 import type { Luck } from '@lilacvalve/controller/support/luck';
 
 /** The parts of a simulation that scenarios look at and act on. */
--- a/packages/simulation/src/world/users.ts
+++ b/packages/simulation/src/world/users.ts
@@ -13,7 +13,7 @@
 import type { Fact, Memory, Process } from './memory.js';
 import type { Got, Rules } from './rules.js';
 import type { Time } from './time.js';
-import { type JobTruth, TASK_MEM_GB } from './worker.js';
+import { type JobTruth, TASK_MEM_GB } from './job-truth.js';
 
 /** How long a user waits for an answer to a poll, microseconds. */
 const POLL_PATIENCE = 2e6;
--- a/packages/simulation/src/world/world.ts
+++ b/packages/simulation/src/world/world.ts
@@ -35,7 +35,9 @@
 import { StateService } from './state-service/state-service.js';
 import { Time } from './time.js';
 import { type Submission, Users } from './users.js';
-import { type GangWorld, type JobTruth, type Net, Worker } from './worker.js';
+import type { JobTruth } from './job-truth.js';
+import type { TaskWorld } from './worker/task-runner.js';
+import { type Net, Worker } from './worker/worker.js';
 
 /** The rules and checks are looked at this often, besides the rules' own check after every event. Microseconds. */
 const CHECK_EVERY = 1e6;
@@ -326,18 +328,18 @@
   private startWorker(place: Place, type: MachineType): Worker {
     const faulty =
       this.faults.faultyMachines === true && this.random.chance(0.15) && this.log.strike('faultyMachines');
-    return new Worker(
+    return new Worker({
       place,
-      type,
-      this.time,
-      this.random,
-      this.workerNet(),
-      this.rules,
-      this.gangWorld(),
-      this.settings('n0').workers,
+      room: type,
+      time: this.time,
+      random: this.random,
+      net: this.workerNet(),
+      rules: this.rules,
+      world: this.taskWorld(),
+      timing: this.settings('n0').workers,
       faulty,
-      (tasks) => (this.killed += tasks),
-    );
+      onKilled: (tasks) => (this.killed += tasks),
+    });
   }
 
   private workerNet(): Net {
@@ -355,7 +357,7 @@
     };
   }
 
-  private gangWorld(): GangWorld {
+  private taskWorld(): TaskWorld {
     return {
       jobs: this.users.jobs,
       begun: this.begun,
--- a/packages/simulation/test/checks.test.ts
+++ b/packages/simulation/test/checks.test.ts
@@ -17,7 +17,7 @@
 import { StateService } from '../src/world/state-service/state-service.js';
 import { Time } from '../src/world/time.js';
 import { type Amounts, amounts, fitsNow, type RoomOn, Waiting, type Wanted } from '../src/world/waiting.js';
-import type { JobTruth } from '../src/world/worker.js';
+import type { JobTruth } from '../src/world/job-truth.js';
 import { World } from '../src/world/world.js';
 
 const spec: Spec = {
