--- a/packages/controller/src/accounts/booking.ts
+++ b/packages/controller/src/accounts/booking.ts
@@ -2,7 +2,7 @@
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Job } from '../jobs/model.js';
 import { borrowedBy } from '../lending/loans.js';
-import type { Turn } from '../scheduler/turn.js';
+import type { CycleContext } from '../scheduler/cycle-context.js';
 import { openAt } from './ledger.js';
 import { wantsBound } from './fold.js';
 import { MINUTE, type Rows, type Spent } from './model.js';
@@ -28,18 +28,18 @@
   private open: Rows = new Map();
 
   constructor(
-    private readonly t: Turn,
+    private readonly t: CycleContext,
     readonly at: Micros,
   ) {
-    const { book, reign, clock, dayTime } = t;
+    const { registry, leaderTerm, clock, dayTime } = t;
     const [now, day] = [clock(), dayTime()];
     const dayOf = (c: Micros): Micros => (day - (now - c)) as Micros;
     const books: Books = {
-      phases: book.phases,
-      kindOf: (id) => book.kindOf(id),
+      phases: registry.phases,
+      kindOf: (id) => registry.kindOf(id),
       types: new Map(t.types().map((k) => [k.name, k])),
       lent: onLentRoom,
-      reignFrom: dayOf(reign.began),
+      reignFrom: dayOf(leaderTerm.began),
       day: dayOf,
     };
     this.spending = new Spending(books, at);
@@ -55,16 +55,16 @@
   /** What the head of the record says. */
   spent(): Spent {
     const { t, at } = this;
-    const { accounts } = t.cache;
+    const { accounts } = t.jobState;
     const minute = (at - (at % MINUTE)) as Micros;
     const types = new Map(t.types().map((k) => [k.name, k]));
     const closes = minute > accounts.closed ? minute : null;
-    if (closes !== null) this.open = openAt(t.cache, closes, (id) => t.book.kindOf(id), types);
+    if (closes !== null) this.open = openAt(t.jobState, closes, (id) => t.registry.kindOf(id), types);
     return {
       rows: this.spending.all(),
       closes,
       bound: wantsBound(accounts)
-        ? { room: roomOf(t.book.machines.values(), types), shut: t.cache.calm }
+        ? { room: roomOf(t.registry.machines.values(), types), shut: t.jobState.calm }
         : null,
     };
   }
--- a/packages/controller/src/accounts/ledger.ts
+++ b/packages/controller/src/accounts/ledger.ts
@@ -1,22 +1,22 @@
 /** What a leader gathers in its reign for the next pages. Nothing of it is durable before its page is. */
 import type { Micros } from '@lilacvalve/runtime/micros';
-import type { JobCache } from '../jobs/cache.js';
+import type { JobState } from '../jobs/job-state.js';
 import { addAmounts, amountsOf } from './fold.js';
 import { type Amounts, groupKey, type Rows, SPLITS } from './model.js';
 import { Balance, ShareBook, type Shares } from './share.js';
 import { kindName, type KindOf, rateOf } from './spent.js';
-import type { MachineType } from '../fleet/model.js';
+import type { MachineType } from '../provisioning/model.js';
 
 /** What is placed now, from its start until `at`, under the split `unknown`: what the time was is known at its end. */
 export const openAt = (
-  cache: JobCache,
+  jobState: JobState,
   at: Micros,
   kindOf: (machine: string) => KindOf | null,
   types: ReadonlyMap<string, MachineType>,
 ): Rows => {
   const out = new Map<string, Amounts>();
   const split = SPLITS.indexOf('unknown');
-  for (const job of cache.jobs.values()) {
+  for (const job of jobState.jobs.values()) {
     const { spec } = job;
     const shape = [spec.cpus, spec.gpus, spec.memGb].map((x) => Math.round(x * 1000)) as [
       number,
--- a/packages/controller/src/accounts/spent.ts
+++ b/packages/controller/src/accounts/spent.ts
@@ -1,6 +1,6 @@
 /** The rows that a record books: the placements that end in it, by what the leader's book knows of them. */
 import type { Micros } from '@lilacvalve/runtime/micros';
-import type { MachineType } from '../fleet/model.js';
+import type { MachineType } from '../provisioning/model.js';
 import type { Job } from '../jobs/model.js';
 import { taskKey } from '../jobs/model.js';
 import { bytesOfRow, rowBytes } from './codec.js';
--- a/packages/controller/src/accounts/upkeep.ts
+++ b/packages/controller/src/accounts/upkeep.ts
@@ -3,7 +3,7 @@
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { Effect } from 'effect';
 import { ACCOUNTS, accountsKey, TERM } from '../jobs/keys.js';
-import type { Turn } from '../scheduler/turn.js';
+import type { CycleContext } from '../scheduler/cycle-context.js';
 import { Priority } from '../state-store/budget.js';
 import type { Condition, Entry, StateFailure, Write } from '../state-store/client.js';
 import { encodeAccounts } from './codec.js';
@@ -22,23 +22,23 @@
 import { compactShares, joinShares, shortfalls } from './share.js';
 
 /** The accounts as values of the store. */
-export const checkpointWrites = (t: Turn, a: Accounts): Write[] =>
+export const checkpointWrites = (t: CycleContext, a: Accounts): Write[] =>
   encodeAccounts(a, t.settings.state.valueBytes * 0.9).map((value, n) => ({ set: accountsKey(n), value }));
 
-const pageWrites = (t: Turn, level: Level, p: Page, to = p.to): Write[] =>
+const pageWrites = (t: CycleContext, level: Level, p: Page, to = p.to): Write[] =>
   encodePage(p, t.settings.state.valueBytes).map((value, n) => ({ set: pageKey(level, to, n), value }));
 
-const transact = (t: Turn, when: readonly Condition[], then: readonly Write[]) =>
+const transact = (t: CycleContext, when: readonly Condition[], then: readonly Write[]) =>
   t.store
-    .transact([{ key: TERM, stamp: t.reign.stamp }, ...when], then, Priority.Upkeep, 1500)
-    .pipe(Effect.zipLeft(Effect.ignore(t.feed.refresh)));
+    .transact([{ key: TERM, stamp: t.leaderTerm.stamp }, ...when], then, Priority.Upkeep, 1500)
+    .pipe(Effect.zipLeft(Effect.ignore(t.watcher.refresh)));
 
 /** Writes the page of the oldest period without one. true: there was one. */
-export const writePage = (t: Turn): Effect.Effect<boolean, StateFailure> =>
+export const writePage = (t: CycleContext): Effect.Effect<boolean, StateFailure> =>
   Effect.gen(function* () {
-    const { accounts, checkpoint } = t.cache;
+    const { accounts, checkpoint } = t.jobState;
     const [period, ...pending] = accounts.pending;
-    if (period === undefined || t.cache.rebuild !== null) return false;
+    if (period === undefined || t.jobState.rebuild !== null) return false;
     const { closing } = t.ledger;
     // A page of before it was written, though nothing was heard of it: who waited then stands there.
     for (const end of closing.keys()) if (end <= period.from) closing.delete(end);
@@ -58,7 +58,7 @@
     for (const end of ends) closing.delete(end);
     for (const s of shortfalls(shares))
       yield* info('share owed', {
-        term: t.reign.term,
+        term: t.leaderTerm.number,
         team: s.team,
         class: s.jobClass,
         waitedS: s.waited,
@@ -75,16 +75,16 @@
 const DELETED = 7;
 
 /** Joins the oldest pages of each level that are due: first the page that holds them all, then they go. */
-export const joinOld = (t: Turn): Effect.Effect<void, StateFailure> =>
+export const joinOld = (t: CycleContext): Effect.Effect<void, StateFailure> =>
   Effect.gen(function* () {
     const now = t.clock();
     if (now - t.ledger.joinedAt < JOIN_EVERY) return;
     t.ledger.joinedAt = now;
     // What has not come so far up yet: a page that is joined without it would be without it for good.
-    let below = t.cache.accounts.pending[0]?.to ?? Number.POSITIVE_INFINITY;
+    let below = t.jobState.accounts.pending[0]?.to ?? Number.POSITIVE_INFINITY;
     for (const level of ['m', 'h', 'd'] as const) {
       const first = yield* t.store.page(levelKey(level), null, LISTED, Priority.Upkeep);
-      const { closed } = t.cache.accounts;
+      const { closed } = t.jobState.accounts;
       const oldest = pagesOf(first.entries)[0];
       if (oldest === undefined) continue;
       const due = dueAt(level, oldest.page.to, closed);
@@ -117,7 +117,7 @@
         if (!o.ok) return;
       }
       const keys = members.flatMap((m) => m.keys);
-      for (let i = 0; i < keys.length && t.acting(); i += DELETED)
+      for (let i = 0; i < keys.length && t.mayAct(); i += DELETED)
         yield* transact(
           t,
           [],
--- a/packages/controller/src/api/handlers.ts
+++ b/packages/controller/src/api/handlers.ts
@@ -6,12 +6,12 @@
 import { Effect, Either, Random } from 'effect';
 import { type Answer, type Incoming, json, retryLater } from '@lilacvalve/runtime/http-server';
 import { debug } from '@lilacvalve/runtime/log';
-import { tally } from '../tally.js';
+import { countMetric } from '../metrics.js';
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { tieOf } from '../calendar/tie.js';
-import type { MachineType } from '../fleet/model.js';
-import type { Doubt } from '../doubt/doubt.js';
-import type { JobCache } from '../jobs/cache.js';
+import type { MachineType } from '../provisioning/model.js';
+import type { DataLossDetector } from '../recovery/data-loss-detector.js';
+import type { JobState } from '../jobs/job-state.js';
 import {
   decodeFinal,
   decodeOver,
@@ -20,13 +20,13 @@
   JOB_ID,
   readSubmission,
   STATUS_WORDS,
-  type Ward,
+  type OrphanedJob,
 } from '../jobs/codec.js';
-import type { Feed } from '../jobs/feed.js';
+import type { StoreWatcher } from '../jobs/store-watcher.js';
 import { activeKey, afterOver, asKnown, finalKey, OVER, wardKey } from '../jobs/keys.js';
 import { type FinalState, isComplete, type Job, type JobSpec } from '../jobs/model.js';
 import type { Work } from '../overload/model.js';
-import type { Fact, Witness } from '../rebuild/witness.js';
+import type { JobEvidence, EvidenceStore } from '../recovery/evidence-store.js';
 import type { Settings } from '../settings/settings.js';
 import { Priority } from '../state-store/budget.js';
 import { Refused, type StateFailure, type Write } from '../state-store/client.js';
@@ -36,13 +36,13 @@
 export interface ApiDeps {
   readonly settings: Settings;
   readonly store: StatePort;
-  readonly feed: Feed;
-  readonly cache: JobCache;
-  readonly doubt: Doubt;
+  readonly watcher: StoreWatcher;
+  readonly jobState: JobState;
+  readonly lossDetector: DataLossDetector;
   /** Whether a job that this node does not know may be new: not while what others remember is being gathered. */
   readonly mayBeNew: (id: string) => boolean;
-  /** Tells the other controllers what a user is about to be told; see rebuild/witness.ts. */
-  readonly witness: Witness;
+  /** Tells the other controllers what a user is about to be told; see recovery/evidence-store.ts. */
+  readonly witness: EvidenceStore;
   /** What this node has in memory is durable: not after a loss, until its view is part of the rebuilt store. */
   readonly durable: () => boolean;
   /** This node leads: the ends it has recorded may be known to nobody else yet. */
@@ -125,14 +125,15 @@
     );
 
   /** What the store says can be believed, and it has been read. */
-  const open = (): boolean => d.feed.loaded && !d.doubt.active && d.doubt.incarnation !== null;
+  const open = (): boolean =>
+    d.watcher.loaded && !d.lossDetector.suspected && d.lossDetector.incarnation !== null;
   const unsure = new Refused({ status: 503, reason: 'not certain of this job yet' });
 
   /** A rebuilt final state that this node does not hold in memory. */
   const rebuilt = (id: string): Effect.Effect<FinalState | null, StateFailure> =>
     Effect.gen(function* () {
-      if (d.cache.finals.complete) return null;
-      for (const part of d.cache.overParts) {
+      if (d.jobState.finals.complete) return null;
+      for (const part of d.jobState.overParts) {
         const page = yield* d.store.page(`${OVER}${part}/`, afterOver(part, id), 1);
         for (const e of page.entries) for (const [over, f] of decodeOver(e.value)) if (over === id) return f;
       }
@@ -144,36 +145,36 @@
    * withdrawal among it would have come first: called `done` here, the job would be `aborted` for everybody else.
    */
   const endAhead = (id: string): boolean => {
-    const job = d.cache.jobs.get(id);
+    const job = d.jobState.jobs.get(id);
     if (job === undefined || job.withdrawn || !isComplete(job)) return false;
-    return (d.cache.tail.get(d.cache.lastSeq)?.stamp ?? 0) > d.feed.completeTo();
+    return (d.jobState.tail.get(d.jobState.lastSeq)?.stamp ?? 0) > d.watcher.completeTo();
   };
 
   /** The job as of now: over, active, named by workers only, or never accepted. */
-  type Found = { readonly final: FinalState } | { readonly job: Job } | { readonly ward: Ward } | null;
+  type Found = { readonly final: FinalState } | { readonly job: Job } | { readonly ward: OrphanedJob } | null;
   const lookUp = (id: string): Effect.Effect<Found, StateFailure> =>
     Effect.gen(function* () {
       // Told from memory alone, it would be lost with this node.
-      const over = d.cache.finals.get(id);
+      const over = d.jobState.finals.get(id);
       if (over && d.durable()) return { final: over };
-      yield* d.feed.refresh;
-      if (endAhead(id)) yield* d.feed.refresh;
-      const known = d.cache.finals.get(id);
+      yield* d.watcher.refresh;
+      if (endAhead(id)) yield* d.watcher.refresh;
+      const known = d.jobState.finals.get(id);
       if (known && !d.durable()) return yield* Effect.fail(unsure);
       if (known) return { final: known };
-      const job = d.cache.jobs.get(id);
-      if (!d.verified() || (job && !d.cache.current(id))) return yield* Effect.fail(unsure);
+      const job = d.jobState.jobs.get(id);
+      if (!d.verified() || (job && !d.jobState.current(id))) return yield* Effect.fail(unsure);
       if (job) return { job };
       const { entry } = yield* d.store.get(finalKey(id));
       const final = entry === null ? yield* rebuilt(id) : decodeFinal(entry.value);
       if (final !== null) {
-        d.cache.finals.remember(id, final);
+        d.jobState.finals.remember(id, final);
         return { final };
       }
-      const ward = d.cache.wards.get(id);
+      const ward = d.jobState.wards.get(id);
       if (ward) return { ward };
       // Never accepted, as far as the store says: that is said only once nobody could know better.
-      if (!d.cache.settled || d.cache.damaged.has(activeKey(id))) return yield* Effect.fail(unsure);
+      if (!d.jobState.settled || d.jobState.damaged.has(activeKey(id))) return yield* Effect.fail(unsure);
       return null;
     });
   const say = (id: string, f: Found): Answer =>
@@ -189,10 +190,10 @@
   const telling = (
     id: string,
     revision: number,
-    value: Fact['value'],
+    value: JobEvidence['value'],
     answer: Answer,
   ): Effect.Effect<Answer> => {
-    const i = d.doubt.incarnation;
+    const i = d.lossDetector.incarnation;
     return i === null
       ? Effect.succeed(answer)
       : Effect.as(
@@ -202,7 +203,7 @@
   };
   /** A leader knows of an end before the others do; whoever else knows of it has read it, and so the leader knows too. */
   const sayFound = (id: string, f: Found): Effect.Effect<Answer> => {
-    const at = d.cache.ended.get(id);
+    const at = d.jobState.ended.get(id);
     const answer = say(id, f);
     if (at === undefined || !d.leads() || f === null || 'ward' in f) return Effect.succeed(answer);
     const final: FinalState | null =
@@ -240,8 +241,9 @@
       if (typeof id !== 'string' || !JOB_ID.test(id))
         return json(400, { error: 'id: not in the stated form' });
       // A job that is known gets its state, whatever its body says now.
-      if (!open()) return retryLater(d.doubt.active ? unsure.reason : 'starting');
-      if (d.cache.finals.has(id) || d.cache.jobs.has(id)) return yield* sayChanged(id, yield* lookUp(id));
+      if (!open()) return retryLater(d.lossDetector.suspected ? unsure.reason : 'starting');
+      if (d.jobState.finals.has(id) || d.jobState.jobs.has(id))
+        return yield* sayChanged(id, yield* lookUp(id));
       const read = readSubmission(body, d.dayTime());
       const types = d.types();
       const never = Either.isLeft(read) ? null : impossible(read.right, d.settings, types);
@@ -251,11 +253,11 @@
         return Either.isLeft(read) ? json(400, { error: read.left }) : json(422, { error: never });
       }
       if (types === null) return retryLater('machine types unknown');
-      if (!d.mayBeNew(id) || d.cache.damaged.has(activeKey(id))) return retryLater(unsure.reason);
-      if (!d.cache.finals.complete && d.cache.overParts.size > 0 && (yield* rebuilt(id)) !== null)
+      if (!d.mayBeNew(id) || d.jobState.damaged.has(activeKey(id))) return retryLater(unsure.reason);
+      if (!d.jobState.finals.complete && d.jobState.overParts.size > 0 && (yield* rebuilt(id)) !== null)
         return yield* sayChanged(id, yield* lookUp(id));
       const job: Job = {
-        spec: { ...read.right, tie: tieOf(d.cache.calendars.current, read.right) },
+        spec: { ...read.right, tie: tieOf(d.jobState.calendars.current, read.right) },
         withdrawn: false,
         attempt: 0,
         done: new Set(),
@@ -302,19 +304,19 @@
     }).pipe(Effect.catchAll(unavailable));
 
   /** What workers run of it already becomes the submitted job's. */
-  const adopting = (id: string): Write[] => (d.cache.wards.has(id) ? [{ delete: wardKey(id) }] : []);
+  const adopting = (id: string): Write[] => (d.jobState.wards.has(id) ? [{ delete: wardKey(id) }] : []);
 
   const poll = (id: string): Effect.Effect<Answer> =>
-    open() || (d.cache.finals.has(id) && d.durable())
+    open() || (d.jobState.finals.has(id) && d.durable())
       ? lookUp(id).pipe(
           Effect.flatMap((f) => sayFound(id, f)),
           Effect.catchAll(unavailable),
         )
-      : Effect.succeed(retryLater(d.doubt.active ? unsure.reason : 'starting'));
+      : Effect.succeed(retryLater(d.lossDetector.suspected ? unsure.reason : 'starting'));
 
   const withdraw = (id: string): Effect.Effect<Answer> =>
     Effect.gen(function* () {
-      if (!open()) return retryLater(d.doubt.active ? unsure.reason : 'starting');
+      if (!open()) return retryLater(d.lossDetector.suspected ? unsure.reason : 'starting');
       const began = d.clock();
       for (;;) {
         const found = yield* lookUp(id);
@@ -348,7 +350,7 @@
                 1200,
               ),
         );
-        // A record may have completed the job in between: whichever was committed first holds (jobs/cache.ts).
+        // A record may have completed the job in between: whichever was committed first holds (jobs/job-state.ts).
         if (r._tag === 'Right' && r.right.ok) {
           const now = yield* lookUp(id);
           if (now === null || !('job' in now) || !now.job.withdrawn) return yield* sayChanged(id, now);
@@ -378,7 +380,7 @@
   (r: Incoming): Effect.Effect<Answer> => {
     const wrong = (allow: string) =>
       Effect.succeed(json(405, { error: 'method not allowed' }, { Allow: allow }));
-    tally(r.path === '/ready' ? 'probes' : r.path === '/work' ? 'submissions' : 'polls');
+    countMetric(r.path === '/ready' ? 'probes' : r.path === '/work' ? 'submissions' : 'polls');
     // Reports themselves are taken before they get here.
     if (r.path === REPORTS) return wrong('POST');
     if (r.path === '/ready') {
--- a/packages/controller/src/calendar/duty.ts
+++ b/packages/controller/src/calendar/duty.ts
@@ -2,10 +2,10 @@
 import { Effect } from 'effect';
 import { info } from '@lilacvalve/runtime/log';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
-import type { JobCache } from '../jobs/cache.js';
+import type { JobState } from '../jobs/job-state.js';
 import { OCCURRENCE, SHOWN, TERM } from '../jobs/keys.js';
 import { type FinalState, isComplete, type Job, type JobChange } from '../jobs/model.js';
-import type { Turn } from '../scheduler/turn.js';
+import type { CycleContext } from '../scheduler/cycle-context.js';
 import { Priority } from '../state-store/budget.js';
 import type { Condition, Write } from '../state-store/client.js';
 import { encodeTally } from './codec.js';
@@ -29,17 +29,17 @@
 }
 
 /** Never earlier than the latest record: a clock that was set back does not give a cutoff its time back. */
-export const dayOf = (t: Pick<Turn, 'dayTime' | 'cache'>): Micros =>
-  Math.max(t.dayTime(), t.cache.lastAt) as Micros;
+export const dayOf = (t: Pick<CycleContext, 'dayTime' | 'jobState'>): Micros =>
+  Math.max(t.dayTime(), t.jobState.lastAt) as Micros;
 
 /** The speed that jobs can get, made once when it is first asked for: most days no job has a tie. */
-export const paceOf = (t: Turn): (() => Pace) => {
+export const paceOf = (t: CycleContext): (() => Pace) => {
   let made: Pace | null = null;
   return () => {
     if (made !== null) return made;
     const types = new Map(t.types().map((k) => [k.name, k]));
     const total: [number, number, number] = [0, 0, 0];
-    for (const m of t.book.machines.values()) {
+    for (const m of t.registry.machines.values()) {
       const k = types.get(m.type);
       if (!k) continue;
       total[0] += k.cpus;
@@ -48,19 +48,19 @@
     }
     const limits = new Map(t.settings.teams.map((s) => [s.name, s.limit]));
     return (made = {
-      shown: t.cache.calendars.shown?.value ?? new Map(),
+      shown: t.jobState.calendars.shown?.value ?? new Map(),
       limit: (team) => limits.get(team),
       total,
     });
   };
 };
 
-const hinderedOf = (t: Turn, job: Job) => {
+const hinderedOf = (t: CycleContext, job: Job) => {
   const { spec } = job;
   const limit = t.settings.teams.find((s) => s.name === spec.team)?.limit;
   let cpus = 0;
   let gpus = 0;
-  for (const j of t.cache.jobs.values()) {
+  for (const j of t.jobState.jobs.values()) {
     if (j.spec.team !== spec.team) continue;
     cpus += j.spec.cpus * j.placed.size;
     gpus += j.spec.gpus * j.placed.size;
@@ -69,7 +69,7 @@
   const over = (most: number | undefined, held: number, need: number): boolean =>
     most !== undefined && most > 0 && held + need * more > most + 1e-6;
   let lost = false;
-  for (const r of t.cache.tail.values()) {
+  for (const r of t.jobState.tail.values()) {
     const c = r.jobs.get(spec.id);
     if ((c?.gone?.length ?? 0) > (c?.failed?.length ?? 0)) lost = true;
   }
@@ -77,15 +77,15 @@
 };
 
 /** By job, what a record of this time says of its cutoff. */
-export const saidOf = (t: Turn, day: Micros): Map<string, number> => {
+export const saidOf = (t: CycleContext, day: Micros): Map<string, number> => {
   const out = new Map<string, number>();
-  const { calendars } = t.cache;
+  const { calendars } = t.jobState;
   if (calendars.current === null || calendars.current.cutoffs.length === 0) return out;
   const pace = paceOf(t);
-  for (const job of t.cache.jobs.values()) {
+  for (const job of t.jobState.jobs.values()) {
     if (job.spec.tie === null || job.withdrawn || isComplete(job)) continue;
     // What the same record completes is not at risk; it may have missed.
-    const ends = t.book.ends.get(job.spec.id);
+    const ends = t.registry.ends.get(job.spec.id);
     const over = ends !== undefined && job.done.size + ends.done.size >= job.spec.tasks;
     const say = sayOf(job, calendars.current, day, pace, () => hinderedOf(t, job));
     if (say === null || (over && isRisk(say))) continue;
@@ -96,13 +96,17 @@
 };
 
 /** Once the record is durable. */
-export const logSaid = (t: Turn, jobs: ReadonlyMap<string, JobChange>, day: Micros): Effect.Effect<void> =>
+export const logSaid = (
+  t: CycleContext,
+  jobs: ReadonlyMap<string, JobChange>,
+  day: Micros,
+): Effect.Effect<void> =>
   Effect.forEach(
     [...jobs].filter(([, c]) => c.said !== undefined && c.said !== SAID.nothing),
     ([id, c]) => {
-      const spec = t.cache.jobs.get(id)?.spec;
-      const o = spec === undefined ? null : occurrenceOf(t.cache.calendars.current, spec);
-      const fields = { term: t.reign.term, job: id, cutoff: o?.id };
+      const spec = t.jobState.jobs.get(id)?.spec;
+      const o = spec === undefined ? null : occurrenceOf(t.jobState.calendars.current, spec);
+      const fields = { term: t.leaderTerm.number, job: id, cutoff: o?.id };
       return c.said === SAID.missed
         ? info('cutoff missed', fields)
         : info('cutoff at risk', {
@@ -115,10 +119,10 @@
   );
 
 /** Takes what a record's ends show of their classes; called before the record is applied to the jobs. */
-export const learn = (t: Turn, jobs: ReadonlyMap<string, JobChange>, at: Micros): void => {
-  if ((t.cache.calendars.current?.cutoffs.length ?? 0) === 0) return;
+export const learn = (t: CycleContext, jobs: ReadonlyMap<string, JobChange>, at: Micros): void => {
+  if ((t.jobState.calendars.current?.cutoffs.length ?? 0) === 0) return;
   for (const [id, c] of jobs) {
-    const job = t.cache.jobs.get(id);
+    const job = t.jobState.jobs.get(id);
     if (job === undefined || !c.done?.length || job.spec.estimate <= 0) continue;
     const { ratios } = t.learned;
     let list = ratios.get(job.spec.jobClass);
@@ -133,7 +137,7 @@
 
 /** What is written with the closing of these jobs: the counts of their occurrences. */
 export const tallying = (
-  cache: JobCache,
+  jobState: JobState,
   over: readonly { readonly job: Job; readonly final: FinalState }[],
 ): { readonly when: Condition[]; readonly then: Write[] } => {
   const sums = new Map<string, Tally>();
@@ -154,18 +158,18 @@
   const when: Condition[] = [];
   const then: Write[] = [];
   for (const [id, sum] of sums) {
-    const there = cache.calendars.tallies.get(id);
+    const there = jobState.calendars.tallies.get(id);
     const key = OCCURRENCE + id;
     when.push({ key, stamp: there?.stamp ?? 0 });
-    then.push({ set: key, value: encodeTally(addTally(cache.calendars.tally(id) ?? NO_TALLY, sum)) });
+    then.push({ set: key, value: encodeTally(addTally(jobState.calendars.tally(id) ?? NO_TALLY, sum)) });
   }
   return { when, then };
 };
 
 /** Writes what classes have shown now and then, and says when the calendar's table is about to run out. */
-export const tendCalendar = (t: Turn): Effect.Effect<void> =>
+export const tendCalendar = (t: CycleContext): Effect.Effect<void> =>
   Effect.gen(function* () {
-    const { calendars } = t.cache;
+    const { calendars } = t.jobState;
     const calendar = calendars.current;
     if (calendar === null || calendar.cutoffs.length === 0) return;
     const at = t.clock();
@@ -177,7 +181,7 @@
     ) {
       learned.noticed = at;
       yield* info('calendar runs out', {
-        term: t.reign.term,
+        term: t.leaderTerm.number,
         version: calendar.version,
         inDays: Math.round((calendar.until - day) / 86_400e6),
       });
@@ -190,7 +194,7 @@
     yield* Effect.ignore(
       t.store.transact(
         [
-          { key: TERM, stamp: t.reign.stamp },
+          { key: TERM, stamp: t.leaderTerm.stamp },
           { key: SHOWN, stamp: calendars.shown?.stamp ?? 0 },
         ],
         [{ set: SHOWN, value: encodeShown(addShown(calendars.remembered().shown, ratios)) }],
--- a/packages/controller/src/pulse.ts
+++ b/packages/controller/src/health-check.ts
@@ -1,14 +1,14 @@
 /** What a node does whether it leads or not, to know how it stands: its pulse, its counts, its tie to the state service. */
-import { duty } from '@lilacvalve/runtime/duty';
+import { supervise } from '@lilacvalve/runtime/supervise';
 import { debug, info } from '@lilacvalve/runtime/log';
 import { type Micros, millis, toMillis } from '@lilacvalve/runtime/micros';
 import { tick, untilTick } from '@lilacvalve/runtime/tick';
 import { Clock, Effect, FiberRef, LogLevel, Runtime } from 'effect';
-import type { Feed } from './jobs/feed.js';
+import type { StoreWatcher } from './jobs/store-watcher.js';
 import type { Admission } from './overload/admission.js';
 import { MEMORY_LIMITS } from './overload/memory.js';
 import type { StatePort } from './state-store/port.js';
-import { listenToOdd, takeTally } from './tally.js';
+import { listenToAnomalies, takeMetrics } from './metrics.js';
 
 const PULSE = millis(500);
 const QUICK_PULSE = millis(100);
@@ -26,19 +26,22 @@
   };
 
 /** Keeps that true to the moment, also when no user asks for anything. */
-export const probe = (store: Pick<StatePort, 'lastServed'>, feed: Feed, clock: () => Micros) =>
-  duty(
+export const storeProbe = (
+  store: Pick<StatePort, 'lastServed'>,
+  watcher: StoreWatcher,
+  clock: () => Micros,
+) =>
+  supervise(
     'probe',
-    Effect.suspend(() => (clock() - store.lastServed > 1e6 ? Effect.ignore(feed.refresh) : Effect.void)).pipe(
-      Effect.zipRight(tick(500)),
-      Effect.forever,
-    ),
+    Effect.suspend(() =>
+      clock() - store.lastServed > 1e6 ? Effect.ignore(watcher.refresh) : Effect.void,
+    ).pipe(Effect.zipRight(tick(500)), Effect.forever),
   );
 
 /** Operators should see in the log that a node nears its memory's limit and takes no more jobs, and when that is over. */
 export const watchMemory = (admission: Admission) => {
   let short = false;
-  return duty(
+  return supervise(
     'memory',
     Effect.suspend(() => {
       const part = admission.lookAtMemory();
@@ -54,8 +57,8 @@
 };
 
 /** Operators should see in the log that this node stood still: its clocks ran on, and its right may be gone. */
-export const pulse = (admission: Admission, leads: () => boolean) =>
-  duty(
+export const eventLoopCheck = (admission: Admission, leads: () => boolean) =>
+  supervise(
     'pulse',
     Effect.suspend(() => {
       // One that was late is looked at again soon: the node may have caught up at once.
@@ -79,16 +82,16 @@
 const oddLines = Effect.gen(function* () {
   if (LogLevel.greaterThan(yield* FiberRef.get(FiberRef.currentMinimumLogLevel), LogLevel.Debug)) return;
   const runtime = yield* Effect.runtime();
-  listenToOdd((event, fields) => void Runtime.runFork(runtime)(debug(event, fields)));
+  listenToAnomalies((event, fields) => void Runtime.runFork(runtime)(debug(event, fields)));
 });
 
 /** What this node did, whether it leads or not. */
 export const loadLine = (leads: () => boolean) =>
-  duty(
+  supervise(
     'load',
     oddLines.pipe(
       Effect.zipRight(Effect.sleep(LOAD_EVERY_MS)),
-      Effect.zipRight(Effect.suspend(() => info('load', { leads: leads(), ...takeTally() }))),
+      Effect.zipRight(Effect.suspend(() => info('load', { leads: leads(), ...takeMetrics() }))),
       Effect.forever,
     ),
   );
--- a/packages/controller/src/jobs/codec.ts
+++ b/packages/controller/src/jobs/codec.ts
@@ -268,7 +268,7 @@
   Object.entries(value as Record<string, number>).map(([id, n]) => [id, unpackFinal(n)]);
 
 /** What is known of a job that only workers name. */
-export interface Ward {
+export interface OrphanedJob {
   /** Time of day of its first mention, microseconds. */
   readonly since: number;
   /** Tasks of it that workers have named. */
--- a/packages/controller/src/jobs/cache.ts
+++ b/packages/controller/src/jobs/job-state.ts
@@ -7,7 +7,7 @@
 import { fold } from '../accounts/fold.js';
 import { type Accounts, NO_ACCOUNTS } from '../accounts/model.js';
 import { Calendars } from '../calendar/fold.js';
-import { floorOf, type Incarnation, incarnationOf } from '../doubt/model.js';
+import { floorOf, type Incarnation, incarnationOf } from '../recovery/model.js';
 import { decodeWeights } from '../lending/weights.js';
 import type { Change, Condition, Entry, Write } from '../state-store/client.js';
 import {
@@ -17,7 +17,7 @@
   decodePack,
   decodeRecord,
   encodePack,
-  type Ward,
+  type OrphanedJob,
 } from './codec.js';
 import { Finals } from './finals.js';
 import {
@@ -72,7 +72,7 @@
   readonly stamp: number;
 }
 
-export class JobCache {
+export class JobState {
   revision = -1;
   readonly jobs = new Map<string, Job>();
   readonly finals = new Finals();
@@ -121,7 +121,7 @@
   /** Parts of the final states' pages; see `overKey`. */
   readonly overParts = new Set<string>();
   /** Jobs that only workers name. */
-  readonly wards = new Map<string, Ward & { readonly stamp: number }>();
+  readonly wards = new Map<string, OrphanedJob & { readonly stamp: number }>();
   /** Keys whose value can't be read, with their revisions. */
   readonly damaged = new Map<string, number>();
   /** Revisions at which jobs came to their end, the latest ones: whether others have read that already. */
@@ -271,7 +271,7 @@
     else if (key.startsWith(WARD)) {
       const id = key.slice(WARD.length);
       if (value === undefined) this.wards.delete(id);
-      else this.wards.set(id, { ...(value as Ward), stamp: c.stamp });
+      else this.wards.set(id, { ...(value as OrphanedJob), stamp: c.stamp });
     } else if (key.startsWith(CALENDAR)) this.calendars.take(key, value, c.stamp);
     else if (key === REBUILD)
       this.rebuild = value === undefined ? null : { ...(value as Rebuilding), stamp: c.stamp };
--- a/packages/controller/src/jobs/feed.ts
+++ b/packages/controller/src/jobs/store-watcher.ts
@@ -3,16 +3,16 @@
  * question. All waiting questions share one read.
  */
 import { Deferred, Effect } from 'effect';
-import { duty } from '@lilacvalve/runtime/duty';
+import { supervise } from '@lilacvalve/runtime/supervise';
 import { info } from '@lilacvalve/runtime/log';
 import { type Micros, millis, toMillis } from '@lilacvalve/runtime/micros';
 import { tick } from '@lilacvalve/runtime/tick';
-import type { Doubt } from '../doubt/doubt.js';
-import { doubted } from '../doubt/guard.js';
+import type { DataLossDetector } from '../recovery/data-loss-detector.js';
+import { dataLossSuspected } from '../recovery/guarded-store.js';
 import { Priority } from '../state-store/budget.js';
 import type { Change, Entry, StateFailure } from '../state-store/client.js';
 import type { StatePort } from '../state-store/port.js';
-import type { JobCache } from './cache.js';
+import type { JobState } from './job-state.js';
 import {
   ACCOUNTS,
   ACTIVE,
@@ -41,7 +41,7 @@
 /** Changes of the store, some minute's worth of all that it takes; it keeps the last 10,000. */
 const RECENT = 4000;
 
-export class Feed {
+export class StoreWatcher {
   loaded = false;
   /** The cache is known to be at least as new as this moment. */
   readAsOf = Number.NEGATIVE_INFINITY as Micros;
@@ -53,11 +53,11 @@
   private lastRead = Number.NEGATIVE_INFINITY;
 
   constructor(
-    readonly cache: JobCache,
+    readonly jobState: JobState,
     private readonly store: StatePort,
     private readonly clock: () => Micros,
     private readonly leading: () => boolean,
-    private readonly doubt: Doubt,
+    private readonly lossDetector: DataLossDetector,
     /** A leader that answers reports must have read more lately than that. */
     private readonly mayLag: Micros,
   ) {}
@@ -70,7 +70,7 @@
 
   /** What this node wrote as leader is committed: nothing in it is news to its view. */
   committed(revision: number): void {
-    this.own = [...this.own.filter((r) => r > this.cache.revision), revision].sort((a, b) => a - b);
+    this.own = [...this.own.filter((r) => r > this.jobState.revision), revision].sort((a, b) => a - b);
   }
 
   /**
@@ -78,7 +78,7 @@
    * right after. What it wrote for users is left out: another may have told them of it, and this view lacks it.
    */
   completeTo(): number {
-    let to = this.cache.revision;
+    let to = this.jobState.revision;
     for (const r of this.own) if (r === to + 1) to = r;
     return to;
   }
@@ -126,15 +126,15 @@
     return Effect.suspend(() => {
       const asked = this.clock();
       if (!this.loaded) return this.reload;
-      return this.store.follow(ROOT, this.cache.revision, blockMs).pipe(
+      return this.store.follow(ROOT, this.jobState.revision, blockMs).pipe(
         Effect.flatMap((c) => {
           if (c.tooOld) return this.reload;
-          if (this.moved(c.changes)) return Effect.fail(doubted);
+          if (this.moved(c.changes)) return Effect.fail(dataLossSuspected);
           return Effect.zipRight(
-            this.doubt.sound() ? Effect.void : this.confirm,
+            this.lossDetector.sound() ? Effect.void : this.confirm,
             Effect.suspend(() => {
               if (c.changes.length > 0) this.onChanges?.(c.changes);
-              this.cache.advance(c.changes, c.revision);
+              this.jobState.advance(c.changes, c.revision);
               return this.believe(asked);
             }),
           );
@@ -145,26 +145,26 @@
 
   /** Whether another incarnation has begun: its changes are none of this view's. */
   private moved(changes: readonly Change[]): boolean {
-    const known = this.doubt.incarnation;
+    const known = this.lossDetector.incarnation;
     if (known === null) return false;
     const other = changes.find(
       (c) => c.key.startsWith(INCARNATION) && (c.value === undefined) === (c.key === INCARNATION + known.id),
     );
     if (other === undefined) return false;
-    this.doubt.raise('other incarnation', other.key);
+    this.lossDetector.suspect('other incarnation', other.key);
     return true;
   }
 
   /** Fails unless the store is still of this node's incarnation. */
   private readonly confirm: Effect.Effect<void, StateFailure> = Effect.suspend(() => {
-    const known = this.doubt.incarnation;
+    const known = this.lossDetector.incarnation;
     if (known === null) return Effect.void;
     const asked = this.clock();
     return this.store.get(INCARNATION + known.id).pipe(
       Effect.flatMap(({ entry }) => {
-        if (entry?.stamp === known.stamp) this.doubt.seen(asked);
-        else this.doubt.raise('other incarnation', `${known.id} is not there`);
-        return this.doubt.active ? Effect.fail(doubted) : Effect.void;
+        if (entry?.stamp === known.stamp) this.lossDetector.seen(asked);
+        else this.lossDetector.suspect('other incarnation', `${known.id} is not there`);
+        return this.lossDetector.suspected ? Effect.fail(dataLossSuspected) : Effect.void;
       }),
     );
   });
@@ -172,18 +172,19 @@
   /** Holds what was read at `asked` against what is known. `anew`: everything was read. */
   private believe(asked: Micros, anew = false): Effect.Effect<void, StateFailure> {
     return Effect.suspend(() => {
-      const { cache, doubt } = this;
-      doubt.readIncarnation(cache.incarnation);
-      doubt.readTerm(cache.term, asked);
-      for (const key of cache.damaged.keys())
-        if (key.startsWith(ACTIVE) && cache.jobs.has(key.slice(ACTIVE.length)))
-          doubt.raise('value damaged', key);
+      const { jobState, lossDetector } = this;
+      lossDetector.readIncarnation(jobState.incarnation);
+      lossDetector.readTerm(jobState.term, asked);
+      for (const key of jobState.damaged.keys())
+        if (key.startsWith(ACTIVE) && jobState.jobs.has(key.slice(ACTIVE.length)))
+          lossDetector.suspect('value damaged', key);
       // Nobody wrote it so: whoever read it before knows what it said, and this view alone proves nothing.
-      const hole = anew || cache.damaged.size > 0 ? cache.hole() : null;
-      if (hole !== null) doubt.raise('value damaged', hole, true);
-      if (anew && cache.calendarLost) doubt.raise('key lost', CALENDAR_HEAD);
-      if (doubt.active) return Effect.fail(doubted);
-      if (doubt.incarnation !== null && cache.revision >= doubt.floor()) doubt.onSound(doubt.incarnation.id);
+      const hole = anew || jobState.damaged.size > 0 ? jobState.hole() : null;
+      if (hole !== null) lossDetector.suspect('value damaged', hole, true);
+      if (anew && jobState.calendarLost) lossDetector.suspect('key lost', CALENDAR_HEAD);
+      if (lossDetector.suspected) return Effect.fail(dataLossSuspected);
+      if (lossDetector.incarnation !== null && jobState.revision >= lossDetector.floor())
+        lossDetector.onSound(lossDetector.incarnation.id);
       return Effect.void;
     });
   }
@@ -218,7 +219,7 @@
   /** Reads everything anew, then what changed meanwhile: only then is the view whole. */
   private readonly reload: Effect.Effect<void, StateFailure> = Effect.suspend(() => {
     const asked = this.clock();
-    const { life } = this.doubt;
+    const { life } = this.lossDetector;
     // The accounts last: a checkpoint read before the records could lack some that are deleted meanwhile.
     const prefixes = [LIFE, CALENDAR, RECORD, PACK, ACTIVE, LEADER, TERM, TYPES, ACCOUNTS];
     return Effect.forEach(prefixes, (prefix) => this.all(prefix)).pipe(
@@ -227,17 +228,17 @@
         return Effect.all([this.store.follow(ROOT, base, 0), this.recentFinals(base)]).pipe(
           Effect.flatMap(([c, ended]) => {
             if (c.tooOld) return Effect.suspend(() => this.reload);
-            if (this.doubt.life !== life) return Effect.fail(doubted);
+            if (this.lossDetector.life !== life) return Effect.fail(dataLossSuspected);
             // Another read was faster. Going back, the view would miss what a follow on its way says it has already.
-            if (this.loaded && c.revision <= this.cache.revision) return this.believe(asked);
-            this.cache.load(
+            if (this.loaded && c.revision <= this.jobState.revision) return this.believe(asked);
+            this.jobState.load(
               lists.flatMap((l) => l.entries),
               base,
             );
-            for (const e of ended) this.cache.apply(e);
-            this.cache.advance(c.changes, c.revision);
+            for (const e of ended) this.jobState.apply(e);
+            this.jobState.advance(c.changes, c.revision);
             this.loaded = true;
-            return info('store read', { revision: c.revision, jobs: this.cache.jobs.size }).pipe(
+            return info('store read', { revision: c.revision, jobs: this.jobState.jobs.size }).pipe(
               Effect.zipRight(this.believe(asked, true)),
             );
           }),
@@ -247,15 +248,15 @@
   });
 
   /** Reads the final states too, at leisure: should the store lose them, this node can tell them. */
-  readonly history = duty(
+  readonly history = supervise(
     'history',
     Effect.suspend(() => {
-      const { finals } = this.cache;
+      const { finals } = this.jobState;
       if (!this.loaded || finals.complete) return tick(2000);
       const from = (prefix: string, after: string | null): Effect.Effect<void, StateFailure> =>
         this.store.page(prefix, after, PAGE, Priority.Upkeep).pipe(
           Effect.flatMap((p) => {
-            for (const e of p.entries) this.cache.apply({ ...e });
+            for (const e of p.entries) this.jobState.apply({ ...e });
             const last = p.entries[p.entries.length - 1];
             return p.more && last
               ? Effect.zipRight(
@@ -279,7 +280,7 @@
     }).pipe(Effect.forever),
   );
 
-  readonly run = duty(
+  readonly run = supervise(
     'watch',
     Effect.suspend(() => {
       // Shared reads for users keep a follower up as well as its watch would: one of the two is enough.
--- a/packages/controller/src/reign/session.ts
+++ b/packages/controller/src/leadership/leader-session.ts
@@ -1,36 +1,42 @@
 /** One reign: everything a leader does from the moment it leads until it does not. */
 import { Ledger } from '../accounts/ledger.js';
-import { duty } from '@lilacvalve/runtime/duty';
+import { supervise } from '@lilacvalve/runtime/supervise';
 import { info } from '@lilacvalve/runtime/log';
 import { type Micros, millis, seconds, toMillis } from '@lilacvalve/runtime/micros';
 import { tick } from '@lilacvalve/runtime/tick';
 import { Effect, Queue } from 'effect';
 import { Learned } from '../calendar/duty.js';
-import type { Doubt } from '../doubt/doubt.js';
-import type { CloudPort } from '../fleet/cloud.js';
-import { fleetDuty } from '../fleet/duty.js';
-import type { FleetNews, MachineType } from '../fleet/model.js';
-import type { JobCache } from '../jobs/cache.js';
-import type { Feed } from '../jobs/feed.js';
+import type { DataLossDetector } from '../recovery/data-loss-detector.js';
+import type { CloudPort } from '../provisioning/cloud.js';
+import { autoscaler } from '../provisioning/autoscaler.js';
+import type { ProvisioningNews, MachineType } from '../provisioning/model.js';
+import type { JobState } from '../jobs/job-state.js';
+import type { StoreWatcher } from '../jobs/store-watcher.js';
 import { CALM, SETTLED } from '../jobs/keys.js';
 import { weightsDuty } from '../lending/duty.js';
-import type { Leadership, Reign } from '../leadership/leadership.js';
-import type { Peers } from '../leadership/peers.js';
+import type { Leadership, LeadershipTerm } from './leadership.js';
+import type { Peers } from './peers.js';
 import type { Admission } from '../overload/admission.js';
-import { declare, Gathered, listen, type Rebuild, rebuild } from '../rebuild/duty.js';
-import type { ViewPort } from '../rebuild/exchange.js';
-import type { Relics } from '../rebuild/relics.js';
-import type { Witness } from '../rebuild/witness.js';
-import { tendWards } from '../rebuild/wards.js';
+import { declare, Gathered, listen, type Rebuild, rebuild } from '../recovery/rebuild.js';
+import type { ViewPort } from '../recovery/view-exchange.js';
+import type { PreLossViews } from '../recovery/pre-loss-views.js';
+import type { EvidenceStore } from '../recovery/evidence-store.js';
+import { tendWards } from '../recovery/orphaned-jobs.js';
 import { Largest, largestDuty } from '../scheduler/largest.js';
-import { summary, turn } from '../scheduler/duty.js';
+import { summary, runCycle } from '../scheduler/run-cycle.js';
 import { upkeep } from '../scheduler/upkeep.js';
 import { Waits } from '../scheduler/waits.js';
-import type { CycleView, Turn } from '../scheduler/turn.js';
+import type { CycleState, CycleContext } from '../scheduler/cycle-context.js';
 import type { Settings } from '../settings/settings.js';
 import type { StatePort } from '../state-store/port.js';
-import { Book } from '../workers/book.js';
-import { type Desk, Gate, type RenewalDesk, sendUrgent, type WorkerPort } from '../workers/duty.js';
+import { WorkerRegistry } from '../workers/worker-registry.js';
+import {
+  type Desk,
+  Gate,
+  type RenewalDesk,
+  sendUrgent,
+  type WorkerPort,
+} from '../workers/heartbeat-handler.js';
 
 /** Between two turns: each costs writes of a budget that all controllers share. */
 const TURN_GAP_MS = 250;
@@ -47,30 +53,30 @@
 const OVER_MS = 250;
 const SUMMARY_EVERY_MS = 10_000;
 const TEND_EVERY_MS = 1000;
-const NO_NEWS: FleetNews = { rented: [], removed: [] };
+const NO_NEWS: ProvisioningNews = { rented: [], removed: [] };
 
 /**
  * From the end of a turn to the next one's begin, after one over so many machines that computed for `costMs`. One that has
  * left something `behind` for want of room in its records is followed sooner, as far as its computing allows.
  */
-export const turnGapMs = (machines: number, costMs: number, behind = false): number =>
+export const cycleGapMs = (machines: number, costMs: number, behind = false): number =>
   Math.max(
     TURN_GAP_MS,
     behind ? 0 : Math.min(LONG_GAP_MS, Math.round(machines * GAP_MS_A_MACHINE)),
     costMs * (1 / TURN_PART - 1),
   );
 
-export interface SessionParts {
+export interface LeaderSessionParts {
   readonly settings: Settings;
   readonly store: StatePort;
   readonly cloud: CloudPort;
   readonly workers: WorkerPort;
   readonly views: ViewPort;
-  readonly feed: Feed;
-  readonly cache: JobCache;
-  readonly doubt: Doubt;
-  readonly relics: Relics;
-  readonly witness: Witness;
+  readonly watcher: StoreWatcher;
+  readonly jobState: JobState;
+  readonly lossDetector: DataLossDetector;
+  readonly relics: PreLossViews;
+  readonly witness: EvidenceStore;
   readonly peers: Peers;
   readonly leadership: Leadership;
   readonly admission: Admission;
@@ -81,61 +87,61 @@
   readonly balance: Micros | null;
 }
 
-export class Sessions {
+export class LeaderSessions {
   /** What the present session offers to whoever takes reports in. */
   desk: Desk | RenewalDesk | null = null;
-  readonly fleet: { news: FleetNews; listed: boolean } = { news: NO_NEWS, listed: false };
+  readonly fleet: { news: ProvisioningNews; listed: boolean } = { news: NO_NEWS, listed: false };
   /** Jobs that a rebuild has gathered and not written yet; null: that is not known here. */
   private owed: ((id: string) => boolean) | null = null;
   private readonly wake = Effect.runSync(Queue.sliding<void>(1));
 
-  constructor(private readonly p: SessionParts) {
-    p.cache.onJobs = () => Queue.unsafeOffer(this.wake, undefined);
+  constructor(private readonly p: LeaderSessionParts) {
+    p.jobState.onJobs = () => Queue.unsafeOffer(this.wake, undefined);
   }
 
-  book(): Book | null {
-    return this.desk !== null && 'book' in this.desk ? this.desk.book : null;
+  registry(): WorkerRegistry | null {
+    return this.desk !== null && 'registry' in this.desk ? this.desk.registry : null;
   }
 
   /** See `ApiDeps.mayBeNew`. */
   mayBeNew(id: string): boolean {
-    const r = this.p.cache.rebuild;
+    const r = this.p.jobState.rebuild;
     return r === null || r.phase === 'wait' || (r.phase === 'write' && this.owed !== null && !this.owed(id));
   }
 
-  readonly run = duty(
+  readonly run = supervise(
     'reigns',
     Effect.suspend(() => {
-      const reign = this.p.leadership.acting();
-      return reign === null ? this.p.leadership.awaitReign : this.session(reign);
+      const leaderTerm = this.p.leadership.currentTerm();
+      return leaderTerm === null ? this.p.leadership.awaitTerm : this.session(leaderTerm);
     }).pipe(Effect.forever),
   );
 
-  private session(reign: Reign): Effect.Effect<void> {
+  private session(leaderTerm: LeadershipTerm): Effect.Effect<void> {
     const { p } = this;
-    const reigning = (): boolean => p.leadership.reigning(reign.term);
-    const over = tick(OVER_MS).pipe(Effect.repeat({ while: reigning }));
+    const isCurrentTerm = (): boolean => p.leadership.isCurrent(leaderTerm.number);
+    const over = tick(OVER_MS).pipe(Effect.repeat({ while: isCurrentTerm }));
     const r: Rebuild = {
       settings: p.settings,
       store: p.store,
-      feed: p.feed,
-      cache: p.cache,
-      doubt: p.doubt,
+      watcher: p.watcher,
+      jobState: p.jobState,
+      lossDetector: p.lossDetector,
       relics: p.relics,
       witness: p.witness,
       port: p.views,
-      reign,
-      reigning,
-      acting: () => p.leadership.acting()?.term === reign.term,
+      leaderTerm,
+      isCurrentTerm,
+      mayAct: () => p.leadership.currentTerm()?.number === leaderTerm.number,
       clock: p.clock,
     };
     const gathered = new Gathered();
     const first = Effect.suspend(() => {
-      if (p.cache.rebuild === null || p.cache.rebuild.phase === 'wait') return Effect.void;
+      if (p.jobState.rebuild === null || p.jobState.rebuild.phase === 'wait') return Effect.void;
       this.desk = {
-        term: reign.term,
+        term: leaderTerm.number,
         cancelled: (id) =>
-          p.cache.jobs.get(id)?.withdrawn === true ||
+          p.jobState.jobs.get(id)?.withdrawn === true ||
           p.relics.all.some((x) => x.jobs.get(id)?.withdrawn === true),
       };
       this.owed = (id) => gathered.byJob(r).has(id) || gathered.finalStates(r).has(id);
@@ -148,45 +154,45 @@
       over,
       Effect.zipRight(
         first,
-        Effect.suspend(() => (reigning() ? this.turns(reign, r, gathered) : Effect.void)),
+        Effect.suspend(() => (isCurrentTerm() ? this.turns(leaderTerm, r, gathered) : Effect.void)),
       ),
     ).pipe(
       Effect.ensuring(
         Effect.sync(() => {
           this.desk = null;
-          p.cache.letMachinesGo();
+          p.jobState.letMachinesGo();
         }),
       ),
-      Effect.zipRight(info('no longer leads', { term: reign.term })),
+      Effect.zipRight(info('no longer leads', { term: leaderTerm.number })),
       // A new book of the same term would take an old copy that shows its token for newer than the starts sent before.
-      Effect.tapDefect(() => p.leadership.giveWay('session failed', 0)),
+      Effect.tapDefect(() => p.leadership.stepDown('session failed', 0)),
     );
   }
 
   /** The session's lasting part, once the store holds all that is known. */
-  private turns(reign: Reign, r: Rebuild, gathered: Gathered): Effect.Effect<void> {
+  private turns(leaderTerm: LeadershipTerm, r: Rebuild, gathered: Gathered): Effect.Effect<void> {
     const { p, wake } = this;
     return Effect.suspend(() => {
       // Leases may have been renewed until now.
       const began = p.clock();
-      const book = new Book(p.settings, p.cache, reign.term, began);
+      const registry = new WorkerRegistry(p.settings, p.jobState, leaderTerm.number, began);
       // What the last leader said of its machines, with the time passed since.
       const heard = p.peers.lastNews();
-      if (heard !== null) book.warm(heard.news, heard.at);
+      if (heard !== null) registry.warm(heard.news, heard.at);
       this.fleet.news = heard?.news ?? NO_NEWS;
       this.fleet.listed = false;
-      const t: Turn = {
+      const t: CycleContext = {
         settings: p.settings,
         store: p.store,
-        feed: p.feed,
-        cache: p.cache,
-        book,
+        watcher: p.watcher,
+        jobState: p.jobState,
+        registry,
         ledger: new Ledger(p.balance),
-        doubt: p.doubt,
-        reign: { ...reign, began },
-        acting: r.acting,
-        reigning: r.reigning,
-        acknowledged: () => p.peers.acknowledged(reign.term),
+        lossDetector: p.lossDetector,
+        leaderTerm: { ...leaderTerm, began },
+        mayAct: r.mayAct,
+        isCurrentTerm: r.isCurrentTerm,
+        acknowledged: () => p.peers.acknowledged(leaderTerm.number),
         types: () => p.types() ?? [],
         mayStart: () => p.admission.mayStart,
         fleet: this.fleet,
@@ -195,12 +201,12 @@
         learned: new Learned(),
         companions: new Map(),
         waits: new Waits(),
-        largest: new Largest(p.cache.largest),
+        largest: new Largest(p.jobState.largest),
       };
-      const view: CycleView = { result: null, surplus: new Set(), companions: [], cost: 0, behind: false };
+      const view: CycleState = { result: null, surplus: new Set(), companions: [], cost: 0, behind: false };
       const gate = new Gate(p.clock);
       this.desk = {
-        book,
+        registry,
         nextTurn: (then) => {
           gate.wait(then);
           Queue.unsafeOffer(wake, undefined);
@@ -213,47 +219,53 @@
       const turns = Effect.gen(function* () {
         yield* Queue.take(wake).pipe(Effect.timeoutOption(TURN_EVERY_MS));
         gate.begin();
-        yield* (t.acting() ? turn(t, view) : Effect.void).pipe(
+        yield* (t.mayAct() ? runCycle(t, view) : Effect.void).pipe(
           Effect.ensuring(Effect.sync(() => gate.open())),
         );
-        if (t.acting()) yield* sendUrgent(book, p.workers, p.admission);
-        yield* Effect.sleep(turnGapMs(book.machines.size, toMillis(view.cost), view.behind));
+        if (t.mayAct()) yield* sendUrgent(registry, p.workers, p.admission);
+        yield* Effect.sleep(cycleGapMs(registry.machines.size, toMillis(view.cost), view.behind));
       }).pipe(Effect.forever);
-      const tidy = duty('upkeep', upkeep(t).pipe(Effect.zipRight(tick(UPKEEP_GAP_MS)), Effect.forever));
-      const report = duty(
+      const tidy = supervise('upkeep', upkeep(t).pipe(Effect.zipRight(tick(UPKEEP_GAP_MS)), Effect.forever));
+      const report = supervise(
         'summary',
         Effect.sleep(SUMMARY_EVERY_MS).pipe(
-          Effect.zipRight(Effect.suspend(() => info('cluster', { term: reign.term, ...summary(t, view) }))),
+          Effect.zipRight(
+            Effect.suspend(() => info('cluster', { term: leaderTerm.number, ...summary(t, view) })),
+          ),
           Effect.forever,
         ),
       );
-      const tend = duty(
+      const tend = supervise(
         'tend',
-        Effect.suspend(() => (t.acting() ? this.tend(t, r, gathered) : Effect.void)).pipe(
+        Effect.suspend(() => (t.mayAct() ? this.tend(t, r, gathered) : Effect.void)).pipe(
           Effect.zipRight(tick(TEND_EVERY_MS)),
           Effect.forever,
         ),
       );
-      const weights = weightsDuty({ ...t, machines: () => book.machines.values() });
-      const fleet = fleetDuty(t, view, p.cloud);
-      return Effect.all([duty('turns', turns), fleet, tidy, report, relieve, tend, weights, largestDuty(t)], {
-        concurrency: 'unbounded',
-        discard: true,
-      }).pipe(Effect.ensuring(Effect.sync(() => gate.relieve(seconds(0)))));
+      const weights = weightsDuty({ ...t, machines: () => registry.machines.values() });
+      const fleet = autoscaler(t, view, p.cloud);
+      return Effect.all(
+        [supervise('turns', turns), fleet, tidy, report, relieve, tend, weights, largestDuty(t)],
+        {
+          concurrency: 'unbounded',
+          discard: true,
+        },
+      ).pipe(Effect.ensuring(Effect.sync(() => gate.relieve(seconds(0)))));
     });
   }
 
   /** What is left to do after the store's first start or a rebuild, until it is settled. */
-  private tend(t: Turn, r: Rebuild, gathered: Gathered): Effect.Effect<void> {
-    const { cache, book } = t;
+  private tend(t: CycleContext, r: Rebuild, gathered: Gathered): Effect.Effect<void> {
+    const { jobState, registry } = t;
     return Effect.gen(this, function* () {
       yield* Effect.ignore(listen(r, gathered, this.p.peers.withRelics()));
-      const generation = cache.incarnation?.generation ?? 0;
+      const generation = jobState.incarnation?.generation ?? 0;
       const at = t.clock();
-      if (!cache.calm && book.allLapsed(at)) yield* declare(r, CALM);
-      const all = generation === 0 ? (t.fleet.listed && book.accounted()) || book.allLapsed(at) : cache.calm;
-      if (!cache.settled && cache.rebuild === null && all) yield* declare(r, SETTLED);
-      if (generation > 0 && cache.rebuild?.phase !== 'gather') yield* tendWards(t);
+      if (!jobState.calm && registry.allLapsed(at)) yield* declare(r, CALM);
+      const all =
+        generation === 0 ? (t.fleet.listed && registry.accounted()) || registry.allLapsed(at) : jobState.calm;
+      if (!jobState.settled && jobState.rebuild === null && all) yield* declare(r, SETTLED);
+      if (generation > 0 && jobState.rebuild?.phase !== 'gather') yield* tendWards(t);
     });
   }
 }
--- a/packages/controller/src/leadership/leadership.ts
+++ b/packages/controller/src/leadership/leadership.ts
@@ -4,18 +4,18 @@
  * conditional on its revision, so that a deposed leader's late transaction fails.
  */
 import { Clock, Effect, Queue, Random } from 'effect';
-import { duty } from '@lilacvalve/runtime/duty';
+import { supervise } from '@lilacvalve/runtime/supervise';
 import { info } from '@lilacvalve/runtime/log';
 import { DRIFT, type Micros, millis, plus, seconds, toMillis } from '@lilacvalve/runtime/micros';
 import { orTick } from '@lilacvalve/runtime/tick';
-import type { JobCache } from '../jobs/cache.js';
-import type { Feed } from '../jobs/feed.js';
-import { type Doubt } from '../doubt/doubt.js';
-import { attemptsFrom, floorOf, generationOf, incarnationOf } from '../doubt/model.js';
+import type { JobState } from '../jobs/job-state.js';
+import type { StoreWatcher } from '../jobs/store-watcher.js';
+import { type DataLossDetector } from '../recovery/data-loss-detector.js';
+import { attemptsFrom, floorOf, generationOf, incarnationOf } from '../recovery/model.js';
 import { CALM, FOUNDED, INCARNATION, LEADER, LIFE, REBUILD, SETTLED, TERM } from '../jobs/keys.js';
 import type { StateFailure, Write } from '../state-store/client.js';
 import type { Contacts } from './contacts.js';
-import { holdEnds, mayAnswer, mayLag, mayStart } from './hold.js';
+import { holdEnds, mayAnswer, mayLag, mayStart } from './read-lease.js';
 import type { Peers } from './peers.js';
 import type { Settings } from '../settings/settings.js';
 import { Priority } from '../state-store/budget.js';
@@ -29,8 +29,8 @@
 /** How long a node that workers don't reach leaves a vacant lead to a peer that they do reach. */
 const PATIENCE = millis(1500);
 
-export interface Reign {
-  readonly term: number;
+export interface LeadershipTerm {
+  readonly number: number;
   /** Revision of the term key: the condition of every committing write. */
   readonly stamp: number;
   readonly began: Micros;
@@ -43,7 +43,7 @@
   );
 
 export class Leadership {
-  private reign: Reign | null = null;
+  private leaderTerm: LeadershipTerm | null = null;
   private lease: number | null = null;
   private rightUntil = Number.NEGATIVE_INFINITY;
   /** After giving way: not before this time. */
@@ -55,7 +55,7 @@
   private coveredIn = 0;
   private readonly begun = Effect.runSync(Queue.sliding<void>(1));
   /** Completes when a reign has begun, or now and then. */
-  readonly awaitReign = orTick(Queue.take(this.begun), 1000);
+  readonly awaitTerm = orTick(Queue.take(this.begun), 1000);
   private readonly vacant = Effect.runSync(Queue.sliding<void>(1));
   /** Since when this node has left a vacant lead to a better placed peer. */
   private vacantSince: Micros | null = null;
@@ -65,11 +65,11 @@
     private readonly store: StatePort,
     /** The state service as it is, for what begins an incarnation. */
     private readonly raw: StatePort,
-    private readonly doubt: Doubt,
+    private readonly lossDetector: DataLossDetector,
     /** Keeps this node's view as a relic and makes it ready for another incarnation's. */
     private readonly leaveView: () => void,
-    private readonly feed: Feed,
-    private readonly cache: JobCache,
+    private readonly watcher: StoreWatcher,
+    private readonly jobState: JobState,
     private readonly peers: Pick<
       Peers,
       'confirmedUntil' | 'highestTerm' | 'candidates' | 'allAsked' | 'nothingAfter'
@@ -77,7 +77,7 @@
     private readonly contacts: Contacts,
     private readonly clock: () => Micros,
   ) {
-    cache.onVacant = () => Queue.unsafeOffer(this.vacant, undefined);
+    jobState.onVacant = () => Queue.unsafeOffer(this.vacant, undefined);
     this.ttl = Math.min(seconds(4), Math.max(seconds(2.5), settings.workers.lease / 5)) as Micros;
   }
 
@@ -87,41 +87,43 @@
   }
 
   /** The reign this node may act for right now, or null. */
-  acting(): Reign | null {
-    return this.reign !== null && !this.doubt.active && this.clock() < this.rightUntil ? this.reign : null;
+  currentTerm(): LeadershipTerm | null {
+    return this.leaderTerm !== null && !this.lossDetector.suspected && this.clock() < this.rightUntil
+      ? this.leaderTerm
+      : null;
   }
 
   /** The term this node is acting for; null: none. */
-  leads(): number | null {
-    return this.acting()?.term ?? null;
+  currentTermNumber(): number | null {
+    return this.currentTerm()?.number ?? null;
   }
 
   /**
    * The reign this node may answer reports for: its own right, or a hold while the state service is out or doubted.
    * A hold places nothing; it only repeats what is durable, so that workers keep their leases.
    */
-  answering(): Reign | null {
-    const { reign } = this;
-    if (reign === null) return null;
+  answeringTerm(): LeadershipTerm | null {
+    const { leaderTerm } = this;
+    if (leaderTerm === null) return null;
     const may = (confirmedUntil: number, knownAsOf: number): boolean => {
-      const rightUntil = this.doubt.active ? Number.NEGATIVE_INFINITY : this.rightUntil;
+      const rightUntil = this.lossDetector.suspected ? Number.NEGATIVE_INFINITY : this.rightUntil;
       const standing = { rightUntil, confirmedUntil, knownAsOf };
       return mayAnswer(this.clock(), standing, this.settings.workers, this.ttl) !== null;
     };
     // Asked twice for each report: what the others say is looked through only where the own right and read are not enough.
-    if (may(Number.NEGATIVE_INFINITY, this.feed.readAsOf)) return reign;
-    return may(this.peers.confirmedUntil(reign.term), this.knownAsOf()) ? reign : null;
+    if (may(Number.NEGATIVE_INFINITY, this.watcher.readAsOf)) return leaderTerm;
+    return may(this.peers.confirmedUntil(leaderTerm.number), this.knownAsOf()) ? leaderTerm : null;
   }
 
   /** Whether an answer to a report may hold starts. */
   mayStart(): boolean {
-    if (this.acting() !== null) return true;
+    if (this.currentTerm() !== null) return true;
     return mayStart(this.clock(), { rightUntil: Number.NEGATIVE_INFINITY, knownAsOf: this.knownAsOf() });
   }
 
   /** The reign is not over, though it may be without right for the moment. */
-  reigning(term: number): boolean {
-    return this.reign?.term === term;
+  isCurrent(term: number): boolean {
+    return this.leaderTerm?.number === term;
   }
 
   /**
@@ -130,42 +132,42 @@
    * seen its revision, and an incarnation's view never goes back, so what once held stays true.
    */
   private knownAsOf(): number {
-    const { incarnation, life } = this.doubt;
+    const { incarnation, life } = this.lossDetector;
     if (life !== this.coveredIn) {
       this.coveredIn = life;
       this.coveredAsOf = Number.NEGATIVE_INFINITY;
     }
-    if (incarnation !== null && this.feed.loaded) {
-      const asOf = this.peers.nothingAfter(incarnation.id, this.feed.completeTo());
+    if (incarnation !== null && this.watcher.loaded) {
+      const asOf = this.peers.nothingAfter(incarnation.id, this.watcher.completeTo());
       if (asOf > this.coveredAsOf) this.coveredAsOf = asOf;
     }
-    return Math.max(this.feed.readAsOf, this.coveredAsOf);
+    return Math.max(this.watcher.readAsOf, this.coveredAsOf);
   }
 
   /** The node to send workers to, as far as is known. */
-  known(): string | null {
-    return this.cache.leader?.node ?? null;
+  knownLeader(): string | null {
+    return this.jobState.leader?.node ?? null;
   }
 
   /** A higher token exists: this node is deposed at once. */
   depose(token: number): void {
-    if (this.reign && token > this.reign.term) this.end();
+    if (this.leaderTerm && token > this.leaderTerm.number) this.end();
   }
 
   /** What it held was of an incarnation that is over; a lease's number may by now be another's. */
-  forsake(): void {
+  abandonIncarnation(): void {
     this.end();
     this.lease = null;
   }
 
   private end(): void {
-    this.reign = null;
+    this.leaderTerm = null;
     this.rightUntil = Number.NEGATIVE_INFINITY;
     this.store.leading(false);
   }
 
   /** Gives way to the others, because this node can't serve the workers. */
-  giveWay(reason: string, forMicros: number): Effect.Effect<void> {
+  stepDown(reason: string, forMicros: number): Effect.Effect<void> {
     return Effect.suspend(() => {
       const lease = this.lease;
       this.shunUntil = plus(this.clock(), forMicros);
@@ -178,22 +180,22 @@
   }
 
   /** On orderly stop. */
-  readonly release: Effect.Effect<void> = Effect.suspend(() => this.giveWay('stop', 0));
+  readonly release: Effect.Effect<void> = Effect.suspend(() => this.stepDown('stop', 0));
 
   /** Extends that succeed while reads fail would keep a lead that may answer no report: another may do better. */
-  private readonly giveWayIfBlind = Effect.suspend(() =>
-    this.acting() !== null && this.answering() === null && mayLag(this.settings.workers) > 0
-      ? this.giveWay('reads fail', BLIND)
+  private readonly stepDownIfReadsFail = Effect.suspend(() =>
+    this.currentTerm() !== null && this.answeringTerm() === null && mayLag(this.settings.workers) > 0
+      ? this.stepDown('reads fail', BLIND)
       : Effect.void,
   );
 
   /** Gives way when workers that reached this node reach only a peer now. */
-  private readonly giveWayIfCutOff = Effect.suspend(() => {
-    const reign = this.acting();
+  private readonly stepDownIfCutOff = Effect.suspend(() => {
+    const leaderTerm = this.currentTerm();
     const at = this.clock();
-    if (reign === null || at - reign.began < this.contacts.window) return Effect.void;
+    if (leaderTerm === null || at - leaderTerm.began < this.contacts.window) return Effect.void;
     const reason = this.contacts.cutOff(at, this.peers.candidates());
-    return reason === null ? Effect.void : this.giveWay(reason, this.contacts.away(at));
+    return reason === null ? Effect.void : this.stepDown(reason, this.contacts.away(at));
   });
 
   /** Workers reach a peer and not this node: the peer goes first, for a moment. */
@@ -211,44 +213,49 @@
    * would have its full time again, and nobody could lead meanwhile.
    */
   private readonly dropOrphan = Effect.suspend(() => {
-    const { leader } = this.cache;
-    if (!this.feed.loaded || leader?.node !== this.settings.label || leader.lease === this.lease)
+    const { leader } = this.jobState;
+    if (!this.watcher.loaded || leader?.node !== this.settings.label || leader.lease === this.lease)
       return Effect.void;
-    return this.store.release(leader.lease).pipe(Effect.zipRight(this.feed.refresh));
+    return this.store.release(leader.lease).pipe(Effect.zipRight(this.watcher.refresh));
   });
 
   /** As far as was read, this node leads by the campaign of this term and lease: both stand there by one change. */
-  private won(term: number, lease: number): boolean {
-    const { leader, leaderStamp, termStamp } = this.cache;
+  private wonCampaign(term: number, lease: number): boolean {
+    const { leader, leaderStamp, termStamp } = this.jobState;
     const mine = leader?.node === this.settings.label && leader.term === term && leader.lease === lease;
     return mine && leaderStamp === termStamp;
   }
 
   private readonly campaign = Effect.gen(this, function* () {
     yield* this.dropOrphan;
-    if (this.cache.leader !== null) this.vacantSince = null;
-    if (this.doubt.active || !this.feed.loaded || this.cache.leader !== null || this.clock() < this.shunUntil)
+    if (this.jobState.leader !== null) this.vacantSince = null;
+    if (
+      this.lossDetector.suspected ||
+      !this.watcher.loaded ||
+      this.jobState.leader !== null ||
+      this.clock() < this.shunUntil
+    )
       return;
     if (this.worsePlaced()) return;
-    yield* this.feed.refresh;
-    if (this.cache.leader !== null) return;
+    yield* this.watcher.refresh;
+    if (this.jobState.leader !== null) return;
     // Named by somebody after the read: a newer read shows whether the store has it.
-    if (this.doubt.highestTerm() > this.cache.term) return;
-    const { incarnation } = this.cache;
+    if (this.lossDetector.highestTerm() > this.jobState.term) return;
+    const { incarnation } = this.jobState;
     if (incarnation === null) return;
     const asked = this.clock();
     const lease = yield* this.store.grant(this.ttl);
-    const term = Math.max(this.cache.term, incarnation.base) + 1;
+    const term = Math.max(this.jobState.term, incarnation.base) + 1;
     const attempts = attemptsFrom(
       incarnation,
-      this.cache.term > 0 ? this.cache.attempts : null,
+      this.jobState.term > 0 ? this.jobState.attempts : null,
       (yield* Clock.currentTimeMillis) / 1000,
     );
     const sent = yield* Effect.either(
       this.store.transact(
         [
           { key: LEADER, stamp: 0 },
-          { key: TERM, stamp: this.cache.termStamp },
+          { key: TERM, stamp: this.jobState.termStamp },
         ],
         [
           { set: LEADER, value: { node: this.settings.label, term, lease }, lease },
@@ -262,15 +269,15 @@
       if (sent.left._tag === 'Refused') return;
       // Carried out, perhaps, and its answer alone lost: a lead that is held is taken up, not given back. Its right counts
       // from before its lease was asked for, as ever.
-      yield* this.feed.refreshNow;
-      if (this.won(term, lease) && this.clock() < this.rightFrom(asked))
-        yield* this.begin(term, this.cache.termStamp, lease, asked);
+      yield* this.watcher.refreshNow;
+      if (this.wonCampaign(term, lease) && this.clock() < this.rightFrom(asked))
+        yield* this.begin(term, this.jobState.termStamp, lease, asked);
       return;
     }
     const outcome = sent.right;
     if (!outcome.ok) {
       yield* Effect.ignore(this.store.release(lease));
-      yield* this.feed.refresh;
+      yield* this.watcher.refresh;
       return;
     }
     yield* this.begin(term, outcome.revision, lease, asked);
@@ -289,14 +296,14 @@
       this.store.leading(true);
       // Placing needs a view that includes everything earlier terms committed. Without one the lead is an orphan's: kept as
       // this node's, it would have its full time again after an outage, and nobody could lead meanwhile.
-      yield* Effect.tapError(this.feed.refresh, () =>
+      yield* Effect.tapError(this.watcher.refresh, () =>
         Effect.sync(() => {
           this.end();
           this.lease = null;
         }),
       );
-      if (this.cache.term !== term) return;
-      this.reign = { term, stamp, began: this.clock() };
+      if (this.jobState.term !== term) return;
+      this.leaderTerm = { number: term, stamp, began: this.clock() };
       Queue.unsafeOffer(this.begun, undefined);
       yield* info('leads', { term });
     });
@@ -306,17 +313,17 @@
    * Begins the store's first incarnation, at once, when nobody who answers knows of one: users need not wait for a leader.
    * A store that was written by a version without incarnations gets one the same way.
    */
-  readonly found: Effect.Effect<void, StateFailure> = Effect.gen(this, function* () {
-    if (this.doubt.active || !this.feed.loaded || this.cache.incarnation !== null) return;
-    if (!this.peers.allAsked() || this.doubt.known().generation >= 0) return;
+  readonly foundStore: Effect.Effect<void, StateFailure> = Effect.gen(this, function* () {
+    if (this.lossDetector.suspected || !this.watcher.loaded || this.jobState.incarnation !== null) return;
+    if (!this.peers.allAsked() || this.lossDetector.known().generation >= 0) return;
     const born = INCARNATION + (yield* newId(this.settings.label));
     // Should an earlier life of the store have been lost without anybody to remember it, its terms were lower.
     const now = Math.floor((yield* Clock.currentTimeMillis) / 1000);
-    const base = this.cache.term > 0 ? 0 : now;
+    const base = this.jobState.term > 0 ? 0 : now;
     const outcome = yield* this.raw.transact(
       [
         { key: FOUNDED, stamp: 0 },
-        { key: TERM, stamp: this.cache.termStamp },
+        { key: TERM, stamp: this.jobState.termStamp },
         { key: born, stamp: 0 },
       ],
       [
@@ -326,7 +333,7 @@
       Priority.Lease,
       1500,
     );
-    yield* this.feed.refreshNow;
+    yield* this.watcher.refreshNow;
     if (outcome.ok) yield* info('store founded');
   });
 
@@ -334,14 +341,14 @@
    * Begins a new incarnation of the store, which has lost data, and leads it: a rebuild follows. Of several nodes that
    * try, the conditions let one through. The terms of a generation lie above all that were ever used before it.
    */
-  readonly refound: Effect.Effect<boolean, StateFailure> = Effect.gen(this, function* () {
+  readonly refoundStore: Effect.Effect<boolean, StateFailure> = Effect.gen(this, function* () {
     const [life, lead, last] = yield* Effect.all([
       this.raw.page(LIFE, null, 1000),
       this.raw.page(LEADER, null, 1),
       this.raw.page(TERM, null, 1),
     ]);
     const old = life.entries.filter((e) => e.key.startsWith(INCARNATION));
-    const known = this.doubt.known();
+    const known = this.lossDetector.known();
     const generations = old.map((e) => incarnationOf(e.key, e.value, e.stamp).generation);
     // Somebody was faster: the next look shows that the store was rebuilt.
     if (generations.some((g) => g > known.generation)) return false;
@@ -397,31 +404,32 @@
     if (kept === true && this.lease === lease) this.rightUntil = this.rightFrom(asked);
     if (kept !== false) return;
     // A lease that is gone may be the first sign of a store that has lost data: then this reign may hold on.
-    yield* Effect.ignore(this.feed.refresh);
-    if (!this.doubt.active) this.end();
+    yield* Effect.ignore(this.watcher.refresh);
+    if (!this.lossDetector.suspected) this.end();
   });
 
-  readonly run = duty(
+  readonly run = supervise(
     'leadership',
     Effect.gen(this, function* () {
-      const { reign } = this;
-      if (reign !== null && Math.max(this.cache.term, this.peers.highestTerm()) > reign.term) this.end();
-      if (this.reign !== null && this.clock() >= this.rightUntil) {
-        if (!this.holds) yield* info('right ran out', { term: this.reign.term });
+      const { leaderTerm } = this;
+      if (leaderTerm !== null && Math.max(this.jobState.term, this.peers.highestTerm()) > leaderTerm.number)
+        this.end();
+      if (this.leaderTerm !== null && this.clock() >= this.rightUntil) {
+        if (!this.holds) yield* info('right ran out', { term: this.leaderTerm.number });
         this.holds = true;
         // The lease may still be ours once the service is back; without it, and past any hold, it is over.
         const held = holdEnds({ knownAsOf: this.knownAsOf() }, this.settings.workers);
         if (this.clock() >= Math.max(held, this.rightUntil + LINGER)) this.end();
       } else this.holds = false;
-      if (this.reign !== null) {
+      if (this.leaderTerm !== null) {
         yield* this.renew;
-        yield* this.giveWayIfCutOff;
-        yield* this.giveWayIfBlind;
+        yield* this.stepDownIfCutOff;
+        yield* this.stepDownIfReadsFail;
         yield* Effect.sleep(toMillis(this.ttl / 5));
       } else {
         yield* this.campaign.pipe(Effect.catchAll(() => Effect.void));
         // While another leads there is nothing to try for; the feed tells when its key is gone.
-        yield* this.cache.leader === null
+        yield* this.jobState.leader === null
           ? Effect.sleep(150 + 100 * (yield* Random.next))
           : orTick(Queue.take(this.vacant), 1000);
       }
--- a/packages/controller/src/leadership/peers.ts
+++ b/packages/controller/src/leadership/peers.ts
@@ -8,16 +8,16 @@
  */
 import { Effect } from 'effect';
 import { pack, unpack } from 'msgpackr';
-import { duty } from '@lilacvalve/runtime/duty';
+import { supervise } from '@lilacvalve/runtime/supervise';
 import type { NoAnswer } from '@lilacvalve/runtime/http-client';
 import { type Answer, json } from '@lilacvalve/runtime/http-server';
 import { type Micros, plus, seconds } from '@lilacvalve/runtime/micros';
 import { tick } from '@lilacvalve/runtime/tick';
-import type { FleetNews } from '../fleet/model.js';
+import type { ProvisioningNews } from '../provisioning/model.js';
 import type { Peer, Settings } from '../settings/settings.js';
-import { nothingAfter, type Said } from './hold.js';
+import { nothingAfter, type Said } from './read-lease.js';
 
-export interface Beat {
+export interface PeerHeartbeat {
   readonly from: string;
   /** Highest term the sender knows of. */
   readonly term: number;
@@ -32,7 +32,7 @@
   /** The sender remembers what may not be durable any more. */
   readonly relics?: boolean;
   /** From a leader only: what its successor should know of its machines. */
-  readonly news?: FleetNews;
+  readonly news?: ProvisioningNews;
 }
 
 export interface Life {
@@ -47,7 +47,7 @@
 
 /** Carries a beat to a peer and its answering beat back. */
 export interface PeerPort {
-  exchange(peer: Peer, beat: Beat): Effect.Effect<Beat, NoAnswer>;
+  exchange(peer: Peer, beat: PeerHeartbeat): Effect.Effect<PeerHeartbeat, NoAnswer>;
 }
 
 const EVERY_MS = 1000;
@@ -59,7 +59,7 @@
 const FRESH = seconds(3.5);
 
 interface Heard {
-  readonly beat: Beat;
+  readonly beat: PeerHeartbeat;
   /** When the exchange that brought it began: what it says was true then or later. */
   readonly asked: Micros;
   readonly at: Micros;
@@ -72,30 +72,30 @@
   /** Peers that have been asked, whether they answered or not. */
   private readonly asked = new Set<string>();
   /** Called with every beat of a peer. */
-  onBeat: (beat: Beat) => void = () => undefined;
+  onBeat: (beat: PeerHeartbeat) => void = () => undefined;
   /** Called with a peer's answer to this node's beat, which was sent at `asked`: what it says was true since. */
-  onAnswer: (beat: Beat, asked: Micros) => void = () => undefined;
+  onAnswer: (beat: PeerHeartbeat, asked: Micros) => void = () => undefined;
   private highest = 0;
-  private news: { readonly news: FleetNews; readonly at: Micros } | null = null;
+  private news: { readonly news: ProvisioningNews; readonly at: Micros } | null = null;
 
   constructor(
     private readonly settings: Settings,
     private readonly port: PeerPort,
-    private readonly mine: () => Omit<Beat, 'from' | 'term'> & { readonly term: number },
+    private readonly mine: () => Omit<PeerHeartbeat, 'from' | 'term'> & { readonly term: number },
     private readonly clock: () => Micros,
   ) {
     for (const p of settings.peers) this.known.add(p.label);
   }
 
   /** Once a higher term was heard of, a lower one is never confirmed again. */
-  private beat(): Beat {
+  private beat(): PeerHeartbeat {
     const m = this.mine();
     this.highest = Math.max(this.highest, m.term);
     return { ...m, from: this.settings.label, term: this.highest };
   }
 
   /** A peer's beat came in; the answer. */
-  receive(beat: Beat): Beat {
+  receive(beat: PeerHeartbeat): PeerHeartbeat {
     // Its sender's term is the highest it knows: a deposed leader that has not heard of it says nothing newer.
     if (beat.news !== undefined && beat.term >= this.highest)
       this.news = { news: beat.news, at: this.clock() };
@@ -126,7 +126,7 @@
   }
 
   /** The latest that a leader said of its machines, and when it came. */
-  lastNews(): { readonly news: FleetNews; readonly at: Micros } | null {
+  lastNews(): { readonly news: ProvisioningNews; readonly at: Micros } | null {
     return this.news;
   }
 
@@ -135,7 +135,7 @@
   }
 
   /** What peers have said of themselves lately. */
-  private fresh(): Beat[] {
+  private fresh(): PeerHeartbeat[] {
     const at = this.clock();
     return [...this.answers.values()].filter((h) => at - h.at < FRESH).map((h) => h.beat);
   }
@@ -203,7 +203,7 @@
 
   /** One exchange after another with one peer; no peer waits for another that does not answer. */
   private exchanges(peer: Peer): Effect.Effect<never> {
-    return duty(
+    return supervise(
       'peer',
       Effect.suspend(() => {
         const asked = this.clock();
@@ -267,7 +267,7 @@
           typeof a.age === 'number',
       )));
 /** Checked by hand, as reports are: eight come in a second, and a schema's decoder was a seventh of a node's rest. */
-const isBeat = (v: unknown): v is Beat =>
+const isBeat = (v: unknown): v is PeerHeartbeat =>
   object(v) &&
   text(v.from) &&
   Number.isSafeInteger(v.term) &&
@@ -279,7 +279,7 @@
   (v.news === undefined || isNews(v.news));
 
 /** null: not a beat. Whatever arrives, no duty and no connection ends of it. */
-export const readBeat = (body: Buffer): Beat | null => {
+export const readBeat = (body: Buffer): PeerHeartbeat | null => {
   try {
     const value: unknown = unpack(body);
     return isBeat(value) ? value : null;
--- a/packages/controller/src/lending/duty.ts
+++ b/packages/controller/src/lending/duty.ts
@@ -1,6 +1,6 @@
 /** Keeps the hint of who holds which weights. */
 import { Effect } from 'effect';
-import { duty } from '@lilacvalve/runtime/duty';
+import { supervise } from '@lilacvalve/runtime/supervise';
 import { TERM, WEIGHTS } from '../jobs/keys.js';
 import type { Job } from '../jobs/model.js';
 import { hintWriter } from '../state-store/hint.js';
@@ -11,11 +11,11 @@
 const EVERY_MS = 10_000;
 
 export interface LendingParts {
-  readonly acting: () => boolean;
+  readonly mayAct: () => boolean;
   readonly store: StatePort;
-  readonly reign: { readonly stamp: number };
+  readonly leaderTerm: { readonly stamp: number };
   readonly settings: { readonly state: { readonly valueBytes: number } };
-  readonly cache: {
+  readonly jobState: {
     readonly jobs: ReadonlyMap<string, Job>;
     readonly weights: ReadonlyMap<string, readonly string[]>;
   };
@@ -25,17 +25,17 @@
 export const weightsDuty = (p: LendingParts) => {
   /** Images of services, those seen last behind. */
   const images = new Set<string>();
-  for (const list of p.cache.weights.values()) for (const image of list) images.add(image);
-  const write = hintWriter(p.store, { key: TERM, stamp: p.reign.stamp }, WEIGHTS);
+  for (const list of p.jobState.weights.values()) for (const image of list) images.add(image);
+  const write = hintWriter(p.store, { key: TERM, stamp: p.leaderTerm.stamp }, WEIGHTS);
   const look = Effect.suspend(() => {
-    for (const { spec } of p.cache.jobs.values()) {
+    for (const { spec } of p.jobState.jobs.values()) {
       if (!mayBorrow(spec)) continue;
       images.delete(spec.image);
       images.add(spec.image);
     }
-    if (images.size === 0 || !p.acting()) return Effect.void;
+    if (images.size === 0 || !p.mayAct()) return Effect.void;
     const value = encodeWeights(weightsHeld([...images], p.machines()), p.settings.state.valueBytes * 0.5);
     return write(value);
   });
-  return duty('weights', Effect.sleep(EVERY_MS).pipe(Effect.zipRight(look), Effect.forever));
+  return supervise('weights', Effect.sleep(EVERY_MS).pipe(Effect.zipRight(look), Effect.forever));
 };
--- a/packages/controller/src/links.ts
+++ b/packages/controller/src/links.ts
@@ -3,10 +3,10 @@
 import { Link } from '@lilacvalve/runtime/link';
 import { Effect } from 'effect';
 import { pack } from 'msgpackr';
-import { type Beat, type PeerPort, readBeat } from './leadership/peers.js';
-import type { ViewPort } from './rebuild/exchange.js';
+import { type PeerHeartbeat, type PeerPort, readBeat } from './leadership/peers.js';
+import type { ViewPort } from './recovery/view-exchange.js';
 import type { Peer } from './settings/settings.js';
-import { RELAY_TIMEOUT_MS, type RelayPort } from './workers/relay.js';
+import { RELAY_TIMEOUT_MS, type RelayPort } from './workers/heartbeat-relay.js';
 
 /** How long a peer may take for a page of its view. */
 const VIEW_TIMEOUT_MS = 2500;
@@ -31,7 +31,7 @@
     );
   }
 
-  exchange(peer: Peer, beat: Beat): Effect.Effect<Beat, NoAnswer> {
+  exchange(peer: Peer, beat: PeerHeartbeat): Effect.Effect<PeerHeartbeat, NoAnswer> {
     return Effect.flatMap(this.to(peer).ask('/beat', pack(beat), BEAT_TIMEOUT_MS), (r) => {
       const told = readBeat(r.body);
       return told === null ? none(r, 'beat') : Effect.succeed(told);
--- a/packages/controller/src/doors.ts
+++ b/packages/controller/src/listeners.ts
@@ -7,13 +7,13 @@
 import type { Leadership } from './leadership/leadership.js';
 import { answerBeat, type Peers } from './leadership/peers.js';
 import type { Admission } from './overload/admission.js';
-import type { Sessions } from './reign/session.js';
+import type { LeaderSessions } from './leadership/leader-session.js';
 import type { Peer, Settings } from './settings/settings.js';
-import { tally } from './tally.js';
-import { REPORTS, type Receive, ReportReader } from './workers/codec.js';
-import { reportHandler } from './workers/duty.js';
-import { Places } from './workers/places.js';
-import { Relay, relayHandler, type RelayPort } from './workers/relay.js';
+import { countMetric } from './metrics.js';
+import { REPORTS, type Receive, HeartbeatReader } from './workers/codec.js';
+import { heartbeatHandler } from './workers/heartbeat-handler.js';
+import { HeartbeatRouting } from './workers/heartbeat-routing.js';
+import { HeartbeatRelay, relayHandler, type RelayPort } from './workers/heartbeat-relay.js';
 
 /** No leader is known, or it does not answer: the worker tries the next node. */
 const leaderless = retryLater('no leader');
@@ -26,7 +26,7 @@
 const SUBMIT = '/work';
 
 /** Users: work is taken on as far as the node keeps up with it. */
-export const userDoor = (deps: ApiDeps, admission: Admission, unready: () => string | null) => {
+export const userListener = (deps: ApiDeps, admission: Admission, unready: () => string | null) => {
   const answer = route(userHandlers(deps), unready);
   return (r: Incoming): Effect.Effect<Answer> => {
     const work = workOf(r);
@@ -41,10 +41,10 @@
   };
 };
 
-export interface WorkerDoorParts {
+export interface WorkerListenerParts {
   readonly settings: Settings;
   readonly leadership: Leadership;
-  readonly sessions: Sessions;
+  readonly sessions: LeaderSessions;
   readonly peers: Peers;
   readonly contacts: Contacts;
   readonly admission: Admission;
@@ -54,30 +54,33 @@
 }
 
 /** Workers: reports are answered here, passed to the leader, or sent to a better node. */
-export const workerDoor = (
-  p: WorkerDoorParts,
+export const workerListener = (
+  p: WorkerListenerParts,
 ): { readonly quick: Quick; readonly run: Effect.Effect<never> } => {
   const { settings, peers, leadership, admission, clock } = p;
-  const places = new Places(settings.label, [settings.label, ...settings.peers.map((x) => x.label)].sort());
+  const places = new HeartbeatRouting(
+    settings.label,
+    [settings.label, ...settings.peers.map((x) => x.label)].sort(),
+  );
   const leader = (): Peer | null => {
-    const label = leadership.known();
+    const label = leadership.knownLeader();
     const peer = settings.peers.find((x) => x.label === label);
     return peer !== undefined && peers.reaches(peer.label) ? peer : null;
   };
-  const relay = new Relay(p.relay, leader, (label) => peers.heard(label), clock);
-  const reports = reportHandler(
+  const relay = new HeartbeatRelay(p.relay, leader, (label) => peers.heard(label), clock);
+  const reports = heartbeatHandler(
     p.receive,
-    () => p.sessions.desk !== null && leadership.answering() !== null,
+    () => p.sessions.desk !== null && leadership.answeringTerm() !== null,
     (report, reply) => (leader() === null ? reply(leaderless) : relay.pass(report, reply)),
     (machine) => {
-      const reign = leadership.acting();
+      const leaderTerm = leadership.currentTerm();
       const at = clock();
-      if (reign !== null && at - reign.began < NEW_LEADER) return null;
-      const leads = reign !== null ? settings.label : (leader()?.label ?? null);
+      if (leaderTerm !== null && at - leaderTerm.began < NEW_LEADER) return null;
+      const leads = leaderTerm !== null ? settings.label : (leader()?.label ?? null);
       return places.elsewhere(machine, leads, (n) => peers.reaches(n), at);
     },
     (machine) => p.contacts.note(machine, clock()),
-    new ReportReader(),
+    new HeartbeatReader(),
   );
   const quick: Quick = (r, reply) => {
     if (r.path !== REPORTS || r.method !== 'POST') return false;
@@ -105,12 +108,12 @@
 };
 
 /** Other controllers: beats, reports that they pass on, and what a rebuild asks. */
-export const peerDoor = (peers: Peers, receive: Receive, views: (r: Incoming) => Answer | null) => {
-  const relayed = relayHandler(receive, new ReportReader());
+export const peerListener = (peers: Peers, receive: Receive, views: (r: Incoming) => Answer | null) => {
+  const relayed = relayHandler(receive, new HeartbeatReader());
   const answer = (r: Incoming): Answer => {
     if (r.method !== 'POST') return json(405, {}, { Allow: 'POST' });
     if (r.path !== '/beat') return views(r) ?? json(404, {});
-    tally('beats');
+    countMetric('beats');
     return answerBeat(peers, r.body);
   };
   return {
--- a/packages/controller/src/main.ts
+++ b/packages/controller/src/main.ts
@@ -7,13 +7,13 @@
 import { serveLinks } from '@lilacvalve/runtime/link';
 import { error, info, logLayer } from '@lilacvalve/runtime/log';
 import { micros, now, seconds } from '@lilacvalve/runtime/micros';
-import { Cloud } from './fleet/cloud.js';
+import { Cloud } from './provisioning/cloud.js';
 import { Links } from './links.js';
 import { makeNode } from './node.js';
 import { heapFigures, memoryPart } from './overload/memory.js';
 import { readSettings, type Settings } from './settings/settings.js';
 import { StateStore } from './state-store/client.js';
-import { Workers } from './workers/duty.js';
+import { Workers } from './workers/heartbeat-handler.js';
 
 const version = process.env.LILACVALVE_VERSION ?? 'unbuilt';
 
--- a/packages/controller/src/tally.ts
+++ b/packages/controller/src/metrics.ts
@@ -4,7 +4,7 @@
  */
 import type { Fields } from '@lilacvalve/runtime/log';
 
-export type Kind =
+export type MetricName =
   | 'reports'
   | 'relayed'
   | 'batches'
@@ -26,25 +26,25 @@
   /** Direct orders that a worker did not carry out: of an older token or another session. */
   | 'unheeded';
 
-const counts = new Map<Kind, number>();
+const counts = new Map<MetricName, number>();
 
-export const tally = (kind: Kind, n = 1): void => {
+export const countMetric = (kind: MetricName, n = 1): void => {
   counts.set(kind, (counts.get(kind) ?? 0) + n);
 };
 
 let say: ((event: string, fields: Fields) => void) | null = null;
 /** Whoever writes the log, at its `debug` level only; null: nobody. */
-export const listenToOdd = (to: typeof say): void => void (say = to);
+export const listenToAnomalies = (to: typeof say): void => void (say = to);
 
 /** Counts a message that is not as it should be; put into words only for whoever listens. */
-export const odd = (kind: Kind, event: string, fields: () => Fields): void => {
-  tally(kind);
+export const recordAnomaly = (kind: MetricName, event: string, fields: () => Fields): void => {
+  countMetric(kind);
   say?.(event, fields());
 };
 
 /** The counts since the last call, and the processor time the process used meanwhile. */
 let cpu = process.cpuUsage();
-export const takeTally = (): Record<string, number> => {
+export const takeMetrics = (): Record<string, number> => {
   const used = process.cpuUsage(cpu);
   cpu = process.cpuUsage();
   const out = { ...Object.fromEntries(counts), cpuMs: Math.round((used.user + used.system) / 1000) };
--- a/packages/controller/src/node.ts
+++ b/packages/controller/src/node.ts
@@ -1,37 +1,37 @@
 /** One controller node: wires the slices together. Effects of the outside world come in as ports. */
-import { duty } from '@lilacvalve/runtime/duty';
+import { supervise } from '@lilacvalve/runtime/supervise';
 import type { Answer, Incoming, Quick } from '@lilacvalve/runtime/http-server';
 import { type Micros, plus } from '@lilacvalve/runtime/micros';
 import { tick } from '@lilacvalve/runtime/tick';
 import type { Files } from '@lilacvalve/snapshot/files';
 import { Effect } from 'effect';
-import { Doubt } from './doubt/doubt.js';
-import { auditDuty, type DoubtParts, doubtDuty } from './doubt/duty.js';
-import { GuardedStore } from './doubt/guard.js';
-import { userDoor, workerDoor, peerDoor } from './doors.js';
-import type { CloudPort } from './fleet/cloud.js';
-import type { MachineType } from './fleet/model.js';
-import { JobCache } from './jobs/cache.js';
-import { Feed } from './jobs/feed.js';
+import { DataLossDetector } from './recovery/data-loss-detector.js';
+import { auditTask, type DetectionParts, dataLossTask } from './recovery/detection-task.js';
+import { GuardedStore } from './recovery/guarded-store.js';
+import { userListener, workerListener, peerListener } from './listeners.js';
+import type { CloudPort } from './provisioning/cloud.js';
+import type { MachineType } from './provisioning/model.js';
+import { JobState } from './jobs/job-state.js';
+import { StoreWatcher } from './jobs/store-watcher.js';
 import { TERM, TYPES } from './jobs/keys.js';
 import { Contacts } from './leadership/contacts.js';
-import { mayLag } from './leadership/hold.js';
+import { mayLag } from './leadership/read-lease.js';
 import { Leadership } from './leadership/leadership.js';
 import { type PeerPort, Peers } from './leadership/peers.js';
 import { Admission } from './overload/admission.js';
-import { loadLine, probe, pulse, servedBy, watchMemory } from './pulse.js';
-import { type ViewPort, viewHandler } from './rebuild/exchange.js';
-import { Relics } from './rebuild/relics.js';
-import { answerCheck, verifyWith } from './rebuild/verify.js';
-import { Witness } from './rebuild/witness.js';
-import { Sessions } from './reign/session.js';
+import { loadLine, storeProbe, eventLoopCheck, servedBy, watchMemory } from './health-check.js';
+import { type ViewPort, viewHandler } from './recovery/view-exchange.js';
+import { PreLossViews } from './recovery/pre-loss-views.js';
+import { answerCheck, verifyWith } from './recovery/view-verification.js';
+import { EvidenceStore } from './recovery/evidence-store.js';
+import { LeaderSessions } from './leadership/leader-session.js';
 import type { Settings } from './settings/settings.js';
 import { Priority } from './state-store/budget.js';
 import { snapshotDuty } from './snapshots/duty.js';
 import type { StatePort } from './state-store/port.js';
-import type { Book } from './workers/book.js';
-import { receiver, type WorkerPort } from './workers/duty.js';
-import type { RelayPort } from './workers/relay.js';
+import type { WorkerRegistry } from './workers/worker-registry.js';
+import { receiver, type WorkerPort } from './workers/heartbeat-handler.js';
+import type { RelayPort } from './workers/heartbeat-relay.js';
 
 export interface Ports {
   readonly store: StatePort;
@@ -63,58 +63,69 @@
   /** Why this node can't take requests; null: it can. */
   readonly unready: () => string | null;
   readonly peers: Peers;
-  readonly doubt: Doubt;
-  readonly cache: JobCache;
-  readonly book: () => Book | null;
+  readonly lossDetector: DataLossDetector;
+  readonly jobState: JobState;
+  readonly registry: () => WorkerRegistry | null;
 }
 
 export const makeNode = (settings: Settings, ports: Ports): Node => {
   const { clock } = ports;
-  const cache = new JobCache();
-  const relics = new Relics(`${settings.label}/${ports.dayTime()}`);
-  const witness: Witness = new Witness(ports.views, (revision) =>
-    doubt.incarnation === null
+  const jobState = new JobState();
+  const relics = new PreLossViews(`${settings.label}/${ports.dayTime()}`);
+  const witness: EvidenceStore = new EvidenceStore(ports.views, (revision) =>
+    lossDetector.incarnation === null
       ? []
       : peers
-          .behind(doubt.incarnation.id, revision)
-          .sort((a, b) => Number(b.label === leadership.known()) - Number(a.label === leadership.known())),
+          .behind(lossDetector.incarnation.id, revision)
+          .sort(
+            (a, b) =>
+              Number(b.label === leadership.knownLeader()) - Number(a.label === leadership.knownLeader()),
+          ),
+  );
+  const lossDetector: DataLossDetector = new DataLossDetector(clock, () => leadership.currentTermNumber());
+  const store = new GuardedStore(ports.store, lossDetector, clock);
+  const leads = (): boolean => leadership.currentTerm() !== null;
+  const watcher: StoreWatcher = new StoreWatcher(
+    jobState,
+    store,
+    clock,
+    leads,
+    lossDetector,
+    mayLag(settings.workers),
   );
-  const doubt: Doubt = new Doubt(clock, () => leadership.leads());
-  const store = new GuardedStore(ports.store, doubt, clock);
-  const leads = (): boolean => leadership.acting() !== null;
-  const feed: Feed = new Feed(cache, store, clock, leads, doubt, mayLag(settings.workers));
   const contacts = new Contacts(settings);
   const served = servedBy(store, clock);
   const peers: Peers = new Peers(
     settings,
     ports.peers,
     () => ({
-      term: cache.term,
-      served: served() && !doubt.active,
-      loaded: feed.loaded,
+      term: jobState.term,
+      served: served() && !lossDetector.suspected,
+      loaded: watcher.loaded,
       contacts: contacts.recent(clock()),
       life:
-        doubt.incarnation === null
+        lossDetector.incarnation === null
           ? null
           : {
-              incarnation: doubt.incarnation.id,
-              generation: doubt.incarnation.generation,
-              revision: doubt.floor(),
-              read: cache.revision,
-              age: doubt.seenFor(),
+              incarnation: lossDetector.incarnation.id,
+              generation: lossDetector.incarnation.generation,
+              revision: lossDetector.floor(),
+              read: jobState.revision,
+              age: lossDetector.seenFor(),
             },
       relics: relics.all.length > 0,
-      ...(leadership.acting() === null ? {} : { news: sessions.fleet.news }),
+      ...(leadership.currentTerm() === null ? {} : { news: sessions.fleet.news }),
     }),
     clock,
   );
   peers.onBeat = (b) => {
-    if (b.term > 0) doubt.heardTerm(b.term, b.from);
-    if (b.life) doubt.peerSaw(b.life.incarnation, b.life.generation, b.life.revision);
+    if (b.term > 0) lossDetector.heardTerm(b.term, b.from);
+    if (b.life) lossDetector.peerSaw(b.life.incarnation, b.life.generation, b.life.revision);
   };
   peers.onAnswer = (b, asked) => {
     // It has seen the key itself, at most so long before it answered.
-    if (b.life && b.life.incarnation === doubt.incarnation?.id) doubt.seen(plus(asked, -b.life.age));
+    if (b.life && b.life.incarnation === lossDetector.incarnation?.id)
+      lossDetector.seen(plus(asked, -b.life.age));
   };
   const admission = new Admission(
     settings.limits.maxConnections,
@@ -128,26 +139,31 @@
   let verified = false;
   /** Not in vain: one has compared it, or none that lives has a view of its own. */
   let compared = false;
-  const verify = duty(
+  const verify = supervise(
     'verify',
     Effect.gen(function* () {
-      if (doubt.incarnation !== null && doubt.floor() === cache.revision && witness.size > 0)
-        witness.covered(doubt.incarnation.id, cache.revision);
-      if (feed.loaded && doubt.incarnation === null && !doubt.active) {
-        yield* Effect.ignore(leadership.found);
+      if (lossDetector.incarnation !== null && lossDetector.floor() === jobState.revision && witness.size > 0)
+        witness.covered(lossDetector.incarnation.id, jobState.revision);
+      if (watcher.loaded && lossDetector.incarnation === null && !lossDetector.suspected) {
+        yield* Effect.ignore(leadership.foundStore);
         yield* Effect.sleep(40);
         return;
       }
-      if (!feed.loaded || doubt.incarnation === null || doubt.active || (verified && compared)) {
-        yield* verified ? tick(1500) : Effect.sleep(feed.loaded ? 300 : 40);
+      if (
+        !watcher.loaded ||
+        lossDetector.incarnation === null ||
+        lossDetector.suspected ||
+        (verified && compared)
+      ) {
+        yield* verified ? tick(1500) : Effect.sleep(watcher.loaded ? 300 : 40);
         return;
       }
-      const parts = { doubt, store, feed, cache, port: ports.views };
+      const parts = { lossDetector, store, watcher, jobState, port: ports.views };
       const told = yield* Effect.forEach(settings.peers, (peer) => verifyWith(parts, peer), {
         concurrency: 'unbounded',
       });
       // None could tell, or all have been asked in vain: nobody who answers knows better.
-      verified = feed.loaded && !doubt.active;
+      verified = watcher.loaded && !lossDetector.suspected;
       compared = verified && (told.includes('compared') || !told.includes('silent'));
       // Those who were silent may know better once they can be reached.
       if (verified && !compared) yield* tick(1500);
@@ -158,37 +174,45 @@
    * damaged, no peer has shown a key to be lost. One that was read after records were lost looks like the latest, and says
    * what has ended to be placed still: joined as such, it would be placed, and booked, a second time.
    */
-  const whole = (): boolean => compared && doubt.standing?.proven !== true && cache.hole() === null;
+  const whole = (): boolean =>
+    compared && lossDetector.suspicion?.proven !== true && jobState.hole() === null;
   /** This node's view is of an incarnation that is over. */
   const leaveView = (): void => {
-    if (doubt.incarnation !== null && (cache.jobs.size > 0 || cache.finals.size > 0))
-      relics.keep(relics.relicOf(cache, doubt.incarnation.generation, doubt.standing?.led ?? null, whole()));
-    leadership.forsake();
+    if (lossDetector.incarnation !== null && (jobState.jobs.size > 0 || jobState.finals.size > 0))
+      relics.keep(
+        relics.viewOf(
+          jobState,
+          lossDetector.incarnation.generation,
+          lossDetector.suspicion?.led ?? null,
+          whole(),
+        ),
+      );
+    leadership.abandonIncarnation();
     verified = false;
     compared = false;
-    cache.clear();
-    feed.leave();
-    doubt.leave();
+    jobState.clear();
+    watcher.leave();
+    lossDetector.leave();
   };
   const leadership: Leadership = new Leadership(
     settings,
     store,
     ports.store,
-    doubt,
+    lossDetector,
     leaveView,
-    feed,
-    cache,
+    watcher,
+    jobState,
     peers,
     contacts,
     clock,
   );
   let types: readonly MachineType[] | null = null;
   const knownTypes = (): readonly MachineType[] | null =>
-    types ?? (cache.types as readonly MachineType[] | null);
+    types ?? (jobState.types as readonly MachineType[] | null);
 
   /** Why this node can't take requests; null: it can. With the state service out for all, leaving helps nobody. */
   const unready = (): string | null => {
-    if (!feed.loaded || (doubt.incarnation === null && !doubt.active)) return 'starting';
+    if (!watcher.loaded || (lossDetector.incarnation === null && !lossDetector.suspected)) return 'starting';
     if (knownTypes() === null) return 'machine types unknown';
     if (!served() && peers.otherServed()) return 'state service refuses this node';
     // Neither the state service nor any other controller: whoever of them is served answers users better.
@@ -196,19 +220,19 @@
     return null;
   };
 
-  const learnTypes = duty(
+  const learnTypes = supervise(
     'types',
     Effect.gen(function* () {
       const read = yield* Effect.option(ports.cloud.types());
       if (read._tag === 'Some') {
         types = read.value;
-        const reign = leadership.acting();
+        const leaderTerm = leadership.currentTerm();
         const fixed = types.map((t) => ({ ...t, spotPrice: 0 }));
-        const kept = (cache.types as MachineType[] | null)?.map((t) => ({ ...t, spotPrice: 0 })) ?? null;
-        if (reign && JSON.stringify(fixed) !== JSON.stringify(kept)) {
+        const kept = (jobState.types as MachineType[] | null)?.map((t) => ({ ...t, spotPrice: 0 })) ?? null;
+        if (leaderTerm && JSON.stringify(fixed) !== JSON.stringify(kept)) {
           yield* Effect.ignore(
             store.transact(
-              [{ key: TERM, stamp: reign.stamp }],
+              [{ key: TERM, stamp: leaderTerm.stamp }],
               [{ set: TYPES, value: types }],
               Priority.Commit,
               1500,
@@ -220,15 +244,15 @@
     }).pipe(Effect.forever),
   );
 
-  const sessions = new Sessions({
+  const sessions = new LeaderSessions({
     settings,
     store,
     cloud: ports.cloud,
     workers: ports.workers,
     views: ports.views,
-    feed,
-    cache,
-    doubt,
+    watcher,
+    jobState,
+    lossDetector,
     relics,
     witness,
     peers,
@@ -239,17 +263,17 @@
     dayTime: ports.dayTime,
     balance: ports.balance ?? null,
   });
-  const receive = receiver(leadership, () => sessions.desk, clock, contacts, doubt);
-  const users = userDoor(
+  const receive = receiver(leadership, () => sessions.desk, clock, contacts, lossDetector);
+  const users = userListener(
     {
       settings,
       store,
-      feed,
-      cache,
-      doubt,
+      watcher,
+      jobState,
+      lossDetector,
       witness,
       verified: () => verified,
-      durable: () => !doubt.active && relics.all.length === 0,
+      durable: () => !lossDetector.suspected && relics.all.length === 0,
       leads,
       mayBeNew: (id) => sessions.mayBeNew(id),
       types: knownTypes,
@@ -260,7 +284,7 @@
     admission,
     unready,
   );
-  const workers = workerDoor({
+  const workers = workerListener({
     settings,
     leadership,
     sessions,
@@ -274,30 +298,36 @@
   const views = viewHandler(
     relics,
     (incarnation) =>
-      doubt.incarnation === null || doubt.incarnation.id === incarnation
+      lossDetector.incarnation === null || lossDetector.incarnation.id === incarnation
         ? null
-        : relics.relicOf(
-            cache,
-            doubt.incarnation.generation,
-            doubt.standing?.led ?? leadership.leads(),
+        : relics.viewOf(
+            jobState,
+            lossDetector.incarnation.generation,
+            lossDetector.suspicion?.led ?? leadership.currentTermNumber(),
             whole(),
           ),
-    cache,
+    jobState,
     witness,
-    (body) => answerCheck(body, cache, feed.loaded ? (doubt.incarnation?.id ?? null) : null, doubt.floor()),
+    (body) =>
+      answerCheck(
+        body,
+        jobState,
+        watcher.loaded ? (lossDetector.incarnation?.id ?? null) : null,
+        lossDetector.floor(),
+      ),
   );
-  const others = peerDoor(peers, receive, views);
+  const others = peerListener(peers, receive, views);
   const snapshots =
     ports.snapshots === null
       ? null
-      : snapshotDuty({ files: ports.snapshots, store, feed, cache, doubt, relics });
-  const parts: DoubtParts = {
-    doubt,
+      : snapshotDuty({ files: ports.snapshots, store, watcher, jobState, lossDetector, relics });
+  const parts: DetectionParts = {
+    lossDetector,
     raw: ports.store,
     store,
-    feed,
-    cache,
-    refound: leadership.refound,
+    watcher,
+    jobState,
+    refound: leadership.refoundStore,
     leaveView,
     leads,
     clock,
@@ -313,16 +343,16 @@
         [
           ...(snapshots === null ? [] : [snapshots.run]),
           loadLine(leads),
-          feed.run,
-          feed.history,
+          watcher.run,
+          watcher.history,
           verify,
-          doubtDuty(parts),
-          auditDuty(parts),
+          dataLossTask(parts),
+          auditTask(parts),
           leadership.run,
           peers.run,
           workers.run,
-          probe(store, feed, clock),
-          pulse(admission, leads),
+          storeProbe(store, watcher, clock),
+          eventLoopCheck(admission, leads),
           watchMemory(admission),
           learnTypes,
           sessions.run,
@@ -333,8 +363,8 @@
     leadership,
     unready,
     peers,
-    doubt,
-    cache,
-    book: () => sessions.book(),
+    lossDetector,
+    jobState,
+    registry: () => sessions.registry(),
   };
 };
--- a/packages/controller/src/overload/admission.ts
+++ b/packages/controller/src/overload/admission.ts
@@ -1,7 +1,7 @@
 /** Keeps the counts and the lag that `admit` decides from. */
 import { type Answer, retryLater } from '@lilacvalve/runtime/http-server';
 import { type Micros, plus } from '@lilacvalve/runtime/micros';
-import { tally } from '../tally.js';
+import { countMetric } from '../metrics.js';
 import { admit } from './admit.js';
 import { MEMORY_LIMITS } from './memory.js';
 import { type Limits, limitsOf, type Load, type Work } from './model.js';
@@ -103,7 +103,7 @@
       return null;
     }
     this.refusals++;
-    tally('refused');
+    countMetric('refused');
     return retryLater('overloaded', afterS);
   }
 
--- a/packages/controller/src/fleet/duty.ts
+++ b/packages/controller/src/provisioning/autoscaler.ts
@@ -1,18 +1,18 @@
 /** The leader's dealings with the cloud: listing, renting, returning. */
 import { Effect } from 'effect';
-import { duty } from '@lilacvalve/runtime/duty';
+import { supervise } from '@lilacvalve/runtime/supervise';
 import { info } from '@lilacvalve/runtime/log';
 import { type Micros, plus, seconds } from '@lilacvalve/runtime/micros';
 import { dayOf } from '../calendar/duty.js';
 import { pressing } from '../calendar/slack.js';
-import type { CycleView, Turn } from '../scheduler/turn.js';
+import type { CycleState, CycleContext } from '../scheduler/cycle-context.js';
 import type { Settings } from '../settings/settings.js';
-import type { Machine } from '../workers/book.js';
-import { type Awaited, Boots, countsFor, isOverdue, roomOnTheWay } from './boots.js';
+import type { Machine } from '../workers/worker-registry.js';
+import { type Awaited, BootTracker, countsFor, isOverdue, roomOnTheWay } from './boot-tracker.js';
 import type { CloudPort } from './cloud.js';
-import { Hires } from './hires.js';
+import { RentalRequests } from './rental-requests.js';
 import { offerKey } from './model.js';
-import { type Bin, type Demand, type Idle, rentals, returns, typesWanted } from './plan.js';
+import { type Bin, type Demand, type Idle, rentals, returns, typesWanted } from './scaling-plan.js';
 
 /** A refusal for want of capacity is believed for this long. */
 const REFUSED_FOR = seconds(12);
@@ -55,11 +55,11 @@
       : ((at - m.runningSince) as Micros),
 });
 
-export const fleetDuty = (t: Turn, view: CycleView, cloud: CloudPort) => {
+export const autoscaler = (t: CycleContext, view: CycleState, cloud: CloudPort) => {
   const refusedUntil = new Map<string, Micros>();
   /** Boot times are learnt by type and zone, whatever the price. */
   const bootKey = (o: { readonly type: string; readonly zone: string }): string => `${o.type}|${o.zone}`;
-  const boots = new Boots();
+  const boots = new BootTracker();
   /** Machines seen before they reported, in this term: when they come, their boot time is known. */
   const awaited = new Set<string>();
   const overdue = new Set<string>();
@@ -70,7 +70,7 @@
   const removed = new Map<string, Micros>();
   const bootOf = (type: string): Micros => t.types().find((k) => k.name === type)?.boot ?? ANY_BOOT;
   const shown = plus(0 as Micros, 2 * t.settings.cloud.listLag + LIST_MARGIN);
-  const hires = new Hires(shown, t.fleet.news, t.reign.began);
+  const hires = new RentalRequests(shown, t.fleet.news, t.leaderTerm.began);
   let named = 0;
   let needed: ReadonlySet<string> = new Set();
   /** Types of machine that some waiting work could use. */
@@ -84,7 +84,7 @@
     const machines = yield* cloud.list();
     listedOnce = true;
     t.fleet.listed = true;
-    t.book.listing(machines, t.clock());
+    t.registry.listing(machines, t.clock());
     for (const l of machines) rented.delete(l.id);
   });
 
@@ -93,7 +93,7 @@
   /** Follows machines from their rental to their first report. */
   const watch = Effect.gen(function* () {
     const at = t.clock();
-    for (const m of t.book.machines.values()) {
+    for (const m of t.registry.machines.values()) {
       if (m.reported) {
         if (!awaited.delete(m.id)) continue;
         // One that the list has called running may have been up for long, under an earlier leader.
@@ -105,7 +105,7 @@
         if (!overdue.has(m.id) && isOverdue(waitedFor(m, at))) {
           overdue.add(m.id);
           yield* info('machine overdue', {
-            term: t.reign.term,
+            term: t.leaderTerm.number,
             machine: m.id,
             type: m.type,
             zone: m.zone,
@@ -115,13 +115,13 @@
         }
       }
     }
-    for (const machine of t.book.deaf.splice(0))
-      yield* info('answers do not reach machine', { term: t.reign.term, machine });
+    for (const machine of t.registry.deaf.splice(0))
+      yield* info('answers do not reach machine', { term: t.leaderTerm.number, machine });
     const old = at - 3 * t.settings.cloud.listLag - LIST_MARGIN;
     for (const known of [rented, removed]) for (const [id, since] of known) if (since < old) known.delete(id);
     t.fleet.news = {
       rented: [...rented].flatMap(([id, since]) => {
-        const m = t.book.machines.get(id);
+        const m = t.registry.machines.get(id);
         return m ? [{ id, type: m.type, zone: m.zone, spot: m.spot, age: at - since }] : [];
       }),
       removed: [...removed.keys()],
@@ -131,43 +131,48 @@
 
   const remove = (candidates: readonly string[], reason: string, onlyEmpty = false) =>
     Effect.gen(function* () {
-      if (candidates.length === 0 || !t.acting()) return;
-      const holds = (id: string): boolean => (t.cache.byMachine.get(id)?.size ?? 0) > 0;
+      if (candidates.length === 0 || !t.mayAct()) return;
+      const holds = (id: string): boolean => (t.jobState.byMachine.get(id)?.size ?? 0) > 0;
       const closed = candidates.slice(0, 100).filter((id) => !(onlyEmpty && holds(id)));
       for (const id of closed) {
-        const m = t.book.machines.get(id);
+        const m = t.registry.machines.get(id);
         if (m) m.closed = reason;
       }
       if (onlyEmpty) {
         // A start decided just before the machine was closed may still be on its way into the record.
         yield* Effect.sleep(400);
         for (const id of closed) {
-          const m = t.book.machines.get(id);
+          const m = t.registry.machines.get(id);
           if (m && holds(id) && m.closed === reason) m.closed = null;
         }
       }
       const ids = closed.filter((id) => !(onlyEmpty && holds(id)));
-      if (ids.length === 0 || !t.acting()) return;
+      if (ids.length === 0 || !t.mayAct()) return;
       let sent = false;
-      const still = (): boolean => (sent ||= t.acting() && !(onlyEmpty && ids.some(holds)));
+      const still = (): boolean => (sent ||= t.mayAct() && !(onlyEmpty && ids.some(holds)));
       yield* cloud.remove(ids, still).pipe(
         // Not sent, since one of them has work: it stayed closed, with room on it, for as long as that ran.
         Effect.tapError(() =>
           Effect.sync(() => {
             if (sent) return;
             for (const id of ids) {
-              const m = t.book.machines.get(id);
+              const m = t.registry.machines.get(id);
               if (m?.closed === reason) m.closed = null;
             }
           }),
         ),
       );
       for (const id of ids) {
-        t.book.removed(id);
+        t.registry.removed(id);
         removed.set(id, t.clock());
         for (const known of [awaited, overdue, unneeded, rented]) known.delete(id);
       }
-      yield* info('machines returned', { term: t.reign.term, count: ids.length, reason, machine: ids[0]! });
+      yield* info('machines returned', {
+        term: t.leaderTerm.number,
+        count: ids.length,
+        reason,
+        machine: ids[0]!,
+      });
     });
 
   const clean = Effect.gen(function* () {
@@ -179,14 +184,17 @@
     const stuck: string[] = [];
     const idle: Idle[] = [];
     const surplus: string[] = [];
-    for (const m of t.book.machines.values()) {
-      const on = t.cache.byMachine.get(m.id)?.size ?? 0;
+    for (const m of t.registry.machines.values()) {
+      const on = t.jobState.byMachine.get(m.id)?.size ?? 0;
       if (m.listed === 'failed') failed.push(m.id);
-      else if (m.reported && at > t.book.leaseEnd(m) + SILENT) dead.push(m.id);
+      else if (m.reported && at > t.registry.leaseEnd(m) + SILENT) dead.push(m.id);
       else if (isDeaf(m, t.settings.workers, at)) deaf.push(m.id);
       else if (isMute(m, t.settings.workers, at)) mute.push(m.id);
       else if (!m.reported) {
-        if (at - m.since > boots.givenUpAfter(bootKey(m), bootOf(m.type), at) && at - t.reign.began > SETTLED)
+        if (
+          at - m.since > boots.givenUpAfter(bootKey(m), bootOf(m.type), at) &&
+          at - t.leaderTerm.began > SETTLED
+        )
           stuck.push(m.id);
         // While work waits that could use it, a late machine may still come before its replacement.
         else if (!overdue.has(m.id) || needed.has(m.id) || wanted.has(m.type) || on > 0)
@@ -217,7 +225,7 @@
     yield* remove(surplus, 'overdue and not needed', true);
     // Only with a view of the demand from a recent cycle, and never while a start may be on its way.
     const back = returns(idle, (m) =>
-      t.book.machines.get(m.id)?.closed
+      t.registry.machines.get(m.id)?.closed
         ? (0 as Micros)
         : view.surplus.has(m.id) || overdue.has(m.id)
           ? IDLE_SURPLUS
@@ -231,17 +239,19 @@
     const result = view.result;
     if (result === null || !listedOnce) return;
     // Machines that are up report within a round or two of a new term.
-    if (t.cache.byMachine.size > 0 && at - t.reign.began < t.settings.workers.report * 1.5 + 2e6) return;
+    if (t.jobState.byMachine.size > 0 && at - t.leaderTerm.began < t.settings.workers.report * 1.5 + 2e6)
+      return;
     const bins: Bin[] = [];
     const types = new Map(t.types().map((k) => [k.name, k]));
     let silent = false;
     /** On their way, by what makes them alike. */
     const coming = new Map<string, { m: Machine; a: Awaited }[]>();
-    for (const m of t.book.machines.values()) {
+    for (const m of t.registry.machines.values()) {
       const k = types.get(m.type);
       if (!k || m.closed !== null || m.listed === 'failed' || m.recallAt !== null) continue;
       const free = result.free.get(m.id);
-      if (t.book.open(m, at) && free) bins.push({ id: m.id, type: m.type, zone: m.zone, spot: m.spot, free });
+      if (t.registry.open(m, at) && free)
+        bins.push({ id: m.id, type: m.type, zone: m.zone, spot: m.spot, free });
       else if (!m.reported || !m.confirmed) {
         if (m.listed === 'running') silent = true;
         const alike = coming.get(offerKey(m));
@@ -260,12 +270,12 @@
       const late = list.filter((x) => isOverdue(x.a)).length;
       overdueOf.set(bootKey({ type, zone }), (overdueOf.get(bootKey({ type, zone })) ?? 0) + late);
     }
-    if (silent && at - t.reign.began < 10e6) return;
-    for (const { type, zone, spot } of hires.mayCome(t.book.machines.values(), at)) {
+    if (silent && at - t.leaderTerm.began < 10e6) return;
+    for (const { type, zone, spot } of hires.mayCome(t.registry.machines.values(), at)) {
       const k = types.get(type);
       if (k) bins.push({ type, zone, spot, free: [k.cpus, k.gpus, k.memGb] });
     }
-    const { current, shown } = t.cache.calendars;
+    const { current, shown } = t.jobState.calendars;
     const day = dayOf(t);
     const classes = shown?.value ?? new Map<string, readonly number[]>();
     const demand: Demand[] = result.unplaced
@@ -285,7 +295,7 @@
       demand,
       companions: view.companions,
       surplus: view.surplus,
-      avoid: (job) => t.book.avoid(job),
+      avoid: (job) => t.registry.avoid(job),
       refused: (o) => at < (refusedUntil.get(offerKey(o)) ?? 0),
       late: (o) => boots.late(bootKey(o), bootOf(o.type), overdueOf.get(bootKey(o)) ?? 0, at),
       most: 40,
@@ -293,23 +303,24 @@
     needed = plan.needed;
     wanted = typesWanted(t.types(), demand);
     for (const w of plan.rent) {
-      if (!t.acting()) return;
+      if (!t.mayAct()) return;
       // A name is never used again: it carries the term, which only one node ever holds, and the store's incarnation.
       // A term that a loss has taken and nobody remembers may come again, the time that its attempts begin at does not.
       const name = (): string =>
-        `h-${t.doubt.incarnation?.id ?? ''}-${t.reign.term}.${t.cache.attempts}-${++named}`;
+        `h-${t.lossDetector.incarnation?.id ?? ''}-${t.leaderTerm.number}.${t.jobState.attempts}-${++named}`;
       const hire = hires.ask({ ...w, count: Math.min(50, w.count) }, name, t.clock());
       t.fleet.news = { ...t.fleet.news, asked: hires.asked(t.clock()) };
-      const got = yield* cloud.hire(hire, t.acting);
+      const got = yield* cloud.hire(hire, t.mayAct);
       hires.answered(hire);
       if (got === null || got.length < hire.count)
         refusedUntil.set(offerKey(w), (t.clock() + REFUSED_FOR) as Micros);
       if (got !== null) {
         const since = t.clock();
         for (const id of got)
-          if (t.book.rented(id, since, { type: w.type, zone: w.zone, spot: w.spot })) rented.set(id, since);
+          if (t.registry.rented(id, since, { type: w.type, zone: w.zone, spot: w.spot }))
+            rented.set(id, since);
         yield* info('machines rented', {
-          term: t.reign.term,
+          term: t.leaderTerm.number,
           type: w.type,
           zone: w.zone,
           spot: w.spot,
@@ -320,10 +331,10 @@
     }
   });
 
-  return duty(
+  return supervise(
     'fleet',
     Effect.gen(function* () {
-      if (!t.acting()) return;
+      if (!t.mayAct()) return;
       if (t.clock() - lastList >= listEvery) yield* list;
       yield* watch;
       yield* clean;
--- a/packages/controller/src/fleet/boots.ts
+++ b/packages/controller/src/provisioning/boot-tracker.ts
@@ -49,7 +49,7 @@
 };
 
 /** Boot times of what came up lately, by type and zone. */
-export class Boots {
+export class BootTracker {
   private readonly arrivals = new Map<string, { at: Micros; took: Micros }[]>();
 
   came(offer: string, took: Micros, at: Micros): void {
--- a/packages/controller/src/fleet/cloud.ts
+++ b/packages/controller/src/provisioning/cloud.ts
@@ -12,7 +12,7 @@
 }> {}
 export type CloudFailure = CloudRefused | NoAnswer;
 
-export interface Hire {
+export interface RentalRequest {
   readonly name: string;
   readonly type: string;
   readonly zone: string;
@@ -24,7 +24,7 @@
   types(): Effect.Effect<readonly MachineType[], CloudFailure>;
   list(): Effect.Effect<readonly ListedMachine[], CloudFailure>;
   /** The machines rented; null: no capacity. */
-  hire(h: Hire, still: Still): Effect.Effect<readonly string[] | null, CloudFailure>;
+  hire(h: RentalRequest, still: Still): Effect.Effect<readonly string[] | null, CloudFailure>;
   remove(ids: readonly string[], still: Still): Effect.Effect<void, CloudFailure>;
 }
 /** Whether the caller may still act; asked when the call has waited for its part of the rate and is about to be sent. */
@@ -144,7 +144,7 @@
     return page(null, []);
   }
 
-  hire(h: Hire, still: Still): Effect.Effect<readonly string[] | null, CloudFailure> {
+  hire(h: RentalRequest, still: Still): Effect.Effect<readonly string[] | null, CloudFailure> {
     const body = JSON.stringify({
       hire: h.name,
       hostKind: h.type,
--- a/packages/controller/src/fleet/model.ts
+++ b/packages/controller/src/provisioning/model.ts
@@ -23,7 +23,7 @@
 export const offerKey = (o: Offer): string => `${o.type}|${o.zone}|${o.spot}`;
 
 /** What a leader knows of the cloud and its list does not show yet; a new leader is warm with it. */
-export interface FleetNews {
+export interface ProvisioningNews {
   readonly rented: readonly {
     readonly id: string;
     readonly type: string;
--- a/packages/controller/src/fleet/hires.ts
+++ b/packages/controller/src/provisioning/rental-requests.ts
@@ -4,11 +4,11 @@
  * was rented twice for the same want.
  */
 import { type Micros, plus } from '@lilacvalve/runtime/micros';
-import type { Hire } from './cloud.js';
-import { type FleetNews, type Offer, offerKey } from './model.js';
+import type { RentalRequest } from './cloud.js';
+import { type ProvisioningNews, type Offer, offerKey } from './model.js';
 
 interface Asked {
-  readonly hire: Hire;
+  readonly hire: RentalRequest;
   readonly at: Micros;
 }
 /** What an earlier leader had asked for when it was last heard. */
@@ -17,21 +17,21 @@
   readonly at: Micros;
 }
 
-export class Hires {
+export class RentalRequests {
   private readonly open = new Map<string, Asked>();
   private readonly inherited: readonly Inherited[];
 
   /** `shown`: after so long the list shows what was rented, or it was not; `news` as of `at`. */
   constructor(
     private readonly shown: Micros,
-    news: FleetNews,
+    news: ProvisioningNews,
     at: Micros,
   ) {
     this.inherited = (news.asked ?? []).map((a) => ({ ...a, at: plus(at, -a.age) }));
   }
 
   /** What to ask the cloud for: the same again, if it was not answered, or a new rental. */
-  ask(wanted: Offer & { readonly count: number }, name: () => string, at: Micros): Hire {
+  ask(wanted: Offer & { readonly count: number }, name: () => string, at: Micros): RentalRequest {
     const key = offerKey(wanted);
     const before = this.open.get(key);
     if (before !== undefined && at - before.at < this.shown) return before.hire;
@@ -41,12 +41,12 @@
     return hire;
   }
 
-  answered(hire: Hire): void {
+  answered(hire: RentalRequest): void {
     this.open.delete(offerKey(hire));
   }
 
   /** For the next leader, which can't ask by these names. */
-  asked(at: Micros): NonNullable<FleetNews['asked']> {
+  asked(at: Micros): NonNullable<ProvisioningNews['asked']> {
     return [...this.open.values()]
       .filter((a) => at - a.at < this.shown)
       .map(({ hire: { type, zone, spot, count }, at: since }) => ({
--- a/packages/controller/src/doubt/audit.ts
+++ b/packages/controller/src/recovery/audit.ts
@@ -2,7 +2,7 @@
  * Looks for keys that went without a change to tell of it: part of the store's listing is held against the view that
  * the watch feeds. A key counts as lost only if the view is at least as new as the listing and still has it.
  */
-import type { JobCache } from '../jobs/cache.js';
+import type { JobState } from '../jobs/job-state.js';
 import { ACTIVE, CALENDAR, INCARNATION, LEADER, LIFE, PACK, RECORD, recordKey, TERM } from '../jobs/keys.js';
 import type { Page } from '../state-store/client.js';
 
@@ -10,20 +10,20 @@
 export const AUDITED = [RECORD, ACTIVE, PACK, TERM, LEADER, LIFE, CALENDAR] as const;
 
 /** Keys that the view has below `prefix`, with the revisions it knows them at. Sorted. */
-export const keysOf = (cache: JobCache, prefix: (typeof AUDITED)[number]): [string, number][] => {
+export const keysOf = (jobState: JobState, prefix: (typeof AUDITED)[number]): [string, number][] => {
   const out: [string, number][] = [];
   if (prefix === ACTIVE) {
     // A job of stamp 0 has no key of its own yet.
-    for (const [id, job] of cache.jobs) if (job.stamp > 0) out.push([ACTIVE + id, job.stamp]);
+    for (const [id, job] of jobState.jobs) if (job.stamp > 0) out.push([ACTIVE + id, job.stamp]);
   } else if (prefix === TERM) {
-    if (cache.term > 0) out.push([TERM, cache.termStamp]);
+    if (jobState.term > 0) out.push([TERM, jobState.termStamp]);
   } else if (prefix === LEADER) {
-    if (cache.leader !== null) out.push([LEADER, cache.leaderStamp]);
+    if (jobState.leader !== null) out.push([LEADER, jobState.leaderStamp]);
   } else if (prefix === LIFE) {
-    for (const i of cache.incarnations.values()) out.push([INCARNATION + i.id, i.stamp]);
-  } else if (prefix === CALENDAR) out.push(...cache.calendars.keys());
-  else if (prefix === PACK) for (const [key, p] of cache.packs) out.push([key, p.stamp]);
-  else for (const [seq, r] of cache.tail) out.push([recordKey(seq), r.stamp]);
+    for (const i of jobState.incarnations.values()) out.push([INCARNATION + i.id, i.stamp]);
+  } else if (prefix === CALENDAR) out.push(...jobState.calendars.keys());
+  else if (prefix === PACK) for (const [key, p] of jobState.packs) out.push([key, p.stamp]);
+  else for (const [seq, r] of jobState.tail) out.push([recordKey(seq), r.stamp]);
   return out.sort((a, b) => (a[0] < b[0] ? -1 : 1));
 };
 
--- a/packages/controller/src/rebuild/codec.ts
+++ b/packages/controller/src/recovery/codec.ts
@@ -6,11 +6,11 @@
 import { packFinal, unpackFinal } from '../jobs/finals.js';
 import type { FinalState } from '../jobs/model.js';
 import type { Remembered } from '../calendar/fold.js';
-import { decodeRemembered, encodeRemembered } from './calendars.js';
+import { decodeRemembered, encodeRemembered } from './calendar-recovery.js';
 import type { Claim } from './merge.js';
 
 /** Asks for what the asked node remembers and the asker does not have alike, from a range of ids on. */
-export interface Ask {
+export interface ViewRequest {
   /** The asker's incarnation. */
   readonly incarnation: string;
   readonly digest: Uint32Array;
@@ -24,7 +24,7 @@
   readonly led: number | null;
   readonly accounts: Accounts;
 }
-export interface Told {
+export interface ViewResponse {
   readonly heads: readonly Head[];
   readonly claims: readonly Claim[];
   readonly finals: readonly (readonly [string, FinalState])[];
@@ -39,8 +39,9 @@
 
 type WireClaim = [id: string, generation: number, revision: number, job: unknown];
 
-export const encodeAsk = (a: Ask): Buffer => Buffer.from(pack([a.incarnation, [...a.digest], a.from]));
-export const decodeAsk = (body: Buffer): Ask | null => {
+export const encodeViewRequest = (a: ViewRequest): Buffer =>
+  Buffer.from(pack([a.incarnation, [...a.digest], a.from]));
+export const decodeViewRequest = (body: Buffer): ViewRequest | null => {
   try {
     const [incarnation, digest, from] = unpack(body) as [string, number[], number];
     if (typeof incarnation !== 'string' || !Array.isArray(digest) || !Number.isSafeInteger(from)) return null;
@@ -50,7 +51,7 @@
   }
 };
 
-export const encodeTold = (t: Told): Buffer =>
+export const encodeViewResponse = (t: ViewResponse): Buffer =>
   Buffer.from(
     pack([
       t.heads.map((h) => [h.id, h.lastSeq, h.term, h.led, encodeAccounts(h.accounts, ACCOUNTS_BYTES)]),
@@ -60,7 +61,7 @@
       t.calendar === null ? null : encodeRemembered(t.calendar),
     ]),
   );
-export const decodeTold = (body: Buffer): Told | null => {
+export const decodeViewResponse = (body: Buffer): ViewResponse | null => {
   try {
     const [heads, claims, finals, next, calendar] = unpack(body) as [
       [string, number, number, number | null, unknown[]][],
--- a/packages/controller/src/doubt/doubt.ts
+++ b/packages/controller/src/recovery/data-loss-detector.ts
@@ -16,7 +16,7 @@
 /** For clocks that drift, and messages on their way. */
 const MARGIN = millis(200);
 
-export interface Standing {
+export interface Suspicion {
   readonly since: Micros;
   readonly evidence: Evidence[];
   /** A peer has shown that the store lacks what it had: that this node's own view agrees with the store says nothing. */
@@ -25,10 +25,10 @@
   led: number | null;
 }
 
-export class Doubt {
+export class DataLossDetector {
   /** The store's, as this node has read it. null: not read, or the store has none yet. */
   incarnation: Incarnation | null = null;
-  standing: Standing | null = null;
+  suspicion: Suspicion | null = null;
   /** Counts the incarnations that this node has left: an answer to a question asked in an earlier one says nothing. */
   life = 0;
   private revision = -1;
@@ -51,8 +51,8 @@
     private readonly leads: () => number | null,
   ) {}
 
-  get active(): boolean {
-    return this.standing !== null;
+  get suspected(): boolean {
+    return this.suspicion !== null;
   }
 
   known(): Known {
@@ -64,12 +64,12 @@
     };
   }
 
-  raise(kind: EvidenceKind, what: string, proven = false): void {
-    if (this.standing === null) {
-      this.standing = { since: this.clock(), evidence: [{ kind, what }], proven, led: this.leads() };
+  suspect(kind: EvidenceKind, what: string, proven = false): void {
+    if (this.suspicion === null) {
+      this.suspicion = { since: this.clock(), evidence: [{ kind, what }], proven, led: this.leads() };
       this.onRaise();
-    } else if (this.standing.evidence.length < EVIDENCE_KEPT) this.standing.evidence.push({ kind, what });
-    if (proven) this.standing.proven = true;
+    } else if (this.suspicion.evidence.length < EVIDENCE_KEPT) this.suspicion.evidence.push({ kind, what });
+    if (proven) this.suspicion.proven = true;
   }
 
   /** The incarnation's key was there at a moment that is not before `asked`. */
@@ -98,7 +98,7 @@
   /** An answer is as of `revision`; `floor`: of when it was asked for. false: it can't follow from what was known. */
   answered(revision: number, floor: number): boolean {
     if (revision < floor) {
-      this.raise('revision went back', `${revision} after ${floor}`);
+      this.suspect('revision went back', `${revision} after ${floor}`);
       return false;
     }
     if (revision > this.revision) this.revision = revision;
@@ -109,8 +109,8 @@
   peerSaw(id: string, generation: number, revision: number): void {
     this.generation = Math.max(this.generation, generation);
     if (this.incarnation !== null && generation > this.incarnation.generation)
-      this.raise('other incarnation', `a peer knows generation ${generation}`);
-    if (id === this.incarnation?.id && revision > this.revision && !this.active) this.revision = revision;
+      this.suspect('other incarnation', `a peer knows generation ${generation}`);
+    if (id === this.incarnation?.id && revision > this.revision && !this.suspected) this.revision = revision;
   }
 
   /** What this node knew in an earlier life, from its disk. */
@@ -128,7 +128,7 @@
       this.generation = there.generation;
       if (this.remembered?.id === there.id) this.revision = Math.max(this.revision, this.remembered.revision);
     } else if (this.generation >= 0)
-      this.raise(
+      this.suspect(
         'other incarnation',
         `${there?.generation ?? 'none'} in the store, ${this.generation} known`,
       );
@@ -145,13 +145,13 @@
     this.heardTerm(token, worker);
     const i = this.incarnation;
     if (i === null || i.generation > 0 || token > i.base) return;
-    this.raise(
+    this.suspect(
       'other incarnation',
       `${worker} has token ${token}, from before the store's first start`,
       true,
     );
     // Who led that life is not known: nobody's view is the whole of it.
-    this.standing!.led = null;
+    this.suspicion!.led = null;
   }
 
   highestTerm(): number {
@@ -162,7 +162,7 @@
   readTerm(term: number, asked: Micros): void {
     const { named } = this;
     if (named !== null && named.term > term && named.at <= asked)
-      this.raise('term went back', `${term} in the store, ${named.term} named by ${named.by}`);
+      this.suspect('term went back', `${term} in the store, ${named.term} named by ${named.by}`);
   }
 
   /** What every transaction is conditional on; null: the store has no incarnation yet. */
@@ -173,14 +173,14 @@
   }
 
   /** The store is as it was. */
-  over(): void {
-    this.standing = null;
+  ruleOut(): void {
+    this.suspicion = null;
   }
 
   /** Another incarnation begins for this node: what it knew of revisions counts no more. */
   leave(): void {
     this.life++;
-    this.standing = null;
+    this.suspicion = null;
     this.incarnation = null;
     this.revision = -1;
     this.seenAt = Number.NEGATIVE_INFINITY;
--- a/packages/controller/src/doubt/duty.ts
+++ b/packages/controller/src/recovery/detection-task.ts
@@ -2,12 +2,12 @@
  * Looks at a doubted store until it is certain what became of it, and looks for lost keys while nothing is doubted. What
  * follows from a loss (a new incarnation, and its rebuild) is the leadership's and the rebuild's.
  */
-import { duty } from '@lilacvalve/runtime/duty';
+import { supervise } from '@lilacvalve/runtime/supervise';
 import { info } from '@lilacvalve/runtime/log';
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { Effect, Option, Queue, Random } from 'effect';
-import { JobCache } from '../jobs/cache.js';
-import type { Feed } from '../jobs/feed.js';
+import { JobState } from '../jobs/job-state.js';
+import type { StoreWatcher } from '../jobs/store-watcher.js';
 import {
   ACTIVE,
   CALENDAR,
@@ -21,12 +21,12 @@
   TERM,
   TYPES,
 } from '../jobs/keys.js';
-import { contentOf } from '../rebuild/merge.js';
+import { contentOf } from './merge.js';
 import type { Entry, StateFailure } from '../state-store/client.js';
 import type { StatePort } from '../state-store/port.js';
 import { audit, AUDITED, keysOf } from './audit.js';
-import { CERTAIN_AFTER, type Doubt } from './doubt.js';
-import { judge } from './judge.js';
+import { CERTAIN_AFTER, type DataLossDetector } from './data-loss-detector.js';
+import { judge } from './verdict.js';
 import { incarnationOf, type Probe } from './model.js';
 
 const LOOK_EVERY_MS = 250;
@@ -37,12 +37,12 @@
 const AUDIT_EVERY_MS = 4000;
 const AUDIT_PAGE = 120;
 
-export interface DoubtParts {
-  readonly doubt: Doubt;
+export interface DetectionParts {
+  readonly lossDetector: DataLossDetector;
   readonly raw: StatePort;
   readonly store: StatePort;
-  readonly feed: Feed;
-  readonly cache: JobCache;
+  readonly watcher: StoreWatcher;
+  readonly jobState: JobState;
   /** See `Leadership.refound`. */
   readonly refound: Effect.Effect<boolean, StateFailure>;
   /** Takes up another incarnation that is there already. */
@@ -61,7 +61,7 @@
   }));
 
 /** Everything that a view has, in one word a key: what two views of one revision must agree on. */
-const outline = (c: JobCache): Map<string, string> => {
+const outline = (c: JobState): Map<string, string> => {
   const out = new Map<string, string>();
   for (const [id, j] of c.jobs) out.set(`job ${id}`, `${j.stamp} ${contentOf(j)}`);
   for (const [seq, r] of c.tail) out.set(`record ${seq}`, String(r.stamp));
@@ -74,7 +74,7 @@
 };
 
 /** The first difference between the view and a fresh reading of all that it is made of; null: there is none. */
-const compare = (p: DoubtParts): Effect.Effect<string | null, StateFailure> =>
+const compare = (p: DetectionParts): Effect.Effect<string | null, StateFailure> =>
   Effect.gen(function* () {
     const entries: Entry[] = [];
     let base = Number.POSITIVE_INFINITY;
@@ -92,19 +92,19 @@
         more = page.more && page.entries.length > 0;
       }
     }
-    const fresh = new JobCache();
+    const fresh = new JobState();
     fresh.load(entries, base);
     for (let i = 0; i < 10; i++) {
-      for (const c of [p.cache, fresh]) {
+      for (const c of [p.jobState, fresh]) {
         const changes = yield* p.raw.follow(ROOT, c.revision, 0);
         if (changes.tooOld) return 'the view is too old to follow';
         if (changes.revision < c.revision) return `revision ${changes.revision} after ${c.revision}`;
         c.advance(changes.changes, changes.revision);
       }
-      if (p.cache.revision === fresh.revision) break;
+      if (p.jobState.revision === fresh.revision) break;
     }
     if (fresh.calendarLost) return `${CALENDAR_HEAD}: not what records went by`;
-    const mine = outline(p.cache);
+    const mine = outline(p.jobState);
     const there = outline(fresh);
     for (const [key, v] of mine)
       if (there.get(key) !== v) return `${key}: ${there.get(key) ?? 'missing'}, was ${v}`.slice(0, 200);
@@ -113,33 +113,33 @@
   });
 
 /** Ends a doubt, in whatever way the evidence calls for. */
-export const doubtDuty = (p: DoubtParts): Effect.Effect<never> => {
+export const dataLossTask = (p: DetectionParts): Effect.Effect<never> => {
   const begun = Effect.runSync(Queue.sliding<void>(1));
-  p.doubt.onRaise = () => Queue.unsafeOffer(begun, undefined);
-  return duty(
-    'doubt',
+  p.lossDetector.onRaise = () => Queue.unsafeOffer(begun, undefined);
+  return supervise(
+    'data-loss detection',
     Effect.gen(function* () {
       yield* Queue.take(begun);
-      const first = p.doubt.standing?.evidence[0];
+      const first = p.lossDetector.suspicion?.evidence[0];
       if (first) yield* info('store doubted', { evidence: first.kind, what: first.what });
       let looks: Probe[] = [];
       let failed = 0;
-      while (p.doubt.standing !== null) {
-        const { led, since } = p.doubt.standing;
+      while (p.lossDetector.suspicion !== null) {
+        const { led, since } = p.lossDetector.suspicion;
         const certain = p.clock() - since >= CERTAIN_AFTER;
         const seen = yield* Effect.option(look(p.raw));
         if (seen._tag === 'Some') {
           looks = [...looks.slice(-LOOKS_KEPT), seen.value];
-          const verdict = judge(p.doubt.known(), looks, led === null ? NEED.follower : NEED.leader);
+          const verdict = judge(p.lossDetector.known(), looks, led === null ? NEED.follower : NEED.leader);
           if (verdict === 'moved') {
-            yield* info('store was rebuilt', { known: p.doubt.incarnation?.id ?? 'none' });
+            yield* info('store was rebuilt', { known: p.lossDetector.incarnation?.id ?? 'none' });
             p.leaveView();
           } else if (verdict === 'restored') {
-            const differs = p.doubt.standing.proven
+            const differs = p.lossDetector.suspicion.proven
               ? Option.some(first?.what ?? 'a peer knows more')
               : yield* Effect.option(compare(p));
             if (differs._tag === 'Some' && differs.value === null) {
-              p.doubt.over();
+              p.lossDetector.ruleOut();
               yield* info('doubt over', { looks: looks.length });
             } else if (differs._tag === 'Some') {
               failed++;
@@ -162,24 +162,24 @@
   looks.slice(-NEED.leader).every((l, i, all) => i === 0 || l.revision >= all[i - 1]!.revision) &&
   looks.length >= NEED.leader;
 
-const lost = (p: DoubtParts): Effect.Effect<void> => Effect.ignore(p.refound);
+const lost = (p: DetectionParts): Effect.Effect<void> => Effect.ignore(p.refound);
 
 /** The leader looks through the store's listing, a page at a time, for keys that are gone without a trace. */
-export const auditDuty = (p: DoubtParts): Effect.Effect<never> => {
+export const auditTask = (p: DetectionParts): Effect.Effect<never> => {
   let prefix = 0;
   let after: string | null = null;
-  return duty(
+  return supervise(
     'audit',
     Effect.sleep(AUDIT_EVERY_MS).pipe(
       Effect.zipRight(
         Effect.suspend(() =>
-          p.leads() && p.feed.loaded && !p.doubt.active
+          p.leads() && p.watcher.loaded && !p.lossDetector.suspected
             ? Effect.gen(function* () {
                 const under = AUDITED[prefix]!;
                 const page = yield* p.store.page(under, after, AUDIT_PAGE);
-                yield* p.feed.refresh;
-                const lostKey = audit(page, keysOf(p.cache, under), after, p.cache.revision);
-                if (lostKey !== null) p.doubt.raise('key lost', lostKey);
+                yield* p.watcher.refresh;
+                const lostKey = audit(page, keysOf(p.jobState, under), after, p.jobState.revision);
+                if (lostKey !== null) p.lossDetector.suspect('key lost', lostKey);
                 const last = page.entries[page.entries.length - 1];
                 if (page.more && last) after = last.key;
                 else {
--- a/packages/controller/src/rebuild/witness.ts
+++ b/packages/controller/src/recovery/evidence-store.ts
@@ -9,7 +9,7 @@
 import { packFinal, unpackFinal } from '../jobs/finals.js';
 import type { FinalState } from '../jobs/model.js';
 import type { Peer } from '../settings/settings.js';
-import type { ViewPort } from './exchange.js';
+import type { ViewPort } from './view-exchange.js';
 import type { Claim } from './merge.js';
 
 export const WITNESS = '/witness';
@@ -21,7 +21,7 @@
 const KEPT = 2000;
 
 /** One thing told: a job as accepted or cancelled (its key's value), or a final state. As of `revision`. */
-export interface Fact {
+export interface JobEvidence {
   readonly id: string;
   readonly revision: number;
   readonly generation: number;
@@ -38,14 +38,14 @@
   stored: unknown,
 ];
 
-export const encodeFact = (f: Fact): Buffer => {
+export const encodeFact = (f: JobEvidence): Buffer => {
   const wire: Wire =
     'final' in f.value
       ? [f.id, f.revision, f.generation, f.incarnation, packFinal(f.value.final), null]
       : [f.id, f.revision, f.generation, f.incarnation, null, f.value.stored];
   return Buffer.from(pack(wire));
 };
-export const decodeFact = (body: Buffer): Fact | null => {
+export const decodeFact = (body: Buffer): JobEvidence | null => {
   try {
     const [id, revision, generation, incarnation, final, stored] = unpack(body) as Wire;
     if (typeof id !== 'string' || typeof incarnation !== 'string') return null;
@@ -64,8 +64,8 @@
   }
 };
 
-export class Witness {
-  private readonly facts = new Map<string, Fact>();
+export class EvidenceStore {
+  private readonly facts = new Map<string, JobEvidence>();
 
   constructor(
     private readonly port: ViewPort,
@@ -74,7 +74,7 @@
   ) {}
 
   /** Another node tells this one. */
-  note(f: Fact): void {
+  note(f: JobEvidence): void {
     const known = this.facts.get(f.id);
     // One that comes late, or twice, takes nothing back.
     if (known !== undefined && known.incarnation === f.incarnation && known.revision > f.revision) return;
@@ -94,7 +94,7 @@
   }
 
   /** Completes once the peers know it, or have had their time. */
-  tell(f: Fact): Effect.Effect<void> {
+  tell(f: JobEvidence): Effect.Effect<void> {
     return Effect.suspend(() => {
       // This node's own view is as of its last read, and that may have been before.
       this.note(f);
--- a/packages/controller/src/doubt/guard.ts
+++ b/packages/controller/src/recovery/guarded-store.ts
@@ -18,15 +18,15 @@
   type Write,
 } from '../state-store/client.js';
 import type { StatePort } from '../state-store/port.js';
-import type { Doubt } from './doubt.js';
+import type { DataLossDetector } from './data-loss-detector.js';
 
 /** What is asked of a doubted store fails with this; surely not carried out. */
-export const doubted = new Refused({ status: 503, reason: 'the state service is doubted' });
+export const dataLossSuspected = new Refused({ status: 503, reason: 'the state service is doubted' });
 
 export class GuardedStore implements StatePort {
   constructor(
     private readonly raw: StatePort,
-    private readonly doubt: Doubt,
+    private readonly lossDetector: DataLossDetector,
     private readonly clock: () => Micros,
   ) {}
 
@@ -44,24 +44,27 @@
     timeoutMs: number,
   ): Effect.Effect<Outcome, StateFailure> {
     return Effect.suspend(() => {
-      const fence = this.doubt.fence();
-      if (this.doubt.active || fence === null) return Effect.fail(doubted);
-      const floor = this.doubt.floor();
-      const { life } = this.doubt;
+      const fence = this.lossDetector.fence();
+      if (this.lossDetector.suspected || fence === null) return Effect.fail(dataLossSuspected);
+      const floor = this.lossDetector.floor();
+      const { life } = this.lossDetector;
       const asked = this.clock();
       return this.raw.transact([...when, fence], then, priority, timeoutMs).pipe(
         Effect.flatMap((o): Effect.Effect<Outcome, StateFailure> => {
-          if (this.doubt.life !== life) return Effect.fail(new NoAnswer({ reason: doubted.reason }));
-          const sound = this.doubt.answered(
+          if (this.lossDetector.life !== life)
+            return Effect.fail(new NoAnswer({ reason: dataLossSuspected.reason }));
+          const sound = this.lossDetector.answered(
             o.revision,
             o.ok && then.some((w) => 'set' in w) ? floor + 1 : floor,
           );
           if (!o.ok && o.failed.includes(fence.key))
-            this.doubt.raise('other incarnation', `${fence.key} refused`);
+            this.lossDetector.suspect('other incarnation', `${fence.key} refused`);
           // Not done is certain whatever became of the store; done is not, in one that has lost data.
-          if (o.ok && sound) this.doubt.seen(asked);
-          if (sound && !this.doubt.active) return Effect.succeed(o);
-          return o.ok ? Effect.fail(new NoAnswer({ reason: doubted.reason })) : Effect.fail(doubted);
+          if (o.ok && sound) this.lossDetector.seen(asked);
+          if (sound && !this.lossDetector.suspected) return Effect.succeed(o);
+          return o.ok
+            ? Effect.fail(new NoAnswer({ reason: dataLossSuspected.reason }))
+            : Effect.fail(dataLossSuspected);
         }),
       );
     });
@@ -114,15 +117,15 @@
     revisionOf: (a: A) => number | null,
   ): Effect.Effect<A, StateFailure> {
     return Effect.suspend(() => {
-      if (this.doubt.active) return Effect.fail(doubted);
-      const floor = this.doubt.floor();
-      const { life } = this.doubt;
+      if (this.lossDetector.suspected) return Effect.fail(dataLossSuspected);
+      const floor = this.lossDetector.floor();
+      const { life } = this.lossDetector;
       return ask().pipe(
         Effect.flatMap((a) => {
-          if (this.doubt.life !== life) return Effect.fail(doubted);
+          if (this.lossDetector.life !== life) return Effect.fail(dataLossSuspected);
           const revision = revisionOf(a);
-          if (revision !== null) this.doubt.answered(revision, floor);
-          return this.doubt.active ? Effect.fail(doubted) : Effect.succeed(a);
+          if (revision !== null) this.lossDetector.answered(revision, floor);
+          return this.lossDetector.suspected ? Effect.fail(dataLossSuspected) : Effect.succeed(a);
         }),
       );
     });
--- a/packages/controller/src/rebuild/wards.ts
+++ b/packages/controller/src/recovery/orphaned-jobs.ts
@@ -6,9 +6,9 @@
 import { info } from '@lilacvalve/runtime/log';
 import { seconds } from '@lilacvalve/runtime/micros';
 import { Effect } from 'effect';
-import type { Ward } from '../jobs/codec.js';
+import type { OrphanedJob } from '../jobs/codec.js';
 import { activeKey, finalKey, TERM, wardKey } from '../jobs/keys.js';
-import type { Turn } from '../scheduler/turn.js';
+import type { CycleContext } from '../scheduler/cycle-context.js';
 import { Priority } from '../state-store/budget.js';
 
 /** Kept for so long after its first mention. */
@@ -16,22 +16,24 @@
 /** Written at one go. */
 const MOST = 8;
 
-export const tendWards = (t: Turn): Effect.Effect<void> =>
+export const tendWards = (t: CycleContext): Effect.Effect<void> =>
   Effect.gen(function* () {
-    const { book, cache } = t;
-    const fresh = [...book.unknown]
-      .filter(([id]) => !cache.wards.has(id) && !book.givenUp.has(id))
+    const { registry, jobState } = t;
+    const fresh = [...registry.unknownJobs]
+      .filter(([id]) => !jobState.wards.has(id) && !registry.givenUp.has(id))
       .slice(0, MOST);
     const write = (
       when: { key: string; stamp: number }[],
       then: { set: string; value: unknown } | { delete: string },
     ) =>
-      t.store.transact([{ key: TERM, stamp: t.reign.stamp }, ...when], [then], Priority.Commit, 1200).pipe(
-        Effect.map((o) => o.ok),
-        Effect.orElseSucceed(() => false),
-      );
+      t.store
+        .transact([{ key: TERM, stamp: t.leaderTerm.stamp }, ...when], [then], Priority.Commit, 1200)
+        .pipe(
+          Effect.map((o) => o.ok),
+          Effect.orElseSucceed(() => false),
+        );
     for (const [id, tasks] of fresh) {
-      const value: Ward = { since: t.dayTime(), tasks: tasks.size };
+      const value: OrphanedJob = { since: t.dayTime(), tasks: tasks.size };
       const written = yield* write(
         [
           { key: wardKey(id), stamp: 0 },
@@ -41,19 +43,19 @@
         { set: wardKey(id), value },
       );
       if (written)
-        yield* info('job named by workers only', { term: t.reign.term, job: id, tasks: tasks.size });
+        yield* info('job named by workers only', { term: t.leaderTerm.number, job: id, tasks: tasks.size });
     }
-    for (const [id, w] of cache.wards) {
+    for (const [id, w] of jobState.wards) {
       const old = t.dayTime() - w.since > WARD_FOR;
-      if (!old && (book.unknown.has(id) || !book.allLapsed(t.clock()))) continue;
+      if (!old && (registry.unknownJobs.has(id) || !registry.allLapsed(t.clock()))) continue;
       // Nobody has submitted it again, or nothing of it is left.
-      if (old) book.givenUp.add(id);
+      if (old) registry.givenUp.add(id);
       if (yield* write([{ key: wardKey(id), stamp: w.stamp }], { delete: wardKey(id) }))
         yield* info('ward given up', {
-          term: t.reign.term,
+          term: t.leaderTerm.number,
           job: id,
           reason: old ? 'not submitted again' : 'gone',
         });
     }
-    if (fresh.length > 0) yield* Effect.ignore(t.feed.refresh);
+    if (fresh.length > 0) yield* Effect.ignore(t.watcher.refresh);
   });
--- a/packages/controller/src/rebuild/relics.ts
+++ b/packages/controller/src/recovery/pre-loss-views.ts
@@ -1,10 +1,10 @@
 /** Views of incarnations that are over, kept until their content is durable in the present one. */
 import type { Accounts } from '../accounts/model.js';
-import type { JobCache } from '../jobs/cache.js';
+import type { JobState } from '../jobs/job-state.js';
 import type { Job } from '../jobs/model.js';
 import type { Claim } from './merge.js';
 
-export interface Relic {
+export interface PreLossView {
   readonly id: string;
   readonly generation: number;
   /** The view is as of this revision; -1: part of it may be of any time. */
@@ -17,8 +17,8 @@
   readonly led: number | null;
 }
 
-export class Relics {
-  private kept: Relic[] = [];
+export class PreLossViews {
+  private kept: PreLossView[] = [];
   private count = 0;
 
   /**
@@ -27,25 +27,25 @@
    */
   constructor(private readonly life: string) {}
 
-  get all(): readonly Relic[] {
+  get all(): readonly PreLossView[] {
     return this.kept;
   }
 
   /** The view as it stands, as a relic. `whole`: it has all that it should have at its revision. */
-  relicOf(cache: JobCache, generation: number, led: number | null, whole = true): Relic {
+  viewOf(jobState: JobState, generation: number, led: number | null, whole = true): PreLossView {
     return {
       id: `${this.life}/${++this.count}`,
       generation,
-      revision: whole ? cache.revision : -1,
-      jobs: new Map(cache.jobs),
-      lastSeq: cache.lastSeq,
-      accounts: cache.accounts,
-      term: cache.term,
+      revision: whole ? jobState.revision : -1,
+      jobs: new Map(jobState.jobs),
+      lastSeq: jobState.lastSeq,
+      accounts: jobState.accounts,
+      term: jobState.term,
       led,
     };
   }
 
-  keep(relic: Relic): void {
+  keep(relic: PreLossView): void {
     this.kept.push(relic);
   }
 
@@ -56,7 +56,10 @@
 }
 
 /** The claims of several views, by job. */
-export const claimsOf = (relics: readonly Relic[], more: readonly Claim[] = []): Map<string, Claim[]> => {
+export const claimsOf = (
+  relics: readonly PreLossView[],
+  more: readonly Claim[] = [],
+): Map<string, Claim[]> => {
   const out = new Map<string, Claim[]>();
   for (const c of more) {
     const list = out.get(c.job.spec.id);
--- a/packages/controller/src/rebuild/duty.ts
+++ b/packages/controller/src/recovery/rebuild.ts
@@ -8,10 +8,10 @@
 import { Effect, Random } from 'effect';
 import { encodeAccounts } from '../accounts/codec.js';
 import { joinAccounts } from '../accounts/fold.js';
-import type { Doubt } from '../doubt/doubt.js';
-import type { JobCache, Rebuilding } from '../jobs/cache.js';
+import type { DataLossDetector } from './data-loss-detector.js';
+import type { JobState, Rebuilding } from '../jobs/job-state.js';
 import { decodeOver, encodeFinal, encodeJob, encodeOver, encodePack } from '../jobs/codec.js';
-import type { Feed } from '../jobs/feed.js';
+import type { StoreWatcher } from '../jobs/store-watcher.js';
 import {
   accountsKey,
   activeKey,
@@ -30,20 +30,20 @@
   wardKey,
 } from '../jobs/keys.js';
 import type { FinalState, Job } from '../jobs/model.js';
-import type { Reign } from '../leadership/leadership.js';
+import type { LeadershipTerm } from '../leadership/leadership.js';
 import type { Peer, Settings } from '../settings/settings.js';
 import { Priority } from '../state-store/budget.js';
 import type { Condition, StateFailure, Write } from '../state-store/client.js';
 import type { StatePort } from '../state-store/port.js';
 import type { Remembered } from '../calendar/fold.js';
-import { calendarSteps, joinRemembered } from './calendars.js';
-import { encodeDurable, type Head, type Told } from './codec.js';
+import { calendarSteps, joinRemembered } from './calendar-recovery.js';
+import { encodeDurable, type Head, type ViewResponse } from './codec.js';
 import { digestOf } from './digest.js';
-import { askAll, DURABLE, type ViewPort } from './exchange.js';
+import { askAll, DURABLE, type ViewPort } from './view-exchange.js';
 import { type Claim, mergeClaims } from './merge.js';
-import { joinFinals, type Plan, planOf } from './plan.js';
-import { claimsOf, type Relics } from './relics.js';
-import type { Witness } from './witness.js';
+import { joinFinals, type Plan, planOf } from './rebuild-plan.js';
+import { claimsOf, type PreLossViews } from './pre-loss-views.js';
+import type { EvidenceStore } from './evidence-store.js';
 
 /** How long controllers that do not answer are waited for before the first writing. */
 const GATHER = seconds(3);
@@ -60,15 +60,15 @@
 export interface Rebuild {
   readonly settings: Settings;
   readonly store: StatePort;
-  readonly feed: Feed;
-  readonly cache: JobCache;
-  readonly doubt: Doubt;
-  readonly relics: Relics;
-  readonly witness: Witness;
+  readonly watcher: StoreWatcher;
+  readonly jobState: JobState;
+  readonly lossDetector: DataLossDetector;
+  readonly relics: PreLossViews;
+  readonly witness: EvidenceStore;
   readonly port: ViewPort;
-  readonly reign: Reign;
-  readonly reigning: () => boolean;
-  readonly acting: () => boolean;
+  readonly leaderTerm: LeadershipTerm;
+  readonly isCurrentTerm: () => boolean;
+  readonly mayAct: () => boolean;
   readonly clock: () => Micros;
 }
 
@@ -81,7 +81,7 @@
   private readonly finals = new Map<string, FinalState>();
   private calendar: Remembered | null = null;
 
-  take(label: string, t: Told): void {
+  take(label: string, t: ViewResponse): void {
     this.heard.add(label);
     this.heads.set(label, t.heads);
     this.claims.push(...t.claims);
@@ -91,8 +91,8 @@
   }
 
   /** What is remembered of the calendar, this node's own included. */
-  calendars(own: Pick<Rebuild, 'cache'>): Remembered {
-    const mine = own.cache.calendars.remembered();
+  calendars(own: Pick<Rebuild, 'jobState'>): Remembered {
+    const mine = own.jobState.calendars.remembered();
     return this.calendar === null ? mine : joinRemembered(mine, this.calendar);
   }
 
@@ -101,9 +101,9 @@
     return claimsOf(own.relics.all, [...own.witness.claims(), ...this.claims]);
   }
 
-  finalStates(own: Pick<Rebuild, 'cache' | 'witness'>): Map<string, FinalState> {
+  finalStates(own: Pick<Rebuild, 'jobState' | 'witness'>): Map<string, FinalState> {
     const out = new Map(this.finals);
-    joinFinals(out, own.cache.finals.entries());
+    joinFinals(out, own.jobState.finals.entries());
     joinFinals(out, own.witness.finals());
     return out;
   }
@@ -120,7 +120,7 @@
 /** Asks those of `peers` that have not been heard; whoever does not answer is asked again another time. */
 export const gather = (r: Rebuild, g: Gathered, peers: readonly Peer[]): Effect.Effect<void> =>
   Effect.suspend(() => {
-    const incarnation = r.doubt.incarnation?.id;
+    const incarnation = r.lossDetector.incarnation?.id;
     if (incarnation === undefined || peers.length === 0) return Effect.void;
     const merged: Job[] = [...g.byJob(r).values()].map((list) => mergeClaims(list));
     const mine = digestOf(merged, g.finalStates(r));
@@ -171,7 +171,7 @@
     steps.push({ when: asKnown(job.spec.id, stamp), then: [{ set: key, value: encodeJob(job, seq) }] });
   }
   // One that a user may be cancelling as a ward: a late cancellation must find its key, since a pack would not stop it.
-  const isWard = (j: Job): boolean => r.cache.wards.has(j.spec.id);
+  const isWard = (j: Job): boolean => r.jobState.wards.has(j.spec.id);
   for (const job of plan.missing.filter(isWard)) {
     const { id } = job.spec;
     const then: Write[] = [{ set: activeKey(id), value: encodeJob(job, seq) }, { delete: wardKey(id) }];
@@ -188,7 +188,7 @@
   });
   for (let i = 0; i < plan.close.length; i += closed) {
     const part = plan.close.slice(i, i + closed);
-    const packs = r.cache.unpacking(part.map((c) => c.id));
+    const packs = r.jobState.unpacking(part.map((c) => c.id));
     steps.push({
       when: [...part.map((c) => ({ key: activeKey(c.id), stamp: c.stamp })), ...packs.when],
       then: [
@@ -223,10 +223,10 @@
 /** true: applied. false: a condition failed, or the reign is over. */
 const apply = (r: Rebuild, step: Step): Effect.Effect<boolean> =>
   Effect.gen(function* () {
-    const when = [{ key: TERM, stamp: r.reign.stamp }, ...step.when];
+    const when = [{ key: TERM, stamp: r.leaderTerm.stamp }, ...step.when];
     for (;;) {
-      if (!r.reigning()) return false;
-      if (!r.acting()) {
+      if (!r.isCurrentTerm()) return false;
+      if (!r.mayAct()) {
         yield* Effect.sleep(100);
         continue;
       }
@@ -237,11 +237,11 @@
   });
 
 /** Final states that are durable, with the page keys' content. */
-const durableFinals = (feed: Feed): Effect.Effect<Set<string>, StateFailure> =>
+const durableFinals = (watcher: StoreWatcher): Effect.Effect<Set<string>, StateFailure> =>
   Effect.gen(function* () {
     const out = new Set<string>();
-    for (const e of (yield* feed.all(FINAL)).entries) out.add(e.key.slice(FINAL.length));
-    for (const e of (yield* feed.all(OVER)).entries) for (const [id] of decodeOver(e.value)) out.add(id);
+    for (const e of (yield* watcher.all(FINAL)).entries) out.add(e.key.slice(FINAL.length));
+    for (const e of (yield* watcher.all(OVER)).entries) for (const [id] of decodeOver(e.value)) out.add(id);
     return out;
   });
 
@@ -250,17 +250,17 @@
 /** Makes durable what has been gathered. true: all of it is. `quiet`: see `stepsOf`. */
 export const writeBack = (r: Rebuild, g: Gathered, quiet: boolean): Effect.Effect<boolean, StateFailure> =>
   Effect.gen(function* () {
-    for (let pass = 0; pass < 20 && r.reigning(); pass++) {
-      yield* r.feed.refresh;
+    for (let pass = 0; pass < 20 && r.isCurrentTerm(); pass++) {
+      yield* r.watcher.refresh;
       const finals = g.finalStates(r);
-      const durable = yield* durableFinals(r.feed);
+      const durable = yield* durableFinals(r.watcher);
       const heads = [...r.relics.all, ...[...g.heads.values()].flat()];
       // Beside others' records a job may include those that are known by now only.
-      const seq = quiet ? Math.max(r.cache.lastSeq, ...heads.map((h) => h.lastSeq)) : r.cache.lastSeq;
+      const seq = quiet ? Math.max(r.jobState.lastSeq, ...heads.map((h) => h.lastSeq)) : r.jobState.lastSeq;
       const plan = planOf(
         {
-          jobs: r.cache.jobs,
-          damaged: (id) => r.cache.damaged.get(activeKey(id)),
+          jobs: r.jobState.jobs,
+          damaged: (id) => r.jobState.damaged.get(activeKey(id)),
           over: (id) => durable.has(id),
           // What is left after a loss may be of any time; what has gone on since a rebuild is the latest.
           generation: quiet ? -1 : Number.MAX_SAFE_INTEGER,
@@ -270,17 +270,22 @@
         finals,
         seq,
       );
-      const run = `${r.reign.term}-${++runs}`;
+      const run = `${r.leaderTerm.number}-${++runs}`;
       // A record that can't be read: what is known of it comes from the views.
-      const unreadable = [...r.cache.damaged].filter(([key]) => key.startsWith(RECORD));
+      const unreadable = [...r.jobState.damaged].filter(([key]) => key.startsWith(RECORD));
       const steps = [
-        ...calendarSteps(r.cache.calendars, g.calendars(r), r.settings.state.valueBytes, r.cache.damaged),
+        ...calendarSteps(
+          r.jobState.calendars,
+          g.calendars(r),
+          r.settings.state.valueBytes,
+          r.jobState.damaged,
+        ),
         ...stepsOf(r, plan, run, seq, quiet),
         ...unreadable.map(([key, stamp]): Step => ({ when: [{ key, stamp }], then: [{ delete: key }] })),
       ];
       if (steps.length === 0) return true;
       yield* info('rebuild writes', {
-        term: r.reign.term,
+        term: r.leaderTerm.number,
         missing: plan.missing.length,
         differing: plan.differing.length,
         over: plan.over.length + plan.close.length,
@@ -288,7 +293,7 @@
       });
       for (const s of steps) {
         yield* apply(r, s);
-        if (!r.reigning()) return false;
+        if (!r.isCurrentTerm()) return false;
       }
     }
     return false;
@@ -302,7 +307,7 @@
   more: readonly Write[],
 ): Effect.Effect<boolean> =>
   Effect.suspend(() => {
-    const there = r.cache.rebuild;
+    const there = r.jobState.rebuild;
     // Gone: an earlier copy of this was carried out. Said anew under "not there", a late one would hold for good.
     if (there === null) return Effect.succeed(true);
     const all = r.settings.peers.every((p) => g.heard.has(p.label));
@@ -310,7 +315,7 @@
     const then: Write[] = [phase === 'wait' && all ? { delete: REBUILD } : { set: REBUILD, value }, ...more];
     return Effect.zipLeft(
       apply(r, { when: [{ key: REBUILD, stamp: there.stamp }], then }),
-      Effect.ignore(r.feed.refresh),
+      Effect.ignore(r.watcher.refresh),
     );
   });
 
@@ -347,9 +352,9 @@
 /** The accounts as the latest view has them (docs/accounts.md). */
 const accountsOf = (r: Rebuild, g: Gathered, whole: boolean): Write[] => {
   const heads = [...r.relics.all, ...[...g.heads.values()].flat()];
-  const views = [r.cache.accounts, ...heads.map((h) => h.accounts)];
-  const seq = Math.max(r.cache.lastSeq, ...heads.map((h) => h.lastSeq));
-  const joined = joinAccounts(views, r.cache.incarnation?.generation ?? 0, seq, whole);
+  const views = [r.jobState.accounts, ...heads.map((h) => h.accounts)];
+  const seq = Math.max(r.jobState.lastSeq, ...heads.map((h) => h.lastSeq));
+  const joined = joinAccounts(views, r.jobState.incarnation?.generation ?? 0, seq, whole);
   return encodeAccounts(joined, r.settings.state.valueBytes * 0.9).map((value, n) => ({
     set: accountsKey(n),
     value,
@@ -362,9 +367,9 @@
     const began = r.clock();
     g.heard.add(r.settings.label);
     yield* info('rebuild begins', {
-      term: r.reign.term,
+      term: r.leaderTerm.number,
       relics: r.relics.all.length,
-      jobs: r.cache.jobs.size,
+      jobs: r.jobState.jobs.size,
     });
     for (;;) {
       yield* gather(
@@ -372,24 +377,24 @@
         g,
         r.settings.peers.filter((p) => !g.heard.has(p.label)),
       );
-      if (!r.reigning()) return;
+      if (!r.isCurrentTerm()) return;
       if (g.heard.size > r.settings.peers.length || r.clock() - began >= GATHER) break;
       yield* Effect.sleep(ASK_AGAIN_MS);
     }
     const whole = wholeOf(r, g);
     yield* say(r, g, 'write', []);
-    while (r.reigning()) {
+    while (r.isCurrentTerm()) {
       const written = yield* writeBack(r, g, true).pipe(Effect.orElseSucceed(() => false));
       if (!written) {
         yield* Effect.sleep(ASK_AGAIN_MS);
         continue;
       }
-      const calm: Write[] = whole ? [{ set: CALM, value: r.doubt.incarnation?.id ?? '' }] : [];
+      const calm: Write[] = whole ? [{ set: CALM, value: r.lossDetector.incarnation?.id ?? '' }] : [];
       if (!(yield* say(r, g, 'wait', [...calm, ...accountsOf(r, g, whole)]))) continue;
       const missing = r.settings.peers.filter((p) => !g.heard.has(p.label)).map((p) => p.label);
       yield* info('rebuild durable', {
-        term: r.reign.term,
-        jobs: r.cache.jobs.size,
+        term: r.leaderTerm.number,
+        jobs: r.jobState.jobs.size,
         ms: Math.round((r.clock() - began) / 1000),
         whole,
         unheard: missing.join(','),
@@ -409,9 +414,9 @@
   holders: readonly string[],
 ): Effect.Effect<void, StateFailure> =>
   Effect.gen(function* () {
-    for (const label of r.cache.rebuild?.heard ?? []) g.heard.add(label);
+    for (const label of r.jobState.rebuild?.heard ?? []) g.heard.add(label);
     g.heard.add(r.settings.label);
-    const waits = r.cache.rebuild !== null;
+    const waits = r.jobState.rebuild !== null;
     const asked = r.settings.peers.filter(
       (p) => (waits && !g.heard.has(p.label)) || holders.includes(p.label),
     );
@@ -423,17 +428,17 @@
     if (!(yield* writeBack(r, g, false))) return;
     if (waits && !(yield* say(r, g, 'wait', []))) return;
     for (const [label, heads] of g.heads)
-      if (heads.length > 0) yield* info('view heard', { term: r.reign.term, from: label });
+      if (heads.length > 0) yield* info('view heard', { term: r.leaderTerm.number, from: label });
     yield* letGo(r, g);
   });
 
 /** Says of the store, once and for all of this incarnation, that it is calm or settled. */
 export const declare = (r: Rebuild, what: typeof CALM | typeof SETTLED): Effect.Effect<void> =>
   Effect.suspend(() => {
-    const id = r.doubt.incarnation?.id;
+    const id = r.lossDetector.incarnation?.id;
     if (id === undefined) return Effect.void;
     return apply(r, { when: [], then: [{ set: what, value: id }] }).pipe(
-      Effect.zipRight(Effect.ignore(r.feed.refresh)),
-      Effect.zipRight(info(what === CALM ? 'store calm' : 'store settled', { term: r.reign.term })),
+      Effect.zipRight(Effect.ignore(r.watcher.refresh)),
+      Effect.zipRight(info(what === CALM ? 'store calm' : 'store settled', { term: r.leaderTerm.number })),
     );
   });
--- a/packages/controller/src/rebuild/exchange.ts
+++ b/packages/controller/src/recovery/view-exchange.ts
@@ -2,25 +2,25 @@
 import { type Answer, type Incoming, json } from '@lilacvalve/runtime/http-server';
 import { NoAnswer } from '@lilacvalve/runtime/http-client';
 import { Effect } from 'effect';
-import type { JobCache } from '../jobs/cache.js';
+import type { JobState } from '../jobs/job-state.js';
 import type { FinalState, Job } from '../jobs/model.js';
 import type { Peer } from '../settings/settings.js';
 import {
-  type Ask,
-  decodeAsk,
+  type ViewRequest,
+  decodeViewRequest,
   decodeDurable,
-  decodeTold,
-  encodeAsk,
+  decodeViewResponse,
+  encodeViewRequest,
   encodeDurable,
-  encodeTold,
+  encodeViewResponse,
   type Head,
-  type Told,
+  type ViewResponse,
 } from './codec.js';
 import { digestOf, RANGES, rangeOf } from './digest.js';
 import { type Claim, mergeClaims } from './merge.js';
-import { claimsOf, type Relic, type Relics } from './relics.js';
-import { CHECK } from './verify.js';
-import { decodeFact, type Witness, WITNESS } from './witness.js';
+import { claimsOf, type PreLossView, type PreLossViews } from './pre-loss-views.js';
+import { CHECK } from './view-verification.js';
+import { decodeFact, type EvidenceStore, WITNESS } from './evidence-store.js';
 
 /** Jobs and final states in one answer: some 300 KB. */
 const MOST = 800;
@@ -33,10 +33,15 @@
 }
 
 /** A node's memory for whoever asks: its relics, and its view as long as that is of another incarnation than the asker's. */
-export const told = (a: Ask, relics: readonly Relic[], cache: JobCache, witness: Witness): Told => {
+export const told = (
+  a: ViewRequest,
+  relics: readonly PreLossView[],
+  jobState: JobState,
+  witness: EvidenceStore,
+): ViewResponse => {
   const claims = claimsOf(relics, witness.claims());
   const merged: Job[] = [...claims.values()].map((list) => mergeClaims(list));
-  const finals = [...cache.finals.entries(), ...witness.finals()];
+  const finals = [...jobState.finals.entries(), ...witness.finals()];
   const mine = digestOf(merged, finals);
   const heads: Head[] = relics.map((r) => ({
     id: r.id,
@@ -68,17 +73,17 @@
     heads,
     ...out,
     next: range < RANGES ? range : null,
-    calendar: a.from === 0 ? cache.calendars.remembered() : null,
+    calendar: a.from === 0 ? jobState.calendars.remembered() : null,
   };
 };
 
 /** What other controllers ask of this one's memory. null: the question is none of these. */
 export const viewHandler = (
-  relics: Relics,
+  relics: PreLossViews,
   /** This node's view as a relic, if it is of another incarnation than the asker's. */
-  live: (incarnation: string) => Relic | null,
-  cache: JobCache,
-  witness: Witness,
+  live: (incarnation: string) => PreLossView | null,
+  jobState: JobState,
+  witness: EvidenceStore,
   /** See verify.ts. */
   check: (body: Buffer) => Buffer | null,
 ) => {
@@ -89,10 +94,12 @@
   });
   return (r: Incoming): Answer | null => {
     if (r.path === VIEW) {
-      const ask = r.body === null ? null : decodeAsk(r.body);
+      const ask = r.body === null ? null : decodeViewRequest(r.body);
       if (ask === null) return json(400, {});
       const own = live(ask.incarnation);
-      return octets(encodeTold(told(ask, own === null ? relics.all : [...relics.all, own], cache, witness)));
+      return octets(
+        encodeViewResponse(told(ask, own === null ? relics.all : [...relics.all, own], jobState, witness)),
+      );
     }
     if (r.path === WITNESS) {
       const fact = r.body === null ? null : decodeFact(r.body);
@@ -120,15 +127,15 @@
   peer: Peer,
   incarnation: string,
   digest: Uint32Array,
-): Effect.Effect<Told, NoAnswer> => {
+): Effect.Effect<ViewResponse, NoAnswer> => {
   const heads: Head[] = [];
   const claims: Claim[] = [];
   const finals: (readonly [string, FinalState])[] = [];
-  let calendar: Told['calendar'] = null;
-  const from = (range: number): Effect.Effect<Told, NoAnswer> =>
-    port.ask(peer, VIEW, encodeAsk({ incarnation, digest, from: range })).pipe(
+  let calendar: ViewResponse['calendar'] = null;
+  const from = (range: number): Effect.Effect<ViewResponse, NoAnswer> =>
+    port.ask(peer, VIEW, encodeViewRequest({ incarnation, digest, from: range })).pipe(
       Effect.flatMap((body) => {
-        const t = decodeTold(body);
+        const t = decodeViewResponse(body);
         if (t === null) return Effect.fail(new NoAnswer({ reason: 'not a view' }));
         heads.splice(0, heads.length, ...t.heads);
         claims.push(...t.claims);
--- a/packages/controller/src/rebuild/verify.ts
+++ b/packages/controller/src/recovery/view-verification.ts
@@ -5,14 +5,14 @@
  */
 import { Effect } from 'effect';
 import { pack, unpack } from 'msgpackr';
-import type { Doubt } from '../doubt/doubt.js';
-import type { JobCache } from '../jobs/cache.js';
+import type { DataLossDetector } from './data-loss-detector.js';
+import type { JobState } from '../jobs/job-state.js';
 import { activeKey, finalKey } from '../jobs/keys.js';
-import type { Feed } from '../jobs/feed.js';
+import type { StoreWatcher } from '../jobs/store-watcher.js';
 import type { Peer } from '../settings/settings.js';
 import type { StatePort } from '../state-store/port.js';
 import { digestOf, RANGES, rangeOf } from './digest.js';
-import type { ViewPort } from './exchange.js';
+import type { ViewPort } from './view-exchange.js';
 
 export const CHECK = '/check';
 /** A job, its key's revision, and the last record that mentions it. */
@@ -28,17 +28,17 @@
 }
 
 /** Digest by range of which jobs a view has as under way, and as of which key and record. */
-const idDigest = (cache: JobCache): Uint32Array =>
+const idDigest = (jobState: JobState): Uint32Array =>
   digestOf(
     [],
-    [...cache.jobs].map(
+    [...jobState.jobs].map(
       ([id, j]) => [`${id}@${j.stamp}`, { status: 'cancelled', tasks: j.touched }] as const,
     ),
     (key) => key.slice(0, key.indexOf('@')),
   );
 
-export const encodeQuestion = (incarnation: string, cache: JobCache): Buffer =>
-  Buffer.from(pack([incarnation, [...idDigest(cache)]]));
+export const encodeQuestion = (incarnation: string, jobState: JobState): Buffer =>
+  Buffer.from(pack([incarnation, [...idDigest(jobState)]]));
 
 /**
  * What a peer is told: the highest revision this node has seen, and the jobs that its view has under way, with their
@@ -46,7 +46,7 @@
  */
 export const answerCheck = (
   body: Buffer,
-  cache: JobCache,
+  jobState: JobState,
   incarnation: string | null,
   revision: number,
 ): Buffer | null => {
@@ -59,12 +59,12 @@
     return null;
   }
   if (incarnation === null || incarnation !== q.incarnation) return Buffer.from(pack(null));
-  const mine = idDigest(cache);
+  const mine = idDigest(jobState);
   const differs = new Set<number>();
   for (let r = 0; r < RANGES; r++)
     if (mine[r * 2] !== q.digest[r * 2] || mine[r * 2 + 1] !== q.digest[r * 2 + 1]) differs.add(r);
   const out: Known[] = [];
-  for (const [id, job] of cache.jobs)
+  for (const [id, job] of jobState.jobs)
     if (job.stamp > 0 && differs.has(rangeOf(id)) && out.length < MOST)
       out.push([id, job.stamp, job.touched]);
   return Buffer.from(pack([revision, out]));
@@ -80,10 +80,10 @@
 };
 
 export interface Verify {
-  readonly doubt: Doubt;
+  readonly lossDetector: DataLossDetector;
   readonly store: StatePort;
-  readonly feed: Feed;
-  readonly cache: JobCache;
+  readonly watcher: StoreWatcher;
+  readonly jobState: JobState;
   readonly port: ViewPort;
 }
 
@@ -93,23 +93,23 @@
 /** A peer compares its view with this one's; what it knows and the store does not is evidence. */
 export const verifyWith = (v: Verify, peer: Peer): Effect.Effect<Comparison> =>
   Effect.gen(function* () {
-    const { incarnation } = v.doubt;
+    const { incarnation } = v.lossDetector;
     if (incarnation === null) return 'silent' as const;
-    const body = yield* v.port.ask(peer, CHECK, encodeQuestion(incarnation.id, v.cache));
+    const body = yield* v.port.ask(peer, CHECK, encodeQuestion(incarnation.id, v.jobState));
     const theirs = decodeAnswer(body);
     if (theirs === null) return 'ignorant' as const;
     const [revision, jobs] = theirs;
     // If it has seen more than the store shows from here on, the next read is evidence.
-    v.doubt.peerSaw(incarnation.id, incarnation.generation, revision);
-    yield* v.feed.refresh;
+    v.lossDetector.peerSaw(incarnation.id, incarnation.generation, revision);
+    yield* v.watcher.refresh;
     for (const [id, stamp, touched] of jobs) {
-      const mine = v.cache.jobs.get(id);
+      const mine = v.jobState.jobs.get(id);
       if (mine && (mine.stamp < stamp || mine.touched < touched))
-        v.doubt.raise('key lost', `${id} as ${peer.label} knows it`, true);
-      if (mine || v.cache.finals.has(id) || stamp > v.cache.revision) continue;
+        v.lossDetector.suspect('key lost', `${id} as ${peer.label} knows it`, true);
+      if (mine || v.jobState.finals.has(id) || stamp > v.jobState.revision) continue;
       const over = yield* v.store.get(finalKey(id));
-      if (over.entry === null && !v.cache.jobs.has(id))
-        v.doubt.raise('key lost', `${activeKey(id)} is known to ${peer.label}`, true);
+      if (over.entry === null && !v.jobState.jobs.has(id))
+        v.lossDetector.suspect('key lost', `${activeKey(id)} is known to ${peer.label}`, true);
     }
     return 'compared' as const;
   }).pipe(
--- a/packages/controller/src/scheduler/commit.ts
+++ b/packages/controller/src/scheduler/commit.ts
@@ -12,15 +12,15 @@
 import { type Draft, draftOf } from './draft.js';
 import type { Start, Stop } from './model.js';
 import { settle } from './settle.js';
-import type { Turn } from './turn.js';
+import type { CycleContext } from './cycle-context.js';
 
 /** A condition on this key failed, and yet a newer read shows it as it was when the condition was made. */
-const stillKnown = (t: Turn, key: string, when: readonly Condition[]): boolean => {
+const stillKnown = (t: CycleContext, key: string, when: readonly Condition[]): boolean => {
   const wanted = when.find((c) => c.key === key)?.stamp;
   if (wanted === undefined || wanted === 0) return false;
-  if (key === ACCOUNTS) return t.cache.checkpoint.stamp === wanted;
-  if (key.startsWith(ACTIVE)) return t.cache.jobs.get(key.slice(ACTIVE.length))?.stamp === wanted;
-  return key.startsWith(RECORD) && t.cache.tail.get(Number(key.slice(RECORD.length)))?.stamp === wanted;
+  if (key === ACCOUNTS) return t.jobState.checkpoint.stamp === wanted;
+  if (key.startsWith(ACTIVE)) return t.jobState.jobs.get(key.slice(ACTIVE.length))?.stamp === wanted;
+  return key.startsWith(RECORD) && t.jobState.tail.get(Number(key.slice(RECORD.length)))?.stamp === wanted;
 };
 
 const NO_STOPS: readonly Stop[] = [];
@@ -34,65 +34,70 @@
 const NOTHING: Committed = { lent: NO_STOPS, behind: false };
 
 /** The draft's records as they follow the last one; the accounts' rows stand in the first one's head. */
-const recordsOf = (t: Turn, draft: Draft, head: RecordHead): Omit<CycleRecord, 'stamp'>[] =>
+const recordsOf = (t: CycleContext, draft: Draft, head: RecordHead): Omit<CycleRecord, 'stamp'>[] =>
   draft.records.map((jobs, i) => ({
-    seq: t.cache.lastSeq + 1 + i,
+    seq: t.jobState.lastSeq + 1 + i,
     head: i === 0 ? head : { ...head, at: plus(head.at, i), spent: NOTHING_SPENT },
     jobs,
   }));
 
 /** Each record hangs on the one before it: one that a loss has taken is missed before another is written. */
-const chainOf = (t: Turn): Condition => {
-  const before = t.cache.tail.get(t.cache.lastSeq);
+const chainOf = (t: CycleContext): Condition => {
+  const before = t.jobState.tail.get(t.jobState.lastSeq);
   return before
-    ? { key: recordKey(t.cache.lastSeq), stamp: before.stamp }
+    ? { key: recordKey(t.jobState.lastSeq), stamp: before.stamp }
     : // Without one it hangs on the checkpoint: it goes with that at the earliest, and a late copy must not bring it back.
-      { key: ACCOUNTS, stamp: t.cache.checkpoint.stamp };
+      { key: ACCOUNTS, stamp: t.jobState.checkpoint.stamp };
 };
 
-const refused = (t: Turn, failed: readonly string[], when: readonly Condition[]) =>
+const refused = (t: CycleContext, failed: readonly string[], when: readonly Condition[]) =>
   Effect.gen(function* () {
-    const read = yield* Effect.isSuccess(t.feed.refresh);
-    t.book.dirty = true;
+    const read = yield* Effect.isSuccess(t.watcher.refresh);
+    t.registry.dirty = true;
     // Without that read the view is as old as the condition, and a key that somebody has changed looks like a lost one.
     const lost = read ? failed.find((k) => stillKnown(t, k, when)) : undefined;
-    if (lost !== undefined) t.doubt.raise('key lost', `${lost} is not as it was`);
-    yield* debug('record refused', { term: t.reign.term, failed: failed.join(',') });
+    if (lost !== undefined) t.lossDetector.suspect('key lost', `${lost} is not as it was`);
+    yield* debug('record refused', { term: t.leaderTerm.number, failed: failed.join(',') });
   });
 
 /** The records are durable: they take effect here. `revision` null: at which revision is not known. */
-const takeIn = (t: Turn, records: readonly Omit<CycleRecord, 'stamp'>[], revision: number | null) =>
+const takeIn = (t: CycleContext, records: readonly Omit<CycleRecord, 'stamp'>[], revision: number | null) =>
   Effect.gen(function* () {
     for (const r of records) {
       learn(t, r.jobs, r.head.at);
       // Without its revision it comes from the watch: whether it or a withdrawal was first decides what a job is.
-      if (revision !== null) t.cache.addRecord({ ...r, stamp: revision });
-      else while (!t.cache.tail.has(r.seq) && t.reigning()) yield* Effect.ignore(t.feed.refresh);
+      if (revision !== null) t.jobState.addRecord({ ...r, stamp: revision });
+      else while (!t.jobState.tail.has(r.seq) && t.isCurrentTerm()) yield* Effect.ignore(t.watcher.refresh);
       let started = 0;
       for (const [id, c] of r.jobs) {
-        t.book.settled(id, c.done ?? [], c.gone ?? []);
+        t.registry.settled(id, c.done ?? [], c.gone ?? []);
         for (const on of c.start?.on.values() ?? []) started += on.length;
       }
       yield* logSaid(t, r.jobs, r.head.at);
-      yield* debug('record', { term: t.reign.term, seq: r.seq, jobs: r.jobs.size, started });
+      yield* debug('record', { term: t.leaderTerm.number, seq: r.seq, jobs: r.jobs.size, started });
     }
   });
 
-export const commit = (t: Turn, starts: readonly Start[], stops: readonly Stop[] = NO_STOPS) =>
+export const commit = (t: CycleContext, starts: readonly Start[], stops: readonly Stop[] = NO_STOPS) =>
   Effect.gen(function* () {
     // Never earlier than the record before, whoever wrote that: clocks differ, and what is weighed by them must not shrink.
-    const at = Math.max(t.dayTime(), t.cache.lastAt + 1) as Micros;
+    const at = Math.max(t.dayTime(), t.jobState.lastAt + 1) as Micros;
     const booking = new Booking(t, at);
     const draft = draftOf(t, starts, stops, booking, saidOf(t, at));
     if (draft.records.length === 0) return NOTHING;
     const spent = booking.spent();
-    const calendar = t.cache.calendars.current?.version ?? 0;
+    const calendar = t.jobState.calendars.current?.version ?? 0;
     const records = recordsOf(t, draft, { at, calendar, spent });
     const keys = records.map((r) => recordKey(r.seq));
     const chain = chainOf(t);
     const outcome = yield* settle(
       t,
-      [{ key: TERM, stamp: t.reign.stamp }, ...keys.map((key) => ({ key, stamp: 0 })), chain, ...draft.when],
+      [
+        { key: TERM, stamp: t.leaderTerm.stamp },
+        ...keys.map((key) => ({ key, stamp: 0 })),
+        chain,
+        ...draft.when,
+      ],
       records.map((r, i) => ({ set: keys[i]!, value: encodeRecord(r.jobs, r.head) })),
       keys[0]!,
     );
@@ -103,7 +108,7 @@
     }
     booking.committed(spent);
     yield* takeIn(t, records, outcome.revision);
-    if (!draft.whole) t.book.dirty = true;
-    for (const e of draft.ended) yield* info('loan ended', { term: t.reign.term, ...e });
+    if (!draft.whole) t.registry.dirty = true;
+    for (const e of draft.ended) yield* info('loan ended', { term: t.leaderTerm.number, ...e });
     return { lent: draft.lent, behind: !draft.whole };
   });
--- a/packages/controller/src/scheduler/draft.ts
+++ b/packages/controller/src/scheduler/draft.ts
@@ -15,7 +15,7 @@
 import type { Settings } from '../settings/settings.js';
 import type { Condition } from '../state-store/client.js';
 import type { Start, Stop } from './model.js';
-import type { Turn } from './turn.js';
+import type { CycleContext } from './cycle-context.js';
 
 /** Ends and starts of one turn, within the limits of one transaction. */
 export interface Draft {
@@ -102,7 +102,7 @@
   private readonly mostConditions: number;
 
   constructor(
-    private readonly t: Turn,
+    private readonly t: CycleContext,
     private readonly spending: Booking['spending'],
   ) {
     const { valueBytes, txnOps } = t.settings.state;
@@ -234,10 +234,10 @@
   return on;
 };
 
-const endedJobs = (t: Turn): EndedJob[] => {
+const endedJobs = (t: CycleContext): EndedJob[] => {
   const out: EndedJob[] = [];
-  for (const [id, e] of t.book.ends) {
-    const job = t.cache.jobs.get(id);
+  for (const [id, e] of t.registry.ends) {
+    const job = t.jobState.jobs.get(id);
     if (!job) continue;
     // A gang that completed is done as a whole, whatever else its members said.
     const gone = [...e.gone].filter((x) => !e.done.has(x));
@@ -246,8 +246,10 @@
   return out;
 };
 
-const draftLoans = (t: Turn, d: Drafting, stops: readonly Stop[]): void => {
-  for (const { taker, repay, ends } of endings(t.cache.jobs, d.started, (job) => t.book.unsettled(job)))
+const draftLoans = (t: CycleContext, d: Drafting, stops: readonly Stop[]): void => {
+  for (const { taker, repay, ends } of endings(t.jobState.jobs, d.started, (job) =>
+    t.registry.unsettled(job),
+  ))
     if (d.add(taker, (c) => ({ ...c, repay }))) d.ended.push(...ends);
   for (const { taker, lend, taken, stops: of } of loansMade(stops)) {
     if (!d.mayCondition()) break;
@@ -263,7 +265,7 @@
 
 /** `said`: of cutoffs, by job. */
 export const draftOf = (
-  t: Turn,
+  t: CycleContext,
   starts: readonly Start[],
   stops: readonly Stop[],
   { spending }: Booking,
@@ -277,7 +279,7 @@
   // The starts count on the room of every end: with one of these left out, they wait for the next record.
   if (d.whole) {
     // What runs already from before a loss is recorded before anything is started anew.
-    for (const s of [...t.book.adoptions(), ...starts]) d.start(s);
+    for (const s of [...t.registry.adoptions(), ...starts]) d.start(s);
     draftLoans(t, d, stops);
   }
   // The accounts' rows stand in the first record, also where every change went to a later one.
--- a/packages/controller/src/scheduler/largest.ts
+++ b/packages/controller/src/scheduler/largest.ts
@@ -4,7 +4,7 @@
  * largest ones (day: cairo fleet restart, where every controller ends three times).
  */
 import { Effect } from 'effect';
-import { duty } from '@lilacvalve/runtime/duty';
+import { supervise } from '@lilacvalve/runtime/supervise';
 import { LARGEST, TERM } from '../jobs/keys.js';
 import type { JobSpec } from '../jobs/model.js';
 import { hintWriter } from '../state-store/hint.js';
@@ -61,12 +61,12 @@
 
 /** Keeps the hint. */
 export const largestDuty = (p: {
-  readonly acting: () => boolean;
+  readonly mayAct: () => boolean;
   readonly store: StatePort;
-  readonly reign: { readonly stamp: number };
+  readonly leaderTerm: { readonly stamp: number };
   readonly largest: Largest;
 }) => {
-  const write = hintWriter(p.store, { key: TERM, stamp: p.reign.stamp }, LARGEST);
-  const look = Effect.suspend(() => (p.acting() ? write(p.largest.told()) : Effect.void));
-  return duty('largest', Effect.sleep(EVERY_MS).pipe(Effect.zipRight(look), Effect.forever));
+  const write = hintWriter(p.store, { key: TERM, stamp: p.leaderTerm.stamp }, LARGEST);
+  const look = Effect.suspend(() => (p.mayAct() ? write(p.largest.told()) : Effect.void));
+  return supervise('largest', Effect.sleep(EVERY_MS).pipe(Effect.zipRight(look), Effect.forever));
 };
