--- a/packages/controller/src/scheduler/duty.ts
+++ b/packages/controller/src/scheduler/run-cycle.ts
@@ -14,24 +14,24 @@
 import { commit } from './commit.js';
 import { mostPlaces } from './draft.js';
 import { surplusOf } from './surplus.js';
-import type { CycleView, Turn } from './turn.js';
+import type { CycleState, CycleContext } from './cycle-context.js';
 import { companionsOf, holdersOf, lendingOf, nodesOf, queuedOf, weightsOf } from './views.js';
 
 /** The state of the cluster in one line, however many machines there are. */
-export const summary = (t: Turn, view: CycleView): Record<string, string | number> => {
+export const summary = (t: CycleContext, view: CycleState): Record<string, string | number> => {
   const rows = new Map<string, { up: number; coming: number; empty: number }>();
-  for (const m of t.book.machines.values()) {
+  for (const m of t.registry.machines.values()) {
     const kind = `${m.type}${m.spot ? '-spot' : ''}`;
     let r = rows.get(kind);
     if (!r) rows.set(kind, (r = { up: 0, coming: 0, empty: 0 }));
     if (!m.reported) r.coming++;
     else {
       r.up++;
-      if (!t.cache.byMachine.has(m.id)) r.empty++;
+      if (!t.jobState.byMachine.has(m.id)) r.empty++;
     }
   }
   const classes = new Map<string, { on: number; waiting: number; jobs: number }>();
-  for (const job of t.cache.jobs.values()) {
+  for (const job of t.jobState.jobs.values()) {
     let c = classes.get(job.spec.jobClass);
     if (!c) classes.set(job.spec.jobClass, (c = { on: 0, waiting: 0, jobs: 0 }));
     const waiting = job.withdrawn ? 0 : job.spec.tasks - job.done.size - job.placed.size;
@@ -42,20 +42,24 @@
   return {
     machines: [...rows].map(([k, r]) => `${k}:${r.up}+${r.coming}/${r.empty}`).join(','),
     tasks: [...classes].map(([k, c]) => `${k}:${c.on}+${c.waiting}/${c.jobs}`).join(','),
-    stopping: t.book.stopping.size,
+    stopping: t.registry.stopping.size,
     turnMs: Math.round(view.cost / 1000),
   };
 };
 
-const stop = (t: Turn, { job, task }: Stop, at: Micros): void => {
+const stop = (t: CycleContext, { job, task }: Stop, at: Micros): void => {
   const { checkpoint, save } = job.spec;
-  t.book.stop(job, task, checkpoint > 0 ? plus(save, seconds(2)) : (0 as Micros), at);
+  t.registry.stop(job, task, checkpoint > 0 ? plus(save, seconds(2)) : (0 as Micros), at);
 };
 
 /** Those whose room is being left for them, then lenders that are owed some. */
-const claimsOf = (t: Turn, view: CycleView, queued: readonly QueuedJob[]): ReadonlyMap<string, number> => {
+const claimsOf = (
+  t: CycleContext,
+  view: CycleState,
+  queued: readonly QueuedJob[],
+): ReadonlyMap<string, number> => {
   const claims = view.result?.claims ?? new Map<string, number>();
-  const loans = loansOf(t.cache.jobs.values());
+  const loans = loansOf(t.jobState.jobs.values());
   if (loans.length === 0) return claims;
   const waiting = queued.filter((q) => !q.cautious).map((q) => ({ job: q.job, tasks: q.tasks.length }));
   const out = new Map(claims);
@@ -64,7 +68,7 @@
 };
 
 /** For the accounts: who waits after this turn, and what they have of what they are entitled to. */
-const noteShares = (t: Turn, input: CycleInput, result: CycleResult, at: Micros): void => {
+const noteShares = (t: CycleContext, input: CycleInput, result: CycleResult, at: Micros): void => {
   const all: Room = [0, 0, 0];
   for (const n of input.nodes) add(all, n.total);
   const lately = t.ledger.share.lately(all, at);
@@ -74,35 +78,43 @@
 };
 
 /** Exception (docs/accounts.md): off, and the weights as they are, unless a file under `deploy/` turns it on. */
-const leant = (t: Turn, weights: ReadonlyMap<string, number>): ReadonlyMap<string, number> =>
+const leant = (t: CycleContext, weights: ReadonlyMap<string, number>): ReadonlyMap<string, number> =>
   t.ledger.balance?.lean(
     weights,
     t.settings.teams.map((x) => x.name),
   ) ?? weights;
 
 /** One turn: the cycle on what is left once the ends seen so far are recorded, and one record for both. */
-export const turn = (t: Turn, view: CycleView) =>
+export const runCycle = (t: CycleContext, view: CycleState) =>
   Effect.gen(function* () {
     const at = t.clock();
-    for (const machine of t.book.lapse(at, t.acknowledged()))
-      yield* info('lease lapsed', { term: t.reign.term, machine });
-    for (const job of t.book.suspects(at)) yield* info('job looks broken', { term: t.reign.term, job });
-    for (const { machine, faulty } of t.book.judge(at))
-      yield* info(faulty ? 'machine blamed' : 'blame taken back', { term: t.reign.term, machine });
-    for (const job of t.book.abandon(at))
-      yield* info('tasks of before a loss stopped', { term: t.reign.term, job });
-    t.book.dirty = false;
-    t.book.recalls(at);
-    for (const job of t.book.complete((t.dayTime() - (at - t.reign.began)) as Micros)) {
+    for (const machine of t.registry.lapse(at, t.acknowledged()))
+      yield* info('lease lapsed', { term: t.leaderTerm.number, machine });
+    for (const job of t.registry.suspects(at))
+      yield* info('job looks broken', { term: t.leaderTerm.number, job });
+    for (const { machine, faulty } of t.registry.judge(at))
+      yield* info(faulty ? 'machine blamed' : 'blame taken back', { term: t.leaderTerm.number, machine });
+    for (const job of t.registry.abandon(at))
+      yield* info('tasks of before a loss stopped', { term: t.leaderTerm.number, job });
+    t.registry.dirty = false;
+    t.registry.recalls(at);
+    for (const job of t.registry.complete((t.dayTime() - (at - t.leaderTerm.began)) as Micros)) {
       const { id, tasks, imageGb, submitted } = job.spec;
       const afterS = Math.round((t.dayTime() - submitted) / 1e6);
-      yield* info('service complete', { term: t.reign.term, job: id, replicas: tasks, afterS, imageGb });
+      yield* info('service complete', {
+        term: t.leaderTerm.number,
+        job: id,
+        replicas: tasks,
+        afterS,
+        imageGb,
+      });
     }
-    for (const job of t.book.halfTold(at)) yield* info('gang half told to stop', { term: t.reign.term, job });
-    for (const job of t.cache.jobs.values()) {
-      if (job.placed.size > 0 && (job.withdrawn || t.book.isBroken(job))) t.book.clearAway(job);
+    for (const job of t.registry.halfTold(at))
+      yield* info('gang half told to stop', { term: t.leaderTerm.number, job });
+    for (const job of t.jobState.jobs.values()) {
+      if (job.placed.size > 0 && (job.withdrawn || t.registry.isBroken(job))) t.registry.clearAway(job);
     }
-    if (!t.cache.calm && !t.book.allLapsed(at)) {
+    if (!t.jobState.calm && !t.registry.allLapsed(at)) {
       // After a loss somebody may be running what nobody here knows of: until all have shown themselves or their
       // leases have lapsed, only what ends and what is found running is recorded.
       yield* commit(t, []);
@@ -124,8 +136,8 @@
       queued,
       companions: view.companions,
       surplus: view.surplus,
-      avoid: (job) => t.book.avoid(job),
-      attempts: Math.max(t.cache.floor, t.cache.attempts),
+      avoid: (job) => t.registry.avoid(job),
+      attempts: Math.max(t.jobState.floor, t.jobState.attempts),
       mostPlaces: mostPlaces(t.settings.state),
       lending: lendingOf(t, at, queued),
     };
@@ -135,7 +147,7 @@
     view.cost = t.clock() - began;
     for (const s of result.stops) if (s.taker === undefined) stop(t, s, at);
     if (result.stops.length > 0)
-      yield* info('stops for others', { term: t.reign.term, tasks: result.stops.length });
+      yield* info('stops for others', { term: t.leaderTerm.number, tasks: result.stops.length });
     const { lent, behind } = yield* commit(t, result.starts, result.stops);
     view.behind = behind;
     // Whoever reads the store knows of these loans before anybody is told to stop.
@@ -143,7 +155,7 @@
     for (const { taker, lend } of loansMade(lent))
       for (const { lender, gpus, tasks } of lend)
         yield* info('loan made', {
-          term: t.reign.term,
+          term: t.leaderTerm.number,
           taker: taker.spec.id,
           lender,
           gpus: gpus / 1000,
--- a/packages/controller/src/scheduler/settle.ts
+++ b/packages/controller/src/scheduler/settle.ts
@@ -3,7 +3,7 @@
 import { TERM } from '../jobs/keys.js';
 import { Priority } from '../state-store/budget.js';
 import type { Condition, Outcome, Write } from '../state-store/client.js';
-import type { Turn } from './turn.js';
+import type { CycleContext } from './cycle-context.js';
 
 /** An outcome; `revision` null: applied, but at which revision is not known. */
 export type Settled =
@@ -14,7 +14,7 @@
  * in between would leave a record that may be applied and that nobody here counts with.
  */
 export const settle = (
-  t: Turn,
+  t: CycleContext,
   when: readonly Condition[],
   then: readonly Write[],
   probe: string,
@@ -23,8 +23,8 @@
   Effect.gen(function* () {
     let unsure = false;
     for (;;) {
-      if (!t.reigning()) return null;
-      if (!t.acting()) {
+      if (!t.isCurrentTerm()) return null;
+      if (!t.mayAct()) {
         yield* Effect.sleep(100);
         continue;
       }
@@ -34,7 +34,7 @@
         if (!r.right.ok && unsure && r.right.failed.includes(probe) && !r.right.failed.includes(TERM)) {
           return { ok: true, revision: null } as const;
         }
-        if (r.right.ok) t.feed.committed(r.right.revision);
+        if (r.right.ok) t.watcher.committed(r.right.revision);
         return r.right;
       }
       if (r.left._tag === 'NoAnswer') unsure = true;
--- a/packages/controller/src/scheduler/upkeep.ts
+++ b/packages/controller/src/scheduler/upkeep.ts
@@ -9,7 +9,7 @@
 import { Priority } from '../state-store/budget.js';
 import type { Condition, Write } from '../state-store/client.js';
 import { settle } from './settle.js';
-import type { Turn } from './turn.js';
+import type { CycleContext } from './cycle-context.js';
 
 /**
  * Records to keep before their jobs are folded. Most jobs are over before their first record is the oldest
@@ -20,13 +20,13 @@
 const UPKEEP_OPS = 8;
 
 /** Moves jobs that are over to their final keys. Whoever writes a job's key first, withdrawal or this, wins. */
-const finish = (t: Turn) =>
+const finish = (t: CycleContext) =>
   Effect.gen(function* () {
     const over: Job[] = [];
-    for (const job of t.cache.jobs.values()) {
-      if (finalState(job) !== null && !t.book.ends.has(job.spec.id)) over.push(job);
+    for (const job of t.jobState.jobs.values()) {
+      if (finalState(job) !== null && !t.registry.ends.has(job.spec.id)) over.push(job);
       // Two changes each, and a third where a pack lists it.
-      const each = t.cache.packOf.size > 0 ? 3 : 2;
+      const each = t.jobState.packOf.size > 0 ? 3 : 2;
       // A tied job's occurrence has a count, which changes too.
       const tied = over.reduce((n, j) => n + (j.spec.tie === null ? 0 : 1), 0);
       if ((over.length + 1) * each + tied > Math.min(t.settings.state.txnOps, each === 3 ? 12 : UPKEEP_OPS))
@@ -34,47 +34,47 @@
     }
     if (over.length === 0) return false;
     const finals = over.map((job) => ({ job, id: job.spec.id, stamp: job.stamp, final: finalState(job)! }));
-    const when: Condition[] = [{ key: TERM, stamp: t.reign.stamp }];
+    const when: Condition[] = [{ key: TERM, stamp: t.leaderTerm.stamp }];
     const then: Write[] = [];
     for (const f of finals) {
       when.push({ key: activeKey(f.id), stamp: f.stamp });
       then.push({ delete: activeKey(f.id) }, { set: finalKey(f.id), value: encodeFinal(f.final) });
     }
-    const packs = t.cache.unpacking(finals.map((f) => f.id));
-    const counts = tallying(t.cache, finals);
+    const packs = t.jobState.unpacking(finals.map((f) => f.id));
+    const counts = tallying(t.jobState, finals);
     when.push(...packs.when, ...counts.when);
     then.push(...packs.then, ...counts.then);
     const first = finals[0]!;
-    const probe = first.stamp > 0 ? activeKey(first.id) : (t.cache.packOf.get(first.id) ?? '');
+    const probe = first.stamp > 0 ? activeKey(first.id) : (t.jobState.packOf.get(first.id) ?? '');
     const outcome = yield* settle(t, when, then, probe, Priority.Upkeep);
     if (outcome === null) return true;
     // Applied or not, the watch's view decides what became of each job.
-    yield* Effect.ignore(t.feed.refresh);
+    yield* Effect.ignore(t.watcher.refresh);
     if (outcome.ok)
       for (const f of finals) {
         yield* info('job over', { job: f.id, status: f.final.status });
         for (const [lender, l] of f.job.loans) {
           const ended = { taker: f.id, lender, gpus: l.gpus / 1000, reason: 'taker over' };
-          yield* info('loan ended', { term: t.reign.term, ...ended });
+          yield* info('loan ended', { term: t.leaderTerm.number, ...ended });
         }
       }
     return true;
   });
 
 /** Shortens the tail: writes the jobs of the oldest records into their own keys, then deletes the records. */
-const fold = (t: Turn) =>
+const fold = (t: CycleContext) =>
   Effect.gen(function* () {
-    if (t.cache.tail.size <= (t.settings.state.tail ?? TAIL)) return;
-    const upTo = t.cache.lastSeq;
+    if (t.jobState.tail.size <= (t.settings.state.tail ?? TAIL)) return;
+    const upTo = t.jobState.lastSeq;
     const ops = t.settings.state.txnOps;
-    const { checkpoint, accounts } = t.cache;
+    const { checkpoint, accounts } = t.jobState;
     // No record goes whose rows the checkpoint lacks. It is written once in so many records: the next ones can go by it.
     const checked: Condition = { key: ACCOUNTS, stamp: checkpoint.stamp };
-    const when: Condition[] = [{ key: TERM, stamp: t.reign.stamp }, checked];
+    const when: Condition[] = [{ key: TERM, stamp: t.leaderTerm.stamp }, checked];
     const then: Write[] = [];
     const jobs = new Set<Job>();
     let bytes = 0;
-    const seqs = [...t.cache.tail.keys()].sort((a, b) => a - b).slice(0, -1);
+    const seqs = [...t.jobState.tail.keys()].sort((a, b) => a - b).slice(0, -1);
     if (seqs[0]! > checkpoint.upTo) {
       then.push(...checkpointWrites(t, accounts));
       bytes = JSON.stringify(then).length;
@@ -83,8 +83,8 @@
     for (const seq of seqs) {
       if (seq > covered) break;
       const more: Job[] = [];
-      for (const id of t.cache.tail.get(seq)!.jobs.keys()) {
-        const job = t.cache.jobs.get(id);
+      for (const id of t.jobState.tail.get(seq)!.jobs.keys()) {
+        const job = t.jobState.jobs.get(id);
         if (job && job.folded < seq && !jobs.has(job)) more.push(job);
       }
       if (then.length + more.length + 1 > Math.min(ops, UPKEEP_OPS) && then.length > 0) break;
@@ -113,22 +113,22 @@
     if (then.length === 0) return;
     const outcome = yield* settle(t, when, then, '', Priority.Upkeep);
     if (outcome === null) return;
-    const read = yield* Effect.isSuccess(t.feed.refresh);
+    const read = yield* Effect.isSuccess(t.watcher.refresh);
     if (
       read &&
       !outcome.ok &&
       outcome.failed.includes(ACCOUNTS) &&
-      t.cache.checkpoint.stamp === checked.stamp
+      t.jobState.checkpoint.stamp === checked.stamp
     )
-      t.doubt.raise('key lost', `${ACCOUNTS} is not as it was`);
+      t.lossDetector.suspect('key lost', `${ACCOUNTS} is not as it was`);
   });
 
 /** Closes jobs that are over and shortens the tail, beside the turns: these must not wait for its writes. */
-export const upkeep = (t: Turn): Effect.Effect<void> =>
+export const upkeep = (t: CycleContext): Effect.Effect<void> =>
   Effect.gen(function* () {
-    if (!t.acting()) return;
+    if (!t.mayAct()) return;
     yield* tendCalendar(t);
     if (yield* finish(t)) return;
-    if (t.acting()) yield* fold(t);
-    if (t.acting() && !(yield* writePage(t))) yield* joinOld(t);
+    if (t.mayAct()) yield* fold(t);
+    if (t.mayAct() && !(yield* writePage(t))) yield* joinOld(t);
   }).pipe(Effect.ignore);
--- a/packages/controller/src/scheduler/views.ts
+++ b/packages/controller/src/scheduler/views.ts
@@ -4,7 +4,7 @@
 import { cutoffRank } from '../calendar/slack.js';
 import { isComplete, type Job, taskKey } from '../jobs/model.js';
 import { mayBorrow } from '../lending/loans.js';
-import { type Book, type Ends, endsOf } from '../workers/book.js';
+import { type WorkerRegistry, type Ends, endsOf } from '../workers/worker-registry.js';
 import {
   type Companion,
   fits,
@@ -15,7 +15,7 @@
   room,
 } from './model.js';
 import { GATHERS_AFTER, IN_TIME_RANK, passedOverFrom, type Promised, rankOf } from './rank.js';
-import type { Turn } from './turn.js';
+import type { CycleContext } from './cycle-context.js';
 
 /** A task on a machine. What stopping it would cost is asked of few, so it is looked up when asked. */
 class HeldTask implements Holder {
@@ -27,25 +27,25 @@
     readonly leaving: boolean,
     private readonly key: string,
     private readonly at: Micros,
-    private readonly book: Book,
+    private readonly registry: WorkerRegistry,
   ) {}
 
   get loss(): Micros {
-    const run = this.book.running.get(this.key);
+    const run = this.registry.running.get(this.key);
     const since = run ? this.at - run.since : 0;
     const { checkpoint, save } = this.job.spec;
     return (checkpoint > 0 ? Math.min(since, save) : since) as Micros;
   }
 
   get left(): Micros {
-    const run = this.book.running.get(this.key);
+    const run = this.registry.running.get(this.key);
     return Math.max(0, this.job.spec.estimate - (run ? this.at - run.since : 0)) as Micros;
   }
 }
 
-export const holdersOf = (t: Turn, at: Micros): Holder[] => {
+export const holdersOf = (t: CycleContext, at: Micros): Holder[] => {
   const out: Holder[] = [];
-  const { book } = t;
+  const { registry } = t;
   // Thousands of tasks at each turn: what is the same for all of a machine or a job is asked once.
   interface OfJob {
     readonly leaves: boolean;
@@ -54,9 +54,9 @@
   const jobs = new Map<Job, OfJob>();
   let last: Job | null = null;
   let known: OfJob = { leaves: false, ends: undefined };
-  const stops = book.stopping.size > 0;
-  for (const [machine, on] of t.cache.byMachine) {
-    const m = book.machines.get(machine);
+  const stops = registry.stopping.size > 0;
+  for (const [machine, on] of t.jobState.byMachine) {
+    const m = registry.machines.get(machine);
     const zone = m?.zone ?? null;
     const away = m === undefined || !m.confirmed;
     on.forEach((p, key) => {
@@ -64,7 +64,7 @@
       if (job !== last) {
         let of = jobs.get(job);
         if (of === undefined) {
-          of = { leaves: job.withdrawn || book.isBroken(job), ends: book.ends.get(job.spec.id) };
+          of = { leaves: job.withdrawn || registry.isBroken(job), ends: registry.ends.get(job.spec.id) };
           jobs.set(job, of);
         }
         last = job;
@@ -72,29 +72,29 @@
       }
       // Seen to be over: the record that says so is the one that fills its room again.
       if (known.ends !== undefined && endsOf(known.ends, task)) return;
-      const leaving = away || known.leaves || (stops && book.stopping.has(key));
-      out.push(new HeldTask(job, task, machine, zone, leaving, key, at, book));
+      const leaving = away || known.leaves || (stops && registry.stopping.has(key));
+      out.push(new HeldTask(job, task, machine, zone, leaving, key, at, registry));
     });
   }
   return out;
 };
 
 /** Machines on their way to serve. */
-const fetchingWeights = (t: Turn): Set<string> => {
+const fetchingWeights = (t: CycleContext): Set<string> => {
   const out = new Set<string>();
-  for (const job of t.cache.jobs.values()) {
+  for (const job of t.jobState.jobs.values()) {
     if (!mayBorrow(job.spec) || job.withdrawn) continue;
     for (const p of job.placed.values())
-      if (t.book.machines.get(p.machine)?.images.has(job.spec.image) === false) out.add(p.machine);
+      if (t.registry.machines.get(p.machine)?.images.has(job.spec.image) === false) out.add(p.machine);
   }
   return out;
 };
 
-export const nodesOf = (t: Turn, at: Micros): NodeView[] => {
+export const nodesOf = (t: CycleContext, at: Micros): NodeView[] => {
   const types = new Map(t.types().map((k) => [k.name, k]));
   const out: NodeView[] = [];
   const fetches = fetchingWeights(t);
-  for (const m of t.book.machines.values()) {
+  for (const m of t.registry.machines.values()) {
     const k = types.get(m.type);
     if (!k || !m.reported) continue;
     out.push({
@@ -105,7 +105,7 @@
       total: [k.cpus, k.gpus, k.memGb],
       images: m.images,
       ...(fetches.has(m.id) ? { fetches: true } : {}),
-      open: t.book.open(m, at),
+      open: t.registry.open(m, at),
     });
   }
   return out;
@@ -115,7 +115,7 @@
  * What is promised to a class's jobs. An aim on their end orders those that have none on their start: thousands of
  * tiny jobs need not wait behind one huge array of the same team. Where a start is promised, first come goes first.
  */
-const promiseOf = (t: Turn, jobClass: string): Promised => {
+const promiseOf = (t: CycleContext, jobClass: string): Promised => {
   const aims = t.settings.objectives.filter((o) => o.jobClass === jobClass);
   const multiples = aims.filter((o) => o.kind === 'deadline').map((o) => o.times);
   const ends = aims.some((o) => o.kind === 'wait') ? [] : aims.filter((o) => o.kind === 'finished');
@@ -132,26 +132,26 @@
 const TRIED_BY_NOW = seconds(45);
 
 /** Jobs with tasks to start, once what the book has seen to end is recorded. */
-export const queuedOf = (t: Turn, at: Micros): QueuedJob[] => {
+export const queuedOf = (t: CycleContext, at: Micros): QueuedJob[] => {
   const out: QueuedJob[] = [];
   const day = t.dayTime();
   const promises = new Map<string, Promised>();
-  for (const { spec } of t.cache.jobs.values()) t.largest.see(spec);
+  for (const { spec } of t.jobState.jobs.values()) t.largest.see(spec);
   const limits = new Map(t.settings.teams.map((s) => [s.name, s.limit]));
-  const calendar = t.cache.calendars.current;
+  const calendar = t.jobState.calendars.current;
   const cutoffDay = dayOf(t);
   const pace = paceOf(t);
   // What one job's key must be able to hold.
   const most = Math.max(50, Math.floor((t.settings.state.valueBytes * 0.5) / 12));
-  for (const job of t.cache.jobs.values()) {
-    if (job.withdrawn || isComplete(job) || at < t.book.heldUntil(job, at)) continue;
-    const ends = t.book.ends.get(job.spec.id);
+  for (const job of t.jobState.jobs.values()) {
+    if (job.withdrawn || isComplete(job) || at < t.registry.heldUntil(job, at)) continue;
+    const ends = t.registry.ends.get(job.spec.id);
     const on = job.placed.size - (ends ? [...job.placed.keys()].filter((i) => endsOf(ends, i)).length : 0);
     const tasks: number[] = [];
-    const broken = t.book.looksBroken(job, at);
+    const broken = t.registry.looksBroken(job, at);
     const gang = job.spec.shape === 'gang';
     // Something of it runs that no record knows of: it is taken up or seen to end before more of it is started.
-    if (t.book.strays.has(job.spec.id)) continue;
+    if (t.registry.orphanedTasks.has(job.spec.id)) continue;
     if (gang || broken ? on > 0 : on + job.done.size >= job.spec.tasks) continue;
     // Of what looks broken one task shows as much as all.
     const room = gang ? job.spec.tasks : broken ? 1 : most - job.placed.size;
@@ -169,12 +169,12 @@
     const passedOver = from !== null && day >= from;
     const rank =
       tied === null ? rankOf(job, day, promise, broken, from) : passedOver ? from : IN_TIME_RANK + tied;
-    const rents = !broken || at - t.book.heldUntil(job, at) > TRIED_BY_NOW;
+    const rents = !broken || at - t.registry.heldUntil(job, at) > TRIED_BY_NOW;
     const gathers = gang && !broken && from !== null && day >= from + GATHERS_AFTER;
     const overdue = t.waits.overdue(job, at) && !broken;
     out.push({ job, tasks, rank, gathers, cautious: broken, rents, ...(overdue ? { overdue } : {}) });
   }
-  t.waits.keep(t.cache.jobs);
+  t.waits.keep(t.jobState.jobs);
   return out;
 };
 
@@ -183,9 +183,13 @@
 const RENTED_FIRST = seconds(10);
 
 /** What placing a replica asks of the world; undefined while none of a GPU service is missing. */
-export const lendingOf = (t: Turn, at: Micros, queued: readonly QueuedJob[]): LendingView | undefined => {
+export const lendingOf = (
+  t: CycleContext,
+  at: Micros,
+  queued: readonly QueuedJob[],
+): LendingView | undefined => {
   if (!queued.some((q) => mayBorrow(q.job.spec))) return undefined;
-  const { book, cache } = t;
+  const { registry, jobState } = t;
   const day = t.dayTime();
   const types = new Map(t.types().map((k) => [k.name, k]));
   const aims = new Map<string, number>();
@@ -197,8 +201,8 @@
     let on = fetching.get(id);
     if (on) return on;
     fetching.set(id, (on = new Map()));
-    const m = book.machines.get(id);
-    for (const [key, p] of cache.byMachine.get(id) ?? []) {
+    const m = registry.machines.get(id);
+    for (const [key, p] of jobState.byMachine.get(id) ?? []) {
       const status = m?.tasks.get(key)?.status;
       const { image } = p.job.spec;
       if ((status !== undefined && status !== 'fetching') || m?.images.has(image)) continue;
@@ -207,7 +211,7 @@
     return on;
   };
   const pull = (machine: string): number =>
-    types.get(book.machines.get(machine)?.type ?? '')?.fetchGbPerS ?? 0;
+    types.get(registry.machines.get(machine)?.type ?? '')?.fetchGbPerS ?? 0;
   const fetch = (imageGb: number, gbPerS: number): Micros =>
     (gbPerS > 0 ? Math.round((imageGb / gbPerS) * 1e6) : 0) as Micros;
   return {
@@ -224,7 +228,7 @@
       };
     },
     victim: ({ job: { spec, placed }, task, machine }) => {
-      const run = book.running.get(taskKey(spec.id, task));
+      const run = registry.running.get(taskKey(spec.id, task));
       // A new leader has seen it run for a moment only; the record of its start is older.
       const since = placed.get(task)?.since ?? 0;
       const byRecord = since === 0 ? 0 : day - since - fetch(spec.imageGb, pull(machine));
@@ -236,7 +240,7 @@
       };
     },
     reachable: (id) => {
-      const m = book.machines.get(id);
+      const m = registry.machines.get(id);
       const late = t.settings.workers.report * 1.5 + 1e6;
       return m !== undefined && m.confirmed && m.recallAt === null && at - m.lastAnswered < late;
     },
@@ -266,7 +270,7 @@
 const PROMISED_END = 4;
 const PROMISED_NOTHING = 20;
 
-export const weightsOf = (t: Turn): Map<string, number> => {
+export const weightsOf = (t: CycleContext): Map<string, number> => {
   const weights = new Map<string, number>();
   const named = new Map<string, number>();
   for (const o of t.settings.objectives) {
@@ -276,7 +280,7 @@
   if (named.size === 0) return weights;
   for (const { guarantee, name } of t.settings.teams)
     weights.set(name, guarantee.cpus > 0 || guarantee.gpus > 0 ? 1 : 1 / PROMISED_NOTHING);
-  for (const { spec } of t.cache.jobs.values())
+  for (const { spec } of t.jobState.jobs.values())
     weights.set(spec.team, Math.max(weights.get(spec.team) ?? 0, named.get(spec.jobClass) ?? 0));
   return weights;
 };
@@ -284,9 +288,9 @@
 /** A class of GPU jobs counts for this long after its last job was there: the next one is likely to come. */
 const REMEMBERED = 300e6;
 
-export const companionsOf = (t: Turn, at: Micros): Companion[] => {
+export const companionsOf = (t: CycleContext, at: Micros): Companion[] => {
   const waiting = new Set<string>();
-  for (const job of t.cache.jobs.values()) {
+  for (const job of t.jobState.jobs.values()) {
     const { spec } = job;
     if (spec.gpus === 0) continue;
     if (!job.withdrawn && job.done.size + job.placed.size < spec.tasks) waiting.add(spec.jobClass);
--- a/packages/controller/src/snapshots/duty.ts
+++ b/packages/controller/src/snapshots/duty.ts
@@ -2,17 +2,17 @@
  * Keeps a snapshot of the store on this node's disk, where operators have turned that on, and remembers what one from
  * before says when the node starts: a store that has lost what the snapshot holds is rebuilt from it, too.
  */
-import { duty } from '@lilacvalve/runtime/duty';
+import { supervise } from '@lilacvalve/runtime/supervise';
 import { error, info } from '@lilacvalve/runtime/log';
 import type { Files } from '@lilacvalve/snapshot/files';
 import { type Content, load } from '@lilacvalve/snapshot/read';
 import { SnapshotWriter, type SourcePage, type WriterOptions } from '@lilacvalve/snapshot/writer';
 import { Effect, Runtime } from 'effect';
-import type { Doubt } from '../doubt/doubt.js';
-import { JobCache } from '../jobs/cache.js';
-import type { Feed } from '../jobs/feed.js';
+import type { DataLossDetector } from '../recovery/data-loss-detector.js';
+import { JobState } from '../jobs/job-state.js';
+import type { StoreWatcher } from '../jobs/store-watcher.js';
 import { ROOT } from '../jobs/keys.js';
-import type { Relics } from '../rebuild/relics.js';
+import type { PreLossViews } from '../recovery/pre-loss-views.js';
 import { Priority } from '../state-store/budget.js';
 import type { Page } from '../state-store/client.js';
 import type { StatePort } from '../state-store/port.js';
@@ -32,22 +32,22 @@
 };
 
 /** A snapshot's content as a view of jobs. */
-export const viewOf = (c: Content): JobCache => {
-  const cache = new JobCache();
-  cache.load(
+export const viewOf = (c: Content): JobState => {
+  const jobState = new JobState();
+  jobState.load(
     [...c.entries.values()].map((e) => ({ key: e.key, value: e.value, stamp: e.stamp })),
     c.revision,
   );
-  return cache;
+  return jobState;
 };
 
 export interface SnapshotParts {
   readonly files: Files;
   readonly store: StatePort;
-  readonly feed: Feed;
-  readonly cache: JobCache;
-  readonly doubt: Doubt;
-  readonly relics: Relics;
+  readonly watcher: StoreWatcher;
+  readonly jobState: JobState;
+  readonly lossDetector: DataLossDetector;
+  readonly relics: PreLossViews;
 }
 
 /** Before anything of the store is believed: what the disk says is known, and kept until it is durable. */
@@ -56,15 +56,15 @@
     Effect.flatMap((c) => {
       if (c === null) return info('no snapshot');
       const view = viewOf(c);
-      for (const [id, f] of view.finals.entries()) p.cache.finals.remember(id, f);
-      const relic = p.relics.relicOf(view, c.generation, null);
+      for (const [id, f] of view.finals.entries()) p.jobState.finals.remember(id, f);
+      const relic = p.relics.viewOf(view, c.generation, null);
       p.relics.keep(relic);
       // A store of that incarnation that is at least as new has lost nothing of it.
-      p.doubt.onSound = (id) => {
+      p.lossDetector.onSound = (id) => {
         if (id === c.incarnation) p.relics.drop([relic.id]);
-        p.doubt.onSound = () => undefined;
+        p.lossDetector.onSound = () => undefined;
       };
-      p.doubt.remember(c.incarnation, c.generation, c.revision, view.term);
+      p.lossDetector.remember(c.incarnation, c.generation, c.revision, view.term);
       const flaws = c.files.flatMap((f) => (f.flaw ? [`${f.name} ${f.flaw.kind} at ${f.flaw.offset}`] : []));
       return info('snapshot read', {
         revision: c.revision,
@@ -80,7 +80,7 @@
   p: SnapshotParts,
 ): { readonly first: Effect.Effect<void>; readonly run: Effect.Effect<never> } => ({
   first: remember(p),
-  run: duty(
+  run: supervise(
     'snapshots',
     Effect.gen(function* () {
       const runtime = yield* Effect.runtime<never>();
@@ -89,14 +89,14 @@
       const sleep = (ms: number): Promise<void> => runPromise(Effect.sleep(ms));
       const writer = new SnapshotWriter(p.files, {
         ...SETTINGS,
-        revision: () => p.cache.revision,
+        revision: () => p.jobState.revision,
         now: () => Date.now(),
         sleep,
         say: (event, what) => void fork(info(`snapshot ${event}`, { what })),
       });
       let life: string | null = null;
-      p.feed.onChanges = (changes) => {
-        const i = p.doubt.incarnation;
+      p.watcher.onChanges = (changes) => {
+        const i = p.lossDetector.incarnation;
         if (i === null) return;
         if (i.id !== life) {
           life = i.id;
@@ -116,7 +116,7 @@
       yield* Effect.promise(() => writer.run(source)).pipe(
         Effect.ensuring(
           Effect.sync(() => {
-            p.feed.onChanges = null;
+            p.watcher.onChanges = null;
             writer.close();
           }),
         ),
--- a/packages/controller/src/snapshots/restore.ts
+++ b/packages/controller/src/snapshots/restore.ts
@@ -5,7 +5,7 @@
  */
 import { Effect, Random } from 'effect';
 import type { Content } from '@lilacvalve/snapshot/read';
-import { floorOf } from '../doubt/model.js';
+import { floorOf } from '../recovery/model.js';
 import { CALM, INCARNATION, LEADER, REBUILD, ROOT, SETTLED, TERM } from '../jobs/keys.js';
 import { Priority } from '../state-store/budget.js';
 import type { StateFailure, Write } from '../state-store/client.js';
--- a/packages/controller/src/state-store/client.ts
+++ b/packages/controller/src/state-store/client.ts
@@ -5,7 +5,7 @@
 import { Data, Effect } from 'effect';
 import { HttpClient, keptOpen, type NoAnswer, type Reply } from '@lilacvalve/runtime/http-client';
 import { type Micros, now, toMillis } from '@lilacvalve/runtime/micros';
-import { tally } from '../tally.js';
+import { countMetric } from '../metrics.js';
 import type { Settings } from '../settings/settings.js';
 import { Parts, Priority } from './budget.js';
 
@@ -202,7 +202,7 @@
     priority: Priority,
     timeoutMs: number,
   ): Effect.Effect<Reply, NoAnswer> {
-    tally('store');
+    countMetric('store');
     return this.parts.requests.take(priority, 1).pipe(
       Effect.zipRight(this.client.request(method, path, body, timeoutMs)),
       Effect.tap((reply) =>
--- a/packages/controller/src/workers/codec.ts
+++ b/packages/controller/src/workers/codec.ts
@@ -12,16 +12,16 @@
   readonly cause: ExitCause | null;
   readonly saved: boolean;
 }
-export interface Report {
+export interface Heartbeat {
   readonly machine: string;
   readonly addr: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  readonly tenure: number;
-  readonly tick: number;
+  readonly incarnation: number;
+  readonly sequence: number;
   /** Highest token the worker has seen. */
-  readonly token: number;
+  readonly fencingToken: number;
   /** Time until the cloud takes the machine. */
   readonly recall: Micros | null;
   readonly tasks: readonly ReportedTask[];
@@ -89,7 +89,7 @@
   return tasks;
 };
 
-const reportOf = (v: WireReport, tasks: readonly ReportedTask[] | null): Report | null => {
+const reportOf = (v: WireReport, tasks: readonly ReportedTask[] | null): Heartbeat | null => {
   if (typeof v !== 'object' || v === null || tasks === null) return null;
   const { host, addr, hostKind, room, tenure, tick, warrant } = v;
   const recall = v.recallS ?? null;
@@ -103,9 +103,9 @@
     type: hostKind,
     zone: room,
     spot,
-    tenure,
-    tick,
-    token: warrant,
+    incarnation: tenure,
+    sequence: tick,
+    fencingToken: warrant,
     recall: recall === null ? null : seconds(recall as number),
     tasks,
   };
@@ -123,7 +123,7 @@
  * A report's body; null: it is malformed. Checked by hand: hundreds come in a second, and a schema's decoder takes
  * several times as long as reading the JSON does.
  */
-export const readReport = (body: Buffer): Report | null => {
+export const readReport = (body: Buffer): Heartbeat | null => {
   const v = parsed<WireReport>(body.toString('utf8'));
   return v === null ? null : reportOf(v, readTasks(v.pieces ?? []));
 };
@@ -136,14 +136,14 @@
  * Reads reports as `readReport` does, the tasks of one that says the same of them as the machine's last one only once.
  * Workers put their tasks last; where they don't, the whole is read.
  */
-export class ReportReader {
+export class HeartbeatReader {
   /** By machine: the text from its tasks on, and what that means. */
   private readonly known = new Map<
     string,
     { readonly rest: string; readonly tasks: readonly ReportedTask[] }
   >();
 
-  read(body: Buffer): Report | null {
+  read(body: Buffer): Heartbeat | null {
     const all = body.toString('utf8');
     const from = all.indexOf(PIECES);
     // Up to here it is an object that awaits a key, or this is no object.
@@ -177,7 +177,7 @@
 }
 /** Takes reports in, null for a malformed one; answers once, at once or after the next turn. null: it does not lead. */
 export type Receive = (
-  reports: readonly (Report | null)[],
+  reports: readonly (Heartbeat | null)[],
   answer: (answers: Answers | null) => void,
 ) => void;
 
--- a/packages/controller/src/workers/blame.ts
+++ b/packages/controller/src/workers/fault-attribution.ts
@@ -32,7 +32,7 @@
   longest: number;
 }
 
-export class Blame {
+export class FaultAttribution {
   private readonly jobs = new Map<string, Suspicion>();
   /** By machine: jobs that failed there since one last completed there, and when the first did. */
   private readonly machines = new Map<string, { readonly jobs: Map<string, Job>; readonly since: Micros }>();
--- a/packages/controller/src/workers/duty.ts
+++ b/packages/controller/src/workers/heartbeat-handler.ts
@@ -4,23 +4,23 @@
 import { type Answer, json, type Quick } from '@lilacvalve/runtime/http-server';
 import { HttpClient } from '@lilacvalve/runtime/http-client';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
-import { odd, tally } from '../tally.js';
+import { recordAnomaly, countMetric } from '../metrics.js';
 import type { Contacts } from '../leadership/contacts.js';
 import type { Leadership } from '../leadership/leadership.js';
 import type { Admission } from '../overload/admission.js';
 import type { Settings } from '../settings/settings.js';
-import type { Book } from './book.js';
+import type { WorkerRegistry } from './worker-registry.js';
 import {
   type Order,
   type Receive,
-  type Report,
-  type ReportReader,
+  type Heartbeat,
+  type HeartbeatReader,
   REPORTS,
   senderOf,
   writeOrders,
 } from './codec.js';
-import type { Doubt } from '../doubt/doubt.js';
-import { answerOf } from './relay.js';
+import type { DataLossDetector } from '../recovery/data-loss-detector.js';
+import { answerOf } from './heartbeat-relay.js';
 
 export interface WorkerPort {
   /** Sends commands to a worker's address; whatever comes of it, the next reports tell. */
@@ -44,7 +44,7 @@
   orders(addr: string, body: string): Effect.Effect<void> {
     return new HttpClient(addr, this.agent).request('POST', '/orders', body, 3000).pipe(
       Effect.map(({ status }) => {
-        if (status !== 200) odd('unheeded', 'order refused', () => ({ addr, status }));
+        if (status !== 200) recordAnomaly('unheeded', 'order refused', () => ({ addr, status }));
       }),
       Effect.ignore,
     );
@@ -53,7 +53,7 @@
 
 /** What the leader's session offers to the report handler. */
 export interface Desk {
-  readonly book: Book;
+  readonly registry: WorkerRegistry;
   /** Calls back when the next turn has run, or soon after. */
   readonly nextTurn: (then: () => void) => void;
 }
@@ -119,7 +119,7 @@
 const NEW_TERM = seconds(3);
 
 /** The answer to a report during a rebuild. */
-const renewal = (r: Report | null, d: RenewalDesk): string | null => {
+const renewal = (r: Heartbeat | null, d: RenewalDesk): string | null => {
   if (r === null) return null;
   const orders = r.tasks
     .filter((t) => t.status !== 'exited' && d.cancelled(t.key.slice(0, t.key.indexOf('/'))))
@@ -134,85 +134,85 @@
     desk: () => Desk | RenewalDesk | null,
     clock: () => Micros,
     contacts: Contacts,
-    doubt: Pick<Doubt, 'heardToken' | 'active'>,
+    lossDetector: Pick<DataLossDetector, 'heardToken' | 'suspected'>,
   ): Receive =>
   (reports, answer) => {
     const at = clock();
     for (const r of reports) {
       if (r === null) continue;
       contacts.note(r.machine, at);
-      leadership.depose(r.token);
-      doubt.heardToken(r.token, r.machine);
+      leadership.depose(r.fencingToken);
+      lossDetector.heardToken(r.fencingToken, r.machine);
     }
-    const reign = leadership.answering();
+    const leaderTerm = leadership.answeringTerm();
     const d = desk();
-    if (reign === null || d === null) return answer(null);
-    if (!('book' in d)) {
-      if (d.term !== reign.term) return answer(null);
-      return answer({ term: reign.term, bodies: reports.map((r) => renewal(r, d)) });
+    if (leaderTerm === null || d === null) return answer(null);
+    if (!('registry' in d)) {
+      if (d.term !== leaderTerm.number) return answer(null);
+      return answer({ term: leaderTerm.number, bodies: reports.map((r) => renewal(r, d)) });
     }
-    if (d.book.term !== reign.term) return answer(null);
-    const { book } = d;
+    if (d.registry.term !== leaderTerm.number) return answer(null);
+    const { registry } = d;
     // What was durable may not be any more: only the lease is renewed until that is known. What users cancelled is stopped
     // all the same: its time runs on, and whoever renews leases must not carry it past that.
-    if (doubt.active) {
-      for (const r of reports) if (r !== null) book.renewed(r, at);
-      const cancelled = (id: string): boolean => book.cancelled(id);
+    if (lossDetector.suspected) {
+      for (const r of reports) if (r !== null) registry.renewLeaseOnly(r, at);
+      const cancelled = (id: string): boolean => registry.cancelled(id);
       return answer({
-        term: reign.term,
-        bodies: reports.map((r) => renewal(r, { term: reign.term, cancelled })),
+        term: leaderTerm.number,
+        bodies: reports.map((r) => renewal(r, { term: leaderTerm.number, cancelled })),
       });
     }
     const machines = reports.map((r) => {
       if (r === null) return null;
-      const m = book.report(r, at);
+      const m = registry.applyHeartbeat(r, at);
       if (m === null)
-        odd('late', 'late report', () => ({
+        recordAnomaly('late', 'late report', () => ({
           machine: r.machine,
-          tenure: r.tenure,
-          tick: r.tick,
-          token: r.token,
+          tenure: r.incarnation,
+          tick: r.sequence,
+          token: r.fencingToken,
         }));
       return m;
     });
     const finish = (): void => {
-      const still = leadership.answering();
-      if (still === null || still.term !== reign.term) return answer(null);
+      const still = leadership.answeringTerm();
+      if (still === null || still.number !== leaderTerm.number) return answer(null);
       const starts = leadership.mayStart();
       const bodies = reports.map((r, i) => {
         const m = machines[i]!;
         if (r === null) return null;
         // Older than what is known by now: this answer must not carry what belongs to a newer report's.
-        if (m === null || m.tick !== r.tick || m.tenure !== r.tenure) return '';
-        const orders = book.orders(m, starts);
-        return orders.length === 0 ? '' : writeOrders(reign.term, orders);
+        if (m === null || m.sequence !== r.sequence || m.incarnation !== r.incarnation) return '';
+        const orders = registry.orders(m, starts);
+        return orders.length === 0 ? '' : writeOrders(leaderTerm.number, orders);
       });
-      answer({ term: reign.term, bodies });
+      answer({ term: leaderTerm.number, bodies });
     };
     // A turn that a report calls for is waited for, shortly: the freed room's new start then goes
     // out at once instead of a report later.
     // Not in a term's first seconds: all leases want renewing then, and the first turns are the longest.
-    const settled = at - reign.began > NEW_TERM;
-    if (book.dirty && settled && leadership.acting() !== null) d.nextTurn(finish);
+    const settled = at - leaderTerm.began > NEW_TERM;
+    if (registry.dirty && settled && leadership.currentTerm() !== null) d.nextTurn(finish);
     else finish();
   };
 
 /** The workers' address: the leader answers by itself, a follower passes the report on, or names a better node. */
-export const reportHandler =
+export const heartbeatHandler =
   (
     receive: Receive,
     leads: () => boolean,
     pass: (report: Buffer, reply: (a: Answer) => void) => void,
     elsewhere: (machine: string) => string | null,
     note: (machine: string) => void,
-    reader: ReportReader,
+    reader: HeartbeatReader,
   ): Quick =>
   (request, reply) => {
     if (request.method !== 'POST' || request.path !== REPORTS) return false;
-    tally('reports');
+    countMetric('reports');
     const { body } = request;
     if (body === null) {
-      odd('malformed', 'report too large', () => ({}));
+      recordAnomaly('malformed', 'report too large', () => ({}));
       reply(json(400, { error: 'body too large' }));
       return true;
     }
@@ -225,7 +225,7 @@
     if (sender !== null) note(sender);
     if (leads()) {
       const report = reader.read(body);
-      if (report === null) odd('malformed', 'malformed report', () => ({ machine: sender }));
+      if (report === null) recordAnomaly('malformed', 'malformed report', () => ({ machine: sender }));
       receive([report], (answers) => {
         if (answers === null) pass(body, reply);
         else reply(answerOf(answers, 0));
@@ -236,26 +236,26 @@
 
 /** Sends what must not wait for a report. */
 export const sendUrgent = (
-  book: Book,
+  registry: WorkerRegistry,
   port: WorkerPort,
   admission: Pick<Admission, 'enter' | 'leave'>,
 ): Effect.Effect<void> =>
   Effect.suspend(() => {
-    if (book.urgent.length === 0) return Effect.void;
+    if (registry.urgent.length === 0) return Effect.void;
     const byMachine = new Map<string, { addr: string; tenure: number; orders: Order[] }>();
-    for (const { machine, order } of book.urgent) {
+    for (const { machine, order } of registry.urgent) {
       const e = byMachine.get(machine.id);
       if (e) e.orders.push(order);
-      else byMachine.set(machine.id, { addr: machine.addr, tenure: machine.tenure, orders: [order] });
+      else byMachine.set(machine.id, { addr: machine.addr, tenure: machine.incarnation, orders: [order] });
     }
-    book.urgent = [];
+    registry.urgent = [];
     return Effect.forEach(
       byMachine.values(),
       (e) => {
         // What is shed here goes with the answer to the worker's next report all the same.
         if (admission.enter('order') !== null) return Effect.void;
-        tally('orders');
-        const sent = port.orders(e.addr, writeOrders(book.term, e.orders, e.tenure));
+        countMetric('orders');
+        const sent = port.orders(e.addr, writeOrders(registry.term, e.orders, e.tenure));
         return Effect.forkDaemon(
           Effect.ensuring(
             sent,
--- a/packages/controller/src/workers/relay.ts
+++ b/packages/controller/src/workers/heartbeat-relay.ts
@@ -10,13 +10,13 @@
  */
 import { Effect, Queue } from 'effect';
 import { pack, unpack } from 'msgpackr';
-import { duty } from '@lilacvalve/runtime/duty';
+import { supervise } from '@lilacvalve/runtime/supervise';
 import { type Answer, json, type Quick, retryLater } from '@lilacvalve/runtime/http-server';
 import type { NoAnswer } from '@lilacvalve/runtime/http-client';
 import { type Micros, millis } from '@lilacvalve/runtime/micros';
-import { odd, tally } from '../tally.js';
+import { recordAnomaly, countMetric } from '../metrics.js';
 import type { Peer } from '../settings/settings.js';
-import { type Answers, plainBody, type Receive, type ReportReader, senderOf } from './codec.js';
+import { type Answers, plainBody, type Receive, type HeartbeatReader, senderOf } from './codec.js';
 
 /** Carries a batch to the leader and its answers back. */
 export interface RelayPort {
@@ -46,7 +46,7 @@
   readonly reply: (a: Answer) => void;
 }
 
-export class Relay {
+export class HeartbeatRelay {
   private waiting: Waiting[] = [];
   private flying = 0;
   /** In the last batch. */
@@ -67,7 +67,7 @@
     if (this.waiting.length === 1) Queue.unsafeOffer(this.wake, undefined);
   }
 
-  readonly run: Effect.Effect<never> = duty(
+  readonly run: Effect.Effect<never> = supervise(
     'relay',
     Effect.suspend(() => Queue.take(this.wake)).pipe(
       Effect.zipRight(Effect.suspend(() => Effect.sleep(gatherMs(this.gathered)))),
@@ -147,19 +147,19 @@
 
 /** The leader's side: a batch comes in, its answers go back; 503 if it does not lead. */
 export const relayHandler =
-  (receive: Receive, reader: ReportReader): Quick =>
+  (receive: Receive, reader: HeartbeatReader): Quick =>
   (request, reply) => {
     const batch = request.body === null ? null : readBatch(request.body);
     if (batch === null) {
-      odd('malformed', 'malformed batch', () => ({}));
+      recordAnomaly('malformed', 'malformed batch', () => ({}));
       reply(json(400, {}));
       return true;
     }
-    tally('relayed', batch.length);
+    countMetric('relayed', batch.length);
     receive(
       batch.map((b) => {
         const report = reader.read(b);
-        if (report === null) odd('malformed', 'malformed report', () => ({ machine: senderOf(b) }));
+        if (report === null) recordAnomaly('malformed', 'malformed report', () => ({ machine: senderOf(b) }));
         return report;
       }),
       (answers) =>
--- a/packages/controller/src/workers/places.ts
+++ b/packages/controller/src/workers/heartbeat-routing.ts
@@ -33,7 +33,7 @@
   return best;
 };
 
-export class Places {
+export class HeartbeatRouting {
   private readonly sent = new Map<string, Micros>();
 
   constructor(
--- a/packages/controller/src/workers/book.ts
+++ b/packages/controller/src/workers/worker-registry.ts
@@ -4,17 +4,17 @@
  * count stand in the store, and the book is made anew by every term.
  */
 import { DRIFT, type Micros, plus, seconds } from '@lilacvalve/runtime/micros';
-import type { FleetNews, ListedMachine } from '../fleet/model.js';
-import type { JobCache } from '../jobs/cache.js';
+import type { ProvisioningNews, ListedMachine } from '../provisioning/model.js';
+import type { JobState } from '../jobs/job-state.js';
 import { type Job, type Placement, taskKey } from '../jobs/model.js';
 import { CONFIRM } from '../leadership/peers.js';
 import type { Settings } from '../settings/settings.js';
 import { type KindOf } from '../accounts/spent.js';
 import { Phases } from '../accounts/phases.js';
-import { odd } from '../tally.js';
-import { Blame } from './blame.js';
+import { recordAnomaly } from '../metrics.js';
+import { FaultAttribution } from './fault-attribution.js';
 import type { Start } from '../scheduler/model.js';
-import type { Order, Report, ReportedTask } from './codec.js';
+import type { Order, Heartbeat, ReportedTask } from './codec.js';
 
 export interface Machine {
   readonly id: string;
@@ -22,8 +22,8 @@
   type: string;
   zone: string;
   spot: boolean;
-  tenure: number;
-  tick: number;
+  incarnation: number;
+  sequence: number;
   /** When a report of it was last answered: its lease may run from there. */
   lastAnswered: Micros;
   reported: boolean;
@@ -39,11 +39,11 @@
    * The latest report carried this term's token, or no older leader's word can count any more, so what it lacks is surely
    * not there, and what has ended there is not started there again.
    */
-  conclusive: boolean;
+  authoritative: boolean;
   /** Tasks reported in this term and session, with the attempt: a later attempt here has not been seen yet. */
   readonly seen: Map<string, number>;
   /** Tasks reported that the record does not know. */
-  strangers: boolean;
+  hasUnknownTasks: boolean;
   listed: ListedMachine['status'] | null;
   /** When the machine became known or was rented, for the first time it was charged. */
   since: Micros;
@@ -54,9 +54,9 @@
   images: Set<string>;
   cooldownUntil: Micros;
   /** Tasks that the answer to its latest report starts. */
-  told: readonly string[];
+  dispatched: readonly string[];
   /** So many answers with starts in a row have not reached it. */
-  unheard: number;
+  unacknowledged: number;
 }
 
 export interface Running {
@@ -94,10 +94,10 @@
 
 export const endsOf = (e: Ends, task: number): boolean => e.done.has(task) || e.gone.has(task);
 
-const isOlder = (r: Report, m: Machine): boolean =>
-  r.tenure < m.tenure || (r.tenure === m.tenure && r.tick <= m.tick);
+const isOlder = (r: Heartbeat, m: Machine): boolean =>
+  r.incarnation < m.incarnation || (r.incarnation === m.incarnation && r.sequence <= m.sequence);
 
-export class Book {
+export class WorkerRegistry {
   readonly machines = new Map<string, Machine>();
   private readonly deleted = new Set<string>();
   /** Observed and not yet durable. */
@@ -107,8 +107,8 @@
   /** For the accounts. */
   readonly phases = new Phases();
   /** What machines were that are gone, the latest ones. */
-  private readonly formerly = new Map<string, KindOf>();
-  private readonly blame: Blame;
+  private readonly departed = new Map<string, KindOf>();
+  private readonly blame: FaultAttribution;
   private readonly suspected = new Set<string>();
   private readonly serving = new Set<string>();
   private readonly holds = new Map<string, Micros>();
@@ -117,9 +117,9 @@
   /** Until when an older leader may have renewed leases; null: not known yet. */
   private olderUntil: Micros | null = null;
   /** Jobs of which tasks run that no record knows of, from before a loss: by task, where and as which attempt. */
-  readonly strays = new Map<string, Map<number, Placement>>();
+  readonly orphanedTasks = new Map<string, Map<number, Placement>>();
   /** Jobs that workers name and nobody knows, with how many tasks of them. */
-  readonly unknown = new Map<string, Set<string>>();
+  readonly unknownJobs = new Map<string, Set<string>>();
   /** Of these, those that have been kept for long enough. */
   readonly givenUp = new Set<string>();
   /** Jobs whose strays can't be taken up. */
@@ -131,11 +131,11 @@
 
   constructor(
     private readonly settings: Settings,
-    private readonly cache: JobCache,
+    private readonly jobState: JobState,
     readonly term: number,
     readonly began: Micros,
   ) {
-    this.blame = new Blame(began);
+    this.blame = new FaultAttribution(began);
   }
 
   machine(
@@ -148,8 +148,8 @@
       m = {
         id,
         ...info,
-        tenure: 0,
-        tick: -1,
+        incarnation: 0,
+        sequence: -1,
         lastAnswered: this.began,
         reported: false,
         confirmed: false,
@@ -157,18 +157,18 @@
         recallAt: null,
         tasks: new Map(),
         list: NO_TASKS,
-        conclusive: false,
+        authoritative: false,
         seen: new Map(),
-        strangers: false,
+        hasUnknownTasks: false,
         listed: null,
         since: at,
         runningSince: null,
         emptySince: null,
         closed: null,
-        images: new Set(this.cache.weights.get(id) ?? []),
+        images: new Set(this.jobState.weights.get(id) ?? []),
         cooldownUntil: ZERO,
-        told: NONE,
-        unheard: 0,
+        dispatched: NONE,
+        unacknowledged: 0,
       };
       this.machines.set(id, m);
     }
@@ -184,7 +184,7 @@
   }
 
   /** What an earlier leader has said of machines that the cloud's list does not show yet, or still shows. */
-  warm(news: FleetNews, at: Micros): void {
+  warm(news: ProvisioningNews, at: Micros): void {
     for (const id of news.removed) this.removed(id);
     for (const r of news.rented) {
       if (this.machines.has(r.id)) continue;
@@ -222,7 +222,7 @@
       m.recallAt === null &&
       !p.job.withdrawn &&
       // Of a generation before: it may have ended and been forgotten, and is never started again.
-      p.attempt > this.cache.floor &&
+      p.attempt > this.jobState.floor &&
       this.stopping.get(key)?.attempt !== p.attempt &&
       !this.broken(p.job)
     );
@@ -232,24 +232,24 @@
    * A report was answered, and nothing else was made of it: while what is durable is doubted. Its lease counts from here, and
    * what it says is unknown; an older one must not pass for the latest.
    */
-  renewed(r: Report, at: Micros): void {
+  renewLeaseOnly(r: Heartbeat, at: Micros): void {
     if (this.deleted.has(r.machine)) return;
     const m = this.machine(r.machine, at, r);
     if (isOlder(r, m)) return;
-    if (r.tenure > m.tenure) m.seen.clear();
-    m.tenure = r.tenure;
-    m.tick = r.tick;
+    if (r.incarnation > m.incarnation) m.seen.clear();
+    m.incarnation = r.incarnation;
+    m.sequence = r.sequence;
     m.lastAnswered = at;
   }
 
   /** Takes a report in. null: it is older than what is known, or the machine is gone. */
-  report(r: Report, at: Micros): Machine | null {
+  applyHeartbeat(r: Heartbeat, at: Micros): Machine | null {
     if (this.deleted.has(r.machine)) return null;
     const m = this.machine(r.machine, at, r);
     if (isOlder(r, m)) return null;
     // After `allLapsed` a session that this leader has not heard of has lapsed, and what it has heard of only it can change.
-    const conclusive = r.token === this.term || this.allLapsed(at);
-    if (m.reported && r.tenure > m.tenure) {
+    const conclusive = r.fencingToken === this.term || this.allLapsed(at);
+    if (m.reported && r.incarnation > m.incarnation) {
       // The session before has ended, and everything it held with it. But an older leader that had not seen the start may
       // have repeated it in this one: it may be here, or still come in an answer that the worker takes, until it knows this
       // term or that leader's answers count no more.
@@ -269,12 +269,12 @@
     m.zone = r.zone;
     m.spot = r.spot;
     const since = at - m.lastAnswered;
-    m.tenure = r.tenure;
-    m.tick = r.tick;
+    m.incarnation = r.incarnation;
+    m.sequence = r.sequence;
     m.lastAnswered = at;
     m.reported = true;
-    m.conclusive = conclusive;
-    if (r.token === this.term && !m.confirmed) {
+    m.authoritative = conclusive;
+    if (r.fencingToken === this.term && !m.confirmed) {
       m.confirmed = true;
       this.dirty = true;
     }
@@ -288,25 +288,25 @@
       m.list = r.tasks;
     }
 
-    const on = this.cache.byMachine.get(m.id);
-    const strangers = m.strangers;
-    m.strangers = false;
+    const on = this.jobState.byMachine.get(m.id);
+    const strangers = m.hasUnknownTasks;
+    m.hasUnknownTasks = false;
     this.forgetStrays(m.id);
     for (const t of r.tasks) {
       const p = on?.get(t.key);
       if (p && p.attempt === t.attempt) this.observe(m, p, t, at);
       else {
-        if (t.attempt <= this.cache.floor) this.stray(m, t);
-        if (t.status !== 'exited') m.strangers = true;
+        if (t.attempt <= this.jobState.floor) this.stray(m, t);
+        if (t.status !== 'exited') m.hasUnknownTasks = true;
       }
     }
-    if (strangers !== m.strangers) this.dirty = true;
-    const deaf = m.told !== NONE && this.unheard(m, since, at);
-    m.told = NONE;
+    if (strangers !== m.hasUnknownTasks) this.dirty = true;
+    const deaf = m.dispatched !== NONE && this.unheard(m, since, at);
+    m.dispatched = NONE;
     for (const [key, p] of on ?? []) {
       if (m.tasks.has(key) || this.isEnding(p.job.spec.id, p.task)) continue;
       // Seen before and not there any more, or: never arrived, and only our own next answer could still bring it.
-      if (m.conclusive && (deaf || m.seen.get(key) === p.attempt || !this.wanted(p, m)))
+      if (m.authoritative && (deaf || m.seen.get(key) === p.attempt || !this.wanted(p, m)))
         this.gone(p.job, p.task);
     }
     const empty = r.tasks.every((t) => t.status === 'exited') && (on?.size ?? 0) === 0;
@@ -317,12 +317,12 @@
 
   /** What the last answer told it to start is not there; true: that has happened so often that it goes elsewhere. */
   private unheard(m: Machine, since: number, at: Micros): boolean {
-    if (m.told.every((key) => m.tasks.has(key))) {
-      m.unheard = 0;
+    if (m.dispatched.every((key) => m.tasks.has(key))) {
+      m.unacknowledged = 0;
       return false;
     }
-    if (since < HELD || ++m.unheard < DEAF) return false;
-    m.cooldownUntil = plus(at, Math.min(LONGEST_SHUNNED, SHUNNED * 2 ** (m.unheard - DEAF)));
+    if (since < HELD || ++m.unacknowledged < DEAF) return false;
+    m.cooldownUntil = plus(at, Math.min(LONGEST_SHUNNED, SHUNNED * 2 ** (m.unacknowledged - DEAF)));
     this.deaf.push(m.id);
     return true;
   }
@@ -332,12 +332,12 @@
     const slash = t.key.indexOf('/');
     const id = t.key.slice(0, slash);
     const task = Number(t.key.slice(slash + 1));
-    const job = this.cache.jobs.get(id);
+    const job = this.jobState.jobs.get(id);
     if (job === undefined) {
-      if ((t.status === 'exited' && t.cause !== 'done') || this.cache.finals.has(id)) return;
-      const on = this.unknown.get(id);
+      if ((t.status === 'exited' && t.cause !== 'done') || this.jobState.finals.has(id)) return;
+      const on = this.unknownJobs.get(id);
       if (on) on.add(`${task}@${m.id}`);
-      else this.unknown.set(id, new Set([`${task}@${m.id}`]));
+      else this.unknownJobs.set(id, new Set([`${task}@${m.id}`]));
       return;
     }
     if (job.withdrawn || job.done.has(task) || task >= job.spec.tasks) return;
@@ -346,34 +346,37 @@
       if (t.cause === 'done' && !this.isEnding(id, task)) this.end(job, task, 'done');
       return;
     }
-    let tasks = this.strays.get(id);
-    if (!tasks) this.strays.set(id, (tasks = new Map()));
+    let tasks = this.orphanedTasks.get(id);
+    if (!tasks) this.orphanedTasks.set(id, (tasks = new Map()));
     // The record that takes it up says since when.
     tasks.set(task, { task, attempt: t.attempt, machine: m.id, since: 0 as Micros });
     this.dirty = true;
   }
 
   private forgetStrays(machine: string): void {
-    for (const [id, tasks] of this.strays) {
+    for (const [id, tasks] of this.orphanedTasks) {
       for (const [task, p] of tasks) if (p.machine === machine) tasks.delete(task);
-      if (tasks.size === 0) this.strays.delete(id);
+      if (tasks.size === 0) this.orphanedTasks.delete(id);
     }
-    for (const [id, on] of this.unknown) {
+    for (const [id, on] of this.unknownJobs) {
       for (const t of on) if (t.endsWith(`@${machine}`)) on.delete(t);
-      if (on.size === 0) this.unknown.delete(id);
+      if (on.size === 0) this.unknownJobs.delete(id);
     }
   }
 
   /** Whether a reported task that no record knows of is left alone for now. */
   private kept(m: Machine, t: ReportedTask): boolean {
-    if (t.attempt > this.cache.floor) return false;
+    if (t.attempt > this.jobState.floor) return false;
     const slash = t.key.indexOf('/');
     const id = t.key.slice(0, slash);
-    if (this.unknown.get(id)?.has(`${t.key.slice(slash + 1)}@${m.id}`) === true) return !this.givenUp.has(id);
+    if (this.unknownJobs.get(id)?.has(`${t.key.slice(slash + 1)}@${m.id}`) === true)
+      return !this.givenUp.has(id);
     const task = Number(t.key.slice(slash + 1));
     if (t.status === 'exited') return t.cause === 'done' && this.ends.get(id)?.done.has(task) === true;
     return (
-      this.strays.get(id)?.get(task)?.machine === m.id && !this.abandoned.has(id) && !this.isEnding(id, task)
+      this.orphanedTasks.get(id)?.get(task)?.machine === m.id &&
+      !this.abandoned.has(id) &&
+      !this.isEnding(id, task)
     );
   }
 
@@ -383,8 +386,8 @@
    */
   adoptions(): Start[] {
     const out: Start[] = [];
-    for (const [id, tasks] of this.strays) {
-      const job = this.cache.jobs.get(id);
+    for (const [id, tasks] of this.orphanedTasks) {
+      const job = this.jobState.jobs.get(id);
       if (job === undefined) continue;
       const free = [...tasks.values()].filter((p) => !job.placed.has(p.task) && !this.isEnding(id, p.task));
       const attempt = Math.max(...free.map((p) => p.attempt));
@@ -419,16 +422,16 @@
 
   /** Jobs whose strays can't be taken up (a gang of which a part is gone), once nothing more of them can appear. */
   abandon(at: Micros): string[] {
-    if (this.strays.size === 0 || !this.allLapsed(at)) return [];
+    if (this.orphanedTasks.size === 0 || !this.allLapsed(at)) return [];
     const adopted = new Set(this.adoptions().map((s) => s.job.spec.id));
-    const out = [...this.strays.keys()].filter((id) => !adopted.has(id) && !this.abandoned.has(id));
+    const out = [...this.orphanedTasks.keys()].filter((id) => !adopted.has(id) && !this.abandoned.has(id));
     for (const id of out) this.abandoned.add(id);
     return out;
   }
 
   /** What the answer to the machine's latest report should say; without `starts`, what is to begin waits for a later one. */
   orders(m: Machine, starts = true): Order[] {
-    const on = this.cache.byMachine.get(m.id);
+    const on = this.jobState.byMachine.get(m.id);
     const orders: Order[] = [];
     for (const t of m.tasks.values()) {
       const p = on?.get(t.key);
@@ -437,7 +440,11 @@
         // Unknown to the record, or of an attempt that is over: a completion is durable by now, so it may go.
         if (t.status === 'exited') orders.push({ op: 'forget', key: t.key, attempt: t.attempt });
         else {
-          odd('strange', 'strange task', () => ({ machine: m.id, task: t.key, attempt: t.attempt }));
+          recordAnomaly('strange', 'strange task', () => ({
+            machine: m.id,
+            task: t.key,
+            attempt: t.attempt,
+          }));
           orders.push({ op: 'stop', key: t.key, attempt: t.attempt, grace: ZERO });
         }
         continue;
@@ -454,7 +461,7 @@
     for (const [key, p] of on ?? []) {
       if (
         !starts ||
-        !m.conclusive ||
+        !m.authoritative ||
         m.tasks.has(key) ||
         m.seen.get(key) === p.attempt ||
         this.isEnding(p.job.spec.id, p.task)
@@ -464,7 +471,7 @@
       orders.push({ op: 'start', key, attempt: p.attempt });
       told.push(key);
     }
-    if (told.length > 0) m.told = told;
+    if (told.length > 0) m.dispatched = told;
     return orders;
   }
 
@@ -476,7 +483,7 @@
   }
 
   private lost(m: Machine, key: string, attempt: number): void {
-    const p = this.cache.byMachine.get(m.id)?.get(key);
+    const p = this.jobState.byMachine.get(m.id)?.get(key);
     if (p && p.attempt === attempt && !this.isEnding(p.job.spec.id, p.task)) this.gone(p.job, p.task);
   }
 
@@ -495,7 +502,7 @@
     if (this.isEnding(job.spec.id, p.task)) return;
     // Should the session end, an older leader that has not heard of this may start the same attempt in the next one. What
     // is done is done.
-    if (t.cause !== 'done' && !m.conclusive) return;
+    if (t.cause !== 'done' && !m.authoritative) return;
     const since = this.running.get(t.key)?.since;
     this.running.delete(t.key);
     this.stopping.delete(t.key);
@@ -528,7 +535,7 @@
     const out: string[] = [];
     for (const [id, e] of this.ends) {
       if (e.failed.size === 0 || this.suspected.has(id)) continue;
-      const job = this.cache.jobs.get(id);
+      const job = this.jobState.jobs.get(id);
       if (!job || !this.looksBroken(job, at)) continue;
       this.suspected.add(id);
       out.push(id);
@@ -576,7 +583,7 @@
   lapse(at: Micros, acknowledged: boolean): string[] {
     const out: string[] = [];
     if (acknowledged) this.olderUntil ??= plus(at, CONFIRM);
-    for (const [id, on] of this.cache.byMachine) {
+    for (const [id, on] of this.jobState.byMachine) {
       // Also for machines this leader has never heard of: an older one that holds on may still renew them.
       if (at <= this.leaseEnd(this.machines.get(id))) continue;
       let any = false;
@@ -600,19 +607,19 @@
 
   /** What a machine is, or was; null: this leader has never known. */
   kindOf(id: string): KindOf | null {
-    return this.machines.get(id) ?? this.formerly.get(id) ?? null;
+    return this.machines.get(id) ?? this.departed.get(id) ?? null;
   }
 
   /** The cloud has answered the delete: the machine and everything on it are gone. */
   removed(id: string): void {
-    for (const p of this.cache.byMachine.get(id)?.values() ?? []) {
+    for (const p of this.jobState.byMachine.get(id)?.values() ?? []) {
       if (!this.isEnding(p.job.spec.id, p.task)) this.gone(p.job, p.task);
     }
     const m = this.machines.get(id);
-    if (m) this.formerly.set(id, { type: m.type, spot: m.spot });
-    if (this.formerly.size > FORMERLY_KEPT)
-      for (const old of this.formerly.keys()) {
-        this.formerly.delete(old);
+    if (m) this.departed.set(id, { type: m.type, spot: m.spot });
+    if (this.departed.size > FORMERLY_KEPT)
+      for (const old of this.departed.keys()) {
+        this.departed.delete(old);
         break;
       }
     this.machines.delete(id);
@@ -665,14 +672,14 @@
   }
 
   cancelled(job: string): boolean {
-    return this.cache.jobs.get(job)?.withdrawn === true;
+    return this.jobState.jobs.get(job)?.withdrawn === true;
   }
 
   /** Services with GPUs of which all replicas run, one of them started since `day`, and did not when last asked. */
   complete(day: Micros): Job[] {
     const out: Job[] = [];
-    for (const id of this.serving) if (!this.cache.jobs.has(id)) this.serving.delete(id);
-    for (const job of this.cache.jobs.values()) {
+    for (const id of this.serving) if (!this.jobState.jobs.has(id)) this.serving.delete(id);
+    for (const job of this.jobState.jobs.values()) {
       const { id, shape, gpus, tasks } = job.spec;
       if (shape !== 'service' || gpus === 0) continue;
       let all = job.placed.size === tasks && !job.withdrawn;
@@ -687,7 +694,7 @@
   /** A task of it is being stopped, or has ended or may be ending without a record of that. */
   unsettled(job: Job): boolean {
     const { id } = job.spec;
-    if (this.ends.has(id) || this.strays.has(id)) return true;
+    if (this.ends.has(id) || this.orphanedTasks.has(id)) return true;
     for (const p of job.placed.values()) {
       const key = taskKey(id, p.task);
       if (this.stopping.has(key)) return true;
@@ -729,7 +736,7 @@
     for (const m of this.machines.values()) {
       for (const t of m.tasks.values()) {
         if (t.status !== 'saving' || this.stopping.has(t.key)) continue;
-        const p = this.cache.byMachine.get(m.id)?.get(t.key);
+        const p = this.jobState.byMachine.get(m.id)?.get(t.key);
         if (p?.attempt !== t.attempt || p.job.withdrawn || p.job.spec.shape !== 'gang') continue;
         const { id, save } = p.job.spec;
         for (const task of p.job.placed.keys()) this.stop(p.job, task, plus(save, seconds(2)), at);
@@ -744,7 +751,7 @@
     for (const m of this.machines.values()) {
       if (m.recallAt === null) continue;
       const left = m.recallAt - at;
-      for (const p of this.cache.byMachine.get(m.id)?.values() ?? []) {
+      for (const p of this.jobState.byMachine.get(m.id)?.values() ?? []) {
         const s = p.job.spec;
         const run = this.running.get(taskKey(s.id, p.task));
         if (s.checkpoint > 0) {
@@ -766,7 +773,7 @@
       m.recallAt === null &&
       m.closed === null &&
       m.listed !== 'failed' &&
-      !m.strangers &&
+      !m.hasUnknownTasks &&
       at >= m.cooldownUntil &&
       at - m.lastAnswered < this.settings.workers.report * 2.5 + 1e6
     );
--- a/packages/controller/test/accounts.test.ts
+++ b/packages/controller/test/accounts.test.ts
@@ -35,7 +35,7 @@
 import { TERM } from '../src/jobs/keys.js';
 import type { Job } from '../src/jobs/model.js';
 import type { Holder, Room } from '../src/scheduler/model.js';
-import type { Turn } from '../src/scheduler/turn.js';
+import type { CycleContext } from '../src/scheduler/cycle-context.js';
 import { job } from './support/job.js';
 
 const us = (n: number): Micros => n as Micros;
@@ -245,13 +245,13 @@
   assert.equal(of(array, 0, 1, [24, 0, 64])[0]!.why, 'lost');
   const gang = job('job-1', { team: 'red', cpus: 2, tasks: 4, shape: 'gang' });
   assert.equal(of(gang, 0, 0)[0]!.why, 'gang');
-  const book = new ShareBook();
-  for (let t = 0; t <= 60; t++) book.note([GROUP], us(t * 1e6));
-  assert.deepEqual(shortfalls(book.take(us(60e6))), [
+  const registry = new ShareBook();
+  for (let t = 0; t <= 60; t++) registry.note([GROUP], us(t * 1e6));
+  assert.deepEqual(shortfalls(registry.take(us(60e6))), [
     { team: 'red', jobClass: 'x', waited: 60, entitled: 0.5, had: 0.2, why: 'room' },
   ]);
-  book.note([{ ...GROUP, owed: 0.1 }], us(61e6));
-  assert.deepEqual(shortfalls(book.take(us(120e6))), [], 'a tenth of a share, or ten seconds of it');
+  registry.note([{ ...GROUP, owed: 0.1 }], us(61e6));
+  assert.deepEqual(shortfalls(registry.take(us(120e6))), [], 'a tenth of a share, or ten seconds of it');
 });
 
 test('the balance leans within its bound, fades, and is nothing where it is off', () => {
@@ -301,7 +301,7 @@
         return { ok: true, revision: 1 };
       }),
   };
-  const t = { store, clock: () => us((clock += 1e12)), ledger: new Ledger(), cache: { accounts: { closed, pending: [] } }, reign: { stamp: 1, term: 1 }, acting: () => true, feed: { refresh: Effect.void }, settings: { state: { valueBytes: 16_384 } } } as unknown as Turn; // prettier-ignore
+  const t = { store, clock: () => us((clock += 1e12)), ledger: new Ledger(), jobState: { accounts: { closed, pending: [] } }, leaderTerm: { stamp: 1, term: 1 }, mayAct: () => true, watcher: { refresh: Effect.void }, settings: { state: { valueBytes: 16_384 } } } as unknown as CycleContext; // prettier-ignore
   return { keys, t };
 };
 
--- a/packages/controller/test/answer-lost.test.ts
+++ b/packages/controller/test/answer-lost.test.ts
@@ -33,9 +33,9 @@
   wardKey,
 } from '../src/jobs/keys.js';
 import { Leadership } from '../src/leadership/leadership.js';
-import { declare } from '../src/rebuild/duty.js';
-import { tendWards } from '../src/rebuild/wards.js';
-import type { Fact } from '../src/rebuild/witness.js';
+import { declare } from '../src/recovery/rebuild.js';
+import { tendWards } from '../src/recovery/orphaned-jobs.js';
+import type { JobEvidence } from '../src/recovery/evidence-store.js';
 import { commit } from '../src/scheduler/commit.js';
 import { upkeep } from '../src/scheduler/upkeep.js';
 import { restore } from '../src/snapshots/restore.js';
@@ -43,7 +43,7 @@
 import { hintWriter } from '../src/state-store/hint.js';
 import type { StatePort } from '../src/state-store/port.js';
 import { body, calm, controller, fresh, HEAD, kept, S, Service, SETTINGS, Time } from './support/late-store.js'; // prettier-ignore
-import { Luck } from './support/luck.js';
+import { Luck } from './support/random-source.js';
 
 type Calm = ReturnType<typeof calm>;
 const sets =
@@ -76,13 +76,13 @@
   ]);
 const start = (c: Calm) =>
   Effect.suspend(() =>
-    commit(c.turn, [{ job: c.node.cache.jobs.get(JOB)!, attempt: 7, on: new Map([['m', [0]]]) }]),
+    commit(c.turn, [{ job: c.node.jobState.jobs.get(JOB)!, attempt: 7, on: new Map([['m', [0]]]) }]),
   );
 const end = (c: Calm, how: 'done' | 'gone') =>
   Effect.suspend(() => {
     const ends = { done: new Set<number>(), gone: new Set<number>(), failed: new Set<number>() };
     ends[how].add(0);
-    c.turn.book.ends.set(JOB, ends);
+    c.turn.registry.ends.set(JOB, ends);
     return commit(c.turn, []);
   });
 const one = { ...fresh(JOB).spec, tasks: 1 };
@@ -131,7 +131,7 @@
   },
   {
     ...{ kind: 'record of a start', match: sets(RECORD), more: [waiting], key: RECORD },
-    act: (c) => Effect.zipRight(start(c), Effect.sync(() => c.node.cache.jobs.get(JOB)!.placed.get(0)?.attempt)), // prettier-ignore
+    act: (c) => Effect.zipRight(start(c), Effect.sync(() => c.node.jobState.jobs.get(JOB)!.placed.get(0)?.attempt)), // prettier-ignore
   },
   {
     ...{ kind: 'record of an end', more: [waiting], key: RECORD },
@@ -140,7 +140,7 @@
     act: (c) =>
       Effect.zipRight(
         Effect.zipRight(start(c), end(c, 'done')),
-        Effect.map(said(c.node.users.poll(JOB)), (s) => [c.turn.book.ends.size, s]),
+        Effect.map(said(c.node.users.poll(JOB)), (s) => [c.turn.registry.ends.size, s]),
       ),
   },
   {
@@ -162,18 +162,18 @@
       Effect.gen(function* () {
         for (let n = 0; n < 5; n++) yield* n % 2 === 0 ? start(c) : end(c, 'gone');
         yield* times(4, upkeep(c.turn));
-        return [c.node.cache.hole(), c.service.view().hole(), c.service.view().tail.size];
+        return [c.node.jobState.hole(), c.service.view().hole(), c.service.view().tail.size];
       }),
   },
   {
     ...{ kind: 'page of the accounts', match: sets('s/a/p/'), key: 's/a/p/' },
     more: [{ set: ACCOUNTS, value: accounts }],
-    act: (c) => times(2, Effect.zipRight(Effect.ignore(writePage(c.turn)), c.node.feed.refresh)),
+    act: (c) => times(2, Effect.zipRight(Effect.ignore(writePage(c.turn)), c.node.watcher.refresh)),
   },
   {
     ...{ kind: 'ward', match: sets(WARD), key: WARD },
     act: (c) => {
-      c.turn.book.unknown.set(JOB, new Set(['0@m']));
+      c.turn.registry.unknownJobs.set(JOB, new Set(['0@m']));
       return Effect.zipRight(times(2, tendWards(c.turn)), said(c.node.users.poll(JOB)));
     },
   },
@@ -207,11 +207,11 @@
 
 /** Plays a row; `heard`: with no answer lost. */
 const play = (row: Row, heard: boolean) => {
-  const told: Fact[] = [];
+  const told: JobEvidence[] = [];
   const c = calm(row.more, (f) => Effect.sync(() => void told.push(f)));
   const { service, time, node } = c;
   const other = controller(time, service, 1);
-  c.go(other.feed.refresh);
+  c.go(other.watcher.refresh);
   let applied = 0;
   const transact = service.transact.bind(service);
   service.transact = (when, then, by) => {
@@ -228,7 +228,7 @@
     const ask = Effect.gen(function* () {
       const { revision } = service;
       for (const x of [other, node]) asked.push((yield* x.users.poll(JOB)).body.toString());
-      asked.push(other.cache.revision >= revision);
+      asked.push(other.jobState.revision >= revision);
     });
     time.after(1, () => time.fork(ask));
     return true;
@@ -240,7 +240,7 @@
   );
   // A hint may be written twice; nothing else is.
   assert.equal(applied, heard ? 1 : (row.times ?? 1), `${row.kind} was carried out ${applied} times`);
-  assert.ok(!node.doubt.active, `${row.kind}: the store is doubted`);
+  assert.ok(!node.lossDetector.suspected, `${row.kind}: the store is doubted`);
   const store = service.entries(row.key).map((e) => [e.key, e.value]);
   return { store, says, lost, asked, told: told.map((f) => f.id) };
 };
@@ -311,7 +311,7 @@
     return Effect.zipRight(Effect.sleep(900), Effect.fail(new NoAnswer({ reason: 'timeout' })));
   };
   const nodes = labels.map((label, who) => {
-    const { cache, doubt, store, feed } = controller(time, service, who);
+    const { jobState, lossDetector, store, watcher } = controller(time, service, who);
     const raw: StatePort = {
       ...service.port(who),
       grant: (ttl) => Effect.suspend(() => (ttls.set(++last, ttl), arm(last, ttl), reply('grant', last))),
@@ -333,12 +333,12 @@
     };
     const contacts = { window: 1e12, recent: () => 0, cutOff: () => null, away: () => 0 };
     const leadership = new Leadership(
-      ...([{ ...SETTINGS, label }, port, raw, doubt, () => undefined, feed, cache] as const),
+      ...([{ ...SETTINGS, label }, port, raw, lossDetector, () => undefined, watcher, jobState] as const),
       ...([peers as never, contacts as never, time.clock] as const),
     );
-    return { leadership, cache, feed, doubt };
+    return { leadership, jobState, watcher, lossDetector };
   });
-  for (const { feed } of nodes) time.fork(feed.run);
+  for (const { watcher } of nodes) time.fork(watcher.run);
   let until = time.now;
   const run = (forS: number): void => {
     time.run((until += forS * S));
@@ -356,16 +356,16 @@
     service.unheard = (then) => lost === 0 && sets(LEADER)(then) && ++lost === 1;
     run(5);
     time.fork(first.leadership.run);
-    for (let n = 0; n < 60 && second.cache.leader === null; n++) run(0.05);
+    for (let n = 0; n < 60 && second.jobState.leader === null; n++) run(0.05);
     assert.equal(lost, 1);
     // The others have read that it leads; it does not know.
-    assert.equal(second.cache.leader?.node, 'n0');
-    assert.equal(first.leadership.leads(), null);
+    assert.equal(second.jobState.leader?.node, 'n0');
+    assert.equal(first.leadership.currentTermNumber(), null);
     time.fork(second.leadership.run);
-    for (let n = 0; n < 30 && first.leadership.leads() === null; n++) run(0.05);
+    for (let n = 0; n < 30 && first.leadership.currentTermNumber() === null; n++) run(0.05);
     for (let n = 0; n < 400; n++) {
       run(0.05);
-      assert.equal(first.leadership.leads(), 2, `seed ${seed}, after ${n / 20} s`);
+      assert.equal(first.leadership.currentTermNumber(), 2, `seed ${seed}, after ${n / 20} s`);
     }
     assert.equal(service.view().term, 2);
   }
@@ -376,13 +376,13 @@
     const { time, service, nodes, lose, run } = elections(HEAD, ['n0', 'n1']);
     for (const { leadership } of nodes) time.fork(leadership.run);
     run(5);
-    const leader = nodes.find((x) => x.leadership.leads() === 2)!;
+    const leader = nodes.find((x) => x.leadership.currentTermNumber() === 2)!;
     lose.extend = times;
     let without = 0;
     for (let n = 0; n < 200; n++) {
       run(0.1);
-      assert.ok(leader.leadership.reigning(2), `after ${n / 10} s`);
-      if (leader.leadership.leads() === null) without++;
+      assert.ok(leader.leadership.isCurrent(2), `after ${n / 10} s`);
+      if (leader.leadership.currentTermNumber() === null) without++;
     }
     assert.equal(lose.extend, 0);
     assert.ok(without <= (times === 1 ? 0 : 10), `without right for ${without / 10} s`);
@@ -394,14 +394,14 @@
   const { time, service, nodes, lose, run } = elections(HEAD, ['n0', 'n1']);
   for (const { leadership } of nodes) time.fork(leadership.run);
   run(5);
-  const leader = nodes.find((x) => x.leadership.leads() !== null)!;
+  const leader = nodes.find((x) => x.leadership.currentTermNumber() !== null)!;
   Object.assign(lose, { release: 1, grant: 1 });
-  time.fork(leader.leadership.giveWay('handover', 0));
+  time.fork(leader.leadership.stepDown('handover', 0));
   run(0.05);
-  assert.equal(leader.leadership.leads(), null);
+  assert.equal(leader.leadership.currentTermNumber(), null);
   run(8);
   assert.deepEqual(lose, { grant: 0, extend: 0, release: 0 });
-  assert.equal(nodes.filter((x) => x.leadership.leads() === service.view().term).length, 1);
+  assert.equal(nodes.filter((x) => x.leadership.currentTermNumber() === service.view().term).length, 1);
 });
 
 test('the first incarnation, and one after a loss, carried out unheard are begun once', () => {
@@ -409,7 +409,7 @@
   let lost = 0;
   first.service.unheard = (then) => lost === 0 && sets(FOUNDED)(then) && ++lost === 1;
   for (const { leadership } of first.nodes)
-    first.time.fork(Effect.ignore(leadership.found).pipe(Effect.delay(500), Effect.forever));
+    first.time.fork(Effect.ignore(leadership.foundStore).pipe(Effect.delay(500), Effect.forever));
   first.run(10);
   assert.equal(lost, 1);
   assert.equal(first.service.entries(INCARNATION).length, 1);
@@ -420,7 +420,7 @@
   lost = 0;
   again.service.unheard = (then) => lost === 0 && sets(INCARNATION)(then) && ++lost === 1;
   const outcomes: string[] = [];
-  const refound = Effect.either(node!.leadership.refound);
+  const refound = Effect.either(node!.leadership.refoundStore);
   again.time.fork(
     Effect.repeat(
       Effect.map(refound, (o) => outcomes.push(o._tag === 'Left' ? o.left._tag : String(o.right))),
@@ -436,7 +436,7 @@
 });
 
 test('an acceptance or withdrawal whose answer was lost is told to the others before its user', () => {
-  const told: Fact[] = [];
+  const told: JobEvidence[] = [];
   const c = calm([], (f) => Effect.sync(() => void told.push(f)));
   let lost = 0;
   c.service.unheard = () => ++lost % 2 === 1;
--- a/packages/controller/test/answers.test.ts
+++ b/packages/controller/test/answers.test.ts
@@ -4,10 +4,10 @@
 import { type Micros, now } from '@lilacvalve/runtime/micros';
 import { Effect, Fiber, Logger } from 'effect';
 import { userHandlers } from '../src/api/handlers.js';
-import { Doubt } from '../src/doubt/doubt.js';
-import { JobCache } from '../src/jobs/cache.js';
+import { DataLossDetector } from '../src/recovery/data-loss-detector.js';
+import { JobState } from '../src/jobs/job-state.js';
 import { encodeJob } from '../src/jobs/codec.js';
-import { Feed } from '../src/jobs/feed.js';
+import { StoreWatcher } from '../src/jobs/store-watcher.js';
 import { activeKey, INCARNATION, SETTLED } from '../src/jobs/keys.js';
 import { NO_HEAD } from '../src/jobs/model.js';
 import type { Change, Changes } from '../src/state-store/client.js';
@@ -20,8 +20,8 @@
 
 /** A leader whose view is as of revision 9, with one job of one task; each read of changes waits for its `answer`. */
 const leader = async () => {
-  const cache = new JobCache();
-  const doubt = new Doubt(now, () => null);
+  const jobState = new JobState();
+  const lossDetector = new DataLossDetector(now, () => null);
   const asked: ((c: Changes) => void)[] = [];
   const key = (k: string, value: unknown) => ({ key: k, value: wire(value), stamp: 1 });
   const entries = [
@@ -35,9 +35,9 @@
     get: (k: string) => Effect.succeed({ entry: entries.find((e) => e.key === k) ?? null, revision: null }),
     follow: () => Effect.async<Changes>((resume) => void asked.push((c) => resume(Effect.succeed(c)))),
   } as unknown as StatePort;
-  const feed = new Feed(cache, store, now, () => true, doubt, 0 as Micros);
+  const watcher = new StoreWatcher(jobState, store, now, () => true, lossDetector, 0 as Micros);
   const users = userHandlers({
-    ...{ settings: worldSettings('n0'), store, feed, cache, doubt, clock: now, dayTime: now },
+    ...{ settings: worldSettings('n0'), store, watcher, jobState, lossDetector, clock: now, dayTime: now },
     ...{ mayBeNew: () => true, durable: () => true, leads: () => true, verified: () => true },
     witness: { tell: () => Effect.void } as never,
     types: () => TYPES,
@@ -52,13 +52,13 @@
     }
     asked.shift()!({ tooOld: false, revision, changes });
   };
-  const loading = run(feed.refresh);
+  const loading = run(watcher.refresh);
   // What changed while everything was read, and the final states among the last changes.
   await answer(9);
   await answer(9);
   await Effect.runPromise(Fiber.join(loading));
-  assert.ok(feed.loaded && doubt.incarnation !== null);
-  return { cache, feed, users, run, answer, reads: () => asked.length };
+  assert.ok(watcher.loaded && lossDetector.incarnation !== null);
+  return { jobState, watcher, users, run, answer, reads: () => asked.length };
 };
 
 /** The job's end, in a record of this node's own, and what the withdrawal before it left in the job's key. */
@@ -78,8 +78,8 @@
     const asking = n.run(ask(n.users));
     await new Promise((go) => setTimeout(go, 250));
     // The read is on its way, as of before the withdrawal; meanwhile the end is committed after that.
-    n.feed.committed(END.stamp);
-    n.cache.addRecord(END);
+    n.watcher.committed(END.stamp);
+    n.jobState.addRecord(END);
     await n.answer(9);
     const answers = setInterval(() => void (n.reads() > 0 && n.answer(11, [WITHDRAWN])), 20);
     const a = await Effect.runPromise(Fiber.join(asking));
@@ -94,8 +94,8 @@
   const n = await leader();
   const asking = n.run(n.users.poll(ID));
   await new Promise((go) => setTimeout(go, 250));
-  n.feed.committed(10);
-  n.cache.addRecord({ ...END, stamp: 10 });
+  n.watcher.committed(10);
+  n.jobState.addRecord({ ...END, stamp: 10 });
   await n.answer(9);
   const a = await Effect.runPromise(Fiber.join(asking));
   assert.equal((JSON.parse(a.body.toString()) as { status: string }).status, 'done');
--- a/packages/controller/test/calendar.test.ts
+++ b/packages/controller/test/calendar.test.ts
@@ -8,10 +8,10 @@
 import { cutoffRank, type Pace, sayOf, slotsOf, timeLeft } from '../src/calendar/slack.js';
 import { tieOf } from '../src/calendar/tie.js';
 import { decodeJob, encodeJob } from '../src/jobs/codec.js';
-import { decodeTold, encodeTold } from '../src/rebuild/codec.js';
-import { mergeClaims } from '../src/rebuild/merge.js';
+import { decodeViewResponse, encodeViewResponse } from '../src/recovery/codec.js';
+import { mergeClaims } from '../src/recovery/merge.js';
 import { job } from './support/job.js';
-import { Luck } from './support/luck.js';
+import { Luck } from './support/random-source.js';
 
 const ANY = { teams: null, classes: null, shapes: null, urgencies: null };
 const drawn = (luck: Luck, version = 1, shift = 0) => {
@@ -88,7 +88,7 @@
     const tally = { done: luck.int(9), risked: 1, missed: 0, cancelled: 2 };
     const remembered = { calendar, tallies: new Map([['c0@3', tally]]), shown: new Map() };
     const told = { heads: [], claims: [], finals: [], next: null, calendar: remembered };
-    assert.deepEqual(decodeTold(encodeTold(told)), told);
+    assert.deepEqual(decodeViewResponse(encodeViewResponse(told)), told);
   }
 });
 
--- a/packages/controller/test/doubt.test.ts
+++ b/packages/controller/test/data-loss-detector.test.ts
@@ -2,9 +2,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Micros } from '@lilacvalve/runtime/micros';
-import { audit, keysOf } from '../src/doubt/audit.js';
-import { Doubt } from '../src/doubt/doubt.js';
-import { judge } from '../src/doubt/judge.js';
+import { audit, keysOf } from '../src/recovery/audit.js';
+import { DataLossDetector } from '../src/recovery/data-loss-detector.js';
+import { judge } from '../src/recovery/verdict.js';
 import {
   attemptsFrom,
   floorOf,
@@ -12,8 +12,8 @@
   type Incarnation,
   type Known,
   type Probe,
-} from '../src/doubt/model.js';
-import { JobCache } from '../src/jobs/cache.js';
+} from '../src/recovery/model.js';
+import { JobState } from '../src/jobs/job-state.js';
 import { encodeJob, encodePack } from '../src/jobs/codec.js';
 import { ACTIVE, activeKey, INCARNATION, PACK, RECORD, recordKey } from '../src/jobs/keys.js';
 import { job } from './support/job.js';
@@ -74,48 +74,51 @@
 });
 
 test('answers are held against what was known when they were asked for', () => {
-  const doubt = new Doubt(
+  const lossDetector = new DataLossDetector(
     () => at(5),
     () => 7,
   );
-  doubt.readIncarnation(first);
-  assert.ok(doubt.answered(50, doubt.floor()));
+  lossDetector.readIncarnation(first);
+  assert.ok(lossDetector.answered(50, lossDetector.floor()));
   // Asked for before that one, answered after it: older, and yet sound.
-  assert.ok(doubt.answered(48, 40));
-  assert.equal(doubt.active, false);
-  assert.ok(!doubt.answered(49, doubt.floor()));
-  assert.deepEqual([doubt.standing!.evidence[0]!.kind, doubt.standing!.led], ['revision went back', 7]);
+  assert.ok(lossDetector.answered(48, 40));
+  assert.equal(lossDetector.suspected, false);
+  assert.ok(!lossDetector.answered(49, lossDetector.floor()));
+  assert.deepEqual(
+    [lossDetector.suspicion!.evidence[0]!.kind, lossDetector.suspicion!.led],
+    ['revision went back', 7],
+  );
 });
 
 test('a term named before a read began must be in what it shows, and a peer may know more than this node', () => {
   let now = 10;
-  const doubt = new Doubt(
+  const lossDetector = new DataLossDetector(
     () => at(now),
     () => null,
   );
-  doubt.readIncarnation(first);
-  doubt.heardTerm(6, 'vm-1');
-  doubt.readTerm(5, at(9));
-  assert.equal(doubt.active, false, 'the read was on its way when the term was named');
-  doubt.readTerm(6, at(20));
-  assert.equal(doubt.active, false);
-  doubt.readTerm(5, at(20));
-  assert.equal(doubt.standing!.evidence[0]!.kind, 'term went back');
-  doubt.over();
-  doubt.peerSaw('one', 0, 90);
-  assert.equal(doubt.floor(), 90);
-  doubt.peerSaw('another', 0, 500);
-  assert.equal(doubt.floor(), 90, 'revisions of another incarnation compare with nothing');
+  lossDetector.readIncarnation(first);
+  lossDetector.heardTerm(6, 'vm-1');
+  lossDetector.readTerm(5, at(9));
+  assert.equal(lossDetector.suspected, false, 'the read was on its way when the term was named');
+  lossDetector.readTerm(6, at(20));
+  assert.equal(lossDetector.suspected, false);
+  lossDetector.readTerm(5, at(20));
+  assert.equal(lossDetector.suspicion!.evidence[0]!.kind, 'term went back');
+  lossDetector.ruleOut();
+  lossDetector.peerSaw('one', 0, 90);
+  assert.equal(lossDetector.floor(), 90);
+  lossDetector.peerSaw('another', 0, 500);
+  assert.equal(lossDetector.floor(), 90, 'revisions of another incarnation compare with nothing');
   now = 30;
-  doubt.peerSaw('two', 1, 4);
-  assert.equal(doubt.standing!.evidence[0]!.kind, 'other incarnation');
+  lossDetector.peerSaw('two', 1, 4);
+  assert.equal(lossDetector.suspicion!.evidence[0]!.kind, 'other incarnation');
 });
 
 // Every controller had ended with the store: its first term was 1 once more, workers took it for the old one's, and what
 // they ran was stopped as unknown.
 test("a worker's token from before the store's first start proves that an earlier life was lost", () => {
-  const fresh = (base: number, generation = 0): Doubt => {
-    const d = new Doubt(
+  const fresh = (base: number, generation = 0): DataLossDetector => {
+    const d = new DataLossDetector(
       () => at(1),
       () => null,
     );
@@ -125,15 +128,15 @@
   const lost = fresh(1000);
   lost.heardToken(0, 'new');
   lost.heardToken(1001, 'vm-2');
-  assert.equal(lost.active, false, 'a new worker, and one that has seen this incarnation');
+  assert.equal(lost.suspected, false, 'a new worker, and one that has seen this incarnation');
   lost.heardToken(7, 'vm-1');
-  assert.ok(lost.standing!.proven && lost.standing!.led === null);
+  assert.ok(lost.suspicion!.proven && lost.suspicion!.led === null);
   const rebuilt = fresh(1000, 1);
   rebuilt.heardToken(7, 'vm-1');
-  assert.equal(rebuilt.active, false, 'after a rebuild workers come with older tokens');
+  assert.equal(rebuilt.suspected, false, 'after a rebuild workers come with older tokens');
   const upgraded = fresh(0);
   upgraded.heardToken(7, 'vm-1');
-  assert.equal(upgraded.active, false, 'a store from before incarnations went on with its terms');
+  assert.equal(upgraded.suspected, false, 'a store from before incarnations went on with its terms');
 });
 
 // Attempts and terms that were used and forgotten must never be used again.
@@ -147,18 +150,18 @@
 });
 
 test('a key that is gone without a change is found, one that is written or deleted meanwhile is not missed', () => {
-  const cache = new JobCache();
+  const jobState = new JobState();
   for (const [i, stamp] of [
     [1, 5],
     [2, 6],
     [3, 40],
   ] as const)
-    cache.apply({ key: activeKey(`job-${i}`), value: wire(encodeJob(job(`job-${i}`), 0)), stamp });
-  cache.apply({ key: recordKey(1), value: {}, stamp: 7 });
-  cache.apply({ key: `${PACK}a`, value: wire(encodePack([job('job-9', { tasks: 2 })])), stamp: 8 });
-  assert.deepEqual(keysOf(cache, RECORD), [[recordKey(1), 7]]);
-  assert.deepEqual(keysOf(cache, PACK), [[`${PACK}a`, 8]]);
-  const expected = keysOf(cache, ACTIVE);
+    jobState.apply({ key: activeKey(`job-${i}`), value: wire(encodeJob(job(`job-${i}`), 0)), stamp });
+  jobState.apply({ key: recordKey(1), value: {}, stamp: 7 });
+  jobState.apply({ key: `${PACK}a`, value: wire(encodePack([job('job-9', { tasks: 2 })])), stamp: 8 });
+  assert.deepEqual(keysOf(jobState, RECORD), [[recordKey(1), 7]]);
+  assert.deepEqual(keysOf(jobState, PACK), [[`${PACK}a`, 8]]);
+  const expected = keysOf(jobState, ACTIVE);
   assert.deepEqual(
     expected.map(([k]) => k),
     [activeKey('job-1'), activeKey('job-2'), activeKey('job-3')],
@@ -175,18 +178,18 @@
 });
 
 test('the view keeps what it had of a value that can no longer be read', () => {
-  const cache = new JobCache();
+  const jobState = new JobState();
   const key = activeKey('job-1');
-  cache.apply({ key, value: wire(encodeJob(job('job-1', { tasks: 4 }), 0)), stamp: 5 });
+  jobState.apply({ key, value: wire(encodeJob(job('job-1', { tasks: 4 }), 0)), stamp: 5 });
   for (const bad of [null, 'x', 7, { c: 7 }, { c: 'x', o: 'y' }]) {
-    cache.apply({ key, value: bad, stamp: 6 });
-    assert.equal(cache.jobs.get('job-1')!.spec.tasks, 4);
-    assert.equal(cache.damaged.get(key), 6);
+    jobState.apply({ key, value: bad, stamp: 6 });
+    assert.equal(jobState.jobs.get('job-1')!.spec.tasks, 4);
+    assert.equal(jobState.damaged.get(key), 6);
   }
-  cache.apply({ key, value: wire(encodeJob(job('job-1', { tasks: 4 }), 0)), stamp: 7 });
-  assert.equal(cache.damaged.size, 0);
-  cache.apply({ key: `${INCARNATION}x`, value: { g: 2, by: 'n0' }, stamp: 9 });
-  assert.equal(cache.floor, floorOf(2));
+  jobState.apply({ key, value: wire(encodeJob(job('job-1', { tasks: 4 }), 0)), stamp: 7 });
+  assert.equal(jobState.damaged.size, 0);
+  jobState.apply({ key: `${INCARNATION}x`, value: { g: 2, by: 'n0' }, stamp: 9 });
+  assert.equal(jobState.floor, floorOf(2));
 });
 
 // A fifth of the records could not be read and nobody remembered them: the next leader began again at the attempts that
--- a/packages/controller/test/draft.test.ts
+++ b/packages/controller/test/draft.test.ts
@@ -5,13 +5,13 @@
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { RECORD } from '../src/jobs/keys.js';
 import type { Job } from '../src/jobs/model.js';
-import { turnGapMs } from '../src/reign/session.js';
+import { cycleGapMs } from '../src/leadership/leader-session.js';
 import { commit, type Committed } from '../src/scheduler/commit.js';
 import type { Start } from '../src/scheduler/model.js';
-import type { Turn } from '../src/scheduler/turn.js';
+import type { CycleContext } from '../src/scheduler/cycle-context.js';
 import type { Condition, Write } from '../src/state-store/client.js';
 import { calm, fresh, kept, SETTINGS } from './support/late-store.js';
-import { Luck } from './support/luck.js';
+import { Luck } from './support/random-source.js';
 
 type StateLimits = (typeof SETTINGS)['state'];
 interface Case {
@@ -72,7 +72,7 @@
     sent.push({ when, then });
     return store.transact(when, then, ...rest);
   };
-  const turn: Turn = { ...c.turn, store: spy, settings: { ...SETTINGS, state } };
+  const turn: CycleContext = { ...c.turn, store: spy, settings: { ...SETTINGS, state } };
   const committed = (starts: readonly Start[]): Committed => {
     let out: Committed | null = null;
     c.go(Effect.map(commit(turn, starts), (x) => (out = x)));
@@ -108,22 +108,22 @@
       Array.from({ length: jobs }, (_, i) => jobOf(i + 1, tasks, luck)),
       state,
     );
-    const { cache } = l.node;
+    const { jobState } = l.node;
     const ended = new Map<string, number>();
-    for (const job of cache.jobs.values()) {
+    for (const job of jobState.jobs.values()) {
       if (job.placed.size === 0) continue;
       const placed = [...job.placed.keys()];
       const done = job.spec.shape === 'gang' ? placed : placed.slice(luck.int(Math.ceil(placed.length / 4)));
-      l.turn.book.ends.set(job.spec.id, { done: new Set(done), gone: new Set(), failed: new Set() });
+      l.turn.registry.ends.set(job.spec.id, { done: new Set(done), gone: new Set(), failed: new Set() });
       ended.set(job.spec.id, done.length);
     }
     for (let turn = 0; turn < 80; turn++) {
-      const starts = [...cache.jobs.values()]
+      const starts = [...jobState.jobs.values()]
         .filter((j) => (j.spec.shape === 'gang' ? j.placed.size + j.done.size === 0 : true))
         .map((j) => startOf(j, luck))
         .filter((s) => s.on.size > 0);
-      if (starts.length === 0 && l.turn.book.ends.size === 0) break;
-      const before = new Map([...cache.jobs].map(([id, j]) => [id, j.placed.size + j.done.size]));
+      if (starts.length === 0 && l.turn.registry.ends.size === 0) break;
+      const before = new Map([...jobState.jobs].map(([id, j]) => [id, j.placed.size + j.done.size]));
       const { behind } = l.committed(starts);
       checkLimits(l.sent.at(-1)!, state);
       seen.several += l.sent.at(-1)!.then.length > 1 ? 1 : 0;
@@ -137,15 +137,15 @@
         }
       }
     }
-    for (const [id, n] of ended) assert.ok(cache.jobs.get(id)!.done.size >= n, `all ends of ${id}`);
-    assert.equal(l.turn.book.ends.size, 0);
+    for (const [id, n] of ended) assert.ok(jobState.jobs.get(id)!.done.size >= n, `all ends of ${id}`);
+    assert.equal(l.turn.registry.ends.size, 0);
     // A controller that reads all of it sees the same.
     const view = l.service.view();
-    for (const [id, job] of cache.jobs) {
+    for (const [id, job] of jobState.jobs) {
       assert.deepEqual([...view.jobs.get(id)!.placed].sort(), [...job.placed].sort(), id);
       assert.deepEqual([...view.jobs.get(id)!.done].sort(), [...job.done].sort(), id);
     }
-    assert.deepEqual(view.accounts, cache.accounts);
+    assert.deepEqual(view.accounts, jobState.accounts);
     const seqs = l.service.entries(RECORD).map((e) => Number(e.key.slice(RECORD.length)));
     assert.deepEqual(
       seqs,
@@ -170,18 +170,18 @@
     return { ...job, attempt: 1 };
   });
   const l = leading(jobs, state);
-  for (const job of l.node.cache.jobs.values())
-    l.turn.book.ends.set(job.spec.id, {
+  for (const job of l.node.jobState.jobs.values())
+    l.turn.registry.ends.set(job.spec.id, {
       done: new Set(job.placed.keys()),
       gone: new Set(),
       failed: new Set(),
     });
-  const first = l.node.cache.jobs.get('job-1')!;
+  const first = l.node.jobState.jobs.get('job-1')!;
   const { behind } = l.committed([{ job: first, attempt: 2, on: new Map([['vm-1', [0]]]) }]);
   checkLimits(l.sent.at(-1)!, state);
   assert.equal(l.sent.at(-1)!.then.length, 2);
   assert.equal(behind, false);
-  assert.ok(l.node.cache.jobs.get('job-1')!.placed.has(0));
+  assert.ok(l.node.jobState.jobs.get('job-1')!.placed.has(0));
 });
 
 // The rows of all groups were put into the head of a record that was full already: the value was too large, for ever.
@@ -198,8 +198,8 @@
   });
   const l = leading([], state);
   for (const job of jobs) {
-    l.node.cache.jobs.set(job.spec.id, job);
-    l.turn.book.ends.set(job.spec.id, {
+    l.node.jobState.jobs.set(job.spec.id, job);
+    l.turn.registry.ends.set(job.spec.id, {
       done: new Set(job.placed.keys()),
       gone: new Set(),
       failed: new Set(),
@@ -209,11 +209,11 @@
   const sent = l.sent.at(-1)!;
   checkLimits(sent, state);
   assert.ok(sent.then.length > 1);
-  assert.equal(l.node.cache.jobs.get('job-1')!.done.size, 4500);
+  assert.equal(l.node.jobState.jobs.get('job-1')!.done.size, 4500);
 });
 
 test('a turn that has left something is followed without the pause for many machines, but not without its own cost', () => {
-  assert.equal(turnGapMs(2634, 20), 800);
-  assert.equal(turnGapMs(2634, 20, true), 250);
-  assert.equal(turnGapMs(2634, 200, true), 600);
+  assert.equal(cycleGapMs(2634, 20), 800);
+  assert.equal(cycleGapMs(2634, 20, true), 250);
+  assert.equal(cycleGapMs(2634, 200, true), 600);
 });
--- a/packages/controller/test/blame.test.ts
+++ b/packages/controller/test/fault-attribution.test.ts
@@ -3,16 +3,16 @@
 import { test } from 'node:test';
 import { type Micros, plus, seconds } from '@lilacvalve/runtime/micros';
 import type { Job } from '../src/jobs/model.js';
-import { Blame } from '../src/workers/blame.js';
+import { FaultAttribution } from '../src/workers/fault-attribution.js';
 import { job } from './support/job.js';
-import { Luck } from './support/luck.js';
+import { Luck } from './support/random-source.js';
 
 const ZERO = 0 as Micros;
 const MACHINES = 12;
 const DAY = seconds(600);
 
 interface Day {
-  readonly blame: Blame;
+  readonly blame: FaultAttribution;
   readonly tries: Map<string, number>;
   readonly doneAt: Map<string, Micros>;
   readonly blamed: Set<string>;
@@ -22,7 +22,7 @@
 /** Every two seconds each job that may be tried runs one task somewhere; faulty machines are closed as blamed. */
 const play = (seed: number, faulty: number, broken: readonly Job[], good: readonly Job[]): Day => {
   const luck = new Luck(seed);
-  const blame = new Blame(ZERO);
+  const blame = new FaultAttribution(ZERO);
   const day: Day = { blame, tries: new Map(), doneAt: new Map(), blamed: new Set(), wrongly: new Set() };
   for (let at = ZERO; at < DAY; at = plus(at, 2e6)) {
     const closed = blame.faulty(at, (j) => blame.looksBroken(j, 0));
@@ -64,7 +64,7 @@
 });
 
 test('blame is taken back when the jobs it rests on fail elsewhere too', () => {
-  const blame = new Blame(ZERO);
+  const blame = new FaultAttribution(ZERO);
   const [a, b] = [job('job-1'), job('job-2')];
   const suspect = (j: Job): boolean => blame.looksBroken(j, 0);
   for (const j of [a, b]) blame.failed(j, 'm', 0, ZERO);
@@ -77,7 +77,7 @@
 test('a new leader knows from the records what looks broken, and does not begin with trying it', () => {
   const known = job('job-1', { shape: 'gang' });
   known.failedOn.add('m1').add('m2');
-  const blame = new Blame(seconds(100));
+  const blame = new FaultAttribution(seconds(100));
   assert.equal(blame.looksBroken(known, 0), true);
   assert.ok(blame.heldUntil(known) > seconds(110));
   // A task that runs on and on is no failure.
@@ -88,7 +88,7 @@
 
 // No job is left waiting for 90 s beside room that it could use: one that looks broken may be sound.
 test('a job that looks broken is tried again within 75 s', () => {
-  const blame = new Blame(ZERO);
+  const blame = new FaultAttribution(ZERO);
   const gang = job('job-2', { shape: 'gang' });
   blame.failed(gang, 'm', 0, ZERO);
   for (let at = seconds(100), tries = 0; tries < 12; tries++) {
--- a/packages/controller/test/reports.test.ts
+++ b/packages/controller/test/heartbeat-codec.test.ts
@@ -2,17 +2,17 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Micros } from '@lilacvalve/runtime/micros';
-import { JobCache } from '../src/jobs/cache.js';
+import { JobState } from '../src/jobs/job-state.js';
 import { encodeJob } from '../src/jobs/codec.js';
 import { activeKey } from '../src/jobs/keys.js';
 import { Contacts } from '../src/leadership/contacts.js';
 import type { Leadership } from '../src/leadership/leadership.js';
-import { listenToOdd, takeTally } from '../src/tally.js';
-import { Book } from '../src/workers/book.js';
-import { ReportReader, REPORTS, readReport } from '../src/workers/codec.js';
-import { receiver, reportHandler } from '../src/workers/duty.js';
+import { listenToAnomalies, takeMetrics } from '../src/metrics.js';
+import { WorkerRegistry } from '../src/workers/worker-registry.js';
+import { HeartbeatReader, REPORTS, readReport } from '../src/workers/codec.js';
+import { receiver, heartbeatHandler } from '../src/workers/heartbeat-handler.js';
 import { job } from './support/job.js';
-import { Luck } from './support/luck.js';
+import { Luck } from './support/random-source.js';
 import { worldSettings } from './support/settings.js';
 
 type Fields = Record<string, unknown>;
@@ -57,7 +57,7 @@
   let again = 0;
   for (let seed = 1; seed <= 60; seed++) {
     const luck = new Luck(seed);
-    const reader = new ReportReader();
+    const reader = new HeartbeatReader();
     const lists = new Set<unknown>();
     for (let tick = 0; tick < 150; tick++) {
       const body = Buffer.from(bodyOf(luck, tick));
@@ -73,33 +73,33 @@
 test("odd reports get the protocol's answer, end nothing, and leave a count and a line", () => {
   const running = job('job-1', { spot: false });
   running.placed.set(0, { task: 0, attempt: 2, machine: 'vm-1', since: 0 as Micros });
-  const cache = new JobCache();
-  cache.apply({ key: activeKey('job-1'), value: encodeJob(running, 0), stamp: 1 });
+  const jobState = new JobState();
+  jobState.apply({ key: activeKey('job-1'), value: encodeJob(running, 0), stamp: 1 });
   const settings = worldSettings('n0');
-  const book = new Book(settings, cache, 3, 0 as Micros);
-  book.removed('vm-2');
-  const reign = { term: 3, stamp: 1, began: 0 as Micros };
+  const registry = new WorkerRegistry(settings, jobState, 3, 0 as Micros);
+  registry.removed('vm-2');
+  const leaderTerm = { term: 3, stamp: 1, began: 0 as Micros };
   const leadership = {
-    answering: () => reign,
-    acting: () => null,
+    answering: () => leaderTerm,
+    mayAct: () => null,
     depose: () => undefined,
     mayStart: () => true,
   };
   const receive = receiver(
     leadership as unknown as Leadership,
-    () => ({ book, nextTurn: () => undefined }),
+    () => ({ registry, nextTurn: () => undefined }),
     () => 0 as Micros,
     new Contacts(settings),
-    { active: false, heardToken: () => undefined },
+    { suspected: false, heardToken: () => undefined },
   );
   const lost = () => assert.fail('passed on');
-  const handle = reportHandler(
+  const handle = heartbeatHandler(
     receive,
     () => true,
     lost,
     () => null,
     () => undefined,
-    new ReportReader(),
+    new HeartbeatReader(),
   );
   const there = { piece: 'job-1/0', try: 2, status: 'running' };
   const ended = { ...there, status: 'ended', cause: 'error' };
@@ -109,8 +109,8 @@
   };
   const lines: string[] = [];
   const answers: string[] = [];
-  takeTally();
-  listenToOdd((event, fields) => lines.push(`${event} ${fields.machine ?? ''}`));
+  takeMetrics();
+  listenToAnomalies((event, fields) => lines.push(`${event} ${fields.machine ?? ''}`));
   const plain = '200 {"warrant":3,"orders":[]}';
   const cases: [string | null, string, string][] = [
     [body(2, 5, [there]), plain, ''],
@@ -132,7 +132,7 @@
     assert.ok(answers[answers.length - 1]!.startsWith(answer), `${text}: ${answers[answers.length - 1]}`);
     assert.deepEqual(lines.slice(before), line === '' ? [] : [line], `${text}`);
   }
-  listenToOdd(null);
-  const { late, malformed, strange } = takeTally();
-  assert.deepEqual([late, malformed, strange, book.ends.size], [4, 4, 1, 0]);
+  listenToAnomalies(null);
+  const { late, malformed, strange } = takeMetrics();
+  assert.deepEqual([late, malformed, strange, registry.ends.size], [4, 4, 1, 0]);
 });
--- a/packages/controller/test/places.test.ts
+++ b/packages/controller/test/heartbeat-routing.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
-import { goodPlaces, placeOf, Places } from '../src/workers/places.js';
+import { goodPlaces, placeOf, HeartbeatRouting } from '../src/workers/heartbeat-routing.js';
 
 const NODES = ['n0', 'n1', 'n2', 'n3', 'n4'];
 const but =
@@ -25,13 +25,13 @@
 });
 
 test('a worker is not sent to and fro: who comes back is answered', () => {
-  const places = new Places('n1', NODES);
+  const places = new HeartbeatRouting('n1', NODES);
   const at = (s: number) => places.elsewhere('vm-1', 'n1', but(), seconds(s) as Micros);
   assert.deepEqual([at(0) !== null, at(1), at(19), at(21) !== null], [true, null, null, true]);
-  assert.equal(new Places('n2', NODES).elsewhere('vm-1', 'n1', but(), seconds(0)), null);
+  assert.equal(new HeartbeatRouting('n2', NODES).elsewhere('vm-1', 'n1', but(), seconds(0)), null);
   assert.equal(
-    new Places('n1', NODES).elsewhere('vm-1', 'n1', but('n0', 'n2', 'n3', 'n4'), seconds(0)),
+    new HeartbeatRouting('n1', NODES).elsewhere('vm-1', 'n1', but('n0', 'n2', 'n3', 'n4'), seconds(0)),
     null,
   );
-  assert.equal(new Places('n1', NODES).elsewhere('vm-1', null, but(), seconds(0)), null);
+  assert.equal(new HeartbeatRouting('n1', NODES).elsewhere('vm-1', null, but(), seconds(0)), null);
 });
--- a/packages/controller/test/cache.test.ts
+++ b/packages/controller/test/job-state.test.ts
@@ -2,12 +2,12 @@
 import assert from 'node:assert/strict';
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { test } from 'node:test';
-import { JobCache } from '../src/jobs/cache.js';
+import { JobState } from '../src/jobs/job-state.js';
 import { encodeJob, encodeRecord } from '../src/jobs/codec.js';
 import { activeKey, INCARNATION, recordKey, TERM } from '../src/jobs/keys.js';
 import { finalState, NO_HEAD } from '../src/jobs/model.js';
 import { job } from './support/job.js';
-import { Luck } from './support/luck.js';
+import { Luck } from './support/random-source.js';
 
 const wire = (v: unknown): unknown => JSON.parse(JSON.stringify(v));
 
@@ -32,17 +32,17 @@
     ['withdrawal', 'cancelled'],
   ] as const) {
     const changes = first === 'record' ? [record(5), withdrawn(6)] : [withdrawn(5), record(6)];
-    const watched = new JobCache();
+    const watched = new JobState();
     watched.apply({ key: activeKey('job-1'), value: wire(encodeJob(started, 0)), stamp: 4 });
     for (const c of changes) watched.apply(c);
-    const listed = new JobCache();
+    const listed = new JobState();
     listed.load(changes, 6);
     // The leader knows its own record before the watch brings what came earlier.
-    const ahead = new JobCache();
+    const ahead = new JobState();
     ahead.apply({ key: activeKey('job-1'), value: wire(encodeJob(started, 0)), stamp: 4 });
     for (const c of [...changes].reverse()) ahead.apply(c);
-    for (const cache of [watched, listed, ahead])
-      assert.equal(finalState(cache.jobs.get('job-1')!)?.status, expected);
+    for (const jobState of [watched, listed, ahead])
+      assert.equal(finalState(jobState.jobs.get('job-1')!)?.status, expected);
   }
 });
 
@@ -55,7 +55,7 @@
   const damaged = (seq: number, value: unknown) => ({ ...whole(seq), value });
   const born = (stamp: number) => ({ key: `${INCARNATION}x`, value: { g: 0 }, stamp });
   const holeOf = (...changes: { key: string; value: unknown; stamp: number }[]): string | null => {
-    const c = new JobCache();
+    const c = new JobState();
     c.load(changes, 50);
     return c.hole();
   };
@@ -71,8 +71,8 @@
 test('what runs where is the same whether it was kept up with every change or made when first asked for', () => {
   for (let seed = 1; seed <= 40; seed++) {
     const luck = new Luck(seed);
-    const kept = new JobCache();
-    const late = new JobCache();
+    const kept = new JobState();
+    const late = new JobState();
     assert.equal(kept.byMachine.size, 0);
     const ids = Array.from({ length: 6 }, (_, i) => `job-${i}`);
     const on = new Map<string, Set<number>>(ids.map((id) => [id, new Set()]));
@@ -99,7 +99,7 @@
         apply(recordKey(kept.lastSeq + 1), encodeRecord(new Map([[id, { gone, start }]]), NO_HEAD));
       }
       if (luck.chance(0.1)) late.letMachinesGo();
-      const all = (c: JobCache): string[] =>
+      const all = (c: JobState): string[] =>
         [...c.byMachine]
           .flatMap(([m, tasks]) => [...tasks].map(([key, p]) => `${m} ${key} ${p.attempt} ${p.job.spec.id}`))
           .sort();
--- a/packages/controller/test/late-answers.test.ts
+++ b/packages/controller/test/late-answers.test.ts
@@ -5,68 +5,71 @@
 import { test } from 'node:test';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { Effect } from 'effect';
-import { Doubt } from '../src/doubt/doubt.js';
-import { countsFor } from '../src/fleet/boots.js';
-import { awaitedOf } from '../src/fleet/duty.js';
-import { JobCache } from '../src/jobs/cache.js';
+import { DataLossDetector } from '../src/recovery/data-loss-detector.js';
+import { countsFor } from '../src/provisioning/boot-tracker.js';
+import { awaitedOf } from '../src/provisioning/autoscaler.js';
+import { JobState } from '../src/jobs/job-state.js';
 import { encodeJob } from '../src/jobs/codec.js';
 import { activeKey } from '../src/jobs/keys.js';
 import { Contacts } from '../src/leadership/contacts.js';
 import type { Leadership } from '../src/leadership/leadership.js';
-import { Book } from '../src/workers/book.js';
-import { type Answers, readReport, type Report } from '../src/workers/codec.js';
-import { receiver, sendUrgent, Workers } from '../src/workers/duty.js';
+import { WorkerRegistry } from '../src/workers/worker-registry.js';
+import { type Answers, readReport, type Heartbeat } from '../src/workers/codec.js';
+import { receiver, sendUrgent, Workers } from '../src/workers/heartbeat-handler.js';
 import { job } from './support/job.js';
 import { worldSettings } from './support/settings.js';
 
 const settings = worldSettings('n0');
 const TERM = 5;
 
-const setJob = (cache: JobCache, stamp: number, withdrawn: boolean): void => {
+const setJob = (jobState: JobState, stamp: number, withdrawn: boolean): void => {
   const j = job('job-1', { spot: false });
   j.withdrawn = withdrawn;
   j.attempt = 1;
   j.placed.set(0, { task: 0, attempt: 1, machine: 'm', since: 0 as Micros });
-  cache.apply({ key: activeKey('job-1'), value: JSON.parse(JSON.stringify(encodeJob(j, 0))), stamp });
+  jobState.apply({ key: activeKey('job-1'), value: JSON.parse(JSON.stringify(encodeJob(j, 0))), stamp });
 };
 /** The leader's book: `job-1/0` is to be started on `m`. */
-const book = (cache = new JobCache()): Book => {
-  setJob(cache, 1, false);
-  return new Book(settings, cache, TERM, 0 as Micros);
+const registry = (jobState = new JobState()): WorkerRegistry => {
+  setJob(jobState, 1, false);
+  return new WorkerRegistry(settings, jobState, TERM, 0 as Micros);
 };
-const report = (tenure: number, tick: number, token = TERM): Report => ({
+const report = (tenure: number, tick: number, token = TERM): Heartbeat => ({
   machine: 'm',
   addr: '',
   type: 'c8',
   zone: 'a',
   spot: false,
-  tenure,
-  tick,
-  token,
+  incarnation: tenure,
+  sequence: tick,
+  fencingToken: token,
   recall: null,
   tasks: [],
 });
 
 /** A leader whose reports wait for a turn until `turn` is called. */
-const leader = (b: Book, doubt: Pick<Doubt, 'heardToken' | 'active'> | null = null) => {
+const leader = (
+  b: WorkerRegistry,
+  lossDetector: Pick<DataLossDetector, 'heardToken' | 'suspected'> | null = null,
+) => {
   const waiting: (() => void)[] = [];
   const deposedBy: number[] = [];
   const state = { term: TERM as number | null, at: 10 };
-  const reign = () => (state.term === null ? null : { term: state.term, stamp: 1, began: 0 as Micros });
+  const leaderTerm = () => (state.term === null ? null : { term: state.term, stamp: 1, began: 0 as Micros });
   const leadership = {
-    answering: reign,
-    acting: reign,
+    answering: leaderTerm,
+    mayAct: leaderTerm,
     mayStart: () => true,
     depose: (t: number) => void deposedBy.push(t),
   };
   const receive = receiver(
     leadership as unknown as Leadership,
-    () => ({ book: b, nextTurn: (then) => void waiting.push(then) }),
+    () => ({ registry: b, nextTurn: (then) => void waiting.push(then) }),
     () => seconds(state.at),
     new Contacts(settings),
-    doubt ?? { active: false, heardToken: () => undefined },
+    lossDetector ?? { suspected: false, heardToken: () => undefined },
   );
-  const take = (r: Report): { answers: Answers | null; given: boolean } => {
+  const take = (r: Heartbeat): { answers: Answers | null; given: boolean } => {
     const out = { answers: null as Answers | null, given: false };
     b.dirty = true;
     receive([r], (a) => Object.assign(out, { answers: a, given: true }));
@@ -83,7 +86,7 @@
     // The next session may count its reports as it likes: the same number says nothing.
     [report(1, 7), report(2, 7)],
   ] as const) {
-    const l = leader(book());
+    const l = leader(registry());
     const older = l.take(first);
     const newer = l.take(second);
     assert.deepEqual([older.given, newer.given], [false, false], 'both wait');
@@ -95,13 +98,13 @@
 
 test('a report that waited for a turn is not answered once the reign is over, or another one', () => {
   for (const then of [null, TERM + 1]) {
-    const l = leader(book());
+    const l = leader(registry());
     const waits = l.take(report(1, 1));
     l.state.term = then;
     l.turn();
     assert.deepEqual([waits.given, waits.answers], [true, null], `${then}`);
   }
-  const l = leader(book());
+  const l = leader(registry());
   const waits = l.take(report(1, 1));
   l.turn();
   assert.match(waits.answers!.bodies[0]!, STARTS);
@@ -110,7 +113,7 @@
 test('a copy of an old report proves a higher token all the same, also while the store is doubted', () => {
   for (const active of [false, true]) {
     const heard: number[] = [];
-    const l = leader(book(), { active, heardToken: (t) => void heard.push(t) });
+    const l = leader(registry(), { suspected: active, heardToken: (t) => void heard.push(t) });
     l.take(report(2, 9));
     // Sent long before: its tasks, its session and what it lacks say nothing. That the token was given does.
     l.take(report(1, 3, 99));
@@ -123,24 +126,24 @@
     );
   }
   // A token of an earlier life of the store, in the first one that anybody knows of: it had data before.
-  const doubt = new Doubt(
+  const lossDetector = new DataLossDetector(
     () => 0 as Micros,
     () => TERM,
   );
-  doubt.readIncarnation({ id: 'i', generation: 0, stamp: 1, base: 50, born: 0 });
-  const l = leader(book(), doubt);
+  lossDetector.readIncarnation({ id: 'i', generation: 0, stamp: 1, base: 50, born: 0 });
+  const l = leader(registry(), lossDetector);
   l.take(report(2, 9, 51));
-  assert.equal(doubt.active, false, 'given in this life');
+  assert.equal(lossDetector.suspected, false, 'given in this life');
   l.take(report(1, 3, 7));
-  assert.equal(doubt.active, true);
+  assert.equal(lossDetector.suspected, true);
 });
 
 test("the answer to a direct order is no report: a start in flight is not in it, and hasn't failed", async () => {
-  const cache = new JobCache();
-  const b = book(cache);
+  const jobState = new JobState();
+  const b = registry(jobState);
   // The leader answers a report with the start; it is on its way when the job is cancelled.
-  assert.equal(b.orders(b.report(report(1, 1), seconds(10))!)[0]?.op, 'start');
-  setJob(cache, 2, true);
+  assert.equal(b.orders(b.applyHeartbeat(report(1, 1), seconds(10))!)[0]?.op, 'start');
+  setJob(jobState, 2, true);
   const answer = {
     host: 'm',
     addr: '',
@@ -165,7 +168,7 @@
   await new Promise<void>((r) => server.listen(0, '127.0.0.1', r));
   const m = b.machines.get('m')!;
   m.addr = `127.0.0.1:${(server.address() as AddressInfo).port}`;
-  const { tick } = m;
+  const { sequence: tick } = m;
   b.urgent.push({ machine: m, order: { op: 'stop', key: 'job-1/0', attempt: 1, grace: 0 as Micros } });
   const admission = { enter: () => null, leave: () => undefined };
   await Effect.runPromise(sendUrgent(b, new Workers(settings), admission));
@@ -174,18 +177,18 @@
   server.close();
   assert.equal(got.length, 1);
   assert.match(got[0]!, /"stop"/);
-  assert.deepEqual([m.tick, b.ends.size], [tick, 0], 'nothing is concluded from it');
+  assert.deepEqual([m.sequence, b.ends.size], [tick, 0], 'nothing is concluded from it');
   // Taken for a report, it would free the room of a task that begins when the answer arrives.
-  b.report(readReport(Buffer.from(JSON.stringify(answer)))!, seconds(11));
+  b.applyHeartbeat(readReport(Buffer.from(JSON.stringify(answer)))!, seconds(11));
   assert.deepEqual([...(b.ends.get('job-1')?.gone ?? [])], [0]);
 });
 
 test('a machine that reports and never shows the token counts as room on its way for 40 s, not for ever', () => {
-  const b = book();
+  const b = registry();
   const boot = seconds(10);
   const counts: number[] = [];
   for (let at = 10; at <= 80; at += 2) {
-    const m = b.report(report(1, at, TERM - 1), seconds(at))!;
+    const m = b.applyHeartbeat(report(1, at, TERM - 1), seconds(at))!;
     b.lapse(seconds(at), true);
     counts.push(countsFor(awaitedOf(m, boot, seconds(at))));
   }
--- a/packages/controller/test/late-writes.test.ts
+++ b/packages/controller/test/late-writes.test.ts
@@ -23,15 +23,15 @@
   TERM,
   wardKey,
 } from '../src/jobs/keys.js';
-import { Gathered, rebuild, writeBack } from '../src/rebuild/duty.js';
+import { Gathered, rebuild, writeBack } from '../src/recovery/rebuild.js';
 import { commit } from '../src/scheduler/commit.js';
 import { upkeep } from '../src/scheduler/upkeep.js';
 import type { Start } from '../src/scheduler/model.js';
-import type { Turn } from '../src/scheduler/turn.js';
+import type { CycleContext } from '../src/scheduler/cycle-context.js';
 import { restore } from '../src/snapshots/restore.js';
 import type { StatePort } from '../src/state-store/port.js';
 import { job } from './support/job.js';
-import { Luck } from './support/luck.js';
+import { Luck } from './support/random-source.js';
 import {
   body,
   calm,
@@ -171,29 +171,29 @@
     });
 
   /** A reign: starts what waits, ends what runs, tidies up beside it. */
-  const lead = (t: Turn) =>
+  const lead = (t: CycleContext) =>
     Effect.gen(function* () {
       yield* Effect.fork(
         time.watched(
-          upkeep(t).pipe(Effect.zipRight(nap(0.1, 0.4)), Effect.repeat({ while: () => t.reigning() })),
+          upkeep(t).pipe(Effect.zipRight(nap(0.1, 0.4)), Effect.repeat({ while: () => t.isCurrentTerm() })),
         ),
       );
-      while (t.reigning()) {
+      while (t.isCurrentTerm()) {
         const starts: Start[] = [];
-        for (const j of t.cache.jobs.values()) {
+        for (const j of t.jobState.jobs.values()) {
           const ends = { done: new Set<number>(), gone: new Set<number>(), failed: new Set<number>() };
           for (const n of j.placed.keys())
-            if (!t.book.isEnding(j.spec.id, n) && luck.chance(0.25))
+            if (!t.registry.isEnding(j.spec.id, n) && luck.chance(0.25))
               ends[luck.chance(j.withdrawn ? 0.6 : 0.3) ? 'gone' : 'done'].add(n);
-          if (ends.done.size + ends.gone.size > 0 && !t.book.ends.has(j.spec.id))
-            t.book.ends.set(j.spec.id, ends);
+          if (ends.done.size + ends.gone.size > 0 && !t.registry.ends.has(j.spec.id))
+            t.registry.ends.set(j.spec.id, ends);
           const free = Array.from({ length: j.spec.tasks }, (_, n) => n).filter(
             (n) => !j.done.has(n) && !j.placed.has(n) && luck.chance(0.7),
           );
           if (!j.withdrawn && free.length > 0)
             starts.push({
               job: j,
-              attempt: Math.max(t.cache.attempts, j.attempt) + 1,
+              attempt: Math.max(t.jobState.attempts, j.attempt) + 1,
               on: new Map([['m', free]]),
             });
         }
@@ -204,22 +204,23 @@
   const reigns = Effect.gen(function* () {
     for (;;) {
       const node = any();
-      yield* Effect.ignore(node.feed.refresh);
-      const [term, stamp] = [node.cache.term + 1, node.cache.termStamp];
-      const value = { term, a: node.cache.attempts + 256 };
+      yield* Effect.ignore(node.watcher.refresh);
+      const [term, stamp] = [node.jobState.term + 1, node.jobState.termStamp];
+      const value = { term, a: node.jobState.attempts + 256 };
       const o = yield* Effect.either(
         node.store.transact([{ key: TERM, stamp }], [{ set: TERM, value }], 0 as never, 1200),
       );
       if (o._tag === 'Left' || !o.right.ok) continue;
-      while ((yield* Effect.isFailure(node.feed.refresh)) || node.cache.term < term) yield* nap(0.1, 0.2);
-      if (node.cache.term === term)
-        yield* Effect.fork(time.watched(lead(node.reign(term, o.right.revision))));
+      while ((yield* Effect.isFailure(node.watcher.refresh)) || node.jobState.term < term)
+        yield* nap(0.1, 0.2);
+      if (node.jobState.term === term)
+        yield* Effect.fork(time.watched(lead(node.leaderTerm(term, o.right.revision))));
       yield* nap(3, 20);
     }
   });
   time.fork(
     Effect.zipRight(
-      Effect.forEach(nodes, (n) => n.feed.refresh.pipe(Effect.retry({ times: 9 }))),
+      Effect.forEach(nodes, (n) => n.watcher.refresh.pipe(Effect.retry({ times: 9 }))),
       reigns,
     ),
   );
@@ -238,7 +239,7 @@
   service.trouble = false;
   time.run(1e12 + 170 * S);
   look();
-  for (const n of nodes) must(!n.doubt.active, 'the store is doubted');
+  for (const n of nodes) must(!n.lossDetector.suspected, 'the store is doubted');
   for (const id of truth.keys()) {
     must(over.has(id), `${id} is not over`);
     if (['done', 'aborted'].includes(told.get(id)!))
@@ -272,10 +273,10 @@
 test('copies of the first record and of the first folding change nothing once others have followed', () => {
   const { service, node, go, turn } = calm([kept(fresh('job-1')), kept(fresh('job-2'))]);
   for (const id of ['job-1', 'job-2']) {
-    const gone = Effect.sync(() => turn.book.ends.set(id, { done: new Set(), gone: new Set([0]), failed: new Set() })); // prettier-ignore
+    const gone = Effect.sync(() => turn.registry.ends.set(id, { done: new Set(), gone: new Set([0]), failed: new Set() })); // prettier-ignore
     for (let n = 0; n < 6; n++) go(Effect.zipRight(gone, commit(turn, [])));
     service.transact([], [{ delete: activeKey(id) }]);
-    go(node.feed.refresh);
+    go(node.watcher.refresh);
     for (let n = 0; n < 4; n++) go(upkeep(turn));
   }
   assert.ok(service.keys.has(recordKey(12)) && !service.keys.has(recordKey(8)));
@@ -289,11 +290,11 @@
 test('a cancelled job whose last task completes while its key is folded stays cancelled', () => {
   const { service, node, go, turn } = calm([kept(fresh('job-1')), kept(fresh('job-2'))]);
   const one = [...Array(3).keys()];
-  go(commit(turn, [{ job: node.cache.jobs.get('job-1')!, attempt: 1, on: new Map([['m', one]]) }]));
+  go(commit(turn, [{ job: node.jobState.jobs.get('job-1')!, attempt: 1, on: new Map([['m', one]]) }]));
   const ends = (id: string, done: number[], gone: number[]): void =>
-    void turn.book.ends.set(id, { done: new Set(done), gone: new Set(gone), failed: new Set() });
+    void turn.registry.ends.set(id, { done: new Set(done), gone: new Set(gone), failed: new Set() });
   go(node.users.withdraw('job-1'));
-  assert.ok(node.cache.jobs.get('job-1')!.withdrawn);
+  assert.ok(node.jobState.jobs.get('job-1')!.withdrawn);
   ends('job-1', [0], []);
   go(commit(turn, []));
   // Until that record is among those to be folded.
@@ -310,7 +311,7 @@
   ends('job-1', [1, 2], []);
   go(Effect.all([upkeep({ ...turn, store: slow }), commit(turn, [])], { concurrency: 2 }), 3);
   assert.ok(service.keys.get(activeKey('job-1'))!.stamp > before, 'it must have been folded');
-  for (const c of [node.cache, service.view()]) {
+  for (const c of [node.jobState, service.view()]) {
     const j = c.jobs.get('job-1')!;
     assert.deepEqual([j.done.size, j.withdrawn], [3, true]);
   }
@@ -322,8 +323,8 @@
   const { service, node, go, turn } = calm([kept(fresh('job-1'))]);
   service.transact([], [kept(fresh('job-1', { withdrawn: true }))]);
   service.deaf = true;
-  go(commit(turn, [{ job: node.cache.jobs.get('job-1')!, attempt: 1, on: new Map([['m', [0]]]) }]));
-  assert.ok(!node.doubt.active && service.entries(RECORD).length === 0);
+  go(commit(turn, [{ job: node.jobState.jobs.get('job-1')!, attempt: 1, on: new Map([['m', [0]]]) }]));
+  assert.ok(!node.lossDetector.suspected && service.entries(RECORD).length === 0);
 });
 
 // After a cut of a minute the watch and a shared read are both told to read everything anew. The slower of the two set the
@@ -333,7 +334,7 @@
     const time = new Time(seed);
     const service = new Service(time, new Luck(seed));
     service.transact([], HEAD);
-    const { cache, feed, doubt } = controller(time, service);
+    const { jobState, watcher, lossDetector } = controller(time, service);
     let n = 0;
     let last = -1;
     const write = (): void => {
@@ -343,21 +344,22 @@
         // Another incarnation, and this node leaves its view: what it was reading is of the old one.
         service.keys.clear();
         service.transact([], [{ set: `${INCARNATION}y`, value: { g: 1, t: 0, s: 0 } }, ...HEAD.slice(1)]);
-        cache.clear();
-        feed.loaded = false;
-        doubt.leave();
+        jobState.clear();
+        watcher.loaded = false;
+        lossDetector.leave();
         last = -1;
       }
-      if (cache.revision < last) time.faults.push(`seed ${seed}: revision ${cache.revision} after ${last}`);
-      last = cache.revision;
+      if (jobState.revision < last)
+        time.faults.push(`seed ${seed}: revision ${jobState.revision} after ${last}`);
+      last = jobState.revision;
       if (n < 400) time.after(0.05 * S, write);
     };
     write();
-    time.fork(feed.run);
-    time.fork(Effect.forever(Effect.ignore(feed.refresh)));
+    time.fork(watcher.run);
+    time.fork(Effect.forever(Effect.ignore(watcher.refresh)));
     time.run(time.now + 40 * S);
     assert.deepEqual(time.faults, []);
-    assert.equal(cache.jobs.size, service.entries(ACTIVE).length, `seed ${seed}`);
+    assert.equal(jobState.jobs.size, service.entries(ACTIVE).length, `seed ${seed}`);
   }
 });
 
@@ -369,14 +371,14 @@
     { set: 's/p/1-0', value: encodePack([known, fresh('job-2', { ...state, withdrawn: true })]) },
   ]);
   service.transact([], [kept(fresh('job-1'))]);
-  go(node.feed.refresh);
+  go(node.watcher.refresh);
   // The other one is over, and the pack is written anew.
   go(upkeep(turn));
   go(upkeep(turn));
   assert.equal(service.keys.has('s/j/z/job-2'), true);
   // Nor does a cancellation of the packed one that comes after its end.
   assert.ok(!service.transact(asKnown('job-2', 0), [kept(fresh('job-2'))]).ok);
-  for (const c of [node.cache, service.view()]) {
+  for (const c of [node.jobState, service.view()]) {
     const j = c.jobs.get('job-1')!;
     assert.deepEqual(
       [[...j.done], j.attempt, j.stamp],
@@ -430,7 +432,7 @@
   for (const p of pending) turn.ledger.closing.set(p.to, { open: new Map(), shares });
   const unheard = Effect.fail(new NoAnswer({ reason: 'timeout' }));
   const deaf = { ...service.port(), transact: (...a: Parameters<StatePort['transact']>) => Effect.zipRight(service.port().transact(...a), unheard) } as StatePort; // prettier-ignore
-  go(writePage({ ...turn, store: deaf }).pipe(Effect.ignore, Effect.zipRight(node.feed.refresh)));
+  go(writePage({ ...turn, store: deaf }).pipe(Effect.ignore, Effect.zipRight(node.watcher.refresh)));
   go(writePage(turn));
   const pages = pagesOf(service.entries('s/a/p/'));
   assert.deepEqual(pages.map((p) => [p.page.to, ...p.page.shares.values()].slice(0, 2)), pending.map((p) => [p.to, ...shares.values()])); // prettier-ignore
--- a/packages/controller/test/lending.test.ts
+++ b/packages/controller/test/lending.test.ts
@@ -10,7 +10,7 @@
 import { borrowedBy, lentOf, loansOf } from '../src/lending/loans.js';
 import { mayTake, rightOf, standingOf } from '../src/lending/may-take.js';
 import { endings, loansMade } from '../src/lending/record.js';
-import { mergeClaims } from '../src/rebuild/merge.js';
+import { mergeClaims } from '../src/recovery/merge.js';
 import { schedule } from '../src/scheduler/cycle.js';
 import type { Holder, NodeView, QueuedJob, LendingView } from '../src/scheduler/model.js';
 import { job } from './support/job.js';
--- a/packages/controller/test/link.test.ts
+++ b/packages/controller/test/link.test.ts
@@ -5,7 +5,7 @@
 import { Effect, Exit, Scope } from 'effect';
 import { Link, serveLinks } from '@lilacvalve/runtime/link';
 import { type Answer, json } from '@lilacvalve/runtime/http-server';
-import { Luck } from './support/luck.js';
+import { Luck } from './support/random-source.js';
 
 interface Peer {
   readonly port: number;
--- a/packages/controller/test/meetings.test.ts
+++ b/packages/controller/test/meetings.test.ts
@@ -6,8 +6,8 @@
 import { test } from 'node:test';
 import { pack, unpack } from 'msgpackr';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
-import { isDeaf } from '../src/fleet/duty.js';
-import { JobCache } from '../src/jobs/cache.js';
+import { isDeaf } from '../src/provisioning/autoscaler.js';
+import { JobState } from '../src/jobs/job-state.js';
 import { encodeJob } from '../src/jobs/codec.js';
 import { activeKey } from '../src/jobs/keys.js';
 import {
@@ -20,14 +20,14 @@
 } from '../src/jobs/model.js';
 import { Contacts } from '../src/leadership/contacts.js';
 import type { Leadership } from '../src/leadership/leadership.js';
-import type { Turn } from '../src/scheduler/turn.js';
+import type { CycleContext } from '../src/scheduler/cycle-context.js';
 import { holdersOf } from '../src/scheduler/views.js';
-import { Book, endsOf } from '../src/workers/book.js';
-import { type Answers, REPORTS, ReportReader, writeOrders } from '../src/workers/codec.js';
-import { receiver, reportHandler } from '../src/workers/duty.js';
-import { answerOf, relayHandler } from '../src/workers/relay.js';
+import { WorkerRegistry, endsOf } from '../src/workers/worker-registry.js';
+import { type Answers, REPORTS, HeartbeatReader, writeOrders } from '../src/workers/codec.js';
+import { receiver, heartbeatHandler } from '../src/workers/heartbeat-handler.js';
+import { answerOf, relayHandler } from '../src/workers/heartbeat-relay.js';
 import { job as anyJob } from './support/job.js';
-import { Luck } from './support/luck.js';
+import { Luck } from './support/random-source.js';
 import { type Ground, meet, type Piece, Time, Worker } from './support/machines.js';
 import { worldSettings } from './support/settings.js';
 
@@ -44,13 +44,13 @@
 type Written = { readonly record: CycleRecord } | { readonly job: Job };
 
 class Lead {
-  readonly cache = new JobCache();
-  readonly book: Book;
+  readonly jobState = new JobState();
+  readonly registry: WorkerRegistry;
   over = false;
   private read = 0;
   private busy = false;
   private waiting: (() => void)[] = [];
-  readonly direct: ReturnType<typeof reportHandler>;
+  readonly direct: ReturnType<typeof heartbeatHandler>;
   readonly relayed: ReturnType<typeof relayHandler>;
 
   constructor(
@@ -60,88 +60,94 @@
     private readonly known: number,
   ) {
     this.catchUp();
-    this.book = new Book(settings, this.cache, term, began);
-    const reign = { term, stamp: 0, began };
+    this.registry = new WorkerRegistry(settings, this.jobState, term, began);
+    const leaderTerm = { term, stamp: 0, began };
     const leadership = {
-      answering: () => (this.over ? null : reign),
+      answering: () => (this.over ? null : leaderTerm),
       mayStart: () => true,
-      acting: () => (this.acting() ? reign : null),
+      mayAct: () => (this.mayAct() ? leaderTerm : null),
       depose: (token: number) => void (token > term && (this.over = true)),
     } as unknown as Leadership;
-    const desk = { book: this.book, nextTurn: (then: () => void) => void this.waiting.push(then) };
+    const desk = { registry: this.registry, nextTurn: (then: () => void) => void this.waiting.push(then) };
     const receive = receiver(
       leadership,
       () => desk,
       () => w.time.now as Micros,
       new Contacts(settings),
       {
-        active: false,
+        suspected: false,
         heardToken: () => undefined,
       },
     );
     const nowhere = () => undefined;
-    this.direct = reportHandler(
+    this.direct = heartbeatHandler(
       receive,
       () => true,
       (_, r) => r({ status: 503, body: '' }),
       () => null,
       nowhere,
-      new ReportReader(),
+      new HeartbeatReader(),
     );
-    this.relayed = relayHandler(receive, new ReportReader());
+    this.relayed = relayHandler(receive, new HeartbeatReader());
     w.time.after(5e5, () => this.turn());
   }
 
-  private acting(): boolean {
+  private mayAct(): boolean {
     return !this.over && this.w.term === this.term;
   }
 
   private catchUp(): void {
     for (; this.read < this.w.log.length; this.read++) {
       const e = this.w.log[this.read]!;
-      if ('record' in e) this.cache.addRecord(e.record);
+      if ('record' in e) this.jobState.addRecord(e.record);
       else
-        this.cache.apply({ key: activeKey(e.job.spec.id), value: encodeJob(e.job, 0), stamp: this.read + 1 });
+        this.jobState.apply({
+          key: activeKey(e.job.spec.id),
+          value: encodeJob(e.job, 0),
+          stamp: this.read + 1,
+        });
     }
   }
 
   private turn(): void {
     if (this.over) return;
     this.w.time.after(5e5, () => this.turn());
-    if (!this.acting() || this.busy) return;
+    if (!this.mayAct() || this.busy) return;
     this.catchUp();
     const at = this.w.time.now as Micros;
-    const { book, cache } = this;
-    book.lapse(at, at - this.began > this.known);
-    book.dirty = false;
-    for (const job of cache.jobs.values()) {
-      if (job.placed.size > 0 && (job.withdrawn || book.isBroken(job))) book.clearAway(job);
+    const { registry, jobState } = this;
+    registry.lapse(at, at - this.began > this.known);
+    registry.dirty = false;
+    for (const job of jobState.jobs.values()) {
+      if (job.placed.size > 0 && (job.withdrawn || registry.isBroken(job))) registry.clearAway(job);
       if (this.w.troubled && this.w.luck.chance(0.01))
-        for (const task of job.placed.keys()) book.stop(job, task, 0 as Micros, at);
+        for (const task of job.placed.keys()) registry.stop(job, task, 0 as Micros, at);
     }
     this.commit(this.decide(at));
-    for (const { machine, order } of book.urgent.splice(0)) this.w.order(this.term, machine, order);
-    for (const m of book.machines.values())
-      if (m.reported && (at > book.leaseEnd(m) + 40e6 || isDeaf(m, settings.workers, at)))
+    for (const { machine, order } of registry.urgent.splice(0)) this.w.order(this.term, machine, order);
+    for (const m of registry.machines.values())
+      if (m.reported && (at > registry.leaseEnd(m) + 40e6 || isDeaf(m, settings.workers, at)))
         this.w.remove(m.id);
   }
 
   /** Ends as the record has them, and starts on whatever is open, within the limit and four to a machine. */
   private decide(at: Micros): Map<string, JobChange> {
-    const { book, cache, w } = this;
+    const { registry, jobState, w } = this;
     const out = new Map<string, JobChange>();
-    for (const [id, e] of book.ends)
+    for (const [id, e] of registry.ends)
       out.set(id, { done: [...e.done], gone: [...e.gone].filter((t) => !e.done.has(t)) });
-    const holders = holdersOf({ book, cache } as unknown as Turn, at);
+    const holders = holdersOf({ registry, jobState } as unknown as CycleContext, at);
     const load = new Map<string, number>();
     for (const h of holders) load.set(h.machine, (load.get(h.machine) ?? 0) + 1);
     let used = holders.length;
-    for (const job of cache.jobs.values()) {
-      const ends = book.ends.get(job.spec.id);
+    for (const job of jobState.jobs.values()) {
+      const ends = registry.ends.get(job.spec.id);
       const gang = job.spec.shape === 'gang';
-      if (job.withdrawn || isComplete(job) || at < book.heldUntil(job, at)) continue;
+      if (job.withdrawn || isComplete(job) || at < registry.heldUntil(job, at)) continue;
       const on = [...job.placed.keys()].filter((t) => !ends || !endsOf(ends, t));
-      const free = [...book.machines.values()].filter((m) => book.open(m, at) && (load.get(m.id) ?? 0) < 4);
+      const free = [...registry.machines.values()].filter(
+        (m) => registry.open(m, at) && (load.get(m.id) ?? 0) < 4,
+      );
       const tasks = Array.from({ length: job.spec.tasks }, (_, t) => t).filter(
         (t) => !job.done.has(t) && !ends?.done.has(t) && !on.includes(t),
       );
@@ -171,9 +177,9 @@
     if (record === null) return;
     const known = (): void => {
       this.busy = false;
-      if (!this.acting()) return;
+      if (!this.mayAct()) return;
       this.catchUp();
-      for (const [id, c] of jobs) this.book.settled(id, c.done ?? [], c.gone ?? []);
+      for (const [id, c] of jobs) this.registry.settled(id, c.done ?? [], c.gone ?? []);
       this.open();
     };
     // No answer for a while: it may be the next leader that acts on it.
@@ -264,7 +270,7 @@
     if (w?.alive && w.deaf) meet(this, 'deaf and returned');
     w?.die();
     const lead = this.leads[this.leads.length - 1]!;
-    lead.book.removed(id);
+    lead.registry.removed(id);
     this.removed.set(id, lead);
   }
 
@@ -307,11 +313,11 @@
 
   order(
     term: number,
-    m: { id: string; tenure: number },
+    m: { id: string; incarnation: number },
     order: Parameters<typeof writeOrders>[1][number],
   ): void {
     const held = this.troubled && this.luck.chance(0.3) ? this.luck.between(1e6, 2e7) : 2e4;
-    const body = writeOrders(term, [order], m.tenure);
+    const body = writeOrders(term, [order], m.incarnation);
     this.time.after(held, () => this.workers.get(m.id)?.direct(body, held));
   }
 
@@ -334,7 +340,7 @@
       if (p.status === 'ended')
         this.told.set(p.piece, Math.min(lead.term, this.told.get(p.piece) ?? lead.term));
     if (again && v.tick < worker.tick) {
-      const known = lead.book.machines.get(worker.id)?.reported === true;
+      const known = lead.registry.machines.get(worker.id)?.reported === true;
       meet(this, known ? 'a copy' : worker.alive ? 'a copy first' : 'a copy from a machine that is gone');
     }
     const read = (a: { status: number; body: Buffer | string }): void =>
@@ -352,7 +358,7 @@
   private look(): void {
     if (this.on.size > LIMIT) this.broken.push(`${this.on.size} tasks at once`);
     for (const [id, lead] of this.removed)
-      if (lead.book.machines.has(id)) this.broken.push(`${id} is back from the dead`);
+      if (lead.registry.machines.has(id)) this.broken.push(`${id} is back from the dead`);
     for (const [key, { machine }] of this.on) {
       const at = this.withdrawn.get(key.slice(0, key.indexOf('/')));
       if (at !== undefined && this.time.now > at + settings.workers.cancel)
@@ -363,8 +369,8 @@
 
   play(): void {
     this.time.until(END);
-    const { cache } = this.leads[this.leads.length - 1]!;
-    for (const job of cache.jobs.values()) {
+    const { jobState } = this.leads[this.leads.length - 1]!;
+    for (const job of jobState.jobs.values()) {
       if (job.withdrawn ? job.placed.size > 0 : !isComplete(job))
         this.broken.push(`${job.spec.id} is not over`);
       for (const t of job.done)
--- a/packages/controller/test/overload.test.ts
+++ b/packages/controller/test/overload.test.ts
@@ -3,13 +3,13 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { type Micros, millis, seconds } from '@lilacvalve/runtime/micros';
-import { turnGapMs } from '../src/reign/session.js';
+import { cycleGapMs } from '../src/leadership/leader-session.js';
 import { Admission } from '../src/overload/admission.js';
 import { admit } from '../src/overload/admit.js';
 import { memoryPart } from '../src/overload/memory.js';
 import { limitsOf, type Load, WORK } from '../src/overload/model.js';
 import { SHARES, SLOT } from '../src/overload/turns.js';
-import { Luck } from './support/luck.js';
+import { Luck } from './support/random-source.js';
 
 const limits = limitsOf(1000);
 const idle = { poll: 0, submission: 0, order: 0, report: 0 };
@@ -148,10 +148,10 @@
 });
 
 test('turns leave the node its time: further apart on many machines and when they take long, to a bound', () => {
-  assert.equal(turnGapMs(50, 2), 250);
-  assert.equal(turnGapMs(600, 15), 360);
-  assert.equal(turnGapMs(5000, 60), 800);
-  assert.equal(turnGapMs(600, 400), 1200);
+  assert.equal(cycleGapMs(50, 2), 250);
+  assert.equal(cycleGapMs(600, 15), 360);
+  assert.equal(cycleGapMs(5000, 60), 800);
+  assert.equal(cycleGapMs(600, 400), 1200);
 });
 
 /**
--- a/packages/controller/test/fleet.test.ts
+++ b/packages/controller/test/provisioning.test.ts
@@ -1,18 +1,30 @@
 /** What to rent and to return. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { readList } from '../src/fleet/cloud.js';
+import { readList } from '../src/provisioning/cloud.js';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
-import { type Awaited, Boots, countsFor, isOverdue, roomOnTheWay } from '../src/fleet/boots.js';
-import type { Offer } from '../src/fleet/model.js';
-import { type PlanInput, type Rental, rentals, returns, typesWanted } from '../src/fleet/plan.js';
+import {
+  type Awaited,
+  BootTracker,
+  countsFor,
+  isOverdue,
+  roomOnTheWay,
+} from '../src/provisioning/boot-tracker.js';
+import type { Offer } from '../src/provisioning/model.js';
+import {
+  type PlanInput,
+  type Rental,
+  rentals,
+  returns,
+  typesWanted,
+} from '../src/provisioning/scaling-plan.js';
 import type { Job, JobSpec } from '../src/jobs/model.js';
 import { job as anyJob } from './support/job.js';
 import { TYPES, worldSettings } from './support/settings.js';
-import { isMute } from '../src/fleet/duty.js';
-import { Hires } from '../src/fleet/hires.js';
-import { JobCache } from '../src/jobs/cache.js';
-import { Book, type Machine } from '../src/workers/book.js';
+import { isMute } from '../src/provisioning/autoscaler.js';
+import { RentalRequests } from '../src/provisioning/rental-requests.js';
+import { JobState } from '../src/jobs/job-state.js';
+import { WorkerRegistry, type Machine } from '../src/workers/worker-registry.js';
 
 const job = (over: Partial<JobSpec> = {}): Job =>
   anyJob('job-1', { urgency: 1, cpus: 4, spot: false, ...over });
@@ -173,7 +185,7 @@
 });
 
 test('offers whose machines come late are the last choice, and late ones are waited for as they come', () => {
-  const boots = new Boots();
+  const boots = new BootTracker();
   const boot = seconds(30);
   const at = (s: number) => seconds(s) as Micros;
   assert.equal(boots.late('c8|a', boot, 1, at(60)), false);
@@ -244,7 +256,7 @@
   const other = { ...offer, zone: 'b' };
   let n = 0;
   const name = () => `h-${++n}`;
-  const hires = new Hires(seconds(18), { rented: [], removed: [] }, 0 as Micros);
+  const hires = new RentalRequests(seconds(18), { rented: [], removed: [] }, 0 as Micros);
   const first = hires.ask({ ...offer, count: 3 }, name, seconds(1));
   assert.deepEqual(first, { ...offer, name: 'h-1', count: 3 });
   assert.equal(hires.ask({ ...other, count: 1 }, name, seconds(2)).name, 'h-2');
@@ -259,7 +271,7 @@
     'the list would show it by now',
   );
   // It can't ask by these names: what may come is room on its way until the list would show it.
-  const next = new Hires(seconds(18), { rented: [], removed: [], asked }, seconds(100));
+  const next = new RentalRequests(seconds(18), { rented: [], removed: [], asked }, seconds(100));
   const known = { ...offer, since: seconds(97) };
   const zones = (at: Micros): string[] => next.mayCome([known], at).map((o) => o.zone);
   assert.deepEqual(zones(seconds(101)), ['a', 'a', 'b']);
@@ -279,10 +291,10 @@
 });
 
 test('a late answer to a rental does not bring back what is gone', () => {
-  const book = new Book(worldSettings('n0'), new JobCache(), 5, 0 as Micros);
+  const registry = new WorkerRegistry(worldSettings('n0'), new JobState(), 5, 0 as Micros);
   const what = { type: 'c8', zone: 'a', spot: false };
-  assert.equal(book.rented('vm-1', seconds(1), what), true);
-  book.removed('vm-1');
-  assert.equal(book.rented('vm-1', seconds(2), what), false);
-  assert.equal(book.machines.size, 0);
+  assert.equal(registry.rented('vm-1', seconds(1), what), true);
+  registry.removed('vm-1');
+  assert.equal(registry.rented('vm-1', seconds(2), what), false);
+  assert.equal(registry.machines.size, 0);
 });
--- a/packages/controller/test/hold.test.ts
+++ b/packages/controller/test/read-lease.test.ts
@@ -2,12 +2,19 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DRIFT, type Micros, seconds } from '@lilacvalve/runtime/micros';
-import type { Doubt } from '../src/doubt/doubt.js';
-import { JobCache } from '../src/jobs/cache.js';
-import { Feed } from '../src/jobs/feed.js';
-import { holdEnds, mayAnswer, mayLag, mayStart, nothingAfter, type Said } from '../src/leadership/hold.js';
+import type { DataLossDetector } from '../src/recovery/data-loss-detector.js';
+import { JobState } from '../src/jobs/job-state.js';
+import { StoreWatcher } from '../src/jobs/store-watcher.js';
+import {
+  holdEnds,
+  mayAnswer,
+  mayLag,
+  mayStart,
+  nothingAfter,
+  type Said,
+} from '../src/leadership/read-lease.js';
 import type { StatePort } from '../src/state-store/port.js';
-import { Luck } from './support/luck.js';
+import { Luck } from './support/random-source.js';
 
 const TTL = seconds(3);
 /** A worker ends its tasks so late at the most: steps of timers, and what it had to do first. */
@@ -134,18 +141,18 @@
 });
 
 test('what this node wrote counts as known right after its view, and no more once that is left', () => {
-  const cache = new JobCache();
-  cache.revision = 4;
-  const feed = new Feed(
-    cache,
+  const jobState = new JobState();
+  jobState.revision = 4;
+  const watcher = new StoreWatcher(
+    jobState,
     {} as StatePort,
     () => 0 as Micros,
     () => true,
-    {} as Doubt,
+    {} as DataLossDetector,
     seconds(1),
   );
-  for (const revision of [6, 5, 8]) feed.committed(revision);
-  assert.equal(feed.completeTo(), 6);
-  feed.leave();
-  assert.deepEqual([feed.loaded, feed.completeTo()], [false, 4]);
+  for (const revision of [6, 5, 8]) watcher.committed(revision);
+  assert.equal(watcher.completeTo(), 6);
+  watcher.leave();
+  assert.deepEqual([watcher.loaded, watcher.completeTo()], [false, 4]);
 });
--- a/packages/controller/test/rebuild.test.ts
+++ b/packages/controller/test/rebuild.test.ts
@@ -3,18 +3,23 @@
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { JobCache } from '../src/jobs/cache.js';
+import { JobState } from '../src/jobs/job-state.js';
 import { encodeFinal, encodeJob, encodeOver, encodePack } from '../src/jobs/codec.js';
 import { Finals } from '../src/jobs/finals.js';
 import { activeKey, finalKey, OVER, PACK } from '../src/jobs/keys.js';
 import { type FinalState, isComplete, type Job } from '../src/jobs/model.js';
-import { decodeAsk, decodeTold, encodeAsk, encodeTold } from '../src/rebuild/codec.js';
-import { digestOf, RANGES } from '../src/rebuild/digest.js';
-import { told } from '../src/rebuild/exchange.js';
-import { type Claim, contentOf, mergeClaims, mergeFinals } from '../src/rebuild/merge.js';
-import { planOf, type Store } from '../src/rebuild/plan.js';
-import { claimsOf, Relics } from '../src/rebuild/relics.js';
-import { decodeFact, encodeFact, type Fact, Witness } from '../src/rebuild/witness.js';
+import {
+  decodeViewRequest,
+  decodeViewResponse,
+  encodeViewRequest,
+  encodeViewResponse,
+} from '../src/recovery/codec.js';
+import { digestOf, RANGES } from '../src/recovery/digest.js';
+import { told } from '../src/recovery/view-exchange.js';
+import { type Claim, contentOf, mergeClaims, mergeFinals } from '../src/recovery/merge.js';
+import { planOf, type Store } from '../src/recovery/rebuild-plan.js';
+import { claimsOf, PreLossViews } from '../src/recovery/pre-loss-views.js';
+import { decodeFact, encodeFact, type JobEvidence, EvidenceStore } from '../src/recovery/evidence-store.js';
 import { Effect } from 'effect';
 import { job } from './support/job.js';
 
@@ -202,8 +207,8 @@
 });
 
 test('only what differs travels between two nodes, in bounded answers', () => {
-  const mine = new JobCache();
-  const theirs = new JobCache();
+  const mine = new JobState();
+  const theirs = new JobState();
   for (let i = 0; i < 3000; i++) {
     const j = job(`job-${i}`);
     for (const c of [mine, theirs])
@@ -212,14 +217,16 @@
   const extra = job('job-77777', { tasks: 2 });
   theirs.apply({ key: activeKey('job-77777'), value: wire(encodeJob(extra, 0)), stamp: 4000 });
   theirs.apply({ key: finalKey('job-88888'), value: encodeFinal({ status: 'done', tasks: 4 }), stamp: 4001 });
-  const relics = new Relics('n1');
-  relics.keep(relics.relicOf(theirs, 0, null));
-  const own = new Relics('n0');
-  own.keep(own.relicOf(mine, 0, null));
-  const nobody = new Witness({ ask: () => Effect.succeed(Buffer.alloc(0)) }, () => []);
+  const relics = new PreLossViews('n1');
+  relics.keep(relics.viewOf(theirs, 0, null));
+  const own = new PreLossViews('n0');
+  own.keep(own.viewOf(mine, 0, null));
+  const nobody = new EvidenceStore({ ask: () => Effect.succeed(Buffer.alloc(0)) }, () => []);
   const merged = [...claimsOf(own.all).values()].map((list) => mergeClaims(list));
-  const ask = decodeAsk(encodeAsk({ incarnation: 'x', digest: digestOf(merged, []), from: 0 }))!;
-  const answer = decodeTold(encodeTold(told(ask, relics.all, theirs, nobody)))!;
+  const ask = decodeViewRequest(
+    encodeViewRequest({ incarnation: 'x', digest: digestOf(merged, []), from: 0 }),
+  )!;
+  const answer = decodeViewResponse(encodeViewResponse(told(ask, relics.all, theirs, nobody)))!;
   assert.equal(answer.next, null);
   assert.ok(answer.claims.length < 60, `${answer.claims.length} of 3001 claims travelled`);
   assert.ok(answer.claims.some((c) => c.job.spec.id === 'job-77777'));
@@ -240,8 +247,8 @@
   }
   assert.equal(all.size, 3001);
   assert.ok(parts > 3);
-  assert.equal(decodeAsk(Buffer.from('x')), null);
-  assert.equal(decodeTold(Buffer.from('x')), null);
+  assert.equal(decodeViewRequest(Buffer.from('x')), null);
+  assert.equal(decodeViewResponse(Buffer.from('x')), null);
 });
 
 test('a pack lists jobs until they have keys of their own or are over, in whatever order that is read', () => {
@@ -251,24 +258,24 @@
     { key: `${PACK}1`, value: wire(packed), stamp: 10 },
     { key: activeKey('job-1'), value: wire(encodeJob(own, 0)), stamp: 20 },
   ];
-  const watched = new JobCache();
+  const watched = new JobState();
   for (const c of changes) watched.apply(c);
-  const listed = new JobCache();
+  const listed = new JobState();
   listed.load([...changes].reverse(), 20);
-  for (const cache of [watched, listed]) {
-    assert.equal(cache.jobs.get('job-1')!.attempt, 8);
-    assert.equal(cache.jobs.get('job-2')!.stamp, 0);
-    const out = cache.unpacking(['job-2']);
+  for (const jobState of [watched, listed]) {
+    assert.equal(jobState.jobs.get('job-1')!.attempt, 8);
+    assert.equal(jobState.jobs.get('job-2')!.stamp, 0);
+    const out = jobState.unpacking(['job-2']);
     assert.deepEqual(out.when, [{ key: `${PACK}1`, stamp: 10 }]);
     assert.deepEqual(
       out.then,
       [{ delete: `${PACK}1` }],
       'job-1 has a key of its own: nothing is left to list',
     );
-    cache.apply({ key: `${PACK}1`, value: undefined, stamp: 30 });
-    assert.ok(!cache.jobs.has('job-2'), 'taken out of its pack it is over');
-    assert.ok(cache.jobs.has('job-1'));
-    assert.equal(cache.packOf.size, 0);
+    jobState.apply({ key: `${PACK}1`, value: undefined, stamp: 30 });
+    assert.ok(!jobState.jobs.has('job-2'), 'taken out of its pack it is over');
+    assert.ok(jobState.jobs.has('job-1'));
+    assert.equal(jobState.packOf.size, 0);
   }
 });
 
@@ -280,14 +287,14 @@
   assert.equal(finals.has('job-1'), false);
   assert.deepEqual(finals.get('job-4'), { status: 'cancelled', tasks: 4 });
   assert.equal(finals.complete, false, 'one was forgotten: what is not here may be in the store');
-  const cache = new JobCache();
+  const jobState = new JobState();
   const page = encodeOver([['job-5', { status: 'done', tasks: 100_000 }]]);
-  cache.apply({ key: `${OVER}1/job-5~`, value: wire(page), stamp: 1 });
-  assert.deepEqual(cache.finals.get('job-5'), { status: 'done', tasks: 100_000 });
+  jobState.apply({ key: `${OVER}1/job-5~`, value: wire(page), stamp: 1 });
+  assert.deepEqual(jobState.finals.get('job-5'), { status: 'done', tasks: 100_000 });
 });
 
 test('what a user is told is noted by the others until their own view includes it', () => {
-  const nobody = new Witness({ ask: () => Effect.succeed(Buffer.alloc(0)) }, () => []);
+  const nobody = new EvidenceStore({ ask: () => Effect.succeed(Buffer.alloc(0)) }, () => []);
   const accepted = {
     id: 'job-1',
     revision: 40,
@@ -315,22 +322,22 @@
 });
 
 test('what an earlier process of the same controller is told takes nothing from the next one', () => {
-  const before = new Relics('n1/1000');
-  const asked = before.relicOf(new JobCache(), 0, null);
-  const after = new Relics('n1/2000');
-  after.keep(after.relicOf(new JobCache(), 0, null));
+  const before = new PreLossViews('n1/1000');
+  const asked = before.viewOf(new JobState(), 0, null);
+  const after = new PreLossViews('n1/2000');
+  after.keep(after.viewOf(new JobState(), 0, null));
   // "All that you remember is durable", meant for the process that was asked, arrives after its end.
   after.drop([asked.id]);
   assert.equal(after.all.length, 1);
 
-  const told: Fact = {
+  const told: JobEvidence = {
     id: 'job-1',
     revision: 9,
     generation: 0,
     incarnation: 'x',
     value: { final: { status: 'done', tasks: 2 } },
   };
-  const w = new Witness({ ask: () => Effect.succeed(Buffer.alloc(0)) }, () => []);
+  const w = new EvidenceStore({ ask: () => Effect.succeed(Buffer.alloc(0)) }, () => []);
   w.note(told);
   w.note({ ...told, revision: 4, value: { stored: encodeJob(job('job-1'), 0) } });
   assert.deepEqual([...w.finals()], [['job-1', { status: 'done', tasks: 2 }]]);
--- a/packages/controller/test/server.test.ts
+++ b/packages/controller/test/server.test.ts
@@ -6,9 +6,9 @@
 import { Effect, Exit, Scope } from 'effect';
 import { json, serve } from '@lilacvalve/runtime/http-server';
 import { untilTick } from '@lilacvalve/runtime/tick';
-import { Gate } from '../src/workers/duty.js';
+import { Gate } from '../src/workers/heartbeat-handler.js';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
-import { Luck } from './support/luck.js';
+import { Luck } from './support/random-source.js';
 
 const get = (port: number, path: string): Promise<{ status: number; retry: string | undefined }> =>
   new Promise((done, fail) => {
--- a/packages/controller/test/support/late-store.ts
+++ b/packages/controller/test/support/late-store.ts
@@ -6,23 +6,23 @@
 import { Ledger } from '../../src/accounts/ledger.js';
 import { userHandlers } from '../../src/api/handlers.js';
 import { Learned } from '../../src/calendar/duty.js';
-import { Doubt } from '../../src/doubt/doubt.js';
-import { GuardedStore } from '../../src/doubt/guard.js';
-import { JobCache } from '../../src/jobs/cache.js';
+import { DataLossDetector } from '../../src/recovery/data-loss-detector.js';
+import { GuardedStore } from '../../src/recovery/guarded-store.js';
+import { JobState } from '../../src/jobs/job-state.js';
 import { encodeJob } from '../../src/jobs/codec.js';
-import { Feed } from '../../src/jobs/feed.js';
+import { StoreWatcher } from '../../src/jobs/store-watcher.js';
 import { activeKey, INCARNATION, REBUILD, SETTLED, TERM } from '../../src/jobs/keys.js';
 import type { Job } from '../../src/jobs/model.js';
-import { type Rebuild } from '../../src/rebuild/duty.js';
-import type { Fact } from '../../src/rebuild/witness.js';
+import { type Rebuild } from '../../src/recovery/rebuild.js';
+import type { JobEvidence } from '../../src/recovery/evidence-store.js';
 import { Largest } from '../../src/scheduler/largest.js';
 import { Waits } from '../../src/scheduler/waits.js';
-import type { Turn } from '../../src/scheduler/turn.js';
-import { Book } from '../../src/workers/book.js';
+import type { CycleContext } from '../../src/scheduler/cycle-context.js';
+import { WorkerRegistry } from '../../src/workers/worker-registry.js';
 import { type Condition, Refused, type StateFailure, type Write } from '../../src/state-store/client.js';
 import type { StatePort } from '../../src/state-store/port.js';
 import { job } from './job.js';
-import { Luck } from './luck.js';
+import { Luck } from './random-source.js';
 import { TYPES, worldSettings } from './settings.js';
 
 export const S = 1e6;
@@ -214,8 +214,8 @@
     return keys.map((key) => ({ key, ...this.keys.get(key)! }));
   }
   /** What a node that begins now would see. */
-  view(): JobCache {
-    const c = new JobCache();
+  view(): JobState {
+    const c = new JobState();
     c.load(this.entries('s/'), this.revision);
     return c;
   }
@@ -242,29 +242,29 @@
   time: Time,
   service: Service,
   who = 0,
-  tell: (f: Fact) => Effect.Effect<void> = () => Effect.void,
+  tell: (f: JobEvidence) => Effect.Effect<void> = () => Effect.void,
 ) => {
-  const cache = new JobCache();
-  const doubt = new Doubt(time.clock, () => null);
-  const store = new GuardedStore(service.port(who), doubt, time.clock);
-  const feed = new Feed(cache, store, time.clock, () => false, doubt, 0 as Micros);
+  const jobState = new JobState();
+  const lossDetector = new DataLossDetector(time.clock, () => null);
+  const store = new GuardedStore(service.port(who), lossDetector, time.clock);
+  const watcher = new StoreWatcher(jobState, store, time.clock, () => false, lossDetector, 0 as Micros);
   const users = userHandlers({
-    ...{ settings: SETTINGS, store, feed, cache, doubt, clock: time.clock, dayTime: time.clock },
+    ...{ settings: SETTINGS, store, watcher, jobState, lossDetector, clock: time.clock, dayTime: time.clock },
     ...{ mayBeNew: () => true, durable: () => true, leads: () => false, verified: () => true },
     witness: { tell } as never,
     types: () => TYPES,
     ready: () => true,
   });
-  const reign = (term: number, stamp: number): Turn => {
-    const reigning = (): boolean => cache.term <= term;
+  const leaderTerm = (term: number, stamp: number): CycleContext => {
+    const isCurrentTerm = (): boolean => jobState.term <= term;
     return {
-      ...{ settings: SETTINGS, feed, cache, doubt, clock: time.clock, dayTime: time.clock },
-      store: new GuardedStore(service.port(who, term), doubt, time.clock),
-      book: new Book(SETTINGS, cache, term, time.clock()),
+      ...{ settings: SETTINGS, watcher, jobState, lossDetector, clock: time.clock, dayTime: time.clock },
+      store: new GuardedStore(service.port(who, term), lossDetector, time.clock),
+      registry: new WorkerRegistry(SETTINGS, jobState, term, time.clock()),
       ledger: new Ledger(),
-      reign: { term, stamp, began: time.clock() },
-      acting: reigning,
-      reigning,
+      leaderTerm: { number: term, stamp, began: time.clock() },
+      mayAct: isCurrentTerm,
+      isCurrentTerm,
       acknowledged: () => true,
       types: () => TYPES,
       mayStart: () => true,
@@ -275,11 +275,11 @@
       waits: new Waits(),
     };
   };
-  return { cache, doubt, store, feed, users, reign };
+  return { jobState, lossDetector, store, watcher, users, leaderTerm };
 };
 
 /** One controller that leads, and a store in which nothing goes wrong but what the test does. */
-export const calm = (more: readonly Write[] = [], tell?: (f: Fact) => Effect.Effect<void>) => {
+export const calm = (more: readonly Write[] = [], tell?: (f: JobEvidence) => Effect.Effect<void>) => {
   const time = new Time(1);
   const service = new Service(time, new Luck(1));
   service.trouble = false;
@@ -290,8 +290,8 @@
     time.run(time.now + forS * S);
     assert.deepEqual(time.faults, []);
   };
-  go(node.feed.refresh);
-  return { time, service, node, go, turn: node.reign(1, 1) };
+  go(node.watcher.refresh);
+  return { time, service, node, go, turn: node.leaderTerm(1, 1) };
 };
 export const fresh = (id: string, over: Partial<Job> = {}): Job => ({
   ...job(id, { tasks: 3 }),
@@ -305,8 +305,19 @@
   const { node, turn, time } = c;
   const nothing = { all: [], claims: () => [], finals: () => [], drop: () => undefined };
   const r: Rebuild = {
-    ...{ store: turn.store, feed: node.feed, cache: node.cache, doubt: node.doubt, reign: turn.reign },
-    ...{ settings: { ...SETTINGS, peers: [] }, clock: time.clock, reigning: () => true, acting: () => true },
+    ...{
+      store: turn.store,
+      watcher: node.watcher,
+      jobState: node.jobState,
+      lossDetector: node.lossDetector,
+      leaderTerm: turn.leaderTerm,
+    },
+    ...{
+      settings: { ...SETTINGS, peers: [] },
+      clock: time.clock,
+      isCurrentTerm: () => true,
+      mayAct: () => true,
+    },
     ...{ relics: nothing as never, witness: nothing as never, port: { ask: () => Effect.never } as never },
   };
   return { ...c, r };
--- a/packages/controller/test/support/machines.ts
+++ b/packages/controller/test/support/machines.ts
@@ -3,7 +3,7 @@
  * lost, held, and come again; what runs where is written down.
  */
 import { seconds } from '@lilacvalve/runtime/micros';
-import type { Luck } from './luck.js';
+import type { Luck } from './random-source.js';
 import { worldSettings } from './settings.js';
 
 const { report, lease, gangWait, gangPeer } = worldSettings('n0').workers;
--- a/packages/controller/test/support/settings.ts
+++ b/packages/controller/test/support/settings.ts
@@ -1,6 +1,6 @@
 /** A small deployment's settings and machine types, for tests and for the lab's small days. */
 import { micros, seconds } from '@lilacvalve/runtime/micros';
-import type { MachineType } from '../../src/fleet/model.js';
+import type { MachineType } from '../../src/provisioning/model.js';
 import type { Settings } from '../../src/settings/settings.js';
 
 export const ZONES = ['a', 'b'];
--- a/packages/controller/test/wire-format.test.ts
+++ b/packages/controller/test/wire-format.test.ts
@@ -9,13 +9,20 @@
 import { Effect, Either } from 'effect';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { route, workOf } from '../src/api/handlers.js';
-import { Cloud } from '../src/fleet/cloud.js';
+import { Cloud } from '../src/provisioning/cloud.js';
 import { encodeJob, readSubmission } from '../src/jobs/codec.js';
 import { activeKey, finalKey } from '../src/jobs/keys.js';
 import { StateStore } from '../src/state-store/client.js';
 import { Priority } from '../src/state-store/budget.js';
-import { plainBody, readReport, ReportReader, REPORTS, senderOf, writeOrders } from '../src/workers/codec.js';
-import { Workers } from '../src/workers/duty.js';
+import {
+  plainBody,
+  readReport,
+  HeartbeatReader,
+  REPORTS,
+  senderOf,
+  writeOrders,
+} from '../src/workers/codec.js';
+import { Workers } from '../src/workers/heartbeat-handler.js';
 import { worldSettings } from './support/settings.js';
 
 /** A server that answers as listed, one after the other; `asked`: method, path and body of each request. */
@@ -165,7 +172,7 @@
   '"pieces":[{"piece":"job-000412/3","try":2,"status":"running"},{"piece":"job-000398/0","try":1,"status":"ended","cause":"stopped","stored":true}]}';
 test('workers: a report, each state of a task and each cause of its end', () => {
   assert.equal(REPORTS, '/agent/beat');
-  for (const read of [readReport, (b: Buffer) => new ReportReader().read(b)]) {
+  for (const read of [readReport, (b: Buffer) => new HeartbeatReader().read(b)]) {
     const report = read(Buffer.from(REPORT))!;
     const { tasks, ...rest } = report;
     assert.deepEqual(Object.values(rest), [
--- a/packages/controller/test/book.test.ts
+++ b/packages/controller/test/worker-registry.test.ts
@@ -2,58 +2,63 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
-import { JobCache } from '../src/jobs/cache.js';
+import { JobState } from '../src/jobs/job-state.js';
 import { encodeJob } from '../src/jobs/codec.js';
 import { activeKey } from '../src/jobs/keys.js';
 import { Contacts } from '../src/leadership/contacts.js';
 import type { Leadership } from '../src/leadership/leadership.js';
-import { isDeaf } from '../src/fleet/duty.js';
-import { Book } from '../src/workers/book.js';
-import type { Report, ReportedTask } from '../src/workers/codec.js';
-import { receiver } from '../src/workers/duty.js';
+import { isDeaf } from '../src/provisioning/autoscaler.js';
+import { WorkerRegistry } from '../src/workers/worker-registry.js';
+import type { Heartbeat, ReportedTask } from '../src/workers/codec.js';
+import { receiver } from '../src/workers/heartbeat-handler.js';
 import { job } from './support/job.js';
 import { worldSettings } from './support/settings.js';
 
 // A machine the new leader had never heard of once lapsed without waiting for enough nodes to know the term.
 test('leases of unheard machines run out only after the new term is acknowledged', () => {
-  const cache = new JobCache();
+  const jobState = new JobState();
   const zero = 0 as Micros;
   const started = job('job-1', { spot: false });
   started.attempt = 1;
   started.placed.set(0, { task: 0, attempt: 1, machine: 'unheard', since: 0 as Micros });
-  cache.apply({
+  jobState.apply({
     key: activeKey('job-1'),
     value: JSON.parse(JSON.stringify(encodeJob(started, 0))),
     stamp: 1,
   });
-  const book = new Book(worldSettings('n0'), cache, 2, zero);
-  assert.deepEqual(book.lapse(seconds(100), false), []);
-  assert.deepEqual(book.lapse(seconds(101), true), []);
+  const registry = new WorkerRegistry(worldSettings('n0'), jobState, 2, zero);
+  assert.deepEqual(registry.lapse(seconds(100), false), []);
+  assert.deepEqual(registry.lapse(seconds(101), true), []);
   // Acknowledged at 101 s; older words count 3 s more, then the lease of 12 s with drift and margin.
-  assert.deepEqual(book.lapse(seconds(116), true), []);
-  assert.deepEqual(book.lapse(seconds(118), true), ['unheard']);
+  assert.deepEqual(registry.lapse(seconds(116), true), []);
+  assert.deepEqual(registry.lapse(seconds(118), true), ['unheard']);
 });
 
 /** The book of a term in which `job-1/0` is placed on `m`. */
-const placed = (term: number, began = 0, withdrawn = false): Book => {
+const placed = (term: number, began = 0, withdrawn = false): WorkerRegistry => {
   const started = job('job-1', { spot: false });
   started.withdrawn = withdrawn;
   started.attempt = 1;
   started.placed.set(0, { task: 0, attempt: 1, machine: 'm', since: 0 as Micros });
-  const cache = new JobCache();
+  const jobState = new JobState();
   const value: unknown = JSON.parse(JSON.stringify(encodeJob(started, 0)));
-  cache.apply({ key: activeKey('job-1'), value, stamp: 1 });
-  return new Book(worldSettings('n0'), cache, term, seconds(began));
+  jobState.apply({ key: activeKey('job-1'), value, stamp: 1 });
+  return new WorkerRegistry(worldSettings('n0'), jobState, term, seconds(began));
 };
-const said = (token: number, tenure: number, tick: number, over: Partial<ReportedTask> | null): Report => ({
+const said = (
+  token: number,
+  tenure: number,
+  tick: number,
+  over: Partial<ReportedTask> | null,
+): Heartbeat => ({
   machine: 'm',
   addr: '',
   type: 'c8',
   zone: 'a',
   spot: false,
-  tenure,
-  tick,
-  token,
+  incarnation: tenure,
+  sequence: tick,
+  fencingToken: token,
   recall: null,
   tasks:
     over === null
@@ -65,12 +70,12 @@
 // ran on while this leader started it elsewhere.
 test('a new session ends what ran in the one before, but not what it holds itself', () => {
   const told = (token: number, holds: boolean): boolean => {
-    const book = placed(5);
+    const registry = placed(5);
     const report = (tenure: number, known: number, there: boolean) =>
-      book.report(said(known, tenure, tenure, there ? {} : null), seconds(tenure));
+      registry.applyHeartbeat(said(known, tenure, tenure, there ? {} : null), seconds(tenure));
     report(3, 4, true);
     report(4, token, holds);
-    return book.isEnding('job-1', 0);
+    return registry.isEnding('job-1', 0);
   };
   assert.equal(told(5, false), true);
   assert.equal(told(5, true), false);
@@ -84,70 +89,70 @@
 test('an exit counts once no older leader can start that attempt again', () => {
   const exit = { status: 'exited', cause: 'unknown' } as const;
   const older = placed(4);
-  older.report(said(4, 3, 10, null), seconds(0));
-  older.report(said(4, 4, 30, null), seconds(13));
+  older.applyHeartbeat(said(4, 3, 10, null), seconds(0));
+  older.applyHeartbeat(said(4, 4, 30, null), seconds(13));
   assert.deepEqual(older.orders(older.machines.get('m')!), [{ op: 'start', key: 'job-1/0', attempt: 1 }]);
   const heard = (token: number, at: number, acknowledged = true): boolean => {
-    const book = placed(5, 9);
-    book.lapse(seconds(10), acknowledged);
-    book.report(said(token, 3, 20, exit), seconds(at));
-    return book.isEnding('job-1', 0);
+    const registry = placed(5, 9);
+    registry.lapse(seconds(10), acknowledged);
+    registry.applyHeartbeat(said(token, 3, 20, exit), seconds(at));
+    return registry.isEnding('job-1', 0);
   };
   assert.equal(heard(4, 11), false);
   assert.equal(heard(5, 11), true);
   // 10 s, the word of older leaders for 3 s more, a lease of 12 s, drift and margin.
   assert.deepEqual([heard(4, 25.9), heard(4, 26.1), heard(4, 99, false)], [false, true, false]);
   const done = placed(5, 9);
-  done.report(said(4, 3, 20, { status: 'exited', cause: 'done' }), seconds(11));
+  done.applyHeartbeat(said(4, 3, 20, { status: 'exited', cause: 'done' }), seconds(11));
   assert.equal(done.isEnding('job-1', 0), true);
 });
 
 // A leader that doubted the store for longer than a lease went on answering; then it counted all leases from before.
 test('leases count from what was answered during a doubt, and what came then is not taken for older', () => {
-  let book = placed(5);
+  let registry = placed(5);
   let at = 0;
   let active = true;
-  const reign = { term: 5, stamp: 1, began: 0 as Micros };
+  const leaderTerm = { term: 5, stamp: 1, began: 0 as Micros };
   let starts = true;
   const leadership = {
-    answering: () => reign,
-    acting: () => null,
+    answering: () => leaderTerm,
+    mayAct: () => null,
     depose: () => undefined,
     mayStart: () => starts,
   };
   const receive = receiver(
     leadership as unknown as Leadership,
-    () => ({ book, nextTurn: () => undefined }),
+    () => ({ registry, nextTurn: () => undefined }),
     () => seconds(at),
     new Contacts(worldSettings('n0')),
     {
-      get active() {
+      get suspected() {
         return active;
       },
       heardToken: () => undefined,
     },
   );
-  const answered = (r: Report, when: number): void => {
+  const answered = (r: Heartbeat, when: number): void => {
     at = when;
     receive([r], (a) => assert.deepEqual(a, { term: 5, bodies: [''] }));
   };
-  book.lapse(0 as Micros, true);
+  registry.lapse(0 as Micros, true);
   for (let t = 1; t < 30; t += 2) answered(said(5, 1, t, { status: 'running' }), t);
   active = false;
-  assert.deepEqual(book.lapse(seconds(31), true), []);
+  assert.deepEqual(registry.lapse(seconds(31), true), []);
   answered(said(0, 1, 20, null), 32);
-  assert.equal(book.isEnding('job-1', 0), false, 'an old copy');
+  assert.equal(registry.isEnding('job-1', 0), false, 'an old copy');
   answered(said(5, 1, 31, { status: 'running' }), 32);
-  assert.deepEqual(book.lapse(seconds(60), true), ['m']);
+  assert.deepEqual(registry.lapse(seconds(60), true), ['m']);
   // What users cancelled went on under leases renewed in doubt where the first stop had been lost.
   active = true;
-  book = placed(5, 0, true);
+  registry = placed(5, 0, true);
   receive([said(5, 1, 1, { status: 'running' })], (a) =>
     assert.match(a!.bodies[0]!, /"stop".*"job-1\/0"/, 'stopped in doubt too'),
   );
   // A hold started what others had told users is cancelled, for as long as it lasted.
   active = false;
-  book = placed(5);
+  registry = placed(5);
   const told = (tick: number): string => {
     let body = '';
     receive([said(5, 1, tick, null)], (a) => (body = a!.bodies[0]!));
@@ -161,20 +166,20 @@
 
 // A machine that reported, and that answers did not reach, held its job's place for as long as it went on.
 test('a machine that never shows the new token keeps no job waiting, and is returned', () => {
-  const book = placed(5);
+  const registry = placed(5);
   let tick = 0;
   let freed = 0;
   for (let at = 1; at < 90; at += 2) {
-    book.lapse(seconds(at), true);
+    registry.lapse(seconds(at), true);
     // Its lease, renewed by the leader before, ends at 9 s.
-    const m = book.report(said(4, at < 9 ? 1 : 2, ++tick, at < 9 ? {} : null), seconds(at))!;
-    book.orders(m);
-    assert.equal(book.open(m, seconds(at)), false);
-    if (freed === 0 && book.isEnding('job-1', 0)) freed = at;
+    const m = registry.applyHeartbeat(said(4, at < 9 ? 1 : 2, ++tick, at < 9 ? {} : null), seconds(at))!;
+    registry.orders(m);
+    assert.equal(registry.open(m, seconds(at)), false);
+    if (freed === 0 && registry.isEnding('job-1', 0)) freed = at;
   }
   assert.ok(freed > 17 && freed < 27, `freed at ${freed} s`);
   const { workers } = worldSettings('n0');
-  const m = book.machines.get('m')!;
+  const m = registry.machines.get('m')!;
   assert.deepEqual(
     [70, 80].map((at) => isDeaf(m, workers, seconds(at))),
     [false, true],
@@ -183,41 +188,41 @@
 
 // What a member said before another told that the gang is done stayed, and was recorded once more after its end.
 test('the end of a gang settles what its members had said before', () => {
-  const cache = new JobCache();
+  const jobState = new JobState();
   const gang = job('job-1', { spot: false, shape: 'gang', tasks: 2 });
   gang.placed.set(0, { task: 0, attempt: 1, machine: 'm', since: 0 as Micros });
   gang.placed.set(1, { task: 1, attempt: 1, machine: 'gone', since: 0 as Micros });
-  cache.apply({ key: activeKey('job-1'), value: encodeJob(gang, 0), stamp: 1 });
-  const book = new Book(worldSettings('n0'), cache, 5, 0 as Micros);
-  book.removed('gone');
-  book.report(said(5, 1, 1, { status: 'exited', cause: 'done' }), seconds(1));
-  const { done, gone } = book.ends.get('job-1')!;
+  jobState.apply({ key: activeKey('job-1'), value: encodeJob(gang, 0), stamp: 1 });
+  const registry = new WorkerRegistry(worldSettings('n0'), jobState, 5, 0 as Micros);
+  registry.removed('gone');
+  registry.applyHeartbeat(said(5, 1, 1, { status: 'exited', cause: 'done' }), seconds(1));
+  const { done, gone } = registry.ends.get('job-1')!;
   assert.deepEqual([[...done], [...gone]], [[0, 1], [1]]);
-  book.settled('job-1', [0, 1], []);
-  assert.equal(book.ends.size, 0);
+  registry.settled('job-1', [0, 1], []);
+  assert.equal(registry.ends.size, 0);
 });
 
 // It looked the best place for whatever waited: empty, with a current report, and every start sent to it was lost.
 test('what answers in vain start on a machine goes elsewhere, and the machine gets nothing for a while', () => {
-  const book = placed(5);
+  const registry = placed(5);
   const miss = (tick: number, at: number, there = false): boolean => {
-    const m = book.report(said(5, 1, tick, there ? {} : null), seconds(at))!;
-    book.orders(m);
-    return book.isEnding('job-1', 0);
+    const m = registry.applyHeartbeat(said(5, 1, tick, there ? {} : null), seconds(at))!;
+    registry.orders(m);
+    return registry.isEnding('job-1', 0);
   };
   // Held up together, nobody waited for the answers between them.
   for (let tick = 1; tick < 9; tick++) assert.equal(miss(tick, 1 + tick / 10), false);
   assert.deepEqual([miss(9, 7), miss(10, 12), miss(11, 17)], [false, false, true]);
-  const m = book.machines.get('m')!;
-  assert.deepEqual([book.open(m, seconds(17)), m.cooldownUntil], [false, seconds(27)]);
-  assert.deepEqual(book.deaf, ['m']);
+  const m = registry.machines.get('m')!;
+  assert.deepEqual([registry.open(m, seconds(17)), m.cooldownUntil], [false, seconds(27)]);
+  assert.deepEqual(registry.deaf, ['m']);
   const heard = placed(5);
   for (const [tick, at] of [
     [1, 1],
     [2, 6],
     [3, 11],
   ] as const)
-    heard.orders(heard.report(said(5, 1, tick, null), seconds(at))!);
-  heard.report(said(5, 1, 4, {}), seconds(16));
+    heard.orders(heard.applyHeartbeat(said(5, 1, tick, null), seconds(at))!);
+  heard.applyHeartbeat(said(5, 1, 4, {}), seconds(16));
   assert.equal(heard.isEnding('job-1', 0), false);
 });
--- a/packages/operator-cli/src/accounts/read.ts
+++ b/packages/operator-cli/src/accounts/read.ts
@@ -6,7 +6,7 @@
 import type { Accounts, Rows } from '@lilacvalve/controller/accounts/model';
 import { type Page, PAGES, pagesOf } from '@lilacvalve/controller/accounts/pages';
 import { listAll } from '@lilacvalve/controller/calendar/publish';
-import { JobCache } from '@lilacvalve/controller/jobs/cache';
+import { JobState } from '@lilacvalve/controller/jobs/job-state';
 import { ACCOUNTS, ACTIVE, LIFE, PACK, RECORD, ROOT, TERM } from '@lilacvalve/controller/jobs/keys';
 import type { StateFailure } from '@lilacvalve/controller/state-store/client';
 import { Effect } from 'effect';
@@ -42,8 +42,8 @@
       ),
   );
 
-export const readOf = (cache: JobCache, entries: Iterable<Entry>): Read => {
-  const { accounts } = cache;
+export const readOf = (jobState: JobState, entries: Iterable<Entry>): Read => {
+  const { accounts } = jobState;
   // A page of a period that the accounts have without one is of a history that a loss has ended.
   const paged = accounts.pending[0]?.from ?? accounts.closed;
   const pages = chosen(
@@ -53,11 +53,11 @@
   );
   const dated = joinRows(accounts.current, ...accounts.pending.map((p) => p.rows), ...pages.map((p) => p.booked)); // prettier-ignore
   let ageless = 0;
-  for (const job of cache.jobs.values()) for (const p of job.placed.values()) if (p.since === 0) ageless++;
+  for (const job of jobState.jobs.values()) for (const p of job.placed.values()) if (p.since === 0) ageless++;
   return {
     accounts,
     pages,
-    open: openAt(cache, accounts.at, () => null, new Map()),
+    open: openAt(jobState, accounts.at, () => null, new Map()),
     ageless,
     undated: lessRows(accounts.rows, dated),
   };
@@ -74,14 +74,14 @@
         entries.push(...(yield* listAll(store, prefix)));
       const c = yield* store.follow(ROOT, first.revision, 0);
       if (c.tooOld) continue;
-      const cache = new JobCache();
-      cache.load(entries, first.revision);
-      cache.advance(c.changes, c.revision);
+      const jobState = new JobState();
+      jobState.load(entries, first.revision);
+      jobState.advance(c.changes, c.revision);
       const pages = new Map(entries.map((e) => [e.key, e]));
       for (const x of c.changes)
         if (x.value === undefined) pages.delete(x.key);
         else pages.set(x.key, x);
-      return readOf(cache, pages.values());
+      return readOf(jobState, pages.values());
     }
   });
 
@@ -94,7 +94,7 @@
     if (content === null)
       return yield* Effect.fail(new Fail(`--snapshot: ${dir}: no base that is whole`, EXIT.input));
     const entries = [...content.entries.values()];
-    const cache = new JobCache();
-    cache.load(entries, content.revision);
-    return readOf(cache, entries);
+    const jobState = new JobState();
+    jobState.load(entries, content.revision);
+    return readOf(jobState, entries);
   });
--- a/packages/operator-cli/src/cutoffs.ts
+++ b/packages/operator-cli/src/cutoffs.ts
@@ -4,7 +4,7 @@
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { isRisk, NO_TALLY, SAID, WHY } from '@lilacvalve/controller/calendar/model';
 import { listAll } from '@lilacvalve/controller/calendar/publish';
-import { JobCache } from '@lilacvalve/controller/jobs/cache';
+import { JobState } from '@lilacvalve/controller/jobs/job-state';
 import { ACTIVE, CALENDAR, LIFE, PACK, RECORD, ROOT, TERM } from '@lilacvalve/controller/jobs/keys';
 import { isComplete } from '@lilacvalve/controller/jobs/model';
 import type { StateFailure } from '@lilacvalve/controller/state-store/client';
@@ -14,7 +14,7 @@
 const READS = 5;
 
 /** The shared state as of one moment: listings, then what changed since the oldest of them. */
-export const readState = (store: Store): Effect.Effect<JobCache, StateFailure | Fail> =>
+export const readState = (store: Store): Effect.Effect<JobState, StateFailure | Fail> =>
   Effect.gen(function* () {
     for (let n = 0; n < READS; n++) {
       const base = (yield* store.page(ROOT, null, 1)).revision;
@@ -23,10 +23,10 @@
       );
       const since = yield* store.follow(ROOT, base, 0);
       if (since.tooOld) continue;
-      const cache = new JobCache();
-      cache.load(lists.flat(), base);
-      cache.advance(since.changes, since.revision);
-      return cache;
+      const jobState = new JobState();
+      jobState.load(lists.flat(), base);
+      jobState.advance(since.changes, since.revision);
+      return jobState;
     }
     return yield* Effect.fail(new Fail('the state changes faster than it can be read: try again'));
   });
@@ -51,8 +51,8 @@
 }
 
 /** Rows of occurrences that have or had jobs, the earliest first; those that the calendar dropped last. Pure. */
-export const rowsOf = (cache: JobCache, day: Micros, names: number): Row[] => {
-  const { current } = cache.calendars;
+export const rowsOf = (jobState: JobState, day: Micros, names: number): Row[] => {
+  const { current } = jobState.calendars;
   type Open = {
     -readonly [K in keyof Row]: Row[K] extends readonly (infer A)[] ? A[] : Row[K];
   } & { why: Record<string, number> };
@@ -61,7 +61,7 @@
     let r = rows.get(id);
     if (!r) {
       const at = current?.byId.get(id)?.at ?? null;
-      const t = cache.calendars.tallies.get(id)?.value ?? NO_TALLY;
+      const t = jobState.calendars.tallies.get(id)?.value ?? NO_TALLY;
       r = {
         id,
         at,
@@ -80,8 +80,8 @@
     }
     return r;
   };
-  for (const id of cache.calendars.tallies.keys()) rowOf(id);
-  for (const job of cache.jobs.values()) {
+  for (const id of jobState.calendars.tallies.keys()) rowOf(id);
+  for (const job of jobState.jobs.values()) {
     const { tie, id } = job.spec;
     if (tie === null) continue;
     const r = rowOf(tie);
@@ -116,10 +116,10 @@
     .action((o: StateOptions & { output: Form; all?: boolean; names: string }) =>
       io.run(() =>
         Effect.gen(function* () {
-          const cache = yield* readState(io.open(o).store);
-          const c = cache.calendars.current;
+          const jobState = yield* readState(io.open(o).store);
+          const c = jobState.calendars.current;
           const day = io.dayTime() as Micros;
-          const rows = rowsOf(cache, day, Number(o.names) || 0).filter(
+          const rows = rowsOf(jobState, day, Number(o.names) || 0).filter(
             (r) => o.all === true || r.state !== 'passed' || r.running + r.waiting + r.missed > 0,
           );
           if (o.output === 'json')
--- a/packages/operator-cli/src/loans.ts
+++ b/packages/operator-cli/src/loans.ts
@@ -2,7 +2,7 @@
 import type { Command } from 'commander';
 import { Effect } from 'effect';
 import { listAll } from '@lilacvalve/controller/calendar/publish';
-import { JobCache } from '@lilacvalve/controller/jobs/cache';
+import { JobState } from '@lilacvalve/controller/jobs/job-state';
 import { ACTIVE, PACK, RECORD } from '@lilacvalve/controller/jobs/keys';
 import { loansOf } from '@lilacvalve/controller/lending/loans';
 import type { Entry } from '@lilacvalve/controller/state-store/client';
@@ -22,13 +22,13 @@
 }
 
 /** Oldest first. `team`: only loans from or to that team. */
-export const rowsOf = (cache: JobCache, team?: string): Row[] =>
-  loansOf(cache.jobs.values())
+export const rowsOf = (jobState: JobState, team?: string): Row[] =>
+  loansOf(jobState.jobs.values())
     .map((l) => ({
       taker: l.taker,
-      takerTeam: cache.jobs.get(l.taker)!.spec.team,
+      takerTeam: jobState.jobs.get(l.taker)!.spec.team,
       lender: l.lender,
-      lenderTeam: cache.jobs.get(l.lender)?.spec.team ?? null,
+      lenderTeam: jobState.jobs.get(l.lender)?.spec.team ?? null,
       gpus: l.gpus / 1000,
       tasks: l.tasks,
       since: new Date(l.since / 1000).toISOString(),
@@ -40,9 +40,9 @@
   Effect.gen(function* () {
     const entries: Entry[] = [];
     for (const prefix of [RECORD, PACK, ACTIVE]) entries.push(...(yield* listAll(store, prefix)));
-    const cache = new JobCache();
-    cache.load(entries, 0);
-    return cache;
+    const jobState = new JobState();
+    jobState.load(entries, 0);
+    return jobState;
   });
 
 export const registerLoans = (cli: Command, io: Io): void => {
--- a/packages/operator-cli/test/accounts.test.ts
+++ b/packages/operator-cli/test/accounts.test.ts
@@ -10,11 +10,11 @@
 import { Phases } from '@lilacvalve/controller/accounts/phases';
 import { joinShares } from '@lilacvalve/controller/accounts/share';
 import { Spending } from '@lilacvalve/controller/accounts/spent';
-import { JobCache } from '@lilacvalve/controller/jobs/cache';
+import { JobState } from '@lilacvalve/controller/jobs/job-state';
 import { encodeJob, encodeRecord } from '@lilacvalve/controller/jobs/codec';
 import { accountsKey, activeKey, recordKey } from '@lilacvalve/controller/jobs/keys';
 import { job } from '@lilacvalve/controller/support/job';
-import { Luck } from '@lilacvalve/controller/support/luck';
+import { Luck } from '@lilacvalve/controller/support/random-source';
 import { Either } from 'effect';
 import { parquetReadObjects } from 'hyparquet';
 import { csv, lines, parquet } from '../src/accounts/command.js';
@@ -29,7 +29,7 @@
 /** A seeded history of starts and ends, and what is in the store after it; `truth`: CPU time placed, by team. */
 const history = (seed: number) => {
   const luck = new Luck(seed);
-  const cache = new JobCache();
+  const jobState = new JobState();
   const entries: Entry[] = [];
   const truth = new Map<string, bigint>();
   const jobs = ['pay', 'risk'].flatMap((team, i) =>
@@ -37,7 +37,7 @@
       job(`job-${i}${k}`, { team, jobClass, tasks: 40, cpus: 1.5 + k, gpus: k, submitted: 1 as Micros }),
     ),
   );
-  for (const j of jobs) cache.jobs.set(j.spec.id, j);
+  for (const j of jobs) jobState.jobs.set(j.spec.id, j);
   let accounts: Accounts = NO_ACCOUNTS;
   const pages: Page[] = [];
   let at = 1_800_000_000_000_000;
@@ -45,7 +45,7 @@
     at += 1 + luck.int(25e6);
     const minute = (at - (at % MINUTE)) as Micros;
     const closes = minute > accounts.closed ? minute : null;
-    const open: Rows = closes === null ? new Map() : openAt(cache, closes, () => null, new Map());
+    const open: Rows = closes === null ? new Map() : openAt(jobState, closes, () => null, new Map());
     const j = jobs[luck.int(jobs.length)]!;
     const books = { phases: new Phases(), kindOf: () => null, types: new Map(), lent: () => false, reignFrom: 0 as Micros, day: (t: Micros) => t }; // prettier-ignore
     const spending = new Spending(books, at as Micros);
@@ -92,9 +92,9 @@
   );
 const reading = (entries: readonly Entry[]) => {
   const wire = JSON.parse(JSON.stringify(entries)) as Entry[];
-  const cache = new JobCache();
-  cache.load(wire, 70);
-  return readOf(cache, wire);
+  const jobState = new JobState();
+  jobState.load(wire, 70);
+  return readOf(jobState, wire);
 };
 const written = (seed: number) => {
   const h = history(seed);
--- a/packages/runtime/src/duty.ts
+++ b/packages/runtime/src/supervise.ts
@@ -6,7 +6,7 @@
 /** A duty that ran this long before it failed starts again without the backoff of earlier failures. */
 const HEALTHY_MS = 10_000;
 
-export const duty = <E, R>(
+export const supervise = <E, R>(
   name: string,
   body: Effect.Effect<unknown, E, R>,
 ): Effect.Effect<never, never, R> =>
--- a/packages/scale-test/src/capacity/rows.ts
+++ b/packages/scale-test/src/capacity/rows.ts
@@ -17,7 +17,7 @@
 const SECONDS_A_DAY = 86_400;
 /** The protocol lets a worker report a change this often. */
 const MOST_REPORTS_A_WORKER = 2;
-/** What a turn's computing may take of the leader's time, and the gap after one that left something (reign/session.ts). */
+/** What a turn's computing may take of the leader's time, and the gap after one that left something (leadership/leader-session.ts). */
 const TURN_PART = 0.25;
 const TURN_GAP_S = 0.25;
 /** A transaction's part that records may fill, and a value's (scheduler/draft.ts). */
--- a/packages/simulation/src/play.ts
+++ b/packages/simulation/src/play.ts
@@ -95,14 +95,14 @@
     if (world.dataLoss.at.length > losses) {
       losses = world.dataLoss.at.length;
       startedBefore = world.rules.started;
-      incarnation = world.up()[0]?.node.doubt.incarnation?.id ?? null;
+      incarnation = world.up()[0]?.node.lossDetector.incarnation?.id ?? null;
       Object.assign(took, { noticed: null, answers: null, durable: null, started: null });
     }
     if (losses === 0 || took.started !== null) return;
     const at = world.dataLoss.at[losses - 1]!;
     const ms = (now: number): number => Math.round((now - at) / 1000);
     if (took.noticed === null) {
-      if (world.up().some((u) => u.node.doubt.active)) took.noticed = ms(world.time.now);
+      if (world.up().some((u) => u.node.lossDetector.suspected)) took.noticed = ms(world.time.now);
       return;
     }
     if (took.durable === null) {
--- a/packages/simulation/src/world/accounts-check.ts
+++ b/packages/simulation/src/world/accounts-check.ts
@@ -21,7 +21,7 @@
     const out: string[] = [];
     const first = new Map<string, { readonly name: string; readonly text: string }>();
     for (const { name, node } of this.current()) {
-      const { accounts } = node.cache;
+      const { accounts } = node.jobState;
       const at = `life ${accounts.life}, record ${accounts.upTo}`;
       const text = JSON.stringify([
         accounts.at,
@@ -45,14 +45,14 @@
     const out = this.count.early.map((early) => `accounts: ${early}`);
     if (this.count.forked) return out;
     for (const { name, node } of this.current()) {
-      const { accounts } = node.cache;
+      const { accounts } = node.jobState;
       const told = sumsOf({ accounts, open: this.open(node) });
       const placed = this.count.placed(accounts.upTo);
       const counted = placed.total();
       const wrong =
         accounts.gaps.length === 0 ? differences(counted, told) : beyondGaps(counted, told, accounts.gaps);
       // As of its own view: a page that was written a moment ago may not have come to it yet.
-      if (lossless) wrong.push(...pagesWrong(this.state.entriesAt(node.cache.revision), accounts, placed));
+      if (lossless) wrong.push(...pagesWrong(this.state.entriesAt(node.jobState.revision), accounts, placed));
       out.push(...wrong.map((what) => `accounts: ${name} as of ${accounts.upTo}: ${what}`));
     }
     return out;
@@ -61,7 +61,7 @@
   /** What a controller has placed now. */
   private open(node: Node): Held['open'] {
     const open: Held['open'][number][] = [];
-    for (const { spec, placed } of node.cache.jobs.values())
+    for (const { spec, placed } of node.jobState.jobs.values())
       for (const placement of placed.values())
         open.push({
           group: JSON.stringify([spec.team, spec.jobClass, this.kindOf(placement.machine)]),
@@ -78,9 +78,9 @@
       .filter(
         ({ node }) =>
           node.unready() === null &&
-          node.doubt.incarnation !== null &&
-          !node.doubt.active &&
-          node.cache.rebuild === null,
+          node.lossDetector.incarnation !== null &&
+          !node.lossDetector.suspected &&
+          node.jobState.rebuild === null,
       );
   }
 }
