--- a/packages/simulation/src/world/calendar-operators.ts
+++ b/packages/simulation/src/world/calendar-operators.ts
@@ -1,5 +1,5 @@
 /** Operators who apply calendars during a day, two of them at once while the leader crashes. */
-import type { Luck } from '@lilacvalve/controller/support/luck';
+import type { Luck } from '@lilacvalve/controller/support/random-source';
 import { type Controllers, DAY_BEGINS } from './controllers.js';
 import { calendarOf, Cutoffs } from './cutoffs.js';
 import type { FaultLog } from './fault-log.js';
@@ -29,7 +29,7 @@
     time,
     state,
     dayBegins: DAY_BEGINS,
-    views: () => controllers.up().flatMap(({ node }) => (node.doubt.active ? [] : [node.cache])),
+    views: () => controllers.up().flatMap(({ node }) => (node.lossDetector.suspected ? [] : [node.jobState])),
     lostAt,
     told: (id) => rules.isTold(id),
     broke: (rule, what) => void rules.broken.push(`${rule}: ${what}`),
--- a/packages/simulation/src/world/cloud.ts
+++ b/packages/simulation/src/world/cloud.ts
@@ -2,9 +2,9 @@
 import { Effect } from 'effect';
 import { NoAnswer } from '@lilacvalve/runtime/http-client';
 import { micros } from '@lilacvalve/runtime/micros';
-import { type CloudPort, CloudRefused } from '@lilacvalve/controller/fleet/cloud';
-import type { ListedMachine, MachineType } from '@lilacvalve/controller/fleet/model';
-import type { Luck } from '@lilacvalve/controller/support/luck';
+import { type CloudPort, CloudRefused } from '@lilacvalve/controller/provisioning/cloud';
+import type { ListedMachine, MachineType } from '@lilacvalve/controller/provisioning/model';
+import type { Luck } from '@lilacvalve/controller/support/random-source';
 import { TYPES } from '@lilacvalve/controller/support/settings';
 import type { FaultLog } from './fault-log.js';
 import type { Meetings } from './meetings/index.js';
--- a/packages/simulation/src/world/controllers.ts
+++ b/packages/simulation/src/world/controllers.ts
@@ -3,11 +3,11 @@
 import { NoAnswer } from '@lilacvalve/runtime/http-client';
 import type { Answer, Incoming, Quick } from '@lilacvalve/runtime/http-server';
 import { type Micros, micros } from '@lilacvalve/runtime/micros';
-import type { CloudPort } from '@lilacvalve/controller/fleet/cloud';
+import type { CloudPort } from '@lilacvalve/controller/provisioning/cloud';
 import { makeNode, type Node } from '@lilacvalve/controller/node';
 import type { Settings } from '@lilacvalve/controller/settings/settings';
 import type { StatePort } from '@lilacvalve/controller/state-store/port';
-import type { Luck } from '@lilacvalve/controller/support/luck';
+import type { Luck } from '@lilacvalve/controller/support/random-source';
 import type { DuplicateDelivery } from './duplicate-delivery.js';
 import type { FaultLog } from './fault-log.js';
 import type { Links } from './links.js';
@@ -110,7 +110,7 @@
 
   /** The label of the controller that may act as leader. */
   leader(): string | undefined {
-    return this.nodes.find((label) => this.running.get(label)?.node.leadership.acting());
+    return this.nodes.find((label) => this.running.get(label)?.node.leadership.currentTerm());
   }
 
   /** The process that may act as leader. */
--- a/packages/simulation/src/world/count.ts
+++ b/packages/simulation/src/world/count.ts
@@ -46,7 +46,7 @@
     private readonly kindOf: (machine: string) => string,
   ) {}
 
-  private book(key: string, at: number): void {
+  private registry(key: string, at: number): void {
     const p = this.open.get(key);
     if (!p) return;
     this.open.delete(key);
@@ -65,7 +65,7 @@
     this.at = at;
     for (const [id, c] of Object.entries(value) as [string, Change][]) {
       if (id === '@') continue;
-      for (const task of [...numbers(c.d), ...numbers(c.g)]) this.book(`${id}/${task}`, at);
+      for (const task of [...numbers(c.d), ...numbers(c.g)]) this.registry(`${id}/${task}`, at);
       for (const [machine, tasks] of Object.entries(c.p ?? {}))
         for (const task of numbers(tasks)) this.open.set(`${id}/${task}`, { at, machine });
     }
@@ -91,7 +91,7 @@
     all.spans.push(...this.spans);
     for (const [k, s] of this.sums) all.sums.set(k, [...s]);
     for (const [k, p] of this.open) all.open.set(k, p);
-    for (const k of this.open.keys()) all.book(k, this.at);
+    for (const k of this.open.keys()) all.registry(k, this.at);
     return all;
   }
 }
--- a/packages/simulation/src/world/crowd.ts
+++ b/packages/simulation/src/world/crowd.ts
@@ -3,7 +3,7 @@
  * same urgency, gangs of up to two thirds of a zone above them, and arrays on GPUs. What goes by least work left begins
  * the longest arrays last; what takes whichever gang fits begins the largest gangs last.
  */
-import type { Luck } from '@lilacvalve/controller/support/luck';
+import type { Luck } from '@lilacvalve/controller/support/random-source';
 import type { JobTruth } from './job-truth.js';
 
 export interface Arrival {
--- a/packages/simulation/src/world/cutoffs.ts
+++ b/packages/simulation/src/world/cutoffs.ts
@@ -6,7 +6,7 @@
 import { type Micros, micros, seconds } from '@lilacvalve/runtime/micros';
 import { type Calendar, makeCalendar, SAID } from '@lilacvalve/controller/calendar/model';
 import { publish } from '@lilacvalve/controller/calendar/publish';
-import type { JobCache } from '@lilacvalve/controller/jobs/cache';
+import type { JobState } from '@lilacvalve/controller/jobs/job-state';
 import { decodeTally } from '@lilacvalve/controller/calendar/codec';
 import { decodeRecord } from '@lilacvalve/controller/jobs/codec';
 import { ACTIVE, FINAL, INCARNATION, OCCURRENCE, RECORD, TERM } from '@lilacvalve/controller/jobs/keys';
@@ -54,7 +54,7 @@
   readonly state: StateService;
   readonly dayBegins: number;
   /** Views of the controllers that are up and have no doubt. */
-  readonly views: () => readonly JobCache[];
+  readonly views: () => readonly JobState[];
   /** When the service last lost something. */
   readonly lostAt: () => number;
   readonly told: (id: string) => boolean;
--- a/packages/simulation/src/world/data-loss.ts
+++ b/packages/simulation/src/world/data-loss.ts
@@ -1,7 +1,7 @@
 /** The state service loses data, and what the controllers that lived through it must still know afterwards. */
 import { INCARNATION, REBUILD } from '@lilacvalve/controller/jobs/keys';
 import type { Node } from '@lilacvalve/controller/node';
-import type { Luck } from '@lilacvalve/controller/support/luck';
+import type { Luck } from '@lilacvalve/controller/support/random-source';
 import type { Controllers } from './controllers.js';
 import type { FaultLog } from './fault-log.js';
 import type { LossPlan } from './faults.js';
@@ -160,8 +160,8 @@
     const { controllers, state, time } = this.options;
     const up = controllers.up();
     this.at.push(time.now);
-    this.survivors = new Set(up.flatMap(({ node }) => (node.doubt.incarnation ? [node] : [])));
-    this.incarnation = up[0]?.node.doubt.incarnation?.id ?? null;
+    this.survivors = new Set(up.flatMap(({ node }) => (node.lossDetector.incarnation ? [node] : [])));
+    this.incarnation = up[0]?.node.lossDetector.incarnation?.id ?? null;
     const kept = loss.kind === 'window' ? time.now - loss.since : loss.kind === 'copies' ? Infinity : 0;
     this.memory.lose(time.now, kept);
     state.lose(loss);
--- a/packages/simulation/src/world/fault-injector.ts
+++ b/packages/simulation/src/world/fault-injector.ts
@@ -3,7 +3,7 @@
  * to 25 s. The order of the kinds and of the draws is part of what a seed means.
  */
 import { Duration } from 'effect';
-import type { Luck } from '@lilacvalve/controller/support/luck';
+import type { Luck } from '@lilacvalve/controller/support/random-source';
 import { ZONES } from '@lilacvalve/controller/support/settings';
 import type { Cloud } from './cloud.js';
 import type { Controllers } from './controllers.js';
--- a/packages/simulation/src/world/lending.ts
+++ b/packages/simulation/src/world/lending.ts
@@ -2,13 +2,13 @@
  * Services on GPUs in the lab: what comes in a day of them, what must hold of loans, and how soon replicas serve. Loans
  * are read from what is committed, not from what a controller says.
  */
-import { JobCache } from '@lilacvalve/controller/jobs/cache';
+import { JobState } from '@lilacvalve/controller/jobs/job-state';
 import { decodeRecord } from '@lilacvalve/controller/jobs/codec';
 import { RECORD } from '@lilacvalve/controller/jobs/keys';
 import { isComplete, type Job } from '@lilacvalve/controller/jobs/model';
 import { loansOf } from '@lilacvalve/controller/lending/loans';
 import type { TeamSettings } from '@lilacvalve/controller/settings/settings';
-import type { Luck } from '@lilacvalve/controller/support/luck';
+import type { Luck } from '@lilacvalve/controller/support/random-source';
 import type { Arrival } from './crowd.js';
 import type { JobTruth } from './job-truth.js';
 
@@ -116,7 +116,7 @@
 
 /** What is committed, followed key by key, and what must hold of the loans in it. */
 export class Loans {
-  readonly view = new JobCache();
+  readonly view = new JobState();
   made = 0;
   /** Since when a loan has been past its end, with somebody leading. */
   private readonly late = new Map<string, number>();
@@ -186,7 +186,7 @@
   }
 
   /** Once a second. `views`: of the controllers that are up; `leads`: one of them acts. */
-  check(now: number, views: readonly JobCache[], leads: boolean): void {
+  check(now: number, views: readonly JobState[], leads: boolean): void {
     const at = new Map<number, string>();
     for (const v of views) {
       // A leader has its own record before the watch brings it: it is then ahead of its revision.
--- a/packages/simulation/src/world/meetings/atLimit.ts
+++ b/packages/simulation/src/world/meetings/atLimit.ts
@@ -52,7 +52,7 @@
   const away = new Map<string, number>();
   const sent = new Map<string, number>();
   let strikes = 0;
-  let reign = { term: null as number | null, since: 0 };
+  let leaderTerm = { term: null as number | null, since: 0 };
 
   const mine = (j: JobTruth, team: string): boolean =>
     j.team === team && !w.rules.cancelAsked(j.id) && w.rules.state(j.id) !== 'done';
@@ -91,7 +91,7 @@
     for (const x of w.workers.values()) {
       if (!x.alive || x.hanging || x.place.spot || !w.heardFrom(x.place.id)) continue;
       if ([x.place.id, x.place.zone].some((k) => w.time.now < (away.get(k) ?? 0) + AFTER)) continue;
-      if (x.token !== reign.term) continue;
+      if (x.token !== leaderTerm.term) continue;
       let free = 8 - CPUS;
       for (const key of w.placedOn(x.place.id)) free -= w.jobs.get(key.slice(0, key.indexOf('/')))!.cpus;
       if (free >= 0 && x.place.type === 'c8') return true;
@@ -101,7 +101,7 @@
 
   /** Room of a team's limit has come back: until another task of it is placed. */
   const reuse = (team: string, from: Counted, since: number): void => {
-    const { term } = reign;
+    const { term } = leaderTerm;
     const look = (): void => {
       const counted = w.counted(team);
       if (counted === null || w.term() !== term) return;
@@ -122,9 +122,9 @@
     const lease = w.lease * (1 + 2 * DRIFT);
     const { machine } = v;
     const last = Math.max(v.sent, machine.answeredFrom);
-    if (machine.token === reign.term && w.heardFrom(machine.place.id))
+    if (machine.token === leaderTerm.term && w.heardFrom(machine.place.id))
       return { from: last + lease, how: 'by its lease', within: BY_LEASE };
-    const from = Math.max(last, reign.since) + lease;
+    const from = Math.max(last, leaderTerm.since) + lease;
     return { from, how: 'by its lease, never heard', within: BY_LEASE_ANEW };
   };
 
@@ -140,7 +140,7 @@
     const has = counted.has(key);
     if (on) {
       if (!has) w.rules.broken.push(`limit_room_early: ${key} at ${now}`);
-      const anew = v.term !== null && (reign.term ?? 0) > v.term && !w.heardFrom(machine.place.id);
+      const anew = v.term !== null && (leaderTerm.term ?? 0) > v.term && !w.heardFrom(machine.place.id);
       if (!v.met && anew && w.rules.state(job.id) === 'aborted' && full(job.team, counted)) {
         v.met = waits(job.team, counted);
         if (v.met)
@@ -149,10 +149,11 @@
       return has ? 'on' : 'over';
     }
     v.goneAt ??= now;
-    if (v.word !== null && v.word.term !== reign.term) v.word = null;
-    const told = machine.token === reign.term && machine.answeredFrom >= Math.max(v.goneAt, reign.since);
-    if (v.word === null && reign.term !== null && (told || w.isDeleted(machine.place.id)))
-      v.word = { term: reign.term, at: Math.max(now, reign.since) };
+    if (v.word !== null && v.word.term !== leaderTerm.term) v.word = null;
+    const told =
+      machine.token === leaderTerm.term && machine.answeredFrom >= Math.max(v.goneAt, leaderTerm.since);
+    if (v.word === null && leaderTerm.term !== null && (told || w.isDeleted(machine.place.id)))
+      v.word = { term: leaderTerm.term, at: Math.max(now, leaderTerm.since) };
     const { from, how, within } = due(v);
     if (has) {
       if (now <= from + within) return 'on';
@@ -169,7 +170,7 @@
 
   const watch = (victims: Set<Victim>): void => {
     const term = w.term();
-    if (term !== reign.term) reign = { term, since: w.time.now };
+    if (term !== leaderTerm.term) leaderTerm = { term, since: w.time.now };
     for (const v of victims) if (look(v) === 'over') victims.delete(v);
     if (victims.size > 0) m.at(LOOK_EVERY, () => watch(victims));
   };
--- a/packages/simulation/src/world/meetings/stage.ts
+++ b/packages/simulation/src/world/meetings/stage.ts
@@ -1,6 +1,6 @@
 /** What troubles that meet need of the world, and what several of them do. */
 import type { Answer } from '@lilacvalve/runtime/http-server';
-import type { Luck } from '@lilacvalve/controller/support/luck';
+import type { Luck } from '@lilacvalve/controller/support/random-source';
 import type { Arrival } from '../crowd.js';
 import type { Answered, Ask, Asked } from '../history.js';
 import type { LinkState } from '../links.js';
--- a/packages/simulation/src/world/scenario-host.ts
+++ b/packages/simulation/src/world/scenario-host.ts
@@ -12,7 +12,7 @@
 import type { Time } from './time.js';
 import type { Users } from './users.js';
 import type { Worker } from './worker/worker.js';
-import type { Luck } from '@lilacvalve/controller/support/luck';
+import type { Luck } from '@lilacvalve/controller/support/random-source';
 
 /** The parts of a simulation that scenarios look at and act on. */
 export interface ScenarioHostParts {
@@ -34,13 +34,13 @@
 /** The tasks that the acting leader counts against a team's limit, with their attempts; null: nobody acts. */
 const countedAgainstLimit = (controllers: Controllers, team: string): Map<string, number> | null => {
   const node = controllers.leading()?.node;
-  const book = node?.book() ?? null;
-  if (node === undefined || book === null) return null;
+  const registry = node?.registry() ?? null;
+  if (node === undefined || registry === null) return null;
   const counted = new Map<string, number>();
-  for (const { spec, placed } of node.cache.jobs.values())
+  for (const { spec, placed } of node.jobState.jobs.values())
     if (spec.team === team)
       for (const placement of placed.values())
-        if (!book.isEnding(spec.id, placement.task))
+        if (!registry.isEnding(spec.id, placement.task))
           counted.set(`${spec.id}/${placement.task}`, placement.attempt);
   return counted;
 };
@@ -63,20 +63,20 @@
     strike: (what) => log.strike(what),
     troubled: (lasts) => log.troubled(lasts),
     leader: () => controllers.leader(),
-    term: () => controllers.leading()?.node.leadership.leads() ?? null,
+    term: () => controllers.leading()?.node.leadership.currentTermNumber() ?? null,
     process: (label) => controllers.process(label),
-    answering: (label) => (controllers.process(label)?.node.leadership.answering() ?? null) !== null,
-    heardFrom: (machine) => controllers.leading()?.node.book()?.machines.get(machine)?.reported === true,
+    answering: (label) => (controllers.process(label)?.node.leadership.answeringTerm() ?? null) !== null,
+    heardFrom: (machine) => controllers.leading()?.node.registry()?.machines.get(machine)?.reported === true,
     counted: (team) => countedAgainstLimit(controllers, team),
-    places: (label, job) => (controllers.process(label)?.node.cache.jobs.get(job)?.placed.size ?? 0) > 0,
-    placedOn: (machine) => [...(controllers.leading()?.node.cache.byMachine.get(machine)?.keys() ?? [])],
+    places: (label, job) => (controllers.process(label)?.node.jobState.jobs.get(job)?.placed.size ?? 0) > 0,
+    placedOn: (machine) => [...(controllers.leading()?.node.jobState.byMachine.get(machine)?.keys() ?? [])],
     isDeleted: (machine) => cloud.isDeleted(machine),
     node: () => controllers.any(),
     caches: () =>
-      controllers.up().map(({ node: { cache } }) => ({
-        jobs: cache.jobs.size,
-        tail: cache.tail.size,
-        finals: cache.finals.size,
+      controllers.up().map(({ node: { jobState } }) => ({
+        jobs: jobState.jobs.size,
+        tail: jobState.tail.size,
+        finals: jobState.finals.size,
       })),
     crash: (label, back) => controllers.crash(label, back),
     freeze: (label, lasts) => {
@@ -85,7 +85,7 @@
     },
     giveWay: (label, forMicros) => {
       const process = controllers.process(label);
-      if (process) time.fork(process.node.leadership.giveWay('handover', forMicros), process.host);
+      if (process) time.fork(process.node.leadership.stepDown('handover', forMicros), process.host);
     },
     cut: (one, other, linkState, lasts) => parts.injector().cut(one, other, linkState, lasts),
     link: (from, to, linkState, lasts) => {
--- a/packages/simulation/src/world/state-service/leases.ts
+++ b/packages/simulation/src/world/state-service/leases.ts
@@ -1,5 +1,5 @@
 /** The state service's leases: each expires when it is not extended in time. */
-import type { Luck } from '@lilacvalve/controller/support/luck';
+import type { Luck } from '@lilacvalve/controller/support/random-source';
 import type { Time } from '../time.js';
 
 /** A lease expires late by up to this, microseconds. */
--- a/packages/simulation/src/world/users.ts
+++ b/packages/simulation/src/world/users.ts
@@ -1,7 +1,7 @@
 /** Users of a simulated deployment: they submit jobs, poll them, cancel some, and every answer is held against the rules. */
 import { Exit } from 'effect';
 import type { Answer } from '@lilacvalve/runtime/http-server';
-import type { Luck } from '@lilacvalve/controller/support/luck';
+import type { Luck } from '@lilacvalve/controller/support/random-source';
 import type { Begun } from './begun.js';
 import type { Controllers } from './controllers.js';
 import type { Arrival } from './crowd.js';
--- a/packages/simulation/src/world/worker/task-runner.ts
+++ b/packages/simulation/src/world/worker/task-runner.ts
@@ -1,5 +1,5 @@
 /** The tasks of one machine: images are fetched, gangs gather, tasks run, save and end. */
-import type { Luck } from '@lilacvalve/controller/support/luck';
+import type { Luck } from '@lilacvalve/controller/support/random-source';
 import type { Begun } from '../begun.js';
 import { jobIdOf, type JobTruth, TASK_MEM_GB, taskNumberOf } from '../job-truth.js';
 import type { Step } from '../lending.js';
--- a/packages/simulation/src/world/world.ts
+++ b/packages/simulation/src/world/world.ts
@@ -4,11 +4,11 @@
  */
 import type { Effect } from 'effect';
 import type { Answer, Incoming } from '@lilacvalve/runtime/http-server';
-import type { MachineType } from '@lilacvalve/controller/fleet/model';
+import type { MachineType } from '@lilacvalve/controller/provisioning/model';
 import { RECORD } from '@lilacvalve/controller/jobs/keys';
 import type { Node } from '@lilacvalve/controller/node';
 import type { Settings } from '@lilacvalve/controller/settings/settings';
-import { Luck } from '@lilacvalve/controller/support/luck';
+import { Luck } from '@lilacvalve/controller/support/random-source';
 import { worldSettings } from '@lilacvalve/controller/support/settings';
 import { AccountsCheck } from './accounts-check.js';
 import { Begun, type LeastRow } from './begun.js';
@@ -391,7 +391,7 @@
     if (!this.loans) return;
     this.loans.check(
       this.time.now,
-      this.up().map(({ node }) => node.cache),
+      this.up().map(({ node }) => node.jobState),
       this.leader() !== undefined,
     );
     const running = new Map<string, number>();
--- a/packages/simulation/test/calendar.test.ts
+++ b/packages/simulation/test/calendar.test.ts
@@ -6,9 +6,9 @@
 import { encodeCalendar } from '@lilacvalve/controller/calendar/codec';
 import { type Calendar, makeCalendar } from '@lilacvalve/controller/calendar/model';
 import { publish, type Published, retire } from '@lilacvalve/controller/calendar/publish';
-import { JobCache } from '@lilacvalve/controller/jobs/cache';
+import { JobState } from '@lilacvalve/controller/jobs/job-state';
 import { CALENDAR_HEAD, CALENDAR_PAGE, INCARNATION } from '@lilacvalve/controller/jobs/keys';
-import { Luck } from '@lilacvalve/controller/support/luck';
+import { Luck } from '@lilacvalve/controller/support/random-source';
 import { Links } from '../src/world/links.js';
 import { StateService } from '../src/world/state-service/state-service.js';
 import { Time } from '../src/world/time.js';
@@ -58,13 +58,13 @@
   if (result === 'ended') fiber.unsafeInterruptAsFork(fiber.id());
   return result;
 };
-const view = (s: Stage): JobCache => {
-  const cache = new JobCache();
-  cache.load(
+const view = (s: Stage): JobState => {
+  const jobState = new JobState();
+  jobState.load(
     [...s.state.keys].map(([key, v]) => ({ key, value: JSON.parse(v.value) as unknown, stamp: v.stamp })),
     s.state.revision,
   );
-  return cache;
+  return jobState;
 };
 const pagesIn = (s: Stage): number =>
   [...s.state.keys.keys()].filter((k) => k.startsWith(CALENDAR_PAGE)).length;
@@ -131,7 +131,7 @@
 
 test('every view at a revision has the same calendar, however it got there; a torn one is not used', () => {
   const s = stage(9);
-  const watching = [new JobCache(), new JobCache(), new JobCache()];
+  const watching = [new JobState(), new JobState(), new JobState()];
   let seen = 0;
   for (const c of watching) c.load([], s.state.revision);
   const follow = (): void => {
--- a/packages/simulation/test/checks.test.ts
+++ b/packages/simulation/test/checks.test.ts
@@ -5,7 +5,7 @@
 import { activeKey, recordKey } from '@lilacvalve/controller/jobs/keys';
 import { type JobChange, type JobSpec, NO_HEAD } from '@lilacvalve/controller/jobs/model';
 import { job } from '@lilacvalve/controller/support/job';
-import { Luck } from '@lilacvalve/controller/support/luck';
+import { Luck } from '@lilacvalve/controller/support/random-source';
 import { type DayResult, faultsOf } from '../src/play.js';
 import { Begun } from '../src/world/begun.js';
 import { LENDING_TEAMS, Loans } from '../src/world/lending.js';
--- a/packages/simulation/test/leadership.test.ts
+++ b/packages/simulation/test/leadership.test.ts
@@ -84,7 +84,7 @@
     const { leadership } = w.up().find((u) => u.name === leader)!.node;
     const { workers } = worldSettings('n0');
     const since = w.time.now;
-    while (leadership.answering() !== null && w.time.now < since + 60e6) w.time.run(w.time.now + 50_000);
+    while (leadership.answeringTerm() !== null && w.time.now < since + 60e6) w.time.run(w.time.now + 50_000);
     const silent = w.time.now;
     assert.ok(silent - since > 10e6 && silent - since < workers.cancel, `seed ${seed}: its view is too old`);
     while ([undefined, leader].includes(w.leader()) && w.time.now < silent + 60e6)
--- a/packages/simulation/test/loss.test.ts
+++ b/packages/simulation/test/loss.test.ts
@@ -140,7 +140,7 @@
       world
         .up()
         .find((u) => u.name === node)
-        ?.node.cache.jobs.get(id)?.placed.size ?? -1;
+        ?.node.jobState.jobs.get(id)?.placed.size ?? -1;
     world.time.run(5e6);
     const long = submit(4, 6, 300e6);
     // Until the long job's key has where its tasks run.
@@ -164,7 +164,7 @@
       for (const n of [leader, other]) world.cut(late, n, 'reset', 2e6);
       for (let i = 0; i < 100 && placed(late, long) <= 0; i++) world.time.run(world.time.now + 20_000);
       if (placed(late, long) === 4 && placed(other, long) === 0) met++;
-      const before = world.up().find((u) => u.name === other)!.node.doubt.incarnation!.id;
+      const before = world.up().find((u) => u.name === other)!.node.lossDetector.incarnation!.id;
       while (!world.dataLoss.rebuilt(before) && world.time.now < 250e6)
         world.time.run(world.time.now + 100_000);
       world.time.run(world.time.now + 1e6);
--- a/packages/simulation/test/meetings-late.test.ts
+++ b/packages/simulation/test/meetings-late.test.ts
@@ -33,7 +33,7 @@
     assert.equal(born.length, 1, `seed ${seed}: ${born.join()}`);
     assert.ok(w.leader() !== undefined);
     for (const { name, node } of w.up()) assert.equal(node.unready(), null, name);
-    for (const { node } of w.up()) assert.equal(node.doubt.active, false);
+    for (const { node } of w.up()) assert.equal(node.lossDetector.suspected, false);
     w.stop();
   }
   assert.ok(late > 0, 'none was carried out after another');
@@ -81,6 +81,6 @@
     pages.filter((p) => !there().includes(p)),
     [],
   );
-  for (const { name, node } of w.up()) assert.equal(node.cache.calendars.current?.version, 3, name);
+  for (const { name, node } of w.up()) assert.equal(node.jobState.calendars.current?.version, 3, name);
   w.stop();
 });
--- a/packages/simulation/test/restore.test.ts
+++ b/packages/simulation/test/restore.test.ts
@@ -2,12 +2,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Exit } from 'effect';
-import { JobCache } from '@lilacvalve/controller/jobs/cache';
+import { JobState } from '@lilacvalve/controller/jobs/job-state';
 import { encodeFinal, encodeJob } from '@lilacvalve/controller/jobs/codec';
 import { activeKey, finalKey, INCARNATION, LEADER, REBUILD, TERM } from '@lilacvalve/controller/jobs/keys';
 import { RESTORE, restore, type Restored } from '@lilacvalve/controller/snapshots/restore';
 import { job } from '@lilacvalve/controller/support/job';
-import { Luck } from '@lilacvalve/controller/support/luck';
+import { Luck } from '@lilacvalve/controller/support/random-source';
 import type { Entry } from '@lilacvalve/snapshot/format';
 import type { Content } from '@lilacvalve/snapshot/read';
 import { Links } from '../src/world/links.js';
@@ -46,7 +46,7 @@
   return result;
 };
 const isThere = (state: StateService, jobs: number): void => {
-  const view = new JobCache();
+  const view = new JobState();
   view.load(
     [...state.keys].map(([key, v]) => ({ key, value: JSON.parse(v.value) as unknown, stamp: v.stamp })),
     state.revision,
--- a/packages/simulation/test/stored-data.test.ts
+++ b/packages/simulation/test/stored-data.test.ts
@@ -36,17 +36,17 @@
 import { decodeWeights, encodeWeights } from '@lilacvalve/controller/lending/weights';
 import { Links } from '@lilacvalve/controller/links';
 import {
-  decodeAsk,
+  decodeViewRequest,
   decodeDurable,
-  decodeTold,
-  encodeAsk,
+  decodeViewResponse,
+  encodeViewRequest,
   encodeDurable,
-  encodeTold,
-} from '@lilacvalve/controller/rebuild/codec';
-import { decodeFact, encodeFact } from '@lilacvalve/controller/rebuild/witness';
+  encodeViewResponse,
+} from '@lilacvalve/controller/recovery/codec';
+import { decodeFact, encodeFact } from '@lilacvalve/controller/recovery/evidence-store';
 import { Largest } from '@lilacvalve/controller/scheduler/largest';
-import { ReportReader } from '@lilacvalve/controller/workers/codec';
-import { relayHandler } from '@lilacvalve/controller/workers/relay';
+import { HeartbeatReader } from '@lilacvalve/controller/workers/codec';
+import { relayHandler } from '@lilacvalve/controller/workers/heartbeat-relay';
 import type { Answer, Incoming } from '@lilacvalve/runtime/http-server';
 import { serveLinks } from '@lilacvalve/runtime/link';
 import {
@@ -197,7 +197,10 @@
 
 /** Reads a message and writes it again, by its path: the question, and the answer where it has a form of its own. */
 const message: Readonly<Record<string, readonly ((body: Buffer) => Buffer)[]>> = {
-  '/view': [(b) => encodeAsk(whole(decodeAsk(b))), (b) => encodeTold(whole(decodeTold(b)))],
+  '/view': [
+    (b) => encodeViewRequest(whole(decodeViewRequest(b))),
+    (b) => encodeViewResponse(whole(decodeViewResponse(b))),
+  ],
   '/durable': [(b) => encodeDurable(whole(decodeDurable(b))), (b) => encodeDurable(whole(decodeDurable(b)))],
   '/witness': [(b) => encodeFact(whole(decodeFact(b)))],
 };
@@ -220,7 +223,7 @@
     const handle = relayHandler((reports, say) => {
       assert.ok(reports.length === bodies.length && reports.every((r) => r !== null));
       say({ term, bodies });
-    }, new ReportReader());
+    }, new HeartbeatReader());
     handle({ method: 'POST', path: '/relay', body: bytes(question) }, (a) => {
       answered = Buffer.from(a.body).toString('base64');
     });
--- a/packages/simulation/test/support/fixed-forms.ts
+++ b/packages/simulation/test/support/fixed-forms.ts
@@ -1,7 +1,7 @@
 /** Forms that no recorded day shows, written from fixed content: a snapshot's files, a restore, a check between controllers. */
 import { Effect, Random } from 'effect';
-import { JobCache } from '@lilacvalve/controller/jobs/cache';
-import { answerCheck, encodeQuestion } from '@lilacvalve/controller/rebuild/verify';
+import { JobState } from '@lilacvalve/controller/jobs/job-state';
+import { answerCheck, encodeQuestion } from '@lilacvalve/controller/recovery/view-verification';
 import { restore } from '@lilacvalve/controller/snapshots/restore';
 import type { StatePort } from '@lilacvalve/controller/state-store/port';
 import type { Files } from '@lilacvalve/snapshot/files';
@@ -13,10 +13,10 @@
   pairs.map(([key, json], i) => ({ key, value: JSON.parse(json) as unknown, stamp: i + 1 }));
 
 /** A view of these values, at revisions 1, 2, 3 and so on. */
-export const viewOf = (pairs: Pairs): JobCache => {
-  const cache = new JobCache();
-  cache.load(entriesOf(pairs), pairs.length);
-  return cache;
+export const viewOf = (pairs: Pairs): JobState => {
+  const jobState = new JobState();
+  jobState.load(entriesOf(pairs), pairs.length);
+  return jobState;
 };
 
 /** A directory in memory: names and contents. */
@@ -103,7 +103,7 @@
 /** A view's question to another controller, and what a controller with an empty view and one with this view answer. */
 export const checks = (pairs: Pairs): Buffer[] => {
   const full = viewOf(pairs);
-  const empty = new JobCache();
+  const empty = new JobState();
   const question = encodeQuestion('i-1', full);
   return [
     question,
