--- a/packages/controller/test/leader-session.test.ts
+++ b/packages/controller/test/leader-session.test.ts
@@ -9,16 +9,16 @@
 
 test('a session that fails ends its reign: none begins again under the same term', async () => {
   const why: string[] = [];
-  let leaderTerm: { term: number; stamp: number; began: Micros } | null = {
-    term: 3,
+  let leaderTerm: { number: number; stamp: number; began: Micros } | null = {
+    number: 3,
     stamp: 1,
     began: 0 as Micros,
   };
   const leadership = {
-    mayAct: () => leaderTerm,
-    isCurrentTerm: () => leaderTerm !== null,
-    awaitReign: Effect.never,
-    giveWay: (reason: string) =>
+    currentTerm: () => leaderTerm,
+    isCurrent: () => leaderTerm !== null,
+    awaitTerm: Effect.never,
+    stepDown: (reason: string) =>
       Effect.sync(() => {
         why.push(reason);
         leaderTerm = null;
--- a/packages/controller/test/settings-format.test.ts
+++ b/packages/controller/test/settings-format.test.ts
@@ -83,6 +83,10 @@
     '--output <form>, --snapshot <dir>, --state <host:port>, --team <name>, --to <time>, --version ' +
     '<n>, <file>, <file>, <file>, <file>, accounts, apply, calendar, check, cutoffs, diff, loans, ' +
     'next, report, retire, show, verify',
+  losses:
+    '--at-once, --every <s>, --for <s>, --forgotten <s>, --jobs <rate>, --kill <whom>, --log <level>, ' +
+    '--machines <n>, --no-losses, --nodes <n>, --program <file>, --restarts <s>, --run-ms <ms>, --seed ' +
+    '<n>, --snapshots, --tasks <n>',
   recovery: '',
   scale:
     '--accelerated <share>, --cancel-s <s>, --cancelled <share>, --connections <n>, --controllers ' +
--- a/tools/build.mjs
+++ b/tools/build.mjs
@@ -1,7 +1,7 @@
 // Bundles the service (with --tests the tests, with --tool FILE one tool) into target/. One file starts faster than a
 // tree of modules, and start-up is charged against a fraction of a core.
 import { build } from 'esbuild';
-import { readdirSync, readFileSync } from 'node:fs';
+import { readdirSync, readFileSync, rmSync } from 'node:fs';
 import { basename } from 'node:path';
 
 const common = {
@@ -29,6 +29,8 @@
           .map((f) => `packages/${p}/test/${f}`)
       : [],
   );
+  // A test that was moved or removed must not go on running from an older build.
+  rmSync('target/test', { recursive: true, force: true });
   await build({
     ...common,
     entryPoints: tests,
