--- a/packages/controller/src/api/handlers.ts
+++ b/packages/controller/src/api/handlers.ts
@@ -23,7 +23,7 @@
   type OrphanedJob,
 } from '../jobs/codec.js';
 import type { StoreWatcher } from '../jobs/store-watcher.js';
-import { activeKey, afterOver, asKnown, finalKey, OVER, wardKey } from '../jobs/keys.js';
+import { activeKey, afterOver, asKnown, finalKey, OVER, orphanedJobKey } from '../jobs/keys.js';
 import { type FinalState, isComplete, type Job, type JobSpec } from '../jobs/model.js';
 import type { Work } from '../overload/model.js';
 import type { JobEvidence, EvidenceStore } from '../recovery/evidence-store.js';
@@ -171,10 +171,10 @@
         d.jobState.finals.remember(id, final);
         return { final };
       }
-      const ward = d.jobState.wards.get(id);
+      const ward = d.jobState.orphanedJobs.get(id);
       if (ward) return { ward };
       // Never accepted, as far as the store says: that is said only once nobody could know better.
-      if (!d.jobState.settled || d.jobState.damaged.has(activeKey(id))) return yield* Effect.fail(unsure);
+      if (!d.jobState.recovered || d.jobState.damaged.has(activeKey(id))) return yield* Effect.fail(unsure);
       return null;
     });
   const say = (id: string, f: Found): Answer =>
@@ -197,7 +197,7 @@
     return i === null
       ? Effect.succeed(answer)
       : Effect.as(
-          d.witness.tell({ id, revision, generation: i.generation, incarnation: i.id, value }),
+          d.witness.replicate({ id, revision, generation: i.generation, incarnation: i.id, value }),
           answer,
         );
   };
@@ -304,7 +304,7 @@
     }).pipe(Effect.catchAll(unavailable));
 
   /** What workers run of it already becomes the submitted job's. */
-  const adopting = (id: string): Write[] => (d.jobState.wards.has(id) ? [{ delete: wardKey(id) }] : []);
+  const adopting = (id: string): Write[] => (d.jobState.orphanedJobs.has(id) ? [{ delete: orphanedJobKey(id) }] : []);
 
   const poll = (id: string): Effect.Effect<Answer> =>
     open() || (d.jobState.finals.has(id) && d.durable())
--- a/packages/controller/src/jobs/job-state.ts
+++ b/packages/controller/src/jobs/job-state.ts
@@ -7,7 +7,7 @@
 import { fold } from '../accounts/fold.js';
 import { type Accounts, NO_ACCOUNTS } from '../accounts/model.js';
 import { Calendars } from '../calendar/fold.js';
-import { floorOf, type Incarnation, incarnationOf } from '../recovery/model.js';
+import { firstOfGeneration, type Incarnation, incarnationOf } from '../recovery/model.js';
 import { decodeWeights } from '../lending/weights.js';
 import type { Change, Condition, Entry, Write } from '../state-store/client.js';
 import {
@@ -25,7 +25,7 @@
   ACCOUNTS_PART,
   ACTIVE,
   CALENDAR,
-  CALM,
+  QUIESCENT,
   FINAL,
   INCARNATION,
   LARGEST,
@@ -36,10 +36,10 @@
   REBUILD,
   RECORD,
   recordKey,
-  SETTLED,
+  RECOVERED,
   TERM,
   TYPES,
-  WARD,
+  ORPHANED_JOB,
   WEIGHTS,
 } from './keys.js';
 import {
@@ -111,8 +111,8 @@
   /** How far a rebuild has come; null: there is none. */
   rebuild: Rebuilding | null = null;
   /** Ids of the incarnations of which this has been said; see `CALM` and `SETTLED`. */
-  private calmOf: string | null = null;
-  private settledOf: string | null = null;
+  private quiescentIncarnation: string | null = null;
+  private recoveredIncarnation: string | null = null;
   /** Packs of rebuilt jobs, and the pack that still lists a job. */
   readonly packs = new Map<string, { readonly stamp: number; readonly ids: readonly string[] }>();
   readonly packOf = new Map<string, string>();
@@ -121,7 +121,7 @@
   /** Parts of the final states' pages; see `overKey`. */
   readonly overParts = new Set<string>();
   /** Jobs that only workers name. */
-  readonly wards = new Map<string, OrphanedJob & { readonly stamp: number }>();
+  readonly orphanedJobs = new Map<string, OrphanedJob & { readonly stamp: number }>();
   /** Keys whose value can't be read, with their revisions. */
   readonly damaged = new Map<string, number>();
   /** Revisions at which jobs came to their end, the latest ones: whether others have read that already. */
@@ -147,7 +147,7 @@
       m.clear();
     this.machines?.clear();
     this.calendars.clear();
-    this.wards.clear();
+    this.orphanedJobs.clear();
     this.overParts.clear();
     this.damaged.clear();
     this.ended.clear();
@@ -156,8 +156,8 @@
     this.attempts = 0;
     this.leader = null;
     this.rebuild = null;
-    this.calmOf = null;
-    this.settledOf = null;
+    this.quiescentIncarnation = null;
+    this.recoveredIncarnation = null;
     this.term = 0;
     this.termStamp = 0;
     this.lastSeq = 0;
@@ -176,9 +176,9 @@
   }
 
   /** Nothing that is not in this view can be running any more from before a loss. */
-  get calm(): boolean {
+  get quiescent(): boolean {
     const i = this.incarnation;
-    return i !== null && (i.generation === 0 || this.calmOf === i.id);
+    return i !== null && (i.generation === 0 || this.quiescentIncarnation === i.id);
   }
 
   /** During a rebuild: whether this job's state is what has been written back; what the loss left may be older. */
@@ -222,8 +222,8 @@
   }
 
   /** What is not in the store was never accepted. */
-  get settled(): boolean {
-    return this.incarnation !== null && this.settledOf === this.incarnation.id;
+  get recovered(): boolean {
+    return this.incarnation !== null && this.recoveredIncarnation === this.incarnation.id;
   }
 
   /** Changes of a watch answer; those already seen are passed over. */
@@ -266,17 +266,17 @@
       const id = key.slice(INCARNATION.length);
       if (value === undefined) this.incarnations.delete(id);
       else this.incarnations.set(id, incarnationOf(id, value, c.stamp));
-      this.floor = floorOf(this.incarnation?.generation ?? 0);
+      this.floor = firstOfGeneration(this.incarnation?.generation ?? 0);
     } else if (key.startsWith(OVER_PART)) this.overParts.add(key.slice(OVER_PART.length));
-    else if (key.startsWith(WARD)) {
-      const id = key.slice(WARD.length);
-      if (value === undefined) this.wards.delete(id);
-      else this.wards.set(id, { ...(value as OrphanedJob), stamp: c.stamp });
+    else if (key.startsWith(ORPHANED_JOB)) {
+      const id = key.slice(ORPHANED_JOB.length);
+      if (value === undefined) this.orphanedJobs.delete(id);
+      else this.orphanedJobs.set(id, { ...(value as OrphanedJob), stamp: c.stamp });
     } else if (key.startsWith(CALENDAR)) this.calendars.take(key, value, c.stamp);
     else if (key === REBUILD)
       this.rebuild = value === undefined ? null : { ...(value as Rebuilding), stamp: c.stamp };
-    else if (key === CALM) this.calmOf = value === undefined ? null : (value as string);
-    else if (key === SETTLED) this.settledOf = value === undefined ? null : (value as string);
+    else if (key === QUIESCENT) this.quiescentIncarnation = value === undefined ? null : (value as string);
+    else if (key === RECOVERED) this.recoveredIncarnation = value === undefined ? null : (value as string);
     else if (key === LEADER) {
       this.leader = value === undefined ? null : (value as LeaderEntry);
       this.leaderStamp = c.stamp;
--- a/packages/controller/src/jobs/keys.ts
+++ b/packages/controller/src/jobs/keys.ts
@@ -16,7 +16,7 @@
 /** There likewise: the largest jobs of each class. */
 export const LARGEST = 's/types/largest';
 /** What the store says of itself: its incarnation, and how far a rebuild has come (docs/rebuild.md). */
-export const LIFE = 's/l/';
+export const STORE_STATUS = 's/l/';
 /** One key, named after the incarnation: a condition on it can hold in no other. */
 export const INCARNATION = 's/l/i/';
 /** Written with the first incarnation's key: of several nodes that begin the store at once, one does. */
@@ -24,11 +24,11 @@
 /** There from a loss until every controller's view is durable again. */
 export const REBUILD = 's/l/rebuild';
 /** Nothing that the rebuild does not know of can be running any more. */
-export const CALM = 's/l/calm';
+export const QUIESCENT = 's/l/calm';
 /** Whoever could know better has been heard: a job that is not here was never accepted. */
-export const SETTLED = 's/l/settled';
+export const RECOVERED = 's/l/settled';
 /** Jobs that only workers name. */
-export const WARD = 's/l/w/';
+export const ORPHANED_JOB = 's/l/w/';
 /** Rebuilt jobs, several in a value, until they have keys of their own. */
 export const PACK = 's/p/';
 /** Rebuilt final states, several in a value, named after the last of them. */
@@ -47,7 +47,7 @@
 export const activeKey = (id: string): string => ACTIVE + id;
 export const finalKey = (id: string): string => FINAL + id;
 export const recordKey = (seq: number): string => RECORD + String(seq).padStart(12, '0');
-export const wardKey = (id: string): string => WARD + id;
+export const orphanedJobKey = (id: string): string => ORPHANED_JOB + id;
 /** The first page of a part after `afterOver(part, id)` is the one of that part that would hold `id`. */
 export const overKey = (part: string, last: string): string => `${OVER}${part}/${last}~`;
 export const afterOver = (part: string, id: string): string => `${OVER}${part}/${id}`;
--- a/packages/controller/src/jobs/store-watcher.ts
+++ b/packages/controller/src/jobs/store-watcher.ts
@@ -21,7 +21,7 @@
   FINAL,
   INCARNATION,
   LEADER,
-  LIFE,
+  STORE_STATUS,
   OVER,
   PACK,
   RECORD,
@@ -131,7 +131,7 @@
           if (c.tooOld) return this.reload;
           if (this.moved(c.changes)) return Effect.fail(dataLossSuspected);
           return Effect.zipRight(
-            this.lossDetector.sound() ? Effect.void : this.confirm,
+            this.lossDetector.incarnationSeenRecently() ? Effect.void : this.confirm,
             Effect.suspend(() => {
               if (c.changes.length > 0) this.onChanges?.(c.changes);
               this.jobState.advance(c.changes, c.revision);
@@ -162,7 +162,7 @@
     const asked = this.clock();
     return this.store.get(INCARNATION + known.id).pipe(
       Effect.flatMap(({ entry }) => {
-        if (entry?.stamp === known.stamp) this.lossDetector.seen(asked);
+        if (entry?.stamp === known.stamp) this.lossDetector.incarnationSeen(asked);
         else this.lossDetector.suspect('other incarnation', `${known.id} is not there`);
         return this.lossDetector.suspected ? Effect.fail(dataLossSuspected) : Effect.void;
       }),
@@ -174,7 +174,7 @@
     return Effect.suspend(() => {
       const { jobState, lossDetector } = this;
       lossDetector.readIncarnation(jobState.incarnation);
-      lossDetector.readTerm(jobState.term, asked);
+      lossDetector.checkTerm(jobState.term, asked);
       for (const key of jobState.damaged.keys())
         if (key.startsWith(ACTIVE) && jobState.jobs.has(key.slice(ACTIVE.length)))
           lossDetector.suspect('value damaged', key);
@@ -183,8 +183,8 @@
       if (hole !== null) lossDetector.suspect('value damaged', hole, true);
       if (anew && jobState.calendarLost) lossDetector.suspect('key lost', CALENDAR_HEAD);
       if (lossDetector.suspected) return Effect.fail(dataLossSuspected);
-      if (lossDetector.incarnation !== null && jobState.revision >= lossDetector.floor())
-        lossDetector.onSound(lossDetector.incarnation.id);
+      if (lossDetector.incarnation !== null && jobState.revision >= lossDetector.revisionFloor())
+        lossDetector.onIncarnationConfirmed(lossDetector.incarnation.id);
       return Effect.void;
     });
   }
@@ -219,16 +219,16 @@
   /** Reads everything anew, then what changed meanwhile: only then is the view whole. */
   private readonly reload: Effect.Effect<void, StateFailure> = Effect.suspend(() => {
     const asked = this.clock();
-    const { life } = this.lossDetector;
+    const { incarnationCount: life } = this.lossDetector;
     // The accounts last: a checkpoint read before the records could lack some that are deleted meanwhile.
-    const prefixes = [LIFE, CALENDAR, RECORD, PACK, ACTIVE, LEADER, TERM, TYPES, ACCOUNTS];
+    const prefixes = [STORE_STATUS, CALENDAR, RECORD, PACK, ACTIVE, LEADER, TERM, TYPES, ACCOUNTS];
     return Effect.forEach(prefixes, (prefix) => this.all(prefix)).pipe(
       Effect.flatMap((lists) => {
         const base = Math.min(...lists.map((l) => l.base));
         return Effect.all([this.store.follow(ROOT, base, 0), this.recentFinals(base)]).pipe(
           Effect.flatMap(([c, ended]) => {
             if (c.tooOld) return Effect.suspend(() => this.reload);
-            if (this.lossDetector.life !== life) return Effect.fail(dataLossSuspected);
+            if (this.lossDetector.incarnationCount !== life) return Effect.fail(dataLossSuspected);
             // Another read was faster. Going back, the view would miss what a follow on its way says it has already.
             if (this.loaded && c.revision <= this.jobState.revision) return this.believe(asked);
             this.jobState.load(
--- a/packages/controller/src/leadership/contacts.ts
+++ b/packages/controller/src/leadership/contacts.ts
@@ -1,71 +1,76 @@
 /**
- * Who of the workers has lately reached this node, whatever it answered. A node may reach the state service
- * and no worker: as leader it would let every lease run out. Giving way needs evidence from both sides: workers
- * that did reach this node and do not any more, and a peer they knock at instead. Where all nodes are equally cut
- * off, nobody gives way.
+ * Which workers have lately reached this node, whatever it answered. A node may reach the state service and no worker: as
+ * leader it would let every worker's lease expire. Stepping down needs evidence from both sides: workers that did reach
+ * this node and do not any more, and a peer that they reach instead. Where all nodes are equally cut off, nobody steps
+ * down.
  */
 import { type Micros, plus, seconds } from '@lilacvalve/runtime/micros';
 import type { Settings } from '../settings/settings.js';
 
-/** Of the workers heard within a lease: fewer than this part heard lately means cut off. */
-const LOST_BELOW = 1 / 4;
-/** A peer must hear from this part of them, and from this many times as many as this node. */
-const PEER_PART = 1 / 4;
-const PEER_TIMES = 2;
-/** The evidence must have stood for so long. */
-const CERTAIN = seconds(2);
-/** Away from the lead after giving way; doubles while it happens again within `FORGET`. */
-const AWAY = seconds(20);
-const LONGEST_AWAY = seconds(160);
-const FORGET = seconds(300);
+/** Cut off: of the workers heard within a lease, fewer than this share were heard lately. */
+const CUT_OFF_BELOW = 1 / 4;
+/** A peer must hear from this share of them, and from this many times as many as this node. */
+const PEER_MIN_SHARE = 1 / 4;
+const PEER_MIN_RATIO = 2;
+/** The evidence must have been there for so long without a gap. */
+const EVIDENCE_MIN_AGE = seconds(2);
+/** No campaign for so long after stepping down; doubles with each time within `BACKOFF_RESET_AFTER` of the last. */
+const BASE_BACKOFF = seconds(20);
+const MAX_BACKOFF = seconds(160);
+const BACKOFF_RESET_AFTER = seconds(300);
 
+/** The workers that reach this node, and whether it should step down for want of them. */
 export class Contacts {
-  private readonly seen = new Map<string, Micros>();
-  private times = 0;
-  private lostSince: Micros | null = null;
-  private gaveWayAt = Number.NEGATIVE_INFINITY;
-  /** Long enough that each worker reports at least once. */
+  private readonly lastContact = new Map<string, Micros>();
+  private stepDowns = 0;
+  private cutOffSince: Micros | null = null;
+  private steppedDownAt = Number.NEGATIVE_INFINITY;
+  /** Long enough that each worker sends at least one heartbeat. */
   readonly window: Micros;
 
   constructor(private readonly settings: Settings) {
     this.window = Math.max(seconds(3), settings.workers.report * 1.5 + 1e6) as Micros;
   }
 
-  note(machine: string, at: Micros): void {
-    this.seen.set(machine, at);
+  /** A worker's heartbeat arrived. */
+  recordContact(machine: string, at: Micros): void {
+    this.lastContact.set(machine, at);
   }
 
-  /** Workers heard within the window. */
-  recent(at: Micros): number {
-    let n = 0;
-    for (const [id, t] of this.seen) {
-      if (at - t <= this.window) n++;
-      else if (at - t > this.settings.workers.lease) this.seen.delete(id);
+  /** How many workers were heard within the window. Forgets those not heard for a worker lease. */
+  recentCount(at: Micros): number {
+    let count = 0;
+    for (const [id, t] of this.lastContact) {
+      if (at - t <= this.window) count++;
+      else if (at - t > this.settings.workers.lease) this.lastContact.delete(id);
     }
-    return n;
+    return count;
   }
 
-  /** The reason why this leader should give way to a peer; null: it should not. `peers`: what they say they hear. */
-  cutOff(at: Micros, peers: readonly { readonly node: string; readonly contacts: number }[]): string | null {
-    const recent = this.recent(at);
-    const lately = this.seen.size;
+  /** Why this leader should step down in favour of a peer; null: it should not. `contacts`: workers that reach that peer. */
+  cutOffReason(
+    at: Micros,
+    peers: readonly { readonly node: string; readonly contacts: number }[],
+  ): string | null {
+    const recent = this.recentCount(at);
+    const withinLease = this.lastContact.size;
     const better = peers.find(
-      (p) => p.contacts >= Math.max(1, lately * PEER_PART) && p.contacts >= recent * PEER_TIMES,
+      (p) => p.contacts >= Math.max(1, withinLease * PEER_MIN_SHARE) && p.contacts >= recent * PEER_MIN_RATIO,
     );
-    if (recent >= lately * LOST_BELOW || better === undefined) {
-      this.lostSince = null;
+    if (recent >= withinLease * CUT_OFF_BELOW || better === undefined) {
+      this.cutOffSince = null;
       return null;
     }
-    // What a peer said is older than what this node counts: where all workers fall silent, it looks better for a moment.
-    this.lostSince ??= at;
-    if (at - this.lostSince < CERTAIN) return null;
-    return `hears ${recent} of ${lately} workers, ${better.node} hears ${better.contacts}`;
+    // A peer's count is older than this node's: where all workers fall silent, the peer looks better for a moment.
+    this.cutOffSince ??= at;
+    if (at - this.cutOffSince < EVIDENCE_MIN_AGE) return null;
+    return `hears ${recent} of ${withinLease} workers, ${better.node} hears ${better.contacts}`;
   }
 
-  /** For how long to stay away after giving way now: longer each time, so that the lead does not go to and fro. */
-  away(at: Micros): Micros {
-    if (at > plus(this.gaveWayAt as Micros, FORGET)) this.times = 0;
-    this.gaveWayAt = at;
-    return Math.min(LONGEST_AWAY, AWAY * 2 ** this.times++) as Micros;
+  /** How long not to campaign after stepping down now: longer each time, so that leadership does not flap. */
+  backoff(at: Micros): Micros {
+    if (at > plus(this.steppedDownAt as Micros, BACKOFF_RESET_AFTER)) this.stepDowns = 0;
+    this.steppedDownAt = at;
+    return Math.min(MAX_BACKOFF, BASE_BACKOFF * 2 ** this.stepDowns++) as Micros;
   }
 }
--- a/packages/controller/src/leadership/leader-session.ts
+++ b/packages/controller/src/leadership/leader-session.ts
@@ -1,4 +1,4 @@
-/** One reign: everything a leader does from the moment it leads until it does not. */
+/** What a controller does while it is leader: restores a store that has lost data, then schedules until its term ends. */
 import { Ledger } from '../accounts/ledger.js';
 import { supervise } from '@lilacvalve/runtime/supervise';
 import { info } from '@lilacvalve/runtime/log';
@@ -12,16 +12,22 @@
 import type { ProvisioningNews, MachineType } from '../provisioning/model.js';
 import type { JobState } from '../jobs/job-state.js';
 import type { StoreWatcher } from '../jobs/store-watcher.js';
-import { CALM, SETTLED } from '../jobs/keys.js';
+import { QUIESCENT, RECOVERED } from '../jobs/keys.js';
 import { weightsDuty } from '../lending/duty.js';
 import type { Leadership, LeadershipTerm } from './leadership.js';
 import type { Peers } from './peers.js';
 import type { Admission } from '../overload/admission.js';
-import { declare, Gathered, listen, type Rebuild, rebuild } from '../recovery/rebuild.js';
+import {
+  declareMilestone,
+  GatheredViews,
+  addLateViews,
+  type RebuildContext,
+  rebuild,
+} from '../recovery/rebuild.js';
 import type { ViewPort } from '../recovery/view-exchange.js';
 import type { PreLossViews } from '../recovery/pre-loss-views.js';
 import type { EvidenceStore } from '../recovery/evidence-store.js';
-import { tendWards } from '../recovery/orphaned-jobs.js';
+import { reconcileOrphanedJobs } from '../recovery/orphaned-jobs.js';
 import { Largest, largestDuty } from '../scheduler/largest.js';
 import { summary, runCycle } from '../scheduler/run-cycle.js';
 import { upkeep } from '../scheduler/upkeep.js';
@@ -38,32 +44,34 @@
   type WorkerPort,
 } from '../workers/heartbeat-handler.js';
 
-/** Between two turns: each costs writes of a budget that all controllers share. */
-const TURN_GAP_MS = 250;
-/** A turn's computing takes at most about this part of the node's time: reports, leases and users share it. */
-const TURN_PART = 1 / 4;
-/** Each machine more lets turns be so much further apart: on many machines something has always changed. */
-const GAP_MS_A_MACHINE = 0.6;
-const LONG_GAP_MS = 800;
-const TURN_EVERY_MS = 1000;
+/** Between two scheduling cycles: each costs writes of a budget that all controllers share. */
+const MIN_GAP_MS = 250;
+/** Cycles compute for at most about this share of the node's time: heartbeats, leases and users need the rest. */
+const CYCLE_SHARE = 1 / 4;
+/** Each machine lets cycles be so much further apart: on many machines something has always changed. */
+const GAP_MS_PER_MACHINE = 0.6;
+const MAX_MACHINE_GAP_MS = 800;
+/** A cycle runs at least this often, whether anything has changed or not. */
+const CYCLE_EVERY_MS = 1000;
 const UPKEEP_GAP_MS = 250;
-/** A report waits at most so long for a turn. */
-const LONGEST_TURN = millis(1200);
-/** How soon a session notices that its reign is over; it may do nothing more from the moment on anyway. */
-const OVER_MS = 250;
+/** A heartbeat waits at most so long for a cycle. */
+const MAX_CYCLE_WAIT = millis(1200);
+/** How often a session checks whether its term is over; writes fail from that moment on anyway. */
+const TERM_CHECK_MS = 250;
 const SUMMARY_EVERY_MS = 10_000;
-const TEND_EVERY_MS = 1000;
+const RECOVERY_EVERY_MS = 1000;
 const NO_NEWS: ProvisioningNews = { rented: [], removed: [] };
 
 /**
- * From the end of a turn to the next one's begin, after one over so many machines that computed for `costMs`. One that has
- * left something `behind` for want of room in its records is followed sooner, as far as its computing allows.
+ * Milliseconds from the end of a scheduling cycle to the start of the next, after one over so many machines that computed
+ * for `costMs`. A cycle that left something `behind`, because its record was full, is followed sooner, as far as its
+ * computing time allows.
  */
 export const cycleGapMs = (machines: number, costMs: number, behind = false): number =>
   Math.max(
-    TURN_GAP_MS,
-    behind ? 0 : Math.min(LONG_GAP_MS, Math.round(machines * GAP_MS_A_MACHINE)),
-    costMs * (1 / TURN_PART - 1),
+    MIN_GAP_MS,
+    behind ? 0 : Math.min(MAX_MACHINE_GAP_MS, Math.round(machines * GAP_MS_PER_MACHINE)),
+    costMs * (1 / CYCLE_SHARE - 1),
   );
 
 export interface LeaderSessionParts {
@@ -71,12 +79,12 @@
   readonly store: StatePort;
   readonly cloud: CloudPort;
   readonly workers: WorkerPort;
-  readonly views: ViewPort;
+  readonly viewPort: ViewPort;
   readonly watcher: StoreWatcher;
   readonly jobState: JobState;
   readonly lossDetector: DataLossDetector;
-  readonly relics: PreLossViews;
-  readonly witness: EvidenceStore;
+  readonly preLossViews: PreLossViews;
+  readonly evidenceStore: EvidenceStore;
   readonly peers: Peers;
   readonly leadership: Leadership;
   readonly admission: Admission;
@@ -87,124 +95,116 @@
   readonly balance: Micros | null;
 }
 
+/** Runs one session after another, each for one of this node's terms as leader. */
 export class LeaderSessions {
-  /** What the present session offers to whoever takes reports in. */
+  /** What the present session offers to whoever takes heartbeats in; null: there is no session. */
   desk: Desk | RenewalDesk | null = null;
   readonly fleet: { news: ProvisioningNews; listed: boolean } = { news: NO_NEWS, listed: false };
   /** Jobs that a rebuild has gathered and not written yet; null: that is not known here. */
-  private owed: ((id: string) => boolean) | null = null;
+  private pendingRestore: ((id: string) => boolean) | null = null;
   private readonly wake = Effect.runSync(Queue.sliding<void>(1));
 
-  constructor(private readonly p: LeaderSessionParts) {
-    p.jobState.onJobs = () => Queue.unsafeOffer(this.wake, undefined);
+  constructor(private readonly parts: LeaderSessionParts) {
+    parts.jobState.onJobs = () => Queue.unsafeOffer(this.wake, undefined);
   }
 
+  /** The workers, as this node knows them as leader; null: it does not lead, or is still restoring the store. */
   registry(): WorkerRegistry | null {
     return this.desk !== null && 'registry' in this.desk ? this.desk.registry : null;
   }
 
   /** See `ApiDeps.mayBeNew`. */
   mayBeNew(id: string): boolean {
-    const r = this.p.jobState.rebuild;
-    return r === null || r.phase === 'wait' || (r.phase === 'write' && this.owed !== null && !this.owed(id));
+    const { rebuild } = this.parts.jobState;
+    return (
+      rebuild === null ||
+      rebuild.phase === 'wait' ||
+      (rebuild.phase === 'write' && this.pendingRestore !== null && !this.pendingRestore(id))
+    );
   }
 
+  /** Leads for as long as this controller is leader, then waits for its next term. Never ends by itself. */
   readonly run = supervise(
-    'reigns',
+    'leader-session',
     Effect.suspend(() => {
-      const leaderTerm = this.p.leadership.currentTerm();
-      return leaderTerm === null ? this.p.leadership.awaitTerm : this.session(leaderTerm);
+      const leaderTerm = this.parts.leadership.currentTerm();
+      return leaderTerm === null ? this.parts.leadership.awaitTerm : this.lead(leaderTerm);
     }).pipe(Effect.forever),
   );
 
-  private session(leaderTerm: LeadershipTerm): Effect.Effect<void> {
-    const { p } = this;
-    const isCurrentTerm = (): boolean => p.leadership.isCurrent(leaderTerm.number);
-    const over = tick(OVER_MS).pipe(Effect.repeat({ while: isCurrentTerm }));
-    const r: Rebuild = {
-      settings: p.settings,
-      store: p.store,
-      watcher: p.watcher,
-      jobState: p.jobState,
-      lossDetector: p.lossDetector,
-      relics: p.relics,
-      witness: p.witness,
-      port: p.views,
-      leaderTerm,
-      isCurrentTerm,
-      mayAct: () => p.leadership.currentTerm()?.number === leaderTerm.number,
-      clock: p.clock,
-    };
-    const gathered = new Gathered();
-    const first = Effect.suspend(() => {
-      if (p.jobState.rebuild === null || p.jobState.rebuild.phase === 'wait') return Effect.void;
-      this.desk = {
-        term: leaderTerm.number,
-        cancelled: (id) =>
-          p.jobState.jobs.get(id)?.withdrawn === true ||
-          p.relics.all.some((x) => x.jobs.get(id)?.withdrawn === true),
-      };
-      this.owed = (id) => gathered.byJob(r).has(id) || gathered.finalStates(r).has(id);
-      return Effect.ensuring(
-        rebuild(r, gathered),
-        Effect.sync(() => (this.owed = null)),
-      );
-    });
+  /** One session: until the term is over, whatever the session is doing then. */
+  private lead(leaderTerm: LeadershipTerm): Effect.Effect<void> {
+    const { jobState, leadership } = this.parts;
+    const rebuildContext = this.rebuildContext(leaderTerm);
+    const { isCurrentTerm } = rebuildContext;
+    const termOver = tick(TERM_CHECK_MS).pipe(Effect.repeat({ while: isCurrentTerm }));
+    const gathered = new GatheredViews();
     return Effect.raceFirst(
-      over,
+      termOver,
       Effect.zipRight(
-        first,
-        Effect.suspend(() => (isCurrentTerm() ? this.turns(leaderTerm, r, gathered) : Effect.void)),
+        this.restore(rebuildContext, gathered),
+        Effect.suspend(() => (isCurrentTerm() ? this.operate(rebuildContext, gathered) : Effect.void)),
       ),
     ).pipe(
       Effect.ensuring(
         Effect.sync(() => {
           this.desk = null;
-          p.jobState.letMachinesGo();
+          jobState.letMachinesGo();
         }),
       ),
-      Effect.zipRight(info('no longer leads', { term: leaderTerm.number })),
-      // A new book of the same term would take an old copy that shows its token for newer than the starts sent before.
-      Effect.tapDefect(() => p.leadership.stepDown('session failed', 0)),
+      Effect.zipRight(info('leadership term ended', { term: leaderTerm.number })),
+      // A new registry of the same term would take an old worker copy that shows its token for newer than the starts sent
+      // before.
+      Effect.tapDefect(() => leadership.stepDown('session failed', 0)),
     );
   }
 
-  /** The session's lasting part, once the store holds all that is known. */
-  private turns(leaderTerm: LeadershipTerm, r: Rebuild, gathered: Gathered): Effect.Effect<void> {
-    const { p, wake } = this;
+  private rebuildContext(leaderTerm: LeadershipTerm): RebuildContext {
+    const { parts } = this;
+    return {
+      settings: parts.settings,
+      store: parts.store,
+      watcher: parts.watcher,
+      jobState: parts.jobState,
+      lossDetector: parts.lossDetector,
+      preLossViews: parts.preLossViews,
+      evidenceStore: parts.evidenceStore,
+      viewPort: parts.viewPort,
+      leaderTerm,
+      isCurrentTerm: () => parts.leadership.isCurrent(leaderTerm.number),
+      mayAct: () => parts.leadership.currentTerm()?.number === leaderTerm.number,
+      clock: parts.clock,
+    };
+  }
+
+  /** Rebuilds the store if it has lost data. Until that is done, heartbeats only renew workers' leases. */
+  private restore(context: RebuildContext, gathered: GatheredViews): Effect.Effect<void> {
+    const { jobState, preLossViews } = this.parts;
     return Effect.suspend(() => {
-      // Leases may have been renewed until now.
-      const began = p.clock();
-      const registry = new WorkerRegistry(p.settings, p.jobState, leaderTerm.number, began);
-      // What the last leader said of its machines, with the time passed since.
-      const heard = p.peers.lastNews();
-      if (heard !== null) registry.warm(heard.news, heard.at);
-      this.fleet.news = heard?.news ?? NO_NEWS;
-      this.fleet.listed = false;
-      const t: CycleContext = {
-        settings: p.settings,
-        store: p.store,
-        watcher: p.watcher,
-        jobState: p.jobState,
-        registry,
-        ledger: new Ledger(p.balance),
-        lossDetector: p.lossDetector,
-        leaderTerm: { ...leaderTerm, began },
-        mayAct: r.mayAct,
-        isCurrentTerm: r.isCurrentTerm,
-        acknowledged: () => p.peers.acknowledged(leaderTerm.number),
-        types: () => p.types() ?? [],
-        mayStart: () => p.admission.mayStart,
-        fleet: this.fleet,
-        clock: p.clock,
-        dayTime: p.dayTime,
-        learned: new Learned(),
-        companions: new Map(),
-        waits: new Waits(),
-        largest: new Largest(p.jobState.largest),
+      if (jobState.rebuild === null || jobState.rebuild.phase === 'wait') return Effect.void;
+      this.desk = {
+        term: context.leaderTerm.number,
+        cancelled: (id) =>
+          jobState.jobs.get(id)?.withdrawn === true ||
+          preLossViews.all.some((view) => view.jobs.get(id)?.withdrawn === true),
       };
-      const view: CycleState = { result: null, surplus: new Set(), companions: [], cost: 0, behind: false };
-      const gate = new Gate(p.clock);
+      this.pendingRestore = (id) =>
+        gathered.versionsByJob(context).has(id) || gathered.finalStates(context).has(id);
+      return Effect.ensuring(
+        rebuild(context, gathered),
+        Effect.sync(() => (this.pendingRestore = null)),
+      );
+    });
+  }
+
+  /** The session's lasting part, once the store holds all that is known: schedules, rents and returns machines, tidies up. */
+  private operate(context: RebuildContext, gathered: GatheredViews): Effect.Effect<void> {
+    const { parts, wake } = this;
+    return Effect.suspend(() => {
+      const t = this.cycleContext(context);
+      const { registry } = t;
+      const state: CycleState = { result: null, surplus: new Set(), companions: [], cost: 0, behind: false };
+      const gate = new Gate(parts.clock);
       this.desk = {
         registry,
         nextTurn: (then) => {
@@ -212,60 +212,124 @@
           Queue.unsafeOffer(wake, undefined);
         },
       };
-      const relieve = Effect.sync(() => gate.relieve(LONGEST_TURN)).pipe(
-        Effect.zipRight(tick(OVER_MS)),
+      const relieve = Effect.sync(() => gate.relieve(MAX_CYCLE_WAIT)).pipe(
+        Effect.zipRight(tick(TERM_CHECK_MS)),
         Effect.forever,
       );
-      const turns = Effect.gen(function* () {
-        yield* Queue.take(wake).pipe(Effect.timeoutOption(TURN_EVERY_MS));
-        gate.begin();
-        yield* (t.mayAct() ? runCycle(t, view) : Effect.void).pipe(
-          Effect.ensuring(Effect.sync(() => gate.open())),
-        );
-        if (t.mayAct()) yield* sendUrgent(registry, p.workers, p.admission);
-        yield* Effect.sleep(cycleGapMs(registry.machines.size, toMillis(view.cost), view.behind));
-      }).pipe(Effect.forever);
       const tidy = supervise('upkeep', upkeep(t).pipe(Effect.zipRight(tick(UPKEEP_GAP_MS)), Effect.forever));
-      const report = supervise(
-        'summary',
-        Effect.sleep(SUMMARY_EVERY_MS).pipe(
-          Effect.zipRight(
-            Effect.suspend(() => info('cluster', { term: leaderTerm.number, ...summary(t, view) })),
-          ),
-          Effect.forever,
-        ),
-      );
-      const tend = supervise(
-        'tend',
-        Effect.suspend(() => (t.mayAct() ? this.tend(t, r, gathered) : Effect.void)).pipe(
-          Effect.zipRight(tick(TEND_EVERY_MS)),
-          Effect.forever,
-        ),
-      );
       const weights = weightsDuty({ ...t, machines: () => registry.machines.values() });
-      const fleet = autoscaler(t, view, p.cloud);
+      const fleet = autoscaler(t, state, parts.cloud);
       return Effect.all(
-        [supervise('turns', turns), fleet, tidy, report, relieve, tend, weights, largestDuty(t)],
-        {
-          concurrency: 'unbounded',
-          discard: true,
-        },
+        [
+          supervise('scheduling', this.scheduleForever(t, state, gate)),
+          fleet,
+          tidy,
+          logSummaryForever(t, state),
+          relieve,
+          this.finishRecoveryForever(t, context, gathered),
+          weights,
+          largestDuty(t),
+        ],
+        { concurrency: 'unbounded', discard: true },
       ).pipe(Effect.ensuring(Effect.sync(() => gate.relieve(seconds(0)))));
     });
   }
 
-  /** What is left to do after the store's first start or a rebuild, until it is settled. */
-  private tend(t: CycleContext, r: Rebuild, gathered: Gathered): Effect.Effect<void> {
+  /** What all parts of the session share: made when the session begins to schedule. */
+  private cycleContext({ leaderTerm, mayAct, isCurrentTerm }: RebuildContext): CycleContext {
+    const { parts } = this;
+    // Workers' leases may have been renewed until now.
+    const began = parts.clock();
+    const registry = new WorkerRegistry(parts.settings, parts.jobState, leaderTerm.number, began);
+    // What the last leader said of its machines, with the time passed since.
+    const heard = parts.peers.lastProvisioning();
+    if (heard !== null) registry.warm(heard.news, heard.at);
+    this.fleet.news = heard?.news ?? NO_NEWS;
+    this.fleet.listed = false;
+    return {
+      settings: parts.settings,
+      store: parts.store,
+      watcher: parts.watcher,
+      jobState: parts.jobState,
+      registry,
+      ledger: new Ledger(parts.balance),
+      lossDetector: parts.lossDetector,
+      leaderTerm: { ...leaderTerm, began },
+      mayAct,
+      isCurrentTerm,
+      acknowledged: () => parts.peers.acknowledged(leaderTerm.number),
+      types: () => parts.types() ?? [],
+      mayStart: () => parts.admission.mayStart,
+      fleet: this.fleet,
+      clock: parts.clock,
+      dayTime: parts.dayTime,
+      learned: new Learned(),
+      companions: new Map(),
+      waits: new Waits(),
+      largest: new Largest(parts.jobState.largest),
+    };
+  }
+
+  /** One scheduling cycle after another: when something has changed, and at least every `CYCLE_EVERY_MS`. */
+  private scheduleForever(t: CycleContext, state: CycleState, gate: Gate): Effect.Effect<never> {
+    const { parts, wake } = this;
+    const { registry } = t;
+    return Effect.gen(function* () {
+      yield* Queue.take(wake).pipe(Effect.timeoutOption(CYCLE_EVERY_MS));
+      gate.begin();
+      yield* (t.mayAct() ? runCycle(t, state) : Effect.void).pipe(
+        Effect.ensuring(Effect.sync(() => gate.open())),
+      );
+      if (t.mayAct()) yield* sendUrgent(registry, parts.workers, parts.admission);
+      yield* Effect.sleep(cycleGapMs(registry.machines.size, toMillis(state.cost), state.behind));
+    }).pipe(Effect.forever);
+  }
+
+  private finishRecoveryForever(
+    t: CycleContext,
+    context: RebuildContext,
+    gathered: GatheredViews,
+  ): Effect.Effect<never> {
+    return supervise(
+      'recovery',
+      Effect.suspend(() => (t.mayAct() ? this.finishRecovery(t, context, gathered) : Effect.void)).pipe(
+        Effect.zipRight(tick(RECOVERY_EVERY_MS)),
+        Effect.forever,
+      ),
+    );
+  }
+
+  /** What is left to do after the store's first start or a rebuild, until nothing unknown can be running or turn up. */
+  private finishRecovery(
+    t: CycleContext,
+    context: RebuildContext,
+    gathered: GatheredViews,
+  ): Effect.Effect<void> {
     const { jobState, registry } = t;
     return Effect.gen(this, function* () {
-      yield* Effect.ignore(listen(r, gathered, this.p.peers.withRelics()));
+      yield* Effect.ignore(addLateViews(context, gathered, this.parts.peers.withPreLossViews()));
       const generation = jobState.incarnation?.generation ?? 0;
       const at = t.clock();
-      if (!jobState.calm && registry.allLapsed(at)) yield* declare(r, CALM);
-      const all =
-        generation === 0 ? (t.fleet.listed && registry.accounted()) || registry.allLapsed(at) : jobState.calm;
-      if (!jobState.settled && jobState.rebuild === null && all) yield* declare(r, SETTLED);
-      if (generation > 0 && jobState.rebuild?.phase !== 'gather') yield* tendWards(t);
+      if (!jobState.quiescent && registry.allLapsed(at)) yield* declareMilestone(context, QUIESCENT);
+      const allAccountedFor =
+        generation === 0
+          ? (t.fleet.listed && registry.accounted()) || registry.allLapsed(at)
+          : jobState.quiescent;
+      if (!jobState.recovered && jobState.rebuild === null && allAccountedFor)
+        yield* declareMilestone(context, RECOVERED);
+      if (generation > 0 && jobState.rebuild?.phase !== 'gather') yield* reconcileOrphanedJobs(t);
     });
   }
 }
+
+/** Logs a line about the cluster every `SUMMARY_EVERY_MS`. */
+const logSummaryForever = (t: CycleContext, state: CycleState): Effect.Effect<never> =>
+  supervise(
+    'summary',
+    Effect.sleep(SUMMARY_EVERY_MS).pipe(
+      Effect.zipRight(
+        Effect.suspend(() => info('cluster', { term: t.leaderTerm.number, ...summary(t, state) })),
+      ),
+      Effect.forever,
+    ),
+  );
--- a/packages/controller/src/leadership/leadership.ts
+++ b/packages/controller/src/leadership/leadership.ts
@@ -1,34 +1,32 @@
 /**
- * Term and lease: the only source of "may I act until T". One key in the state service, attached to a
- * lease, names the leader; the term key only grows, is the workers' token, and every committing write is
- * conditional on its revision, so that a deposed leader's late transaction fails.
+ * Leader election: the only source of "may I act until T". One key in the state service, attached to a lease, names the
+ * leader. The term key only grows and is the workers' fencing token; every committing write is conditional on its revision,
+ * so that a deposed leader's late transaction fails.
  */
-import { Clock, Effect, Queue, Random } from 'effect';
+import { Effect, Queue, Random } from 'effect';
 import { supervise } from '@lilacvalve/runtime/supervise';
 import { info } from '@lilacvalve/runtime/log';
-import { DRIFT, type Micros, millis, plus, seconds, toMillis } from '@lilacvalve/runtime/micros';
+import { type Micros, plus, seconds, toMillis } from '@lilacvalve/runtime/micros';
 import { orTick } from '@lilacvalve/runtime/tick';
 import type { JobState } from '../jobs/job-state.js';
 import type { StoreWatcher } from '../jobs/store-watcher.js';
 import { type DataLossDetector } from '../recovery/data-loss-detector.js';
-import { attemptsFrom, floorOf, generationOf, incarnationOf } from '../recovery/model.js';
-import { CALM, FOUNDED, INCARNATION, LEADER, LIFE, REBUILD, SETTLED, TERM } from '../jobs/keys.js';
-import type { StateFailure, Write } from '../state-store/client.js';
-import type { Contacts } from './contacts.js';
-import { holdEnds, mayAnswer, mayLag, mayStart } from './read-lease.js';
-import type { Peers } from './peers.js';
 import type { Settings } from '../settings/settings.js';
-import { Priority } from '../state-store/budget.js';
+import type { StateFailure } from '../state-store/client.js';
 import type { StatePort } from '../state-store/port.js';
+import { Campaign, type WonTerm } from './campaign.js';
+import type { Contacts } from './contacts.js';
+import { LeaderLease } from './leader-lease.js';
+import type { Peers } from './peers.js';
+import { answerAuthority, maxViewAge, mayStart, readLeaseExpiry } from './read-lease.js';
+import { type FoundingParts, foundStore, refoundStore } from './store-founding.js';
 
-const MARGIN = millis(150);
-/** How long a reign waits for its lease to be extended again after its right ran out. */
-const LINGER = seconds(8);
-/** How long a leader that couldn't read stays away. */
-const BLIND = seconds(10);
-/** How long a node that workers don't reach leaves a vacant lead to a peer that they do reach. */
-const PATIENCE = millis(1500);
+/** How long a term waits for its lease to be extended again after it expired. */
+const EXTENSION_GRACE = seconds(8);
+/** How long a leader that couldn't read does not campaign. */
+const READ_FAILURE_BACKOFF = seconds(10);
 
+/** One term of this node as leader. */
 export interface LeadershipTerm {
   readonly number: number;
   /** Revision of the term key: the condition of every committing write. */
@@ -36,92 +34,88 @@
   readonly began: Micros;
 }
 
-/** A name that no other incarnation has: by whom, when, and luck. */
-const newId = (label: string): Effect.Effect<string> =>
-  Effect.zipWith(Clock.currentTimeMillis, Random.nextIntBetween(0, 2 ** 31), (at, luck) =>
-    [label.replace(/[^\w-]/g, '_').slice(0, 60), Math.round(at).toString(36), luck.toString(36)].join('.'),
-  );
-
 export class Leadership {
   private leaderTerm: LeadershipTerm | null = null;
-  private lease: number | null = null;
-  private rightUntil = Number.NEGATIVE_INFINITY;
-  /** After giving way: not before this time. */
-  private shunUntil = Number.NEGATIVE_INFINITY;
-  private readonly ttl: Micros;
-  private holds = false;
-  /** See `knownAsOf`; of which life of the store's data. */
-  private coveredAsOf = Number.NEGATIVE_INFINITY;
-  private coveredIn = 0;
-  private readonly begun = Effect.runSync(Queue.sliding<void>(1));
-  /** Completes when a reign has begun, or now and then. */
-  readonly awaitTerm = orTick(Queue.take(this.begun), 1000);
-  private readonly vacant = Effect.runSync(Queue.sliding<void>(1));
-  /** Since when this node has left a vacant lead to a better placed peer. */
-  private vacantSince: Micros | null = null;
+  private readonly lease: LeaderLease;
+  private readonly campaign: Campaign;
+  private readonly founding: FoundingParts;
+  /** After stepping down: this node does not campaign before this time. */
+  private noCampaignBefore = Number.NEGATIVE_INFINITY;
+  /** The present term's lease has expired, and this was logged. */
+  private expiryLogged = false;
+  /** See `knownAsOf`: the latest moment that the peers' heartbeats have proven, in the incarnation counted so. */
+  private provenAsOf = Number.NEGATIVE_INFINITY;
+  private provenInIncarnation = 0;
+  private readonly termBegan = Effect.runSync(Queue.sliding<void>(1));
+  /** Completes when a term of this node has begun, and now and then without. */
+  readonly awaitTerm = orTick(Queue.take(this.termBegan), 1000);
+  private readonly leaderGone = Effect.runSync(Queue.sliding<void>(1));
 
   constructor(
     private readonly settings: Settings,
     private readonly store: StatePort,
     /** The state service as it is, for what begins an incarnation. */
-    private readonly raw: StatePort,
+    unguardedStore: StatePort,
     private readonly lossDetector: DataLossDetector,
-    /** Keeps this node's view as a relic and makes it ready for another incarnation's. */
-    private readonly leaveView: () => void,
+    /** Keeps this node's view as one from before a loss, and makes it ready for another incarnation's. */
+    private readonly retireView: () => void,
     private readonly watcher: StoreWatcher,
     private readonly jobState: JobState,
     private readonly peers: Pick<
       Peers,
-      'confirmedUntil' | 'highestTerm' | 'candidates' | 'allAsked' | 'nothingAfter'
+      'confirmedUntil' | 'highestTerm' | 'candidates' | 'allAsked' | 'unchangedSince'
     >,
     private readonly contacts: Contacts,
     private readonly clock: () => Micros,
   ) {
-    jobState.onVacant = () => Queue.unsafeOffer(this.vacant, undefined);
-    this.ttl = Math.min(seconds(4), Math.max(seconds(2.5), settings.workers.lease / 5)) as Micros;
-  }
-
-  /** Until when a lease that was granted or extended when asked at `asked` gives a right to act. */
-  private rightFrom(asked: Micros): Micros {
-    return plus(asked, this.ttl * (1 - DRIFT) - MARGIN);
+    jobState.onVacant = () => Queue.unsafeOffer(this.leaderGone, undefined);
+    this.lease = new LeaderLease(settings);
+    const mayCampaign = (): boolean => clock() >= this.noCampaignBefore;
+    const shared = { settings, lossDetector, watcher, jobState, peers, clock };
+    this.campaign = new Campaign({ ...shared, store, contacts, mayCampaign }, this.lease);
+    this.founding = { ...shared, unguardedStore };
   }
 
-  /** The reign this node may act for right now, or null. */
+  /** The term this node may act for right now, or null. */
   currentTerm(): LeadershipTerm | null {
-    return this.leaderTerm !== null && !this.lossDetector.suspected && this.clock() < this.rightUntil
+    return this.leaderTerm !== null && !this.lossDetector.suspected && this.clock() < this.lease.expiresAt
       ? this.leaderTerm
       : null;
   }
 
-  /** The term this node is acting for; null: none. */
+  /** The number of the term this node is acting for; null: none. */
   currentTermNumber(): number | null {
     return this.currentTerm()?.number ?? null;
   }
 
   /**
-   * The reign this node may answer reports for: its own right, or a hold while the state service is out or doubted.
-   * A hold places nothing; it only repeats what is durable, so that workers keep their leases.
+   * The term this node may answer heartbeats for: by its leader lease, or by a read lease while the state service is out or
+   * a data loss is suspected. Under a read lease nothing is placed; answers only repeat what is durable, so that workers
+   * keep their leases.
    */
   answeringTerm(): LeadershipTerm | null {
     const { leaderTerm } = this;
     if (leaderTerm === null) return null;
     const may = (confirmedUntil: number, knownAsOf: number): boolean => {
-      const rightUntil = this.lossDetector.suspected ? Number.NEGATIVE_INFINITY : this.rightUntil;
-      const standing = { rightUntil, confirmedUntil, knownAsOf };
-      return mayAnswer(this.clock(), standing, this.settings.workers, this.ttl) !== null;
+      const leaderLeaseUntil = this.lossDetector.suspected ? Number.NEGATIVE_INFINITY : this.lease.expiresAt;
+      const bounds = { leaderLeaseUntil, confirmedUntil, knownAsOf };
+      return answerAuthority(this.clock(), bounds, this.settings.workers, this.lease.ttl) !== null;
     };
-    // Asked twice for each report: what the others say is looked through only where the own right and read are not enough.
+    // Asked twice for each heartbeat: the peers' heartbeats are looked through only where the own lease and read are not enough.
     if (may(Number.NEGATIVE_INFINITY, this.watcher.readAsOf)) return leaderTerm;
     return may(this.peers.confirmedUntil(leaderTerm.number), this.knownAsOf()) ? leaderTerm : null;
   }
 
-  /** Whether an answer to a report may hold starts. */
+  /** Whether an answer to a heartbeat may start tasks. */
   mayStart(): boolean {
     if (this.currentTerm() !== null) return true;
-    return mayStart(this.clock(), { rightUntil: Number.NEGATIVE_INFINITY, knownAsOf: this.knownAsOf() });
+    return mayStart(this.clock(), {
+      leaderLeaseUntil: Number.NEGATIVE_INFINITY,
+      knownAsOf: this.knownAsOf(),
+    });
   }
 
-  /** The reign is not over, though it may be without right for the moment. */
+  /** The term is not over, though this node may be without a lease for the moment. */
   isCurrent(term: number): boolean {
     return this.leaderTerm?.number === term;
   }
@@ -129,19 +123,19 @@
   /**
    * Every cancellation confirmed before this moment is in this node's view: by its own read, or because each of the
    * others has said, asked since, that it knows of no change later than this view's. Whoever confirms a cancellation has
-   * seen its revision, and an incarnation's view never goes back, so what once held stays true.
+   * seen its revision, and an incarnation's view never goes back, so what was proven once stays true.
    */
   private knownAsOf(): number {
-    const { incarnation, life } = this.lossDetector;
-    if (life !== this.coveredIn) {
-      this.coveredIn = life;
-      this.coveredAsOf = Number.NEGATIVE_INFINITY;
+    const { incarnation, incarnationCount } = this.lossDetector;
+    if (incarnationCount !== this.provenInIncarnation) {
+      this.provenInIncarnation = incarnationCount;
+      this.provenAsOf = Number.NEGATIVE_INFINITY;
     }
     if (incarnation !== null && this.watcher.loaded) {
-      const asOf = this.peers.nothingAfter(incarnation.id, this.watcher.completeTo());
-      if (asOf > this.coveredAsOf) this.coveredAsOf = asOf;
+      const asOf = this.peers.unchangedSince(incarnation.id, this.watcher.completeTo());
+      if (asOf > this.provenAsOf) this.provenAsOf = asOf;
     }
-    return Math.max(this.watcher.readAsOf, this.coveredAsOf);
+    return Math.max(this.watcher.readAsOf, this.provenAsOf);
   }
 
   /** The node to send workers to, as far as is known. */
@@ -149,31 +143,31 @@
     return this.jobState.leader?.node ?? null;
   }
 
-  /** A higher token exists: this node is deposed at once. */
+  /** A higher fencing token exists: this node is deposed at once. */
   depose(token: number): void {
-    if (this.leaderTerm && token > this.leaderTerm.number) this.end();
+    if (this.leaderTerm && token > this.leaderTerm.number) this.endTerm();
   }
 
-  /** What it held was of an incarnation that is over; a lease's number may by now be another's. */
+  /** What this node held was of an incarnation that is over; a lease's number may by now be another's. */
   abandonIncarnation(): void {
-    this.end();
-    this.lease = null;
+    this.endTerm();
+    this.lease.id = null;
   }
 
-  private end(): void {
+  private endTerm(): void {
     this.leaderTerm = null;
-    this.rightUntil = Number.NEGATIVE_INFINITY;
+    this.lease.expire();
     this.store.leading(false);
   }
 
-  /** Gives way to the others, because this node can't serve the workers. */
+  /** Leaves the leadership to the other controllers, and does not campaign for `forMicros`. */
   stepDown(reason: string, forMicros: number): Effect.Effect<void> {
     return Effect.suspend(() => {
-      const lease = this.lease;
-      this.shunUntil = plus(this.clock(), forMicros);
-      this.end();
-      this.lease = null;
-      return info('gives way', { reason }).pipe(
+      const lease = this.lease.id;
+      this.noCampaignBefore = plus(this.clock(), forMicros);
+      this.endTerm();
+      this.lease.id = null;
+      return info('stepped down', { reason }).pipe(
         Effect.zipRight(lease === null ? Effect.void : this.store.release(lease).pipe(Effect.ignore)),
       );
     });
@@ -182,256 +176,107 @@
   /** On orderly stop. */
   readonly release: Effect.Effect<void> = Effect.suspend(() => this.stepDown('stop', 0));
 
-  /** Extends that succeed while reads fail would keep a lead that may answer no report: another may do better. */
+  /** Extensions that succeed while reads fail would keep a leader that may answer no heartbeat: another may do better. */
   private readonly stepDownIfReadsFail = Effect.suspend(() =>
-    this.currentTerm() !== null && this.answeringTerm() === null && mayLag(this.settings.workers) > 0
-      ? this.stepDown('reads fail', BLIND)
+    this.currentTerm() !== null && this.answeringTerm() === null && maxViewAge(this.settings.workers) > 0
+      ? this.stepDown('reads fail', READ_FAILURE_BACKOFF)
       : Effect.void,
   );
 
-  /** Gives way when workers that reached this node reach only a peer now. */
+  /** Steps down when workers that reached this node reach only a peer now. */
   private readonly stepDownIfCutOff = Effect.suspend(() => {
     const leaderTerm = this.currentTerm();
     const at = this.clock();
     if (leaderTerm === null || at - leaderTerm.began < this.contacts.window) return Effect.void;
-    const reason = this.contacts.cutOff(at, this.peers.candidates());
-    return reason === null ? Effect.void : this.stepDown(reason, this.contacts.away(at));
-  });
-
-  /** Workers reach a peer and not this node: the peer goes first, for a moment. */
-  private worsePlaced(): boolean {
-    const at = this.clock();
-    const mine = this.contacts.recent(at);
-    if (!this.peers.candidates().some((p) => p.contacts > 2 * mine + 2)) return false;
-    this.vacantSince ??= at;
-    return at - this.vacantSince < PATIENCE;
-  }
-
-  /**
-   * The lead is named as this node's, by a lease that this process does not hold: it was an earlier process's, which has
-   * ended since there is one for each label, or a campaign's whose answer got lost. Nobody extends it. After an outage it
-   * would have its full time again, and nobody could lead meanwhile.
-   */
-  private readonly dropOrphan = Effect.suspend(() => {
-    const { leader } = this.jobState;
-    if (!this.watcher.loaded || leader?.node !== this.settings.label || leader.lease === this.lease)
-      return Effect.void;
-    return this.store.release(leader.lease).pipe(Effect.zipRight(this.watcher.refresh));
-  });
-
-  /** As far as was read, this node leads by the campaign of this term and lease: both stand there by one change. */
-  private wonCampaign(term: number, lease: number): boolean {
-    const { leader, leaderStamp, termStamp } = this.jobState;
-    const mine = leader?.node === this.settings.label && leader.term === term && leader.lease === lease;
-    return mine && leaderStamp === termStamp;
-  }
-
-  private readonly campaign = Effect.gen(this, function* () {
-    yield* this.dropOrphan;
-    if (this.jobState.leader !== null) this.vacantSince = null;
-    if (
-      this.lossDetector.suspected ||
-      !this.watcher.loaded ||
-      this.jobState.leader !== null ||
-      this.clock() < this.shunUntil
-    )
-      return;
-    if (this.worsePlaced()) return;
-    yield* this.watcher.refresh;
-    if (this.jobState.leader !== null) return;
-    // Named by somebody after the read: a newer read shows whether the store has it.
-    if (this.lossDetector.highestTerm() > this.jobState.term) return;
-    const { incarnation } = this.jobState;
-    if (incarnation === null) return;
-    const asked = this.clock();
-    const lease = yield* this.store.grant(this.ttl);
-    const term = Math.max(this.jobState.term, incarnation.base) + 1;
-    const attempts = attemptsFrom(
-      incarnation,
-      this.jobState.term > 0 ? this.jobState.attempts : null,
-      (yield* Clock.currentTimeMillis) / 1000,
-    );
-    const sent = yield* Effect.either(
-      this.store.transact(
-        [
-          { key: LEADER, stamp: 0 },
-          { key: TERM, stamp: this.jobState.termStamp },
-        ],
-        [
-          { set: LEADER, value: { node: this.settings.label, term, lease }, lease },
-          { set: TERM, value: { term, a: attempts } },
-        ],
-        Priority.Lease,
-        1500,
-      ),
-    );
-    if (sent._tag === 'Left') {
-      if (sent.left._tag === 'Refused') return;
-      // Carried out, perhaps, and its answer alone lost: a lead that is held is taken up, not given back. Its right counts
-      // from before its lease was asked for, as ever.
-      yield* this.watcher.refreshNow;
-      if (this.wonCampaign(term, lease) && this.clock() < this.rightFrom(asked))
-        yield* this.begin(term, this.jobState.termStamp, lease, asked);
-      return;
-    }
-    const outcome = sent.right;
-    if (!outcome.ok) {
-      yield* Effect.ignore(this.store.release(lease));
-      yield* this.watcher.refresh;
-      return;
-    }
-    yield* this.begin(term, outcome.revision, lease, asked);
+    const reason = this.contacts.cutOffReason(at, this.peers.candidates());
+    return reason === null ? Effect.void : this.stepDown(reason, this.contacts.backoff(at));
   });
 
-  /** The transaction that gave this node the lead is committed; `asked`: when the lease was asked for. */
-  private begin(
-    term: number,
-    stamp: number,
-    lease: number,
-    asked: Micros,
-  ): Effect.Effect<void, StateFailure> {
+  /** Begins a term that this node has won. */
+  private beginTerm(won: WonTerm): Effect.Effect<void, StateFailure> {
     return Effect.gen(this, function* () {
-      this.lease = lease;
-      this.rightUntil = this.rightFrom(asked);
+      const { term } = won;
+      this.lease.acquire(won.lease, won.asked);
       this.store.leading(true);
-      // Placing needs a view that includes everything earlier terms committed. Without one the lead is an orphan's: kept as
-      // this node's, it would have its full time again after an outage, and nobody could lead meanwhile.
+      // Placing needs a view that includes everything earlier terms committed. Without one the lease is left as an orphan:
+      // kept as this node's, it would have its full time again after an outage, and nobody could lead meanwhile.
       yield* Effect.tapError(this.watcher.refresh, () =>
         Effect.sync(() => {
-          this.end();
-          this.lease = null;
+          this.endTerm();
+          this.lease.id = null;
         }),
       );
       if (this.jobState.term !== term) return;
-      this.leaderTerm = { number: term, stamp, began: this.clock() };
-      Queue.unsafeOffer(this.begun, undefined);
-      yield* info('leads', { term });
+      this.leaderTerm = { number: term, stamp: won.revision, began: this.clock() };
+      Queue.unsafeOffer(this.termBegan, undefined);
+      yield* info('became leader', { term });
     });
   }
 
-  /**
-   * Begins the store's first incarnation, at once, when nobody who answers knows of one: users need not wait for a leader.
-   * A store that was written by a version without incarnations gets one the same way.
-   */
-  readonly foundStore: Effect.Effect<void, StateFailure> = Effect.gen(this, function* () {
-    if (this.lossDetector.suspected || !this.watcher.loaded || this.jobState.incarnation !== null) return;
-    if (!this.peers.allAsked() || this.lossDetector.known().generation >= 0) return;
-    const born = INCARNATION + (yield* newId(this.settings.label));
-    // Should an earlier life of the store have been lost without anybody to remember it, its terms were lower.
-    const now = Math.floor((yield* Clock.currentTimeMillis) / 1000);
-    const base = this.jobState.term > 0 ? 0 : now;
-    const outcome = yield* this.raw.transact(
-      [
-        { key: FOUNDED, stamp: 0 },
-        { key: TERM, stamp: this.jobState.termStamp },
-        { key: born, stamp: 0 },
-      ],
-      [
-        { set: FOUNDED, value: this.settings.label },
-        { set: born, value: { g: 0, by: this.settings.label, t: base, s: now } },
-      ],
-      Priority.Lease,
-      1500,
-    );
-    yield* this.watcher.refreshNow;
-    if (outcome.ok) yield* info('store founded');
-  });
+  /** See `foundStore` in store-founding.ts. */
+  readonly foundStore: Effect.Effect<void, StateFailure> = Effect.suspend(() => foundStore(this.founding));
 
-  /**
-   * Begins a new incarnation of the store, which has lost data, and leads it: a rebuild follows. Of several nodes that
-   * try, the conditions let one through. The terms of a generation lie above all that were ever used before it.
-   */
+  /** Begins a new incarnation after a loss and leads it; false: another node was faster. See store-founding.ts. */
   readonly refoundStore: Effect.Effect<boolean, StateFailure> = Effect.gen(this, function* () {
-    const [life, lead, last] = yield* Effect.all([
-      this.raw.page(LIFE, null, 1000),
-      this.raw.page(LEADER, null, 1),
-      this.raw.page(TERM, null, 1),
-    ]);
-    const old = life.entries.filter((e) => e.key.startsWith(INCARNATION));
-    const known = this.lossDetector.known();
-    const generations = old.map((e) => incarnationOf(e.key, e.value, e.stamp).generation);
-    // Somebody was faster: the next look shows that the store was rebuilt.
-    if (generations.some((g) => g > known.generation)) return false;
-    const there = (last.entries[0]?.value as { term: number } | undefined)?.term ?? 0;
-    const generation =
-      1 + Math.max(known.generation, generationOf(Math.max(known.term, there)), ...generations);
-    const term = floorOf(generation) + 1;
-    const born = INCARNATION + (yield* newId(this.settings.label));
-    const now = Math.floor((yield* Clock.currentTimeMillis) / 1000);
-    // Counted from the first start on, as long as anybody knows of it: should this incarnation be lost and forgotten as
-    // well, the one that takes its generation goes on above it.
-    const since = known.incarnation?.born ?? now;
-    const attempts = attemptsFrom({ id: born, generation, stamp: 0, base: 0, born: since }, null, now);
-    const asked = this.clock();
-    const lease = yield* this.raw.grant(this.ttl);
-    const gone: Write[] = life.entries
-      .filter((e) => old.includes(e) || [CALM, SETTLED].includes(e.key))
-      .map((e) => ({ delete: e.key }));
-    const outcome = yield* this.raw.transact(
-      [
-        ...old.map((e) => ({ key: e.key, stamp: e.stamp })),
-        { key: LEADER, stamp: lead.entries[0]?.stamp ?? 0 },
-        { key: TERM, stamp: last.entries[0]?.stamp ?? 0 },
-        { key: born, stamp: 0 },
-      ],
-      [
-        ...gone,
-        { set: born, value: { g: generation, by: this.settings.label, s: since } },
-        { set: REBUILD, value: { phase: 'gather', heard: [] } },
-        { set: LEADER, value: { node: this.settings.label, term, lease }, lease },
-        { set: TERM, value: { term, a: attempts } },
-      ],
-      Priority.Lease,
-      1500,
-    );
-    if (!outcome.ok) {
-      yield* Effect.ignore(this.raw.release(lease));
-      return false;
-    }
-    yield* info('new incarnation', { term, generation, was: known.incarnation?.id ?? 'unknown' });
-    this.leaveView();
-    yield* this.begin(term, outcome.revision, lease, asked);
+    const won = yield* refoundStore(this.founding, this.lease.ttl);
+    if (won === null) return false;
+    this.retireView();
+    yield* this.beginTerm(won);
     return true;
   });
 
-  private readonly renew = Effect.gen(this, function* () {
-    const lease = this.lease!;
+  private readonly tryCampaign = Effect.suspend(() => this.campaign.attempt).pipe(
+    Effect.flatMap((won) => (won === null ? Effect.void : this.beginTerm(won))),
+    Effect.catchAll(() => Effect.void),
+  );
+
+  private readonly extendLease = Effect.gen(this, function* () {
+    const { id } = this.lease;
+    if (id === null) return;
     const asked = this.clock();
-    const left = this.rightUntil - asked;
-    const kept = yield* this.store
-      .extend(lease, left <= 0 ? 900 : Math.max(200, Math.min(900, toMillis(left))))
+    const left = this.lease.expiresAt - asked;
+    const extended = yield* this.store
+      .extend(id, left <= 0 ? 900 : Math.max(200, Math.min(900, toMillis(left))))
       .pipe(Effect.orElseSucceed(() => null));
-    if (kept === true && this.lease === lease) this.rightUntil = this.rightFrom(asked);
-    if (kept !== false) return;
-    // A lease that is gone may be the first sign of a store that has lost data: then this reign may hold on.
+    if (extended === true && this.lease.id === id) this.lease.extend(asked);
+    if (extended !== false) return;
+    // A lease that is gone may be the first sign of a store that has lost data: then this term may go on by a read lease.
     yield* Effect.ignore(this.watcher.refresh);
-    if (!this.lossDetector.suspected) this.end();
+    if (!this.lossDetector.suspected) this.endTerm();
+  });
+
+  /** Ends a term that a higher one has followed, or whose leases have all expired. */
+  private readonly checkTerm = Effect.gen(this, function* () {
+    const { leaderTerm } = this;
+    if (leaderTerm !== null && Math.max(this.jobState.term, this.peers.highestTerm()) > leaderTerm.number)
+      this.endTerm();
+    if (this.leaderTerm === null || this.clock() < this.lease.expiresAt) {
+      this.expiryLogged = false;
+      return;
+    }
+    if (!this.expiryLogged) yield* info('leader lease expired', { term: this.leaderTerm.number });
+    this.expiryLogged = true;
+    // The lease may still be ours once the service is back; without it, and past any read lease, the term is over.
+    const readLeaseUntil = readLeaseExpiry({ knownAsOf: this.knownAsOf() }, this.settings.workers);
+    if (this.clock() >= Math.max(readLeaseUntil, this.lease.expiresAt + EXTENSION_GRACE)) this.endTerm();
   });
 
+  /** Leads while it can and campaigns while nobody leads. Never ends by itself. */
   readonly run = supervise(
     'leadership',
     Effect.gen(this, function* () {
-      const { leaderTerm } = this;
-      if (leaderTerm !== null && Math.max(this.jobState.term, this.peers.highestTerm()) > leaderTerm.number)
-        this.end();
-      if (this.leaderTerm !== null && this.clock() >= this.rightUntil) {
-        if (!this.holds) yield* info('right ran out', { term: this.leaderTerm.number });
-        this.holds = true;
-        // The lease may still be ours once the service is back; without it, and past any hold, it is over.
-        const held = holdEnds({ knownAsOf: this.knownAsOf() }, this.settings.workers);
-        if (this.clock() >= Math.max(held, this.rightUntil + LINGER)) this.end();
-      } else this.holds = false;
+      yield* this.checkTerm;
       if (this.leaderTerm !== null) {
-        yield* this.renew;
+        yield* this.extendLease;
         yield* this.stepDownIfCutOff;
         yield* this.stepDownIfReadsFail;
-        yield* Effect.sleep(toMillis(this.ttl / 5));
+        yield* Effect.sleep(toMillis(this.lease.ttl / 5));
       } else {
-        yield* this.campaign.pipe(Effect.catchAll(() => Effect.void));
-        // While another leads there is nothing to try for; the feed tells when its key is gone.
+        yield* this.tryCampaign;
+        // While another leads there is nothing to try for; the store watcher tells when its key is gone.
         yield* this.jobState.leader === null
           ? Effect.sleep(150 + 100 * (yield* Random.next))
-          : orTick(Queue.take(this.vacant), 1000);
+          : orTick(Queue.take(this.leaderGone), 1000);
       }
     }).pipe(Effect.forever),
   );
--- a/packages/controller/src/leadership/peers.ts
+++ b/packages/controller/src/leadership/peers.ts
@@ -1,13 +1,12 @@
 /**
- * What controllers tell each other: a beat with the highest term the sender knows and whether the state
- * service serves it. Two things rest on these beats (docs/design.md, "A leader without the state service"):
+ * The heartbeats that controllers exchange: the highest term the sender knows, and whether the state service serves it.
+ * Two safety arguments rely on them (docs/design.md, "A leader without the state service"):
  *
- * - a leader's hold: a majority has said, of a moment less than `CONFIRM` ago, that it knows no higher term
- *   and gets no service either;
- * - a new leader's acknowledgement: enough nodes know its term that no hold of an older one can be renewed.
+ * - a leader's read lease: a majority has confirmed, less than `CONFIRMATION_VALID` ago, that it knows no higher term and
+ *   is not served by the state service either;
+ * - a new leader's acknowledgement: enough nodes know its term that no read lease of an older term can be renewed.
  */
 import { Effect } from 'effect';
-import { pack, unpack } from 'msgpackr';
 import { supervise } from '@lilacvalve/runtime/supervise';
 import type { NoAnswer } from '@lilacvalve/runtime/http-client';
 import { type Answer, json } from '@lilacvalve/runtime/http-server';
@@ -15,96 +14,103 @@
 import { tick } from '@lilacvalve/runtime/tick';
 import type { ProvisioningNews } from '../provisioning/model.js';
 import type { Peer, Settings } from '../settings/settings.js';
-import { nothingAfter, type Said } from './read-lease.js';
+import { decodePeerHeartbeat, encodePeerHeartbeat } from './codec.js';
+import { unchangedSince, type PeerKnowledge } from './read-lease.js';
 
+/** What one controller tells another once a second; on the wire: `codec.ts`. */
 export interface PeerHeartbeat {
+  /** The sender's label. */
   readonly from: string;
   /** Highest term the sender knows of. */
   readonly term: number;
   /** The state service serves the sender. */
-  readonly served: boolean;
-  /** The sender has read the term from the store since it started: only then does its word count. */
-  readonly loaded: boolean;
-  /** Workers that have reached the sender lately, whatever it answered them. */
-  readonly contacts: number;
+  readonly servedByStore: boolean;
+  /** The sender has read the term from the store since it started: its confirmation counts only then. */
+  readonly viewLoaded: boolean;
+  /** Workers that have lately reached the sender, whatever it answered them. */
+  readonly reachableWorkers: number;
   /** What the sender has seen of the state service; null: nothing yet. */
-  readonly life?: Life | null;
-  /** The sender remembers what may not be durable any more. */
-  readonly relics?: boolean;
-  /** From a leader only: what its successor should know of its machines. */
-  readonly news?: ProvisioningNews;
+  readonly store: StoreObservation | null;
+  /** The sender keeps views from before a data loss whose content may not be durable yet. */
+  readonly hasPreLossViews: boolean;
+  /** From a leader only: what its successor should know of the machines being rented and returned. */
+  readonly provisioning?: ProvisioningNews;
 }
 
-export interface Life {
+/** What a controller has seen of the state service's data. */
+export interface StoreObservation {
+  /** The incarnation's id. */
   readonly incarnation: string;
   readonly generation: number;
-  /** The highest revision seen, and the one that the sender's view is as of. */
-  readonly revision: number;
-  readonly read: number;
+  /** The highest revision that the sender has seen or heard of. */
+  readonly highestRevision: number;
+  /** The revision that the sender's view is as of. */
+  readonly viewRevision: number;
   /** How long ago, at the most, the sender saw the incarnation's key in the store; microseconds. */
-  readonly age: number;
+  readonly seenAgo: number;
 }
 
-/** Carries a beat to a peer and its answering beat back. */
+/** Sends a heartbeat to a peer; succeeds with the peer's own. */
 export interface PeerPort {
-  exchange(peer: Peer, beat: PeerHeartbeat): Effect.Effect<PeerHeartbeat, NoAnswer>;
+  exchange(peer: Peer, heartbeat: PeerHeartbeat): Effect.Effect<PeerHeartbeat, NoAnswer>;
 }
 
-const EVERY_MS = 1000;
+const EXCHANGE_EVERY_MS = 1000;
 /** How long a confirmation counts, from when it was asked for. */
-export const CONFIRM = seconds(3);
-/** A peer that has answered nothing for so long, beats or relayed reports, stands still, is gone, or can't be reached. */
-const REACHED = seconds(2.8);
-/** A peer's word about itself is believed for this long. */
-const FRESH = seconds(3.5);
-
-interface Heard {
-  readonly beat: PeerHeartbeat;
+export const CONFIRMATION_VALID = seconds(3);
+/** A peer that has answered nothing for so long, neither heartbeats nor relayed ones, is stalled, down or cut off. */
+const REACHABLE_WITHIN = seconds(2.8);
+/** How long what a peer says about itself is used. */
+const HEARTBEAT_VALID = seconds(3.5);
+
+interface ReceivedHeartbeat {
+  readonly heartbeat: PeerHeartbeat;
   /** When the exchange that brought it began: what it says was true then or later. */
   readonly asked: Micros;
-  readonly at: Micros;
+  readonly receivedAt: Micros;
 }
 
+/** What this node knows of the other controllers from their heartbeats; `run` exchanges them. */
 export class Peers {
-  private readonly answers = new Map<string, Heard>();
-  private readonly known = new Set<string>();
-  private readonly heardAt = new Map<string, Micros>();
+  private readonly responses = new Map<string, ReceivedHeartbeat>();
+  private readonly labels = new Set<string>();
+  private readonly lastResponseAt = new Map<string, Micros>();
   /** Peers that have been asked, whether they answered or not. */
   private readonly asked = new Set<string>();
-  /** Called with every beat of a peer. */
-  onBeat: (beat: PeerHeartbeat) => void = () => undefined;
-  /** Called with a peer's answer to this node's beat, which was sent at `asked`: what it says was true since. */
-  onAnswer: (beat: PeerHeartbeat, asked: Micros) => void = () => undefined;
+  /** Called with every heartbeat of a peer. */
+  onHeartbeat: (ownHeartbeat: PeerHeartbeat) => void = () => undefined;
+  /** Called with a peer's response to a heartbeat sent at `asked`: what it says was still true at that time or later. */
+  onResponse: (heartbeat: PeerHeartbeat, asked: Micros) => void = () => undefined;
   private highest = 0;
-  private news: { readonly news: ProvisioningNews; readonly at: Micros } | null = null;
+  private provisioning: { readonly news: ProvisioningNews; readonly at: Micros } | null = null;
 
   constructor(
     private readonly settings: Settings,
     private readonly port: PeerPort,
-    private readonly mine: () => Omit<PeerHeartbeat, 'from' | 'term'> & { readonly term: number },
+    private readonly ownState: () => Omit<PeerHeartbeat, 'from' | 'term'> & { readonly term: number },
     private readonly clock: () => Micros,
   ) {
-    for (const p of settings.peers) this.known.add(p.label);
+    for (const p of settings.peers) this.labels.add(p.label);
   }
 
-  /** Once a higher term was heard of, a lower one is never confirmed again. */
-  private beat(): PeerHeartbeat {
-    const m = this.mine();
+  /** Carries the highest term heard of, so that a lower one is never confirmed again. */
+  private heartbeat(): PeerHeartbeat {
+    const m = this.ownState();
     this.highest = Math.max(this.highest, m.term);
     return { ...m, from: this.settings.label, term: this.highest };
   }
 
-  /** A peer's beat came in; the answer. */
-  receive(beat: PeerHeartbeat): PeerHeartbeat {
+  /** Takes in a peer's heartbeat; returns this node's own. */
+  receive(heartbeat: PeerHeartbeat): PeerHeartbeat {
     // Its sender's term is the highest it knows: a deposed leader that has not heard of it says nothing newer.
-    if (beat.news !== undefined && beat.term >= this.highest)
-      this.news = { news: beat.news, at: this.clock() };
-    this.highest = Math.max(this.highest, beat.term);
-    this.onBeat(beat);
-    return this.beat();
+    if (heartbeat.provisioning !== undefined && heartbeat.term >= this.highest)
+      this.provisioning = { news: heartbeat.provisioning, at: this.clock() };
+    this.highest = Math.max(this.highest, heartbeat.term);
+    this.onHeartbeat(heartbeat);
+    return this.heartbeat();
   }
 
-  /** Every peer has been asked once; who answered has said what it knows. */
+  /** Every peer has been asked at least once, whether it answered or not. */
   allAsked(): boolean {
     return this.asked.size >= this.settings.peers.length;
   }
@@ -112,189 +118,134 @@
   /** Reachable peers that have not said that they have read `incarnation` up to `revision`. */
   behind(incarnation: string, revision: number): Peer[] {
     return this.settings.peers.filter((p) => {
-      if (!this.reaches(p.label)) return false;
-      const life = this.answers.get(p.label)?.beat.life;
-      return life?.incarnation !== incarnation || life.read < revision;
+      if (!this.isReachable(p.label)) return false;
+      const life = this.responses.get(p.label)?.heartbeat.store;
+      return life?.incarnation !== incarnation || life.viewRevision < revision;
     });
   }
 
-  /** Peers that lately said they have relics. */
-  withRelics(): string[] {
-    return this.fresh()
-      .filter((b) => b.relics === true)
+  /** Labels of peers that lately said that they keep views from before a loss. */
+  withPreLossViews(): string[] {
+    return this.recentHeartbeats()
+      .filter((b) => b.hasPreLossViews === true)
       .map((b) => b.from);
   }
 
-  /** The latest that a leader said of its machines, and when it came. */
-  lastNews(): { readonly news: ProvisioningNews; readonly at: Micros } | null {
-    return this.news;
+  /** What a leader last said of its machines, and when that was received. */
+  lastProvisioning(): { readonly news: ProvisioningNews; readonly at: Micros } | null {
+    return this.provisioning;
   }
 
   highestTerm(): number {
     return this.highest;
   }
 
-  /** What peers have said of themselves lately. */
-  private fresh(): PeerHeartbeat[] {
+  /** The heartbeats of peers that are recent enough to be used. */
+  private recentHeartbeats(): PeerHeartbeat[] {
     const at = this.clock();
-    return [...this.answers.values()].filter((h) => at - h.at < FRESH).map((h) => h.beat);
+    return [...this.responses.values()]
+      .filter((h) => at - h.receivedAt < HEARTBEAT_VALID)
+      .map((h) => h.heartbeat);
   }
 
-  otherServed(): boolean {
-    return this.fresh().some((b) => b.served);
+  anyServedByStore(): boolean {
+    return this.recentHeartbeats().some((b) => b.servedByStore);
   }
 
-  /** There are others, and none has answered lately. */
-  alone(): boolean {
-    return this.settings.peers.length > 0 && this.fresh().length === 0;
+  /** There are other controllers, and none has answered lately. */
+  isolated(): boolean {
+    return this.settings.peers.length > 0 && this.recentHeartbeats().length === 0;
   }
 
-  /** The peer has answered lately: what is sent to it has a good chance to be answered. */
-  reaches(label: string): boolean {
-    const at = this.heardAt.get(label);
-    return at !== undefined && this.clock() - at < REACHED;
+  /** The peer has answered lately, so that a request to it is likely to be answered. */
+  isReachable(label: string): boolean {
+    const at = this.lastResponseAt.get(label);
+    return at !== undefined && this.clock() - at < REACHABLE_WITHIN;
   }
 
-  /** The peer has answered something. */
-  heard(label: string): void {
-    this.heardAt.set(label, this.clock());
+  /** Notes that the peer has answered, be it a heartbeat or anything else. */
+  recordResponse(label: string): void {
+    this.lastResponseAt.set(label, this.clock());
   }
 
-  /** Peers that could lead, with the workers that reach them. */
+  /** Peers that could become leader, with the number of workers that reach them. */
   candidates(): { node: string; contacts: number }[] {
-    return this.fresh()
-      .filter((b) => b.served && b.loaded)
-      .map((b) => ({ node: b.from, contacts: b.contacts }));
+    return this.recentHeartbeats()
+      .filter((b) => b.servedByStore && b.viewLoaded)
+      .map((b) => ({ node: b.from, contacts: b.reachableWorkers }));
   }
 
-  /** Until when a majority's word, this node's included, lets a leader of `term` hold on. */
+  /** Until when the confirmations of a majority, this node included, let a leader of `term` keep its read lease. */
   confirmedUntil(term: number): Micros {
     if (this.highest > term) return Number.NEGATIVE_INFINITY as Micros;
-    const asked = [...this.answers.values()]
-      .filter((h) => h.beat.loaded && !h.beat.served && h.beat.term <= term)
+    const asked = [...this.responses.values()]
+      .filter((h) => h.heartbeat.viewLoaded && !h.heartbeat.servedByStore && h.heartbeat.term <= term)
       .map((h) => h.asked)
       .sort((a, b) => b - a);
     const others = Math.floor(this.settings.nodes / 2);
     if (others === 0) return Number.POSITIVE_INFINITY as Micros;
     const weakest = asked[others - 1];
-    return weakest === undefined ? (Number.NEGATIVE_INFINITY as Micros) : plus(weakest, CONFIRM);
+    return weakest === undefined ? (Number.NEGATIVE_INFINITY as Micros) : plus(weakest, CONFIRMATION_VALID);
   }
 
   /** See `nothingAfter`; with no other controller this moment. */
-  nothingAfter(incarnation: string, revision: number): number {
+  unchangedSince(incarnation: string, revision: number): number {
     const { peers, nodes } = this.settings;
     if (peers.length < nodes - 1) return Number.NEGATIVE_INFINITY;
-    const said = peers.map((p): Said | null => {
-      const h = this.answers.get(p.label);
-      const life = h?.beat.life;
-      if (!h?.beat.loaded || !life) return null;
-      const revision = Math.max(life.revision, life.read);
+    const said = peers.map((p): PeerKnowledge | null => {
+      const h = this.responses.get(p.label);
+      const life = h?.heartbeat.store;
+      if (!h?.heartbeat.viewLoaded || !life) return null;
+      const revision = Math.max(life.highestRevision, life.viewRevision);
       return { asked: h.asked, incarnation: life.incarnation, revision };
     });
-    return Math.min(this.clock(), nothingAfter(said, incarnation, revision));
+    return Math.min(this.clock(), unchangedSince(said, incarnation, revision));
   }
 
-  /** So many nodes know `term`, this one included, that every majority has one of them. */
+  /** Enough nodes know `term`, this one included, that every majority contains one of them. */
   acknowledged(term: number): boolean {
     let n = 1;
-    for (const h of this.answers.values()) if (h.beat.term >= term) n++;
+    for (const h of this.responses.values()) if (h.heartbeat.term >= term) n++;
     return n >= Math.ceil(this.settings.nodes / 2);
   }
 
-  /** One exchange after another with one peer; no peer waits for another that does not answer. */
-  private exchanges(peer: Peer): Effect.Effect<never> {
+  /** Exchanges heartbeats with one peer for ever; a peer that does not answer delays no other. */
+  private exchangeHeartbeats(peer: Peer): Effect.Effect<never> {
     return supervise(
       'peer',
       Effect.suspend(() => {
         const asked = this.clock();
-        return this.port.exchange(peer, this.beat()).pipe(
+        return this.port.exchange(peer, this.heartbeat()).pipe(
           Effect.map((answer) => {
-            if (!this.known.has(answer.from)) return;
+            if (!this.labels.has(answer.from)) return;
             this.highest = Math.max(this.highest, answer.term);
-            this.answers.set(answer.from, { beat: answer, asked, at: this.clock() });
-            this.heard(answer.from);
-            this.onBeat(answer);
-            this.onAnswer(answer, asked);
+            this.responses.set(answer.from, { heartbeat: answer, asked, receivedAt: this.clock() });
+            this.recordResponse(answer.from);
+            this.onHeartbeat(answer);
+            this.onResponse(answer, asked);
           }),
           Effect.ignore,
           Effect.ensuring(Effect.sync(() => this.asked.add(peer.label))),
         );
-      }).pipe(Effect.zipRight(tick(EVERY_MS)), Effect.forever),
+      }).pipe(Effect.zipRight(tick(EXCHANGE_EVERY_MS)), Effect.forever),
     );
   }
 
   readonly run: Effect.Effect<unknown> = Effect.suspend(() =>
     Effect.all(
-      this.settings.peers.map((p) => this.exchanges(p)),
+      this.settings.peers.map((p) => this.exchangeHeartbeats(p)),
       { concurrency: 'unbounded', discard: true },
     ),
   );
 }
 
-const object = (v: unknown): v is Record<string, unknown> =>
-  typeof v === 'object' && v !== null && !Array.isArray(v);
-const text = (v: unknown): v is string => typeof v === 'string';
-const isLife = (v: unknown): boolean =>
-  object(v) &&
-  text(v.incarnation) &&
-  Number.isInteger(v.generation) &&
-  Number.isInteger(v.revision) &&
-  Number.isInteger(v.read) &&
-  typeof v.age === 'number';
-const isNews = (v: unknown): boolean =>
-  object(v) &&
-  Array.isArray(v.rented) &&
-  v.rented.every(
-    (r: unknown) =>
-      object(r) &&
-      text(r.id) &&
-      text(r.type) &&
-      text(r.zone) &&
-      typeof r.spot === 'boolean' &&
-      typeof r.age === 'number',
-  ) &&
-  Array.isArray(v.removed) &&
-  v.removed.every(text) &&
-  (v.asked === undefined ||
-    (Array.isArray(v.asked) &&
-      v.asked.every(
-        (a: unknown) =>
-          object(a) &&
-          text(a.type) &&
-          text(a.zone) &&
-          typeof a.spot === 'boolean' &&
-          Number.isInteger(a.count) &&
-          typeof a.age === 'number',
-      )));
-/** Checked by hand, as reports are: eight come in a second, and a schema's decoder was a seventh of a node's rest. */
-const isBeat = (v: unknown): v is PeerHeartbeat =>
-  object(v) &&
-  text(v.from) &&
-  Number.isSafeInteger(v.term) &&
-  typeof v.served === 'boolean' &&
-  typeof v.loaded === 'boolean' &&
-  Number.isInteger(v.contacts) &&
-  (v.life === undefined || v.life === null || isLife(v.life)) &&
-  (v.relics === undefined || typeof v.relics === 'boolean') &&
-  (v.news === undefined || isNews(v.news));
-
-/** null: not a beat. Whatever arrives, no duty and no connection ends of it. */
-export const readBeat = (body: Buffer): PeerHeartbeat | null => {
-  try {
-    const value: unknown = unpack(body);
-    return isBeat(value) ? value : null;
-  } catch {
-    return null;
-  }
-};
-
-/** The answer to a peer's beat. */
-export const answerBeat = (peers: Peers, body: Buffer | null): Answer => {
-  const beat = body === null ? null : readBeat(body);
-  if (beat === null) return json(400, {});
+/** Takes in a peer's heartbeat and answers with this node's own; 400 where the body is none. */
+export const respondToHeartbeat = (peers: Pick<Peers, 'receive'>, body: Buffer | null): Answer => {
+  const heartbeat = body === null ? null : decodePeerHeartbeat(body);
+  if (heartbeat === null) return json(400, {});
   return {
     status: 200,
-    body: pack(peers.receive(beat)),
+    body: encodePeerHeartbeat(peers.receive(heartbeat)),
     headers: { 'Content-Type': 'application/msgpack' },
   };
 };
--- a/packages/controller/src/links.ts
+++ b/packages/controller/src/links.ts
@@ -2,8 +2,8 @@
 import { NoAnswer, type Reply } from '@lilacvalve/runtime/http-client';
 import { Link } from '@lilacvalve/runtime/link';
 import { Effect } from 'effect';
-import { pack } from 'msgpackr';
-import { type PeerHeartbeat, type PeerPort, readBeat } from './leadership/peers.js';
+import { decodePeerHeartbeat, encodePeerHeartbeat } from './leadership/codec.js';
+import type { PeerHeartbeat, PeerPort } from './leadership/peers.js';
 import type { ViewPort } from './recovery/view-exchange.js';
 import type { Peer } from './settings/settings.js';
 import { RELAY_TIMEOUT_MS, type RelayPort } from './workers/heartbeat-relay.js';
@@ -32,9 +32,9 @@
   }
 
   exchange(peer: Peer, beat: PeerHeartbeat): Effect.Effect<PeerHeartbeat, NoAnswer> {
-    return Effect.flatMap(this.to(peer).ask('/beat', pack(beat), BEAT_TIMEOUT_MS), (r) => {
-      const told = readBeat(r.body);
-      return told === null ? none(r, 'beat') : Effect.succeed(told);
+    return Effect.flatMap(this.to(peer).ask('/beat', encodePeerHeartbeat(beat), BEAT_TIMEOUT_MS), (r) => {
+      const heartbeat = decodePeerHeartbeat(r.body);
+      return heartbeat === null ? none(r, 'beat') : Effect.succeed(heartbeat);
     });
   }
 }
--- a/packages/controller/src/listeners.ts
+++ b/packages/controller/src/listeners.ts
@@ -5,7 +5,7 @@
 import { type ApiDeps, route, userHandlers, workOf } from './api/handlers.js';
 import type { Contacts } from './leadership/contacts.js';
 import type { Leadership } from './leadership/leadership.js';
-import { answerBeat, type Peers } from './leadership/peers.js';
+import { respondToHeartbeat, type Peers } from './leadership/peers.js';
 import type { Admission } from './overload/admission.js';
 import type { LeaderSessions } from './leadership/leader-session.js';
 import type { Peer, Settings } from './settings/settings.js';
@@ -65,9 +65,9 @@
   const leader = (): Peer | null => {
     const label = leadership.knownLeader();
     const peer = settings.peers.find((x) => x.label === label);
-    return peer !== undefined && peers.reaches(peer.label) ? peer : null;
+    return peer !== undefined && peers.isReachable(peer.label) ? peer : null;
   };
-  const relay = new HeartbeatRelay(p.relay, leader, (label) => peers.heard(label), clock);
+  const relay = new HeartbeatRelay(p.relay, leader, (label) => peers.recordResponse(label), clock);
   const reports = heartbeatHandler(
     p.receive,
     () => p.sessions.desk !== null && leadership.answeringTerm() !== null,
@@ -77,9 +77,9 @@
       const at = clock();
       if (leaderTerm !== null && at - leaderTerm.began < NEW_LEADER) return null;
       const leads = leaderTerm !== null ? settings.label : (leader()?.label ?? null);
-      return places.elsewhere(machine, leads, (n) => peers.reaches(n), at);
+      return places.elsewhere(machine, leads, (n) => peers.isReachable(n), at);
     },
-    (machine) => p.contacts.note(machine, clock()),
+    (machine) => p.contacts.recordContact(machine, clock()),
     new HeartbeatReader(),
   );
   const quick: Quick = (r, reply) => {
@@ -114,7 +114,7 @@
     if (r.method !== 'POST') return json(405, {}, { Allow: 'POST' });
     if (r.path !== '/beat') return views(r) ?? json(404, {});
     countMetric('beats');
-    return answerBeat(peers, r.body);
+    return respondToHeartbeat(peers, r.body);
   };
   return {
     quick: ((r, reply) => {
--- a/packages/controller/src/node.ts
+++ b/packages/controller/src/node.ts
@@ -15,19 +15,19 @@
 import { StoreWatcher } from './jobs/store-watcher.js';
 import { TERM, TYPES } from './jobs/keys.js';
 import { Contacts } from './leadership/contacts.js';
-import { mayLag } from './leadership/read-lease.js';
+import { maxViewAge } from './leadership/read-lease.js';
 import { Leadership } from './leadership/leadership.js';
 import { type PeerPort, Peers } from './leadership/peers.js';
 import { Admission } from './overload/admission.js';
 import { loadLine, storeProbe, eventLoopCheck, servedBy, watchMemory } from './health-check.js';
 import { type ViewPort, viewHandler } from './recovery/view-exchange.js';
 import { PreLossViews } from './recovery/pre-loss-views.js';
-import { answerCheck, verifyWith } from './recovery/view-verification.js';
+import { answerCheckRequest, verifyWith } from './recovery/view-verification.js';
 import { EvidenceStore } from './recovery/evidence-store.js';
 import { LeaderSessions } from './leadership/leader-session.js';
 import type { Settings } from './settings/settings.js';
 import { Priority } from './state-store/budget.js';
-import { snapshotDuty } from './snapshots/duty.js';
+import { snapshotTask } from './snapshots/snapshot-task.js';
 import type { StatePort } from './state-store/port.js';
 import type { WorkerRegistry } from './workers/worker-registry.js';
 import { receiver, type WorkerPort } from './workers/heartbeat-handler.js';
@@ -91,7 +91,7 @@
     clock,
     leads,
     lossDetector,
-    mayLag(settings.workers),
+    maxViewAge(settings.workers),
   );
   const contacts = new Contacts(settings);
   const served = servedBy(store, clock);
@@ -100,32 +100,32 @@
     ports.peers,
     () => ({
       term: jobState.term,
-      served: served() && !lossDetector.suspected,
-      loaded: watcher.loaded,
-      contacts: contacts.recent(clock()),
-      life:
+      servedByStore: served() && !lossDetector.suspected,
+      viewLoaded: watcher.loaded,
+      reachableWorkers: contacts.recentCount(clock()),
+      store:
         lossDetector.incarnation === null
           ? null
           : {
               incarnation: lossDetector.incarnation.id,
               generation: lossDetector.incarnation.generation,
-              revision: lossDetector.floor(),
-              read: jobState.revision,
-              age: lossDetector.seenFor(),
+              highestRevision: lossDetector.revisionFloor(),
+              viewRevision: jobState.revision,
+              seenAgo: lossDetector.sinceIncarnationSeen(),
             },
-      relics: relics.all.length > 0,
-      ...(leadership.currentTerm() === null ? {} : { news: sessions.fleet.news }),
+      hasPreLossViews: relics.all.length > 0,
+      ...(leadership.currentTerm() === null ? {} : { provisioning: sessions.fleet.news }),
     }),
     clock,
   );
-  peers.onBeat = (b) => {
-    if (b.term > 0) lossDetector.heardTerm(b.term, b.from);
-    if (b.life) lossDetector.peerSaw(b.life.incarnation, b.life.generation, b.life.revision);
+  peers.onHeartbeat = (b) => {
+    if (b.term > 0) lossDetector.noteTerm(b.term, b.from);
+    if (b.store) lossDetector.notePeerRevision(b.store.incarnation, b.store.generation, b.store.highestRevision);
   };
-  peers.onAnswer = (b, asked) => {
+  peers.onResponse = (b, asked) => {
     // It has seen the key itself, at most so long before it answered.
-    if (b.life && b.life.incarnation === lossDetector.incarnation?.id)
-      lossDetector.seen(plus(asked, -b.life.age));
+    if (b.store && b.store.incarnation === lossDetector.incarnation?.id)
+      lossDetector.incarnationSeen(plus(asked, -b.store.seenAgo));
   };
   const admission = new Admission(
     settings.limits.maxConnections,
@@ -142,8 +142,8 @@
   const verify = supervise(
     'verify',
     Effect.gen(function* () {
-      if (lossDetector.incarnation !== null && lossDetector.floor() === jobState.revision && witness.size > 0)
-        witness.covered(lossDetector.incarnation.id, jobState.revision);
+      if (lossDetector.incarnation !== null && lossDetector.revisionFloor() === jobState.revision && witness.size > 0)
+        witness.dropCovered(lossDetector.incarnation.id, jobState.revision);
       if (watcher.loaded && lossDetector.incarnation === null && !lossDetector.suspected) {
         yield* Effect.ignore(leadership.foundStore);
         yield* Effect.sleep(40);
@@ -179,11 +179,11 @@
   /** This node's view is of an incarnation that is over. */
   const leaveView = (): void => {
     if (lossDetector.incarnation !== null && (jobState.jobs.size > 0 || jobState.finals.size > 0))
-      relics.keep(
+      relics.add(
         relics.viewOf(
           jobState,
           lossDetector.incarnation.generation,
-          lossDetector.suspicion?.led ?? null,
+          lossDetector.suspicion?.ledTerm ?? null,
           whole(),
         ),
       );
@@ -192,7 +192,7 @@
     compared = false;
     jobState.clear();
     watcher.leave();
-    lossDetector.leave();
+    lossDetector.leaveIncarnation();
   };
   const leadership: Leadership = new Leadership(
     settings,
@@ -214,9 +214,9 @@
   const unready = (): string | null => {
     if (!watcher.loaded || (lossDetector.incarnation === null && !lossDetector.suspected)) return 'starting';
     if (knownTypes() === null) return 'machine types unknown';
-    if (!served() && peers.otherServed()) return 'state service refuses this node';
+    if (!served() && peers.anyServedByStore()) return 'state service refuses this node';
     // Neither the state service nor any other controller: whoever of them is served answers users better.
-    if (!served() && peers.alone()) return 'cut off from the state service and the others';
+    if (!served() && peers.isolated()) return 'cut off from the state service and the others';
     return null;
   };
 
@@ -249,12 +249,12 @@
     store,
     cloud: ports.cloud,
     workers: ports.workers,
-    views: ports.views,
+    viewPort: ports.views,
     watcher,
     jobState,
     lossDetector,
-    relics,
-    witness,
+    preLossViews: relics,
+    evidenceStore: witness,
     peers,
     leadership,
     admission,
@@ -303,33 +303,33 @@
         : relics.viewOf(
             jobState,
             lossDetector.incarnation.generation,
-            lossDetector.suspicion?.led ?? leadership.currentTermNumber(),
+            lossDetector.suspicion?.ledTerm ?? leadership.currentTermNumber(),
             whole(),
           ),
     jobState,
     witness,
     (body) =>
-      answerCheck(
+      answerCheckRequest(
         body,
         jobState,
         watcher.loaded ? (lossDetector.incarnation?.id ?? null) : null,
-        lossDetector.floor(),
+        lossDetector.revisionFloor(),
       ),
   );
   const others = peerListener(peers, receive, views);
   const snapshots =
     ports.snapshots === null
       ? null
-      : snapshotDuty({ files: ports.snapshots, store, watcher, jobState, lossDetector, relics });
+      : snapshotTask({ files: ports.snapshots, store, watcher, jobState, lossDetector, relics });
   const parts: DetectionParts = {
     lossDetector,
-    raw: ports.store,
+    unguardedStore: ports.store,
     store,
     watcher,
     jobState,
-    refound: leadership.refoundStore,
-    leaveView,
-    leads,
+    refoundStore: leadership.refoundStore,
+    retireView: leaveView,
+    isLeader: leads,
     clock,
   };
   return {
--- a/packages/controller/src/recovery/audit.ts
+++ b/packages/controller/src/recovery/audit.ts
@@ -3,14 +3,27 @@
  * the watch feeds. A key counts as lost only if the view is at least as new as the listing and still has it.
  */
 import type { JobState } from '../jobs/job-state.js';
-import { ACTIVE, CALENDAR, INCARNATION, LEADER, LIFE, PACK, RECORD, recordKey, TERM } from '../jobs/keys.js';
+import {
+  ACTIVE,
+  CALENDAR,
+  INCARNATION,
+  LEADER,
+  STORE_STATUS,
+  PACK,
+  RECORD,
+  recordKey,
+  TERM,
+} from '../jobs/keys.js';
 import type { Page } from '../state-store/client.js';
 
 /** The prefixes that are looked through, one after the other. */
-export const AUDITED = [RECORD, ACTIVE, PACK, TERM, LEADER, LIFE, CALENDAR] as const;
+export const AUDITED_PREFIXES = [RECORD, ACTIVE, PACK, TERM, LEADER, STORE_STATUS, CALENDAR] as const;
 
 /** Keys that the view has below `prefix`, with the revisions it knows them at. Sorted. */
-export const keysOf = (jobState: JobState, prefix: (typeof AUDITED)[number]): [string, number][] => {
+export const expectedKeys = (
+  jobState: JobState,
+  prefix: (typeof AUDITED_PREFIXES)[number],
+): [string, number][] => {
   const out: [string, number][] = [];
   if (prefix === ACTIVE) {
     // A job of stamp 0 has no key of its own yet.
@@ -19,7 +32,7 @@
     if (jobState.term > 0) out.push([TERM, jobState.termStamp]);
   } else if (prefix === LEADER) {
     if (jobState.leader !== null) out.push([LEADER, jobState.leaderStamp]);
-  } else if (prefix === LIFE) {
+  } else if (prefix === STORE_STATUS) {
     for (const i of jobState.incarnations.values()) out.push([INCARNATION + i.id, i.stamp]);
   } else if (prefix === CALENDAR) out.push(...jobState.calendars.keys());
   else if (prefix === PACK) for (const [key, p] of jobState.packs) out.push([key, p.stamp]);
@@ -31,7 +44,7 @@
  * The first key lost, or null. `expected`: what the view has in the range that the page covers, read when `view` (its
  * revision) was at least the page's. `after`: where the page began.
  */
-export const audit = (
+export const findLostKey = (
   page: Page,
   expected: readonly (readonly [string, number])[],
   after: string | null,
--- a/packages/controller/src/recovery/calendar-recovery.ts
+++ b/packages/controller/src/recovery/calendar-recovery.ts
@@ -12,7 +12,7 @@
 const weight = (s: Shown): number => [...s.values()].flat().reduce((n, c) => n + c, 0);
 
 /** Of two memories: the newer calendar, the higher counts. Neither order nor repetition matters. */
-export const joinRemembered = (a: Remembered, b: Remembered): Remembered => {
+export const joinCalendars = (a: Remembered, b: Remembered): Remembered => {
   const tallies = new Map<string, Tally>(a.tallies);
   for (const [id, t] of b.tallies) {
     const there = tallies.get(id);
@@ -26,7 +26,7 @@
   };
 };
 
-interface Step {
+interface CalendarStep {
   readonly when: readonly Condition[];
   readonly then: readonly Write[];
 }
@@ -38,14 +38,14 @@
  * What the store lacks of it: pages first, then the head; none: nothing. `damaged`: revisions of keys that are there and
  * can't be read.
  */
-export const calendarSteps = (
+export const calendarWriteSteps = (
   there: Calendars,
   best: Remembered,
   valueBytes: number,
   damaged: ReadonlyMap<string, number> = new Map(),
-): Step[] => {
+): CalendarStep[] => {
   const stampOf = (key: string, known: number | undefined): number => damaged.get(key) ?? known ?? 0;
-  const steps: Step[] = [];
+  const steps: CalendarStep[] = [];
   const { calendar } = best;
   if (
     calendar !== null &&
--- a/packages/controller/src/recovery/codec.ts
+++ b/packages/controller/src/recovery/codec.ts
@@ -7,7 +7,7 @@
 import type { FinalState } from '../jobs/model.js';
 import type { Remembered } from '../calendar/fold.js';
 import { decodeRemembered, encodeRemembered } from './calendar-recovery.js';
-import type { Claim } from './merge.js';
+import type { JobVersion } from './merge.js';
 
 /** Asks for what the asked node remembers and the asker does not have alike, from a range of ids on. */
 export interface ViewRequest {
@@ -17,16 +17,16 @@
   readonly from: number;
 }
 /** One relic's standing, without its jobs. */
-export interface Head {
+export interface ViewHeader {
   readonly id: string;
   readonly lastSeq: number;
   readonly term: number;
-  readonly led: number | null;
+  readonly ledTerm: number | null;
   readonly accounts: Accounts;
 }
 export interface ViewResponse {
-  readonly heads: readonly Head[];
-  readonly claims: readonly Claim[];
+  readonly headers: readonly ViewHeader[];
+  readonly versions: readonly JobVersion[];
   readonly finals: readonly (readonly [string, FinalState])[];
   /** The range to go on from; null: that was all. */
   readonly next: number | null;
@@ -54,8 +54,8 @@
 export const encodeViewResponse = (t: ViewResponse): Buffer =>
   Buffer.from(
     pack([
-      t.heads.map((h) => [h.id, h.lastSeq, h.term, h.led, encodeAccounts(h.accounts, ACCOUNTS_BYTES)]),
-      t.claims.map((c): WireClaim => [c.job.spec.id, c.generation, c.revision, encodeJob(c.job, 0)]),
+      t.headers.map((h) => [h.id, h.lastSeq, h.term, h.ledTerm, encodeAccounts(h.accounts, ACCOUNTS_BYTES)]),
+      t.versions.map((c): WireClaim => [c.job.spec.id, c.generation, c.revision, encodeJob(c.job, 0)]),
       t.finals.map(([id, f]) => [id, packFinal(f)]),
       t.next,
       t.calendar === null ? null : encodeRemembered(t.calendar),
@@ -63,7 +63,7 @@
   );
 export const decodeViewResponse = (body: Buffer): ViewResponse | null => {
   try {
-    const [heads, claims, finals, next, calendar] = unpack(body) as [
+    const [headers, versions, finals, next, calendar] = unpack(body) as [
       [string, number, number, number | null, unknown[]][],
       WireClaim[],
       [string, number][],
@@ -71,14 +71,14 @@
       unknown,
     ];
     return {
-      heads: heads.map(([id, lastSeq, term, led, accounts]) => ({
+      headers: headers.map(([id, lastSeq, term, ledTerm, accounts]) => ({
         id,
         lastSeq,
         term,
-        led,
+        ledTerm,
         accounts: decodeAccounts(accounts) ?? NO_ACCOUNTS,
       })),
-      claims: claims.map(([id, generation, revision, job]) => ({
+      versions: versions.map(([id, generation, revision, job]) => ({
         generation,
         revision,
         job: decodeJob(id, job, 0),
--- a/packages/controller/src/recovery/data-loss-detector.ts
+++ b/packages/controller/src/recovery/data-loss-detector.ts
@@ -6,7 +6,7 @@
 import { DRIFT, type Micros, millis, seconds } from '@lilacvalve/runtime/micros';
 import type { Condition } from '../state-store/client.js';
 import { INCARNATION } from '../jobs/keys.js';
-import type { Evidence, EvidenceKind, Incarnation, Known } from './model.js';
+import type { Evidence, EvidenceKind, Incarnation, StoreKnowledge } from './model.js';
 
 /** More evidence than this says nothing new. */
 const EVIDENCE_KEPT = 8;
@@ -22,7 +22,7 @@
   /** A peer has shown that the store lacks what it had: that this node's own view agrees with the store says nothing. */
   proven: boolean;
   /** The term this node was acting for, without a gap, when the doubt began; null: it was not. */
-  led: number | null;
+  ledTerm: number | null;
 }
 
 export class DataLossDetector {
@@ -30,32 +30,32 @@
   incarnation: Incarnation | null = null;
   suspicion: Suspicion | null = null;
   /** Counts the incarnations that this node has left: an answer to a question asked in an earlier one says nothing. */
-  life = 0;
+  incarnationCount = 0;
   private revision = -1;
   /** The highest generation that this node or a peer has seen. */
   private generation = -1;
   /** The incarnation and revision that this node's disk holds. */
-  private remembered: { readonly id: string; readonly revision: number } | null = null;
+  private fromDisk: { readonly id: string; readonly revision: number } | null = null;
   /** The highest term named by a worker or a peer, and when. */
-  private named: { readonly term: number; readonly at: Micros; readonly by: string } | null = null;
+  private namedTerm: { readonly term: number; readonly at: Micros; readonly by: string } | null = null;
   /** When this node's incarnation was last seen to be the store's: by a read of its key, or a transaction that held it. */
   private seenAt = Number.NEGATIVE_INFINITY;
   /** Called with the store's incarnation once a read of it has been believed. */
-  onSound: (incarnation: string) => void = () => undefined;
+  onIncarnationConfirmed: (incarnation: string) => void = () => undefined;
   /** Called when a doubt begins. */
-  onRaise: () => void = () => undefined;
+  onSuspected: () => void = () => undefined;
 
   constructor(
     private readonly clock: () => Micros,
     /** The term this node acts for right now. */
-    private readonly leads: () => number | null,
+    private readonly currentTermNumber: () => number | null,
   ) {}
 
   get suspected(): boolean {
     return this.suspicion !== null;
   }
 
-  known(): Known {
+  known(): StoreKnowledge {
     return {
       incarnation: this.incarnation,
       generation: this.generation,
@@ -66,19 +66,24 @@
 
   suspect(kind: EvidenceKind, what: string, proven = false): void {
     if (this.suspicion === null) {
-      this.suspicion = { since: this.clock(), evidence: [{ kind, what }], proven, led: this.leads() };
-      this.onRaise();
+      this.suspicion = {
+        since: this.clock(),
+        evidence: [{ kind, what }],
+        proven,
+        ledTerm: this.currentTermNumber(),
+      };
+      this.onSuspected();
     } else if (this.suspicion.evidence.length < EVIDENCE_KEPT) this.suspicion.evidence.push({ kind, what });
     if (proven) this.suspicion.proven = true;
   }
 
   /** The incarnation's key was there at a moment that is not before `asked`. */
-  seen(asked: Micros): void {
+  incarnationSeen(asked: Micros): void {
     if (asked > this.seenAt) this.seenAt = asked;
   }
 
   /** How long ago that was, with what clocks may differ by. */
-  seenFor(): number {
+  sinceIncarnationSeen(): number {
     return Math.min(1e12, (this.clock() - this.seenAt) * (1 + 2 * DRIFT));
   }
 
@@ -86,17 +91,17 @@
    * Changes that follow on a view's revision prove nothing by themselves: after a loss and a rebuild the revision comes
    * again. A rebuild begins `CERTAIN_AFTER` after its loss at the earliest, so a key seen within less than that is proof.
    */
-  sound(): boolean {
+  incarnationSeenRecently(): boolean {
     return this.clock() - this.seenAt < CERTAIN_AFTER - MARGIN;
   }
 
   /** The lowest revision that an answer to a request sent now may be of. */
-  floor(): number {
+  revisionFloor(): number {
     return this.revision;
   }
 
   /** An answer is as of `revision`; `floor`: of when it was asked for. false: it can't follow from what was known. */
-  answered(revision: number, floor: number): boolean {
+  acceptRevision(revision: number, floor: number): boolean {
     if (revision < floor) {
       this.suspect('revision went back', `${revision} after ${floor}`);
       return false;
@@ -106,7 +111,7 @@
   }
 
   /** A peer has seen this revision of this incarnation. */
-  peerSaw(id: string, generation: number, revision: number): void {
+  notePeerRevision(id: string, generation: number, revision: number): void {
     this.generation = Math.max(this.generation, generation);
     if (this.incarnation !== null && generation > this.incarnation.generation)
       this.suspect('other incarnation', `a peer knows generation ${generation}`);
@@ -114,10 +119,10 @@
   }
 
   /** What this node knew in an earlier life, from its disk. */
-  remember(id: string, generation: number, revision: number, term: number): void {
+  restoreKnowledge(id: string, generation: number, revision: number, term: number): void {
     this.generation = Math.max(this.generation, generation);
-    this.remembered = { id, revision };
-    this.heardTerm(term, 'a snapshot');
+    this.fromDisk = { id, revision };
+    this.noteTerm(term, 'a snapshot');
   }
 
   /** What a read has shown: the store's incarnation, if it has one, becomes this node's; one must be as new as known. */
@@ -126,7 +131,7 @@
     if (there !== null && there.generation >= this.generation) {
       this.incarnation = there;
       this.generation = there.generation;
-      if (this.remembered?.id === there.id) this.revision = Math.max(this.revision, this.remembered.revision);
+      if (this.fromDisk?.id === there.id) this.revision = Math.max(this.revision, this.fromDisk.revision);
     } else if (this.generation >= 0)
       this.suspect(
         'other incarnation',
@@ -135,32 +140,33 @@
   }
 
   /** A worker's token or a peer's beat names a term: it was committed before that. */
-  heardTerm(term: number, by: string): void {
-    if (this.named === null || term > this.named.term) this.named = { term, at: this.clock(), by };
+  noteTerm(term: number, by: string): void {
+    if (this.namedTerm === null || term > this.namedTerm.term)
+      this.namedTerm = { term, at: this.clock(), by };
   }
 
   /** A worker's token. One from before the store's first start was given by an earlier life of it, which is lost. */
-  heardToken(token: number, worker: string): void {
+  noteToken(token: number, worker: string): void {
     if (token === 0) return;
-    this.heardTerm(token, worker);
+    this.noteTerm(token, worker);
     const i = this.incarnation;
-    if (i === null || i.generation > 0 || token > i.base) return;
+    if (i === null || i.generation > 0 || token > i.termFloor) return;
     this.suspect(
       'other incarnation',
       `${worker} has token ${token}, from before the store's first start`,
       true,
     );
     // Who led that life is not known: nobody's view is the whole of it.
-    this.suspicion!.led = null;
+    this.suspicion!.ledTerm = null;
   }
 
   highestTerm(): number {
-    return this.named?.term ?? 0;
+    return this.namedTerm?.term ?? 0;
   }
 
   /** A read that was asked for at `asked` shows this term. */
-  readTerm(term: number, asked: Micros): void {
-    const { named } = this;
+  checkTerm(term: number, asked: Micros): void {
+    const { namedTerm: named } = this;
     if (named !== null && named.term > term && named.at <= asked)
       this.suspect('term went back', `${term} in the store, ${named.term} named by ${named.by}`);
   }
@@ -178,8 +184,8 @@
   }
 
   /** Another incarnation begins for this node: what it knew of revisions counts no more. */
-  leave(): void {
-    this.life++;
+  leaveIncarnation(): void {
+    this.incarnationCount++;
     this.suspicion = null;
     this.incarnation = null;
     this.revision = -1;
--- a/packages/controller/src/recovery/detection-task.ts
+++ b/packages/controller/src/recovery/detection-task.ts
@@ -14,7 +14,7 @@
   CALENDAR_HEAD,
   INCARNATION,
   LEADER,
-  LIFE,
+  STORE_STATUS,
   PACK,
   RECORD,
   ROOT,
@@ -24,35 +24,35 @@
 import { contentOf } from './merge.js';
 import type { Entry, StateFailure } from '../state-store/client.js';
 import type { StatePort } from '../state-store/port.js';
-import { audit, AUDITED, keysOf } from './audit.js';
+import { findLostKey, AUDITED_PREFIXES, expectedKeys } from './audit.js';
 import { CERTAIN_AFTER, type DataLossDetector } from './data-loss-detector.js';
-import { judge } from './verdict.js';
+import { verdictOf } from './loss-verdict.js';
 import { incarnationOf, type Probe } from './model.js';
 
-const LOOK_EVERY_MS = 250;
+const PROBE_EVERY_MS = 250;
 /** Looks in a row that must agree on a loss. The last leader goes first: its view is the whole one. */
-const NEED = { leader: 6, follower: 9 };
-const LOOKS_KEPT = 40;
+const AGREEING_PROBES = { leader: 6, follower: 9 };
+const PROBES_KEPT = 40;
 /** Between two pages of the search for lost keys, by the leader. */
 const AUDIT_EVERY_MS = 4000;
 const AUDIT_PAGE = 120;
 
 export interface DetectionParts {
   readonly lossDetector: DataLossDetector;
-  readonly raw: StatePort;
+  readonly unguardedStore: StatePort;
   readonly store: StatePort;
   readonly watcher: StoreWatcher;
   readonly jobState: JobState;
   /** See `Leadership.refound`. */
-  readonly refound: Effect.Effect<boolean, StateFailure>;
+  readonly refoundStore: Effect.Effect<boolean, StateFailure>;
   /** Takes up another incarnation that is there already. */
-  readonly leaveView: () => void;
-  readonly leads: () => boolean;
+  readonly retireView: () => void;
+  readonly isLeader: () => boolean;
   readonly clock: () => Micros;
 }
 
-const look = (raw: StatePort): Effect.Effect<Probe, StateFailure> =>
-  Effect.map(Effect.all([raw.page(LIFE, null, 1000), raw.page(TERM, null, 1)]), ([life, term]) => ({
+const probeStore = (raw: StatePort): Effect.Effect<Probe, StateFailure> =>
+  Effect.map(Effect.all([raw.page(STORE_STATUS, null, 1000), raw.page(TERM, null, 1)]), ([life, term]) => ({
     incarnations: life.entries
       .filter((e) => e.key.startsWith(INCARNATION))
       .map((e) => incarnationOf(e.key.slice(INCARNATION.length), e.value, e.stamp)),
@@ -61,7 +61,7 @@
   }));
 
 /** Everything that a view has, in one word a key: what two views of one revision must agree on. */
-const outline = (c: JobState): Map<string, string> => {
+const fingerprint = (c: JobState): Map<string, string> => {
   const out = new Map<string, string>();
   for (const [id, j] of c.jobs) out.set(`job ${id}`, `${j.stamp} ${contentOf(j)}`);
   for (const [seq, r] of c.tail) out.set(`record ${seq}`, String(r.stamp));
@@ -74,18 +74,15 @@
 };
 
 /** The first difference between the view and a fresh reading of all that it is made of; null: there is none. */
-const compare = (p: DetectionParts): Effect.Effect<string | null, StateFailure> =>
+const findDifference = (p: DetectionParts): Effect.Effect<string | null, StateFailure> =>
   Effect.gen(function* () {
     const entries: Entry[] = [];
     let base = Number.POSITIVE_INFINITY;
-    for (const prefix of [LIFE, CALENDAR, RECORD, PACK, ACTIVE, LEADER, TERM, TYPES]) {
+    for (const prefix of [STORE_STATUS, CALENDAR, RECORD, PACK, ACTIVE, LEADER, TERM, TYPES]) {
       let after: string | null = null;
       for (let more = true; more;) {
-        const page: { entries: readonly Entry[]; more: boolean; revision: number } = yield* p.raw.page(
-          prefix,
-          after,
-          1000,
-        );
+        const page: { entries: readonly Entry[]; more: boolean; revision: number } =
+          yield* p.unguardedStore.page(prefix, after, 1000);
         base = Math.min(base, page.revision);
         entries.push(...page.entries);
         after = page.entries[page.entries.length - 1]?.key ?? after;
@@ -96,7 +93,7 @@
     fresh.load(entries, base);
     for (let i = 0; i < 10; i++) {
       for (const c of [p.jobState, fresh]) {
-        const changes = yield* p.raw.follow(ROOT, c.revision, 0);
+        const changes = yield* p.unguardedStore.follow(ROOT, c.revision, 0);
         if (changes.tooOld) return 'the view is too old to follow';
         if (changes.revision < c.revision) return `revision ${changes.revision} after ${c.revision}`;
         c.advance(changes.changes, changes.revision);
@@ -104,8 +101,8 @@
       if (p.jobState.revision === fresh.revision) break;
     }
     if (fresh.calendarLost) return `${CALENDAR_HEAD}: not what records went by`;
-    const mine = outline(p.jobState);
-    const there = outline(fresh);
+    const mine = fingerprint(p.jobState);
+    const there = fingerprint(fresh);
     for (const [key, v] of mine)
       if (there.get(key) !== v) return `${key}: ${there.get(key) ?? 'missing'}, was ${v}`.slice(0, 200);
     for (const key of there.keys()) if (!mine.has(key)) return `${key}: not known`;
@@ -115,7 +112,7 @@
 /** Ends a doubt, in whatever way the evidence calls for. */
 export const dataLossTask = (p: DetectionParts): Effect.Effect<never> => {
   const begun = Effect.runSync(Queue.sliding<void>(1));
-  p.lossDetector.onRaise = () => Queue.unsafeOffer(begun, undefined);
+  p.lossDetector.onSuspected = () => Queue.unsafeOffer(begun, undefined);
   return supervise(
     'data-loss detection',
     Effect.gen(function* () {
@@ -125,19 +122,23 @@
       let looks: Probe[] = [];
       let failed = 0;
       while (p.lossDetector.suspicion !== null) {
-        const { led, since } = p.lossDetector.suspicion;
+        const { ledTerm: led, since } = p.lossDetector.suspicion;
         const certain = p.clock() - since >= CERTAIN_AFTER;
-        const seen = yield* Effect.option(look(p.raw));
+        const seen = yield* Effect.option(probeStore(p.unguardedStore));
         if (seen._tag === 'Some') {
-          looks = [...looks.slice(-LOOKS_KEPT), seen.value];
-          const verdict = judge(p.lossDetector.known(), looks, led === null ? NEED.follower : NEED.leader);
+          looks = [...looks.slice(-PROBES_KEPT), seen.value];
+          const verdict = verdictOf(
+            p.lossDetector.known(),
+            looks,
+            led === null ? AGREEING_PROBES.follower : AGREEING_PROBES.leader,
+          );
           if (verdict === 'moved') {
             yield* info('store was rebuilt', { known: p.lossDetector.incarnation?.id ?? 'none' });
-            p.leaveView();
+            p.retireView();
           } else if (verdict === 'restored') {
             const differs = p.lossDetector.suspicion.proven
               ? Option.some(first?.what ?? 'a peer knows more')
-              : yield* Effect.option(compare(p));
+              : yield* Effect.option(findDifference(p));
             if (differs._tag === 'Some' && differs.value === null) {
               p.lossDetector.ruleOut();
               yield* info('doubt over', { looks: looks.length });
@@ -145,24 +146,24 @@
               failed++;
               if (failed === 1) yield* info('store has lost data', { what: differs.value! });
               // Two copies that answer in turn differ too, and then a look goes back again.
-              if (failed >= 2 && certain && steady(looks)) yield* lost(p);
+              if (failed >= 2 && certain && neverWentBack(looks)) yield* beginIncarnation(p);
             }
           } else if (verdict === 'lost' && certain) {
             yield* info('store has lost data', { looks: looks.length, revision: seen.value.revision });
-            yield* lost(p);
+            yield* beginIncarnation(p);
           }
         }
-        yield* Effect.sleep(LOOK_EVERY_MS + 100 * (yield* Random.next));
+        yield* Effect.sleep(PROBE_EVERY_MS + 100 * (yield* Random.next));
       }
     }).pipe(Effect.forever),
   );
 };
 
-const steady = (looks: readonly Probe[]): boolean =>
-  looks.slice(-NEED.leader).every((l, i, all) => i === 0 || l.revision >= all[i - 1]!.revision) &&
-  looks.length >= NEED.leader;
+const neverWentBack = (looks: readonly Probe[]): boolean =>
+  looks.slice(-AGREEING_PROBES.leader).every((l, i, all) => i === 0 || l.revision >= all[i - 1]!.revision) &&
+  looks.length >= AGREEING_PROBES.leader;
 
-const lost = (p: DetectionParts): Effect.Effect<void> => Effect.ignore(p.refound);
+const beginIncarnation = (p: DetectionParts): Effect.Effect<void> => Effect.ignore(p.refoundStore);
 
 /** The leader looks through the store's listing, a page at a time, for keys that are gone without a trace. */
 export const auditTask = (p: DetectionParts): Effect.Effect<never> => {
@@ -173,18 +174,23 @@
     Effect.sleep(AUDIT_EVERY_MS).pipe(
       Effect.zipRight(
         Effect.suspend(() =>
-          p.leads() && p.watcher.loaded && !p.lossDetector.suspected
+          p.isLeader() && p.watcher.loaded && !p.lossDetector.suspected
             ? Effect.gen(function* () {
-                const under = AUDITED[prefix]!;
+                const under = AUDITED_PREFIXES[prefix]!;
                 const page = yield* p.store.page(under, after, AUDIT_PAGE);
                 yield* p.watcher.refresh;
-                const lostKey = audit(page, keysOf(p.jobState, under), after, p.jobState.revision);
+                const lostKey = findLostKey(
+                  page,
+                  expectedKeys(p.jobState, under),
+                  after,
+                  p.jobState.revision,
+                );
                 if (lostKey !== null) p.lossDetector.suspect('key lost', lostKey);
                 const last = page.entries[page.entries.length - 1];
                 if (page.more && last) after = last.key;
                 else {
                   after = null;
-                  prefix = (prefix + 1) % AUDITED.length;
+                  prefix = (prefix + 1) % AUDITED_PREFIXES.length;
                 }
               }).pipe(Effect.ignore)
             : Effect.void,
--- a/packages/controller/src/recovery/evidence-store.ts
+++ b/packages/controller/src/recovery/evidence-store.ts
@@ -10,15 +10,15 @@
 import type { FinalState } from '../jobs/model.js';
 import type { Peer } from '../settings/settings.js';
 import type { ViewPort } from './view-exchange.js';
-import type { Claim } from './merge.js';
+import type { JobVersion } from './merge.js';
 
-export const WITNESS = '/witness';
+export const EVIDENCE_PATH = '/witness';
 /** A peer on the same network answers in a few milliseconds. */
-const WAIT_MS = 120;
+const REPLICATE_TIMEOUT_MS = 120;
 /** Peers told of one thing, the leader first: for it to be lost, all of them would have to end with this node. */
-const MOST = 2;
+const MAX_PEERS = 2;
 /** More than come in between two reads of a node. */
-const KEPT = 2000;
+const MAX_RECORDS = 2000;
 
 /** One thing told: a job as accepted or cancelled (its key's value), or a final state. As of `revision`. */
 export interface JobEvidence {
@@ -38,14 +38,14 @@
   stored: unknown,
 ];
 
-export const encodeFact = (f: JobEvidence): Buffer => {
+export const encodeJobEvidence = (f: JobEvidence): Buffer => {
   const wire: Wire =
     'final' in f.value
       ? [f.id, f.revision, f.generation, f.incarnation, packFinal(f.value.final), null]
       : [f.id, f.revision, f.generation, f.incarnation, null, f.value.stored];
   return Buffer.from(pack(wire));
 };
-export const decodeFact = (body: Buffer): JobEvidence | null => {
+export const decodeJobEvidence = (body: Buffer): JobEvidence | null => {
   try {
     const [id, revision, generation, incarnation, final, stored] = unpack(body) as Wire;
     if (typeof id !== 'string' || typeof incarnation !== 'string') return null;
@@ -65,7 +65,7 @@
 };
 
 export class EvidenceStore {
-  private readonly facts = new Map<string, JobEvidence>();
+  private readonly evidence = new Map<string, JobEvidence>();
 
   constructor(
     private readonly port: ViewPort,
@@ -74,56 +74,56 @@
   ) {}
 
   /** Another node tells this one. */
-  note(f: JobEvidence): void {
-    const known = this.facts.get(f.id);
+  record(f: JobEvidence): void {
+    const known = this.evidence.get(f.id);
     // One that comes late, or twice, takes nothing back.
     if (known !== undefined && known.incarnation === f.incarnation && known.revision > f.revision) return;
-    this.facts.delete(f.id);
-    this.facts.set(f.id, f);
-    if (this.facts.size <= KEPT) return;
-    for (const old of this.facts.keys()) {
-      this.facts.delete(old);
+    this.evidence.delete(f.id);
+    this.evidence.set(f.id, f);
+    if (this.evidence.size <= MAX_RECORDS) return;
+    for (const old of this.evidence.keys()) {
+      this.evidence.delete(old);
       break;
     }
   }
 
   /** This node's own view of `incarnation` is as new as `revision`: it includes what was noted up to there. */
-  covered(incarnation: string, revision: number): void {
-    for (const [id, f] of this.facts)
-      if (f.incarnation === incarnation && f.revision <= revision) this.facts.delete(id);
+  dropCovered(incarnation: string, revision: number): void {
+    for (const [id, f] of this.evidence)
+      if (f.incarnation === incarnation && f.revision <= revision) this.evidence.delete(id);
   }
 
   /** Completes once the peers know it, or have had their time. */
-  tell(f: JobEvidence): Effect.Effect<void> {
+  replicate(f: JobEvidence): Effect.Effect<void> {
     return Effect.suspend(() => {
       // This node's own view is as of its last read, and that may have been before.
-      this.note(f);
-      const peers = this.behind(f.revision).slice(0, MOST);
+      this.record(f);
+      const peers = this.behind(f.revision).slice(0, MAX_PEERS);
       if (peers.length === 0) return Effect.void;
-      const body = encodeFact(f);
-      return Effect.forEach(peers, (p) => Effect.ignore(this.port.ask(p, WITNESS, body)), {
+      const body = encodeJobEvidence(f);
+      return Effect.forEach(peers, (p) => Effect.ignore(this.port.ask(p, EVIDENCE_PATH, body)), {
         concurrency: 'unbounded',
         discard: true,
-      }).pipe(Effect.timeoutOption(WAIT_MS), Effect.asVoid);
+      }).pipe(Effect.timeoutOption(REPLICATE_TIMEOUT_MS), Effect.asVoid);
     });
   }
 
   get size(): number {
-    return this.facts.size;
+    return this.evidence.size;
   }
 
   /** What is noted and not covered, as a view has it. */
-  claims(): Claim[] {
-    const out: Claim[] = [];
-    for (const f of this.facts.values())
+  versions(): JobVersion[] {
+    const out: JobVersion[] = [];
+    for (const f of this.evidence.values())
       if ('stored' in f.value)
         out.push({ generation: f.generation, revision: -1, job: decodeJob(f.id, f.value.stored, 0) });
     return out;
   }
   *finals(): Generator<readonly [string, FinalState]> {
-    for (const f of this.facts.values()) if ('final' in f.value) yield [f.id, f.value.final];
+    for (const f of this.evidence.values()) if ('final' in f.value) yield [f.id, f.value.final];
   }
-  drop(): void {
-    this.facts.clear();
+  clear(): void {
+    this.evidence.clear();
   }
 }
--- a/packages/controller/src/recovery/guarded-store.ts
+++ b/packages/controller/src/recovery/guarded-store.ts
@@ -25,16 +25,16 @@
 
 export class GuardedStore implements StatePort {
   constructor(
-    private readonly raw: StatePort,
+    private readonly unguardedStore: StatePort,
     private readonly lossDetector: DataLossDetector,
     private readonly clock: () => Micros,
   ) {}
 
   get lastServed(): number {
-    return this.raw.lastServed;
+    return this.unguardedStore.lastServed;
   }
   get lastRefused(): number {
-    return this.raw.lastRefused;
+    return this.unguardedStore.lastRefused;
   }
 
   transact(
@@ -46,21 +46,21 @@
     return Effect.suspend(() => {
       const fence = this.lossDetector.fence();
       if (this.lossDetector.suspected || fence === null) return Effect.fail(dataLossSuspected);
-      const floor = this.lossDetector.floor();
-      const { life } = this.lossDetector;
+      const floor = this.lossDetector.revisionFloor();
+      const { incarnationCount: life } = this.lossDetector;
       const asked = this.clock();
-      return this.raw.transact([...when, fence], then, priority, timeoutMs).pipe(
+      return this.unguardedStore.transact([...when, fence], then, priority, timeoutMs).pipe(
         Effect.flatMap((o): Effect.Effect<Outcome, StateFailure> => {
-          if (this.lossDetector.life !== life)
+          if (this.lossDetector.incarnationCount !== life)
             return Effect.fail(new NoAnswer({ reason: dataLossSuspected.reason }));
-          const sound = this.lossDetector.answered(
+          const sound = this.lossDetector.acceptRevision(
             o.revision,
             o.ok && then.some((w) => 'set' in w) ? floor + 1 : floor,
           );
           if (!o.ok && o.failed.includes(fence.key))
             this.lossDetector.suspect('other incarnation', `${fence.key} refused`);
           // Not done is certain whatever became of the store; done is not, in one that has lost data.
-          if (o.ok && sound) this.lossDetector.seen(asked);
+          if (o.ok && sound) this.lossDetector.incarnationSeen(asked);
           if (sound && !this.lossDetector.suspected) return Effect.succeed(o);
           return o.ok
             ? Effect.fail(new NoAnswer({ reason: dataLossSuspected.reason }))
@@ -72,7 +72,7 @@
 
   get(key: string, timeoutMs?: number): Effect.Effect<Found, StateFailure> {
     return this.read(
-      () => this.raw.get(key, timeoutMs),
+      () => this.unguardedStore.get(key, timeoutMs),
       (f) => f.revision,
     );
   }
@@ -84,32 +84,32 @@
     priority?: Priority,
   ): Effect.Effect<Page, StateFailure> {
     return this.read(
-      () => this.raw.page(prefix, after, limit, priority),
+      () => this.unguardedStore.page(prefix, after, limit, priority),
       (p) => p.revision,
     );
   }
 
   follow(prefix: string, after: number, blockMs: number): Effect.Effect<Changes, StateFailure> {
     return this.read(
-      () => this.raw.follow(prefix, after, blockMs),
+      () => this.unguardedStore.follow(prefix, after, blockMs),
       (c) => (c.tooOld ? null : c.revision),
     );
   }
 
   grant(ttl: Micros): Effect.Effect<number, StateFailure> {
-    return this.raw.grant(ttl);
+    return this.unguardedStore.grant(ttl);
   }
   extend(lease: number, timeoutMs: number): Effect.Effect<boolean, StateFailure> {
-    return this.raw.extend(lease, timeoutMs);
+    return this.unguardedStore.extend(lease, timeoutMs);
   }
   release(lease: number): Effect.Effect<void, StateFailure> {
-    return this.raw.release(lease);
+    return this.unguardedStore.release(lease);
   }
   leading(yes: boolean): void {
-    this.raw.leading(yes);
+    this.unguardedStore.leading(yes);
   }
   writeWait(): Micros {
-    return this.raw.writeWait();
+    return this.unguardedStore.writeWait();
   }
 
   private read<A>(
@@ -118,13 +118,13 @@
   ): Effect.Effect<A, StateFailure> {
     return Effect.suspend(() => {
       if (this.lossDetector.suspected) return Effect.fail(dataLossSuspected);
-      const floor = this.lossDetector.floor();
-      const { life } = this.lossDetector;
+      const floor = this.lossDetector.revisionFloor();
+      const { incarnationCount: life } = this.lossDetector;
       return ask().pipe(
         Effect.flatMap((a) => {
-          if (this.lossDetector.life !== life) return Effect.fail(dataLossSuspected);
+          if (this.lossDetector.incarnationCount !== life) return Effect.fail(dataLossSuspected);
           const revision = revisionOf(a);
-          if (revision !== null) this.lossDetector.answered(revision, floor);
+          if (revision !== null) this.lossDetector.acceptRevision(revision, floor);
           return this.lossDetector.suspected ? Effect.fail(dataLossSuspected) : Effect.succeed(a);
         }),
       );
--- a/packages/controller/src/recovery/merge.ts
+++ b/packages/controller/src/recovery/merge.ts
@@ -1,14 +1,14 @@
 /**
  * Joins what several nodes remember of a job. Within an incarnation every view is a prefix of one history, so the later
  * view is right about what has ended; whatever was told to a user (accepted, cancelled, done) holds whoever knows it; and
- * what may be running counts as running. The result depends on the set of claims only: not on their order, on
+ * what may be running counts as running. The result depends on the set of versions only: not on their order, on
  * repetition, or on who joins them (docs/rebuild.md).
  */
 import { encodeRanges } from '../jobs/ranges.js';
 import { FAILURES_KEPT, type FinalState, isComplete, type Job, type Placement } from '../jobs/model.js';
 
 /** A job as one view has it, and as of when. */
-export interface Claim {
+export interface JobVersion {
   readonly generation: number;
   /** Revision of the view; lower than any: it may be of any time. */
   readonly revision: number;
@@ -34,27 +34,27 @@
     job.taken,
   ].join('|');
 
-/** The later of two claims; of equal ones, the one whose content comes first, so that all nodes choose alike. */
-const later = (a: Claim, b: Claim): boolean =>
+/** The later of two versions; of equal ones, the one whose content comes first, so that all nodes choose alike. */
+const later = (a: JobVersion, b: JobVersion): boolean =>
   a.generation !== b.generation
     ? a.generation > b.generation
     : a.revision !== b.revision
       ? a.revision > b.revision
       : contentOf(a.job) < contentOf(b.job);
 
-/** `claims`: at least one, all of one job. */
-export const mergeClaims = (claims: readonly Claim[]): Job => {
-  const last = claims.reduce((best, c) => (later(c, best) ? c : best));
+/** `versions`: at least one, all of one job. */
+export const mergeVersions = (versions: readonly JobVersion[]): Job => {
+  const last = versions.reduce((best, c) => (later(c, best) ? c : best));
   const { spec } = last.job;
   // The first that was accepted: a user's retry does not start a job's time anew.
-  const first = claims.reduce((best, c) => (c.job.spec.submitted < best.job.spec.submitted ? c : best)).job
+  const first = versions.reduce((best, c) => (c.job.spec.submitted < best.job.spec.submitted ? c : best)).job
     .spec;
   const done = new Set<number>();
-  for (const c of claims) for (const t of c.job.done) done.add(t);
+  for (const c of versions) for (const t of c.job.done) done.add(t);
   const placed = new Map<number, Placement>();
   for (const p of last.job.placed.values()) if (!done.has(p.task)) placed.set(p.task, p);
   // Started later than the latest view knows of: perhaps by a leader whose last records nobody else had read.
-  for (const c of claims)
+  for (const c of versions)
     for (const p of c.job.placed.values()) {
       if (p.attempt <= last.job.attempt || done.has(p.task)) continue;
       const other = placed.get(p.task);
@@ -63,18 +63,18 @@
       placed.set(p.task, p);
     }
   const failed = new Set<string>();
-  for (const c of claims) for (const m of c.job.failedOn) failed.add(m);
-  const told = claims.some((c) => !c.job.withdrawn && isComplete(c.job));
+  for (const c of versions) for (const m of c.job.failedOn) failed.add(m);
+  const told = versions.some((c) => !c.job.withdrawn && isComplete(c.job));
   return {
     spec: { ...spec, submitted: first.submitted, tie: first.tie },
     // Who was told `done` was told so from a record that came before any withdrawal.
-    withdrawn: !told && claims.some((c) => c.job.withdrawn),
-    attempt: Math.max(...claims.map((c) => c.job.attempt)),
+    withdrawn: !told && versions.some((c) => c.job.withdrawn),
+    attempt: Math.max(...versions.map((c) => c.job.attempt)),
     done,
     placed: new Map([...placed].sort((a, b) => a[0] - b[0])),
     failedOn: new Set([...failed].sort().slice(0, FAILURES_KEPT)),
     loans: new Map([...last.job.loans].sort((a, b) => (a[0] < b[0] ? -1 : 1))),
-    taken: Math.max(...claims.map((c) => c.job.taken)),
+    taken: Math.max(...versions.map((c) => c.job.taken)),
     stamp: 0,
     folded: 0,
     touched: 0,
--- a/packages/controller/src/recovery/model.ts
+++ b/packages/controller/src/recovery/model.ts
@@ -12,9 +12,9 @@
   /** Revision of its key. */
   readonly stamp: number;
   /** Its terms lie above this one: a first incarnation's begin at the time of day, so that none begins twice. */
-  readonly base: number;
+  readonly termFloor: number;
   /** When it began, time of day in seconds; null: not known. */
-  readonly born: number | null;
+  readonly bornAt: number | null;
 }
 
 /** The incarnation that a key's value tells of. */
@@ -25,14 +25,14 @@
     id,
     generation: count(v?.g),
     stamp,
-    base: count(v?.t),
-    born: v?.s === undefined ? null : count(v.s),
+    termFloor: count(v?.t),
+    bornAt: v?.s === undefined ? null : count(v.s),
   };
 };
 
 /** Terms and attempts of a generation begin above all of the generations before, whatever of those is still known. */
 const GENERATION = 2 ** 32;
-export const floorOf = (generation: number): number => generation * GENERATION;
+export const firstOfGeneration = (generation: number): number => generation * GENERATION;
 export const generationOf = (termOrAttempt: number): number => Math.floor(termOrAttempt / GENERATION);
 
 /** A job is started in one record at a time, and there are fewer of these in a second. */
@@ -44,14 +44,15 @@
  * records is lost or can't be read. They count the time since the incarnation began, which no loss sets back.
  * `before`: the last term's; null: there was none. `now`: time of day in seconds.
  */
-export const attemptsFrom = (i: Incarnation, before: number | null, now: number): number =>
+export const attemptFloor = (i: Incarnation, before: number | null, now: number): number =>
   Math.max(
-    floorOf(i.generation) + (i.born !== null ? ATTEMPTS_A_SECOND * Math.max(0, Math.floor(now - i.born)) : 0),
+    firstOfGeneration(i.generation) +
+      (i.bornAt !== null ? ATTEMPTS_A_SECOND * Math.max(0, Math.floor(now - i.bornAt)) : 0),
     before !== null ? before + ATTEMPTS_A_TERM : 0,
   );
 
 /** What this node knows of the store, from its own reads, its peers and workers. */
-export interface Known {
+export interface StoreKnowledge {
   /** The one this node's view is of; null: it has none. */
   readonly incarnation: Incarnation | null;
   /** The highest generation that this node or a peer has seen; -1: none. */
--- a/packages/controller/src/recovery/pre-loss-views.ts
+++ b/packages/controller/src/recovery/pre-loss-views.ts
@@ -2,7 +2,7 @@
 import type { Accounts } from '../accounts/model.js';
 import type { JobState } from '../jobs/job-state.js';
 import type { Job } from '../jobs/model.js';
-import type { Claim } from './merge.js';
+import type { JobVersion } from './merge.js';
 
 export interface PreLossView {
   readonly id: string;
@@ -14,53 +14,53 @@
   readonly accounts: Accounts;
   /** The term it knew, and the one its holder was acting for without a gap when the doubt began; null: for none. */
   readonly term: number;
-  readonly led: number | null;
+  readonly ledTerm: number | null;
 }
 
 export class PreLossViews {
-  private kept: PreLossView[] = [];
+  private views: PreLossView[] = [];
   private count = 0;
 
   /**
    * `life`: a name that no other process has, nor an earlier one of this controller. A late `durable` message names the
    * views of the process that was asked; by it another one's must not be forgotten.
    */
-  constructor(private readonly life: string) {}
+  constructor(private readonly processId: string) {}
 
   get all(): readonly PreLossView[] {
-    return this.kept;
+    return this.views;
   }
 
   /** The view as it stands, as a relic. `whole`: it has all that it should have at its revision. */
   viewOf(jobState: JobState, generation: number, led: number | null, whole = true): PreLossView {
     return {
-      id: `${this.life}/${++this.count}`,
+      id: `${this.processId}/${++this.count}`,
       generation,
       revision: whole ? jobState.revision : -1,
       jobs: new Map(jobState.jobs),
       lastSeq: jobState.lastSeq,
       accounts: jobState.accounts,
       term: jobState.term,
-      led,
+      ledTerm: led,
     };
   }
 
-  keep(relic: PreLossView): void {
-    this.kept.push(relic);
+  add(relic: PreLossView): void {
+    this.views.push(relic);
   }
 
   /** Their content is durable. */
   drop(ids: readonly string[]): void {
-    this.kept = this.kept.filter((r) => !ids.includes(r.id));
+    this.views = this.views.filter((r) => !ids.includes(r.id));
   }
 }
 
-/** The claims of several views, by job. */
-export const claimsOf = (
+/** The versions of several views, by job. */
+export const versionsByJob = (
   relics: readonly PreLossView[],
-  more: readonly Claim[] = [],
-): Map<string, Claim[]> => {
-  const out = new Map<string, Claim[]>();
+  more: readonly JobVersion[] = [],
+): Map<string, JobVersion[]> => {
+  const out = new Map<string, JobVersion[]>();
   for (const c of more) {
     const list = out.get(c.job.spec.id);
     if (list) list.push(c);
@@ -68,10 +68,10 @@
   }
   for (const r of relics)
     for (const [id, job] of r.jobs) {
-      const claim = { generation: r.generation, revision: r.revision, job };
+      const version = { generation: r.generation, revision: r.revision, job };
       const list = out.get(id);
-      if (list) list.push(claim);
-      else out.set(id, [claim]);
+      if (list) list.push(version);
+      else out.set(id, [version]);
     }
   return out;
 };
--- a/packages/controller/src/recovery/rebuild-plan.ts
+++ b/packages/controller/src/recovery/rebuild-plan.ts
@@ -1,21 +1,21 @@
 /** What must be written so that the store holds all that anybody remembers: a pure decision. */
 import { finalState, type FinalState, type Job } from '../jobs/model.js';
-import { type Claim, contentOf, mergeClaims, mergeFinals } from './merge.js';
+import { type JobVersion, contentOf, mergeVersions, mergeFinals } from './merge.js';
 
-export interface Store {
+export interface RecoveredStore {
   readonly jobs: ReadonlyMap<string, Job>;
   /** Revision of a job's own key whose value can't be read. */
   readonly damaged: (id: string) => number | undefined;
   /** The final state is durable. */
-  readonly over: (id: string) => boolean;
-  /** How its jobs rank among the claims. */
+  readonly hasFinal: (id: string) => boolean;
+  /** How its jobs rank among the versions. */
   readonly generation: number;
   readonly revision: number;
 }
 
-export interface Plan {
+export interface RebuildPlan {
   /** Final states of jobs that the store does not know. */
-  readonly over: (readonly [string, FinalState])[];
+  readonly finals: (readonly [string, FinalState])[];
   /** Jobs that the store has as under way and that are over; with the revision of their key, 0: in a pack only. */
   readonly close: { readonly id: string; readonly stamp: number; readonly final: FinalState }[];
   /** Jobs that the store does not know, the most urgent first. */
@@ -34,27 +34,27 @@
   (a.spec.id < b.spec.id ? -1 : 1);
 
 /** `seq`: the last record that anybody knows of; what is written includes all up to it. */
-export const planOf = (
-  store: Store,
-  claims: ReadonlyMap<string, readonly Claim[]>,
+export const planRebuild = (
+  store: RecoveredStore,
+  versions: ReadonlyMap<string, readonly JobVersion[]>,
   finals: ReadonlyMap<string, FinalState>,
   seq: number,
-): Plan => {
-  const plan: Plan = { over: [], close: [], missing: [], differing: [] };
+): RebuildPlan => {
+  const plan: RebuildPlan = { finals: [], close: [], missing: [], differing: [] };
   const end = (id: string, final: FinalState): void => {
     const there = store.jobs.get(id);
     const stamp = there?.stamp ?? store.damaged(id);
-    if (stamp === undefined) plan.over.push([id, final]);
+    if (stamp === undefined) plan.finals.push([id, final]);
     else plan.close.push({ id, stamp, final });
   };
-  for (const [id, f] of finals) if (!store.over(id)) end(id, f);
-  for (const [id, list] of claims) {
-    if (finals.has(id) || store.over(id)) continue;
+  for (const [id, f] of finals) if (!store.hasFinal(id)) end(id, f);
+  for (const [id, list] of versions) {
+    if (finals.has(id) || store.hasFinal(id)) continue;
     const there = store.jobs.get(id);
     const all = there
       ? [...list, { generation: store.generation, revision: store.revision, job: there }]
       : list;
-    const job: Job = { ...mergeClaims(all), folded: seq, touched: seq };
+    const job: Job = { ...mergeVersions(all), folded: seq, touched: seq };
     const final = finalState(job);
     const stamp = store.damaged(id);
     if (final !== null) end(id, final);
@@ -65,12 +65,12 @@
   }
   plan.missing.sort(byRank);
   plan.differing.sort((a, b) => byRank(a.job, b.job));
-  plan.over.sort((a, b) => (a[0] < b[0] ? -1 : 1));
+  plan.finals.sort((a, b) => (a[0] < b[0] ? -1 : 1));
   return plan;
 };
 
 /** Final states of several views. */
-export const joinFinals = (
+export const addFinals = (
   into: Map<string, FinalState>,
   finals: Iterable<readonly [string, FinalState]>,
 ): void => {
--- a/packages/controller/src/recovery/rebuild.ts
+++ b/packages/controller/src/recovery/rebuild.ts
@@ -16,7 +16,7 @@
   accountsKey,
   activeKey,
   asKnown,
-  CALM,
+  QUIESCENT,
   FINAL,
   finalKey,
   OVER,
@@ -25,9 +25,9 @@
   PACK,
   REBUILD,
   RECORD,
-  SETTLED,
+  RECOVERED,
   TERM,
-  wardKey,
+  orphanedJobKey,
 } from '../jobs/keys.js';
 import type { FinalState, Job } from '../jobs/model.js';
 import type { LeadershipTerm } from '../leadership/leadership.js';
@@ -36,17 +36,17 @@
 import type { Condition, StateFailure, Write } from '../state-store/client.js';
 import type { StatePort } from '../state-store/port.js';
 import type { Remembered } from '../calendar/fold.js';
-import { calendarSteps, joinRemembered } from './calendar-recovery.js';
-import { encodeDurable, type Head, type ViewResponse } from './codec.js';
+import { calendarWriteSteps, joinCalendars } from './calendar-recovery.js';
+import { encodeDurable, type ViewHeader, type ViewResponse } from './codec.js';
 import { digestOf } from './digest.js';
-import { askAll, DURABLE, type ViewPort } from './view-exchange.js';
-import { type Claim, mergeClaims } from './merge.js';
-import { joinFinals, type Plan, planOf } from './rebuild-plan.js';
-import { claimsOf, type PreLossViews } from './pre-loss-views.js';
+import { fetchView, DURABLE_PATH, type ViewPort } from './view-exchange.js';
+import { type JobVersion, mergeVersions } from './merge.js';
+import { addFinals, type RebuildPlan, planRebuild } from './rebuild-plan.js';
+import { versionsByJob, type PreLossViews } from './pre-loss-views.js';
 import type { EvidenceStore } from './evidence-store.js';
 
 /** How long controllers that do not answer are waited for before the first writing. */
-const GATHER = seconds(3);
+const GATHER_FOR = seconds(3);
 const ASK_AGAIN_MS = 400;
 /** A pack is written anew when one of its jobs is over: small enough that several fit into one transaction. */
 const PACK_BYTES = 8 * 1024;
@@ -57,15 +57,15 @@
 /** Conditions that every transaction carries: the term and the incarnation. */
 const FIXED = 2;
 
-export interface Rebuild {
+export interface RebuildContext {
   readonly settings: Settings;
   readonly store: StatePort;
   readonly watcher: StoreWatcher;
   readonly jobState: JobState;
   readonly lossDetector: DataLossDetector;
-  readonly relics: PreLossViews;
-  readonly witness: EvidenceStore;
-  readonly port: ViewPort;
+  readonly preLossViews: PreLossViews;
+  readonly evidenceStore: EvidenceStore;
+  readonly viewPort: ViewPort;
   readonly leaderTerm: LeadershipTerm;
   readonly isCurrentTerm: () => boolean;
   readonly mayAct: () => boolean;
@@ -73,62 +73,66 @@
 }
 
 /** What has been gathered in this reign. */
-export class Gathered {
+export class GatheredViews {
   readonly heard = new Set<string>();
   /** Relics by holder, to be told to when their content is durable. */
-  readonly heads = new Map<string, readonly Head[]>();
-  private readonly claims: Claim[] = [];
+  readonly headers = new Map<string, readonly ViewHeader[]>();
+  private readonly versions: JobVersion[] = [];
   private readonly finals = new Map<string, FinalState>();
   private calendar: Remembered | null = null;
 
-  take(label: string, t: ViewResponse): void {
+  add(label: string, t: ViewResponse): void {
     this.heard.add(label);
-    this.heads.set(label, t.heads);
-    this.claims.push(...t.claims);
-    joinFinals(this.finals, t.finals);
+    this.headers.set(label, t.headers);
+    this.versions.push(...t.versions);
+    addFinals(this.finals, t.finals);
     if (t.calendar !== null)
-      this.calendar = this.calendar === null ? t.calendar : joinRemembered(this.calendar, t.calendar);
+      this.calendar = this.calendar === null ? t.calendar : joinCalendars(this.calendar, t.calendar);
   }
 
   /** What is remembered of the calendar, this node's own included. */
-  calendars(own: Pick<Rebuild, 'jobState'>): Remembered {
+  joinedCalendar(own: Pick<RebuildContext, 'jobState'>): Remembered {
     const mine = own.jobState.calendars.remembered();
-    return this.calendar === null ? mine : joinRemembered(mine, this.calendar);
+    return this.calendar === null ? mine : joinCalendars(mine, this.calendar);
   }
 
-  /** All claims, this node's own included, by job. */
-  byJob(own: Pick<Rebuild, 'relics' | 'witness'>): Map<string, Claim[]> {
-    return claimsOf(own.relics.all, [...own.witness.claims(), ...this.claims]);
+  /** All versions, this node's own included, by job. */
+  versionsByJob(own: Pick<RebuildContext, 'preLossViews' | 'evidenceStore'>): Map<string, JobVersion[]> {
+    return versionsByJob(own.preLossViews.all, [...own.evidenceStore.versions(), ...this.versions]);
   }
 
-  finalStates(own: Pick<Rebuild, 'jobState' | 'witness'>): Map<string, FinalState> {
+  finalStates(own: Pick<RebuildContext, 'jobState' | 'evidenceStore'>): Map<string, FinalState> {
     const out = new Map(this.finals);
-    joinFinals(out, own.jobState.finals.entries());
-    joinFinals(out, own.witness.finals());
+    addFinals(out, own.jobState.finals.entries());
+    addFinals(out, own.evidenceStore.finals());
     return out;
   }
 
   /** Their content is durable. */
   clear(): void {
-    this.claims.length = 0;
+    this.versions.length = 0;
     this.finals.clear();
     this.calendar = null;
-    this.heads.clear();
+    this.headers.clear();
   }
 }
 
 /** Asks those of `peers` that have not been heard; whoever does not answer is asked again another time. */
-export const gather = (r: Rebuild, g: Gathered, peers: readonly Peer[]): Effect.Effect<void> =>
+export const gatherViews = (
+  r: RebuildContext,
+  g: GatheredViews,
+  peers: readonly Peer[],
+): Effect.Effect<void> =>
   Effect.suspend(() => {
     const incarnation = r.lossDetector.incarnation?.id;
     if (incarnation === undefined || peers.length === 0) return Effect.void;
-    const merged: Job[] = [...g.byJob(r).values()].map((list) => mergeClaims(list));
+    const merged: Job[] = [...g.versionsByJob(r).values()].map((list) => mergeVersions(list));
     const mine = digestOf(merged, g.finalStates(r));
     return Effect.forEach(
       peers,
       (p) =>
-        askAll(r.port, p, incarnation, mine).pipe(
-          Effect.map((t) => g.take(p.label, t)),
+        fetchView(r.viewPort, p, incarnation, mine).pipe(
+          Effect.map((t) => g.add(p.label, t)),
           Effect.ignore,
         ),
       { concurrency: 'unbounded', discard: true },
@@ -136,13 +140,18 @@
   });
 
 /** One transaction of the writing. */
-interface Step {
+interface WriteStep {
   readonly when: readonly Condition[];
   readonly then: readonly Write[];
 }
 
 /** Groups of at most `count` items whose JSON is at most `bytes` long together. */
-const groups = <A>(items: readonly A[], count: number, bytes: number, encode: (a: A) => unknown): A[][] => {
+const groupBySize = <A>(
+  items: readonly A[],
+  count: number,
+  bytes: number,
+  encode: (a: A) => unknown,
+): A[][] => {
   const out: A[][] = [];
   let size = 0;
   for (const item of items) {
@@ -160,25 +169,34 @@
 };
 
 /** `run`: names this pass's packs and pages. `quiet`: nobody else can be writing these jobs yet. */
-const stepsOf = (r: Rebuild, plan: Plan, run: string, seq: number, quiet: boolean): Step[] => {
+const writeSteps = (
+  r: RebuildContext,
+  plan: RebuildPlan,
+  run: string,
+  seq: number,
+  quiet: boolean,
+): WriteStep[] => {
   const bytes = Math.min(PACK_BYTES, r.settings.state.valueBytes * 0.8);
   const { txnOps } = r.settings.state;
   const packed = Math.max(1, Math.min(PACK_JOBS, Math.floor((txnOps * 4 - FIXED - 1) / 2)));
   const closed = Math.max(1, Math.min(CLOSE_COUNT, Math.floor(txnOps / 3)));
-  const steps: Step[] = [];
+  const steps: WriteStep[] = [];
   for (const { job, stamp } of plan.differing) {
     const key = activeKey(job.spec.id);
     steps.push({ when: asKnown(job.spec.id, stamp), then: [{ set: key, value: encodeJob(job, seq) }] });
   }
   // One that a user may be cancelling as a ward: a late cancellation must find its key, since a pack would not stop it.
-  const isWard = (j: Job): boolean => r.jobState.wards.has(j.spec.id);
+  const isWard = (j: Job): boolean => r.jobState.orphanedJobs.has(j.spec.id);
   for (const job of plan.missing.filter(isWard)) {
     const { id } = job.spec;
-    const then: Write[] = [{ set: activeKey(id), value: encodeJob(job, seq) }, { delete: wardKey(id) }];
+    const then: Write[] = [
+      { set: activeKey(id), value: encodeJob(job, seq) },
+      { delete: orphanedJobKey(id) },
+    ];
     steps.push({ when: asKnown(id, 0), then });
   }
   const packable = plan.missing.filter((j) => !isWard(j));
-  groups(packable, packed, bytes, (j) => encodeJob(j, seq)).forEach((jobs, n) => {
+  groupBySize(packable, packed, bytes, (j) => encodeJob(j, seq)).forEach((jobs, n) => {
     const key = `${PACK}${run}-${String(n).padStart(6, '0')}`;
     const free = jobs.flatMap((j) => [
       { key: activeKey(j.spec.id), stamp: 0 },
@@ -201,14 +219,14 @@
     });
   }
   if (quiet)
-    groups(plan.over, OVER_COUNT, bytes, ([id]) => id).forEach((list, n) => {
+    groupBySize(plan.finals, OVER_COUNT, bytes, ([id]) => id).forEach((list, n) => {
       const key = overKey(run, list[list.length - 1]![0]);
       const first: Write[] = n === 0 ? [{ set: OVER_PART + run, value: 1 }] : [];
       steps.push({ when: [{ key, stamp: 0 }], then: [...first, { set: key, value: encodeOver(list) }] });
     });
   else
-    for (let i = 0; i < plan.over.length; i += closed) {
-      const part = plan.over.slice(i, i + closed);
+    for (let i = 0; i < plan.finals.length; i += closed) {
+      const part = plan.finals.slice(i, i + closed);
       steps.push({
         when: part.flatMap(([id]) => [
           { key: activeKey(id), stamp: 0 },
@@ -221,7 +239,7 @@
 };
 
 /** true: applied. false: a condition failed, or the reign is over. */
-const apply = (r: Rebuild, step: Step): Effect.Effect<boolean> =>
+const applyStep = (r: RebuildContext, step: WriteStep): Effect.Effect<boolean> =>
   Effect.gen(function* () {
     const when = [{ key: TERM, stamp: r.leaderTerm.stamp }, ...step.when];
     for (;;) {
@@ -248,25 +266,29 @@
 let runs = 0;
 
 /** Makes durable what has been gathered. true: all of it is. `quiet`: see `stepsOf`. */
-export const writeBack = (r: Rebuild, g: Gathered, quiet: boolean): Effect.Effect<boolean, StateFailure> =>
+export const writeBack = (
+  r: RebuildContext,
+  g: GatheredViews,
+  quiet: boolean,
+): Effect.Effect<boolean, StateFailure> =>
   Effect.gen(function* () {
     for (let pass = 0; pass < 20 && r.isCurrentTerm(); pass++) {
       yield* r.watcher.refresh;
       const finals = g.finalStates(r);
       const durable = yield* durableFinals(r.watcher);
-      const heads = [...r.relics.all, ...[...g.heads.values()].flat()];
+      const headers = [...r.preLossViews.all, ...[...g.headers.values()].flat()];
       // Beside others' records a job may include those that are known by now only.
-      const seq = quiet ? Math.max(r.jobState.lastSeq, ...heads.map((h) => h.lastSeq)) : r.jobState.lastSeq;
-      const plan = planOf(
+      const seq = quiet ? Math.max(r.jobState.lastSeq, ...headers.map((h) => h.lastSeq)) : r.jobState.lastSeq;
+      const plan = planRebuild(
         {
           jobs: r.jobState.jobs,
           damaged: (id) => r.jobState.damaged.get(activeKey(id)),
-          over: (id) => durable.has(id),
+          hasFinal: (id) => durable.has(id),
           // What is left after a loss may be of any time; what has gone on since a rebuild is the latest.
           generation: quiet ? -1 : Number.MAX_SAFE_INTEGER,
           revision: -1,
         },
-        g.byJob(r),
+        g.versionsByJob(r),
         finals,
         seq,
       );
@@ -274,25 +296,25 @@
       // A record that can't be read: what is known of it comes from the views.
       const unreadable = [...r.jobState.damaged].filter(([key]) => key.startsWith(RECORD));
       const steps = [
-        ...calendarSteps(
+        ...calendarWriteSteps(
           r.jobState.calendars,
-          g.calendars(r),
+          g.joinedCalendar(r),
           r.settings.state.valueBytes,
           r.jobState.damaged,
         ),
-        ...stepsOf(r, plan, run, seq, quiet),
-        ...unreadable.map(([key, stamp]): Step => ({ when: [{ key, stamp }], then: [{ delete: key }] })),
+        ...writeSteps(r, plan, run, seq, quiet),
+        ...unreadable.map(([key, stamp]): WriteStep => ({ when: [{ key, stamp }], then: [{ delete: key }] })),
       ];
       if (steps.length === 0) return true;
       yield* info('rebuild writes', {
         term: r.leaderTerm.number,
         missing: plan.missing.length,
         differing: plan.differing.length,
-        over: plan.over.length + plan.close.length,
+        over: plan.finals.length + plan.close.length,
         changes: steps.reduce((n, s) => n + s.then.length, 0),
       });
       for (const s of steps) {
-        yield* apply(r, s);
+        yield* applyStep(r, s);
         if (!r.isCurrentTerm()) return false;
       }
     }
@@ -300,9 +322,9 @@
   });
 
 /** Says how far the rebuild has come; `more`: said with it. false: somebody else has said something meanwhile. */
-const say = (
-  r: Rebuild,
-  g: Gathered,
+const recordPhase = (
+  r: RebuildContext,
+  g: GatheredViews,
   phase: 'write' | 'wait',
   more: readonly Write[],
 ): Effect.Effect<boolean> =>
@@ -314,25 +336,25 @@
     const value: Omit<Rebuilding, 'stamp'> = { phase, heard: [...g.heard].sort() };
     const then: Write[] = [phase === 'wait' && all ? { delete: REBUILD } : { set: REBUILD, value }, ...more];
     return Effect.zipLeft(
-      apply(r, { when: [{ key: REBUILD, stamp: there.stamp }], then }),
+      applyStep(r, { when: [{ key: REBUILD, stamp: there.stamp }], then }),
       Effect.ignore(r.watcher.refresh),
     );
   });
 
 /** Tells the holders of what has been gathered that it is durable, and forgets it here. */
-const letGo = (r: Rebuild, g: Gathered): Effect.Effect<void> =>
+const releaseViews = (r: RebuildContext, g: GatheredViews): Effect.Effect<void> =>
   Effect.suspend(() => {
-    const told = [...g.heads].flatMap(([label, heads]) => {
+    const told = [...g.headers].flatMap(([label, headers]) => {
       const peer = r.settings.peers.find((p) => p.label === label);
-      return peer && heads.length > 0 ? [{ peer, ids: heads.map((h) => h.id) }] : [];
+      return peer && headers.length > 0 ? [{ peer, ids: headers.map((h) => h.id) }] : [];
     });
-    r.relics.drop(r.relics.all.map((x) => x.id));
-    r.witness.drop();
+    r.preLossViews.drop(r.preLossViews.all.map((x) => x.id));
+    r.evidenceStore.clear();
     g.clear();
     return Effect.forEach(
       told,
       // Who does not hear it says so in its beats, and is asked again: joining twice changes nothing.
-      ({ peer, ids }) => Effect.ignore(r.port.ask(peer, DURABLE, encodeDurable(ids))),
+      ({ peer, ids }) => Effect.ignore(r.viewPort.ask(peer, DURABLE_PATH, encodeDurable(ids))),
       { concurrency: 'unbounded', discard: true },
     );
   });
@@ -341,19 +363,19 @@
  * Whether nothing can have been started that the gathered views do not know of: the process that led the highest term,
  * without a gap until the loss, is among them.
  */
-const wholeOf = (r: Rebuild, g: Gathered): boolean => {
-  const heads = [...r.relics.all, ...[...g.heads.values()].flat()];
-  const last = Math.max(...heads.map((h) => h.term));
+const includesLastLeader = (r: RebuildContext, g: GatheredViews): boolean => {
+  const headers = [...r.preLossViews.all, ...[...g.headers.values()].flat()];
+  const last = Math.max(...headers.map((h) => h.term));
   // Who led a store that had lost its data already, before anybody told it, has the highest term and knows the least.
-  const seq = Math.max(...heads.map((h) => h.lastSeq));
-  return heads.some((h) => h.led !== null && h.led === last && h.lastSeq === seq);
+  const seq = Math.max(...headers.map((h) => h.lastSeq));
+  return headers.some((h) => h.ledTerm !== null && h.ledTerm === last && h.lastSeq === seq);
 };
 
 /** The accounts as the latest view has them (docs/accounts.md). */
-const accountsOf = (r: Rebuild, g: Gathered, whole: boolean): Write[] => {
-  const heads = [...r.relics.all, ...[...g.heads.values()].flat()];
-  const views = [r.jobState.accounts, ...heads.map((h) => h.accounts)];
-  const seq = Math.max(r.jobState.lastSeq, ...heads.map((h) => h.lastSeq));
+const accountWrites = (r: RebuildContext, g: GatheredViews, whole: boolean): Write[] => {
+  const headers = [...r.preLossViews.all, ...[...g.headers.values()].flat()];
+  const views = [r.jobState.accounts, ...headers.map((h) => h.accounts)];
+  const seq = Math.max(r.jobState.lastSeq, ...headers.map((h) => h.lastSeq));
   const joined = joinAccounts(views, r.jobState.incarnation?.generation ?? 0, seq, whole);
   return encodeAccounts(joined, r.settings.state.valueBytes * 0.9).map((value, n) => ({
     set: accountsKey(n),
@@ -362,35 +384,35 @@
 };
 
 /** The first part: until all that the reachable controllers remember is durable. */
-export const rebuild = (r: Rebuild, g: Gathered): Effect.Effect<void> =>
+export const rebuild = (r: RebuildContext, g: GatheredViews): Effect.Effect<void> =>
   Effect.gen(function* () {
     const began = r.clock();
     g.heard.add(r.settings.label);
     yield* info('rebuild begins', {
       term: r.leaderTerm.number,
-      relics: r.relics.all.length,
+      relics: r.preLossViews.all.length,
       jobs: r.jobState.jobs.size,
     });
     for (;;) {
-      yield* gather(
+      yield* gatherViews(
         r,
         g,
         r.settings.peers.filter((p) => !g.heard.has(p.label)),
       );
       if (!r.isCurrentTerm()) return;
-      if (g.heard.size > r.settings.peers.length || r.clock() - began >= GATHER) break;
+      if (g.heard.size > r.settings.peers.length || r.clock() - began >= GATHER_FOR) break;
       yield* Effect.sleep(ASK_AGAIN_MS);
     }
-    const whole = wholeOf(r, g);
-    yield* say(r, g, 'write', []);
+    const whole = includesLastLeader(r, g);
+    yield* recordPhase(r, g, 'write', []);
     while (r.isCurrentTerm()) {
       const written = yield* writeBack(r, g, true).pipe(Effect.orElseSucceed(() => false));
       if (!written) {
         yield* Effect.sleep(ASK_AGAIN_MS);
         continue;
       }
-      const calm: Write[] = whole ? [{ set: CALM, value: r.lossDetector.incarnation?.id ?? '' }] : [];
-      if (!(yield* say(r, g, 'wait', [...calm, ...accountsOf(r, g, whole)]))) continue;
+      const calm: Write[] = whole ? [{ set: QUIESCENT, value: r.lossDetector.incarnation?.id ?? '' }] : [];
+      if (!(yield* recordPhase(r, g, 'wait', [...calm, ...accountWrites(r, g, whole)]))) continue;
       const missing = r.settings.peers.filter((p) => !g.heard.has(p.label)).map((p) => p.label);
       yield* info('rebuild durable', {
         term: r.leaderTerm.number,
@@ -399,7 +421,7 @@
         whole,
         unheard: missing.join(','),
       });
-      yield* letGo(r, g);
+      yield* releaseViews(r, g);
       return;
     }
   });
@@ -408,9 +430,9 @@
  * The second part, beside the turns: controllers that come back with a view are heard, and what they remember and the
  * store does not is added. `holders`: peers that say they have relics.
  */
-export const listen = (
-  r: Rebuild,
-  g: Gathered,
+export const addLateViews = (
+  r: RebuildContext,
+  g: GatheredViews,
   holders: readonly string[],
 ): Effect.Effect<void, StateFailure> =>
   Effect.gen(function* () {
@@ -420,25 +442,34 @@
     const asked = r.settings.peers.filter(
       (p) => (waits && !g.heard.has(p.label)) || holders.includes(p.label),
     );
-    if (asked.length === 0 && r.relics.all.length === 0 && !(waits && g.heard.size > r.settings.peers.length))
+    if (
+      asked.length === 0 &&
+      r.preLossViews.all.length === 0 &&
+      !(waits && g.heard.size > r.settings.peers.length)
+    )
       return;
     const before = g.heard.size;
-    yield* gather(r, g, asked);
-    if (g.heads.size === 0 && r.relics.all.length === 0 && g.heard.size === before) return;
+    yield* gatherViews(r, g, asked);
+    if (g.headers.size === 0 && r.preLossViews.all.length === 0 && g.heard.size === before) return;
     if (!(yield* writeBack(r, g, false))) return;
-    if (waits && !(yield* say(r, g, 'wait', []))) return;
-    for (const [label, heads] of g.heads)
-      if (heads.length > 0) yield* info('view heard', { term: r.leaderTerm.number, from: label });
-    yield* letGo(r, g);
+    if (waits && !(yield* recordPhase(r, g, 'wait', []))) return;
+    for (const [label, headers] of g.headers)
+      if (headers.length > 0) yield* info('view heard', { term: r.leaderTerm.number, from: label });
+    yield* releaseViews(r, g);
   });
 
 /** Says of the store, once and for all of this incarnation, that it is calm or settled. */
-export const declare = (r: Rebuild, what: typeof CALM | typeof SETTLED): Effect.Effect<void> =>
+export const declareMilestone = (
+  r: RebuildContext,
+  what: typeof QUIESCENT | typeof RECOVERED,
+): Effect.Effect<void> =>
   Effect.suspend(() => {
     const id = r.lossDetector.incarnation?.id;
     if (id === undefined) return Effect.void;
-    return apply(r, { when: [], then: [{ set: what, value: id }] }).pipe(
+    return applyStep(r, { when: [], then: [{ set: what, value: id }] }).pipe(
       Effect.zipRight(Effect.ignore(r.watcher.refresh)),
-      Effect.zipRight(info(what === CALM ? 'store calm' : 'store settled', { term: r.leaderTerm.number })),
+      Effect.zipRight(
+        info(what === QUIESCENT ? 'store calm' : 'store settled', { term: r.leaderTerm.number }),
+      ),
     );
   });
--- a/packages/controller/src/recovery/view-exchange.ts
+++ b/packages/controller/src/recovery/view-exchange.ts
@@ -13,19 +13,19 @@
   encodeViewRequest,
   encodeDurable,
   encodeViewResponse,
-  type Head,
+  type ViewHeader,
   type ViewResponse,
 } from './codec.js';
 import { digestOf, RANGES, rangeOf } from './digest.js';
-import { type Claim, mergeClaims } from './merge.js';
-import { claimsOf, type PreLossView, type PreLossViews } from './pre-loss-views.js';
-import { CHECK } from './view-verification.js';
-import { decodeFact, type EvidenceStore, WITNESS } from './evidence-store.js';
+import { type JobVersion, mergeVersions } from './merge.js';
+import { versionsByJob, type PreLossView, type PreLossViews } from './pre-loss-views.js';
+import { CHECK_PATH } from './view-verification.js';
+import { decodeJobEvidence, type EvidenceStore, EVIDENCE_PATH } from './evidence-store.js';
 
 /** Jobs and final states in one answer: some 300 KB. */
-const MOST = 800;
-export const VIEW = '/view';
-export const DURABLE = '/durable';
+const MAX_ITEMS = 800;
+export const VIEW_PATH = '/view';
+export const DURABLE_PATH = '/durable';
 
 /** Carries a question to a peer and its answer back. */
 export interface ViewPort {
@@ -33,44 +33,47 @@
 }
 
 /** A node's memory for whoever asks: its relics, and its view as long as that is of another incarnation than the asker's. */
-export const told = (
+export const answerViewRequest = (
   a: ViewRequest,
   relics: readonly PreLossView[],
   jobState: JobState,
   witness: EvidenceStore,
 ): ViewResponse => {
-  const claims = claimsOf(relics, witness.claims());
-  const merged: Job[] = [...claims.values()].map((list) => mergeClaims(list));
+  const versions = versionsByJob(relics, witness.versions());
+  const merged: Job[] = [...versions.values()].map((list) => mergeVersions(list));
   const finals = [...jobState.finals.entries(), ...witness.finals()];
   const mine = digestOf(merged, finals);
-  const heads: Head[] = relics.map((r) => ({
+  const headers: ViewHeader[] = relics.map((r) => ({
     id: r.id,
     lastSeq: r.lastSeq,
     term: r.term,
-    led: r.led,
+    ledTerm: r.ledTerm,
     accounts: r.accounts,
   }));
-  const ids = new Map<number, { claims: Claim[]; finals: (readonly [string, FinalState])[] }>();
+  const ids = new Map<number, { versions: JobVersion[]; finals: (readonly [string, FinalState])[] }>();
   const at = (id: string) => {
     const range = rangeOf(id);
     let r = ids.get(range);
-    if (!r) ids.set(range, (r = { claims: [], finals: [] }));
+    if (!r) ids.set(range, (r = { versions: [], finals: [] }));
     return r;
   };
-  for (const [id, list] of claims) at(id).claims.push(...list);
+  for (const [id, list] of versions) at(id).versions.push(...list);
   for (const f of finals) at(f[0]).finals.push(f);
-  const out: { claims: Claim[]; finals: (readonly [string, FinalState])[] } = { claims: [], finals: [] };
+  const out: { versions: JobVersion[]; finals: (readonly [string, FinalState])[] } = {
+    versions: [],
+    finals: [],
+  };
   let range = Math.max(0, a.from);
   for (; range < RANGES; range++) {
     if (mine[range * 2] === a.digest[range * 2] && mine[range * 2 + 1] === a.digest[range * 2 + 1]) continue;
-    if (out.claims.length + out.finals.length >= MOST) break;
+    if (out.versions.length + out.finals.length >= MAX_ITEMS) break;
     const there = ids.get(range);
     if (!there) continue;
-    out.claims.push(...there.claims);
+    out.versions.push(...there.versions);
     out.finals.push(...there.finals);
   }
   return {
-    heads,
+    headers,
     ...out,
     next: range < RANGES ? range : null,
     calendar: a.from === 0 ? jobState.calendars.remembered() : null,
@@ -93,25 +96,27 @@
     headers: { 'Content-Type': 'application/msgpack' },
   });
   return (r: Incoming): Answer | null => {
-    if (r.path === VIEW) {
+    if (r.path === VIEW_PATH) {
       const ask = r.body === null ? null : decodeViewRequest(r.body);
       if (ask === null) return json(400, {});
       const own = live(ask.incarnation);
       return octets(
-        encodeViewResponse(told(ask, own === null ? relics.all : [...relics.all, own], jobState, witness)),
+        encodeViewResponse(
+          answerViewRequest(ask, own === null ? relics.all : [...relics.all, own], jobState, witness),
+        ),
       );
     }
-    if (r.path === WITNESS) {
-      const fact = r.body === null ? null : decodeFact(r.body);
+    if (r.path === EVIDENCE_PATH) {
+      const fact = r.body === null ? null : decodeJobEvidence(r.body);
       if (fact === null) return json(400, {});
-      witness.note(fact);
+      witness.record(fact);
       return octets(Buffer.alloc(0));
     }
-    if (r.path === CHECK) {
+    if (r.path === CHECK_PATH) {
       const answer = r.body === null ? null : check(r.body);
       return answer === null ? json(400, {}) : octets(answer);
     }
-    if (r.path === DURABLE) {
+    if (r.path === DURABLE_PATH) {
       const ids = r.body === null ? null : decodeDurable(r.body);
       if (ids === null) return json(400, {});
       relics.drop(ids);
@@ -122,27 +127,27 @@
 };
 
 /** All that a peer remembers and `digest` does not cover. */
-export const askAll = (
+export const fetchView = (
   port: ViewPort,
   peer: Peer,
   incarnation: string,
   digest: Uint32Array,
 ): Effect.Effect<ViewResponse, NoAnswer> => {
-  const heads: Head[] = [];
-  const claims: Claim[] = [];
+  const headers: ViewHeader[] = [];
+  const versions: JobVersion[] = [];
   const finals: (readonly [string, FinalState])[] = [];
   let calendar: ViewResponse['calendar'] = null;
   const from = (range: number): Effect.Effect<ViewResponse, NoAnswer> =>
-    port.ask(peer, VIEW, encodeViewRequest({ incarnation, digest, from: range })).pipe(
+    port.ask(peer, VIEW_PATH, encodeViewRequest({ incarnation, digest, from: range })).pipe(
       Effect.flatMap((body) => {
         const t = decodeViewResponse(body);
         if (t === null) return Effect.fail(new NoAnswer({ reason: 'not a view' }));
-        heads.splice(0, heads.length, ...t.heads);
-        claims.push(...t.claims);
+        headers.splice(0, headers.length, ...t.headers);
+        versions.push(...t.versions);
         finals.push(...t.finals);
         calendar ??= t.calendar;
         return t.next === null
-          ? Effect.succeed({ heads, claims, finals, next: null, calendar })
+          ? Effect.succeed({ headers, versions, finals, next: null, calendar })
           : from(t.next);
       }),
     );
--- a/packages/controller/src/recovery/view-verification.ts
+++ b/packages/controller/src/recovery/view-verification.ts
@@ -14,21 +14,21 @@
 import { digestOf, RANGES, rangeOf } from './digest.js';
 import type { ViewPort } from './view-exchange.js';
 
-export const CHECK = '/check';
+export const CHECK_PATH = '/check';
 /** A job, its key's revision, and the last record that mentions it. */
-type Known = [id: string, stamp: number, touched: number];
+type KnownJob = [id: string, stamp: number, touched: number];
 /** How long a peer may take; a node that has just started answers nobody before. */
 const TIMEOUT_MS = 800;
 /** Ids in one answer. */
-const MOST = 4000;
+const MAX_JOBS = 4000;
 
-interface Question {
+interface CheckRequest {
   readonly incarnation: string;
   readonly digest: readonly number[];
 }
 
 /** Digest by range of which jobs a view has as under way, and as of which key and record. */
-const idDigest = (jobState: JobState): Uint32Array =>
+const activeJobsDigest = (jobState: JobState): Uint32Array =>
   digestOf(
     [],
     [...jobState.jobs].map(
@@ -37,20 +37,20 @@
     (key) => key.slice(0, key.indexOf('@')),
   );
 
-export const encodeQuestion = (incarnation: string, jobState: JobState): Buffer =>
-  Buffer.from(pack([incarnation, [...idDigest(jobState)]]));
+export const encodeCheckRequest = (incarnation: string, jobState: JobState): Buffer =>
+  Buffer.from(pack([incarnation, [...activeJobsDigest(jobState)]]));
 
 /**
  * What a peer is told: the highest revision this node has seen, and the jobs that its view has under way, with their
  * keys' revisions, in the ranges where the asker's differ. A view that is doubted by now says most.
  */
-export const answerCheck = (
+export const answerCheckRequest = (
   body: Buffer,
   jobState: JobState,
   incarnation: string | null,
   revision: number,
 ): Buffer | null => {
-  let q: Question;
+  let q: CheckRequest;
   try {
     const [of, digest] = unpack(body) as [string, number[]];
     if (typeof of !== 'string' || !Array.isArray(digest)) return null;
@@ -59,27 +59,27 @@
     return null;
   }
   if (incarnation === null || incarnation !== q.incarnation) return Buffer.from(pack(null));
-  const mine = idDigest(jobState);
+  const mine = activeJobsDigest(jobState);
   const differs = new Set<number>();
   for (let r = 0; r < RANGES; r++)
     if (mine[r * 2] !== q.digest[r * 2] || mine[r * 2 + 1] !== q.digest[r * 2 + 1]) differs.add(r);
-  const out: Known[] = [];
+  const out: KnownJob[] = [];
   for (const [id, job] of jobState.jobs)
-    if (job.stamp > 0 && differs.has(rangeOf(id)) && out.length < MOST)
+    if (job.stamp > 0 && differs.has(rangeOf(id)) && out.length < MAX_JOBS)
       out.push([id, job.stamp, job.touched]);
   return Buffer.from(pack([revision, out]));
 };
 
-const decodeAnswer = (body: Buffer): [revision: number, jobs: Known[]] | null => {
+const decodeCheckResponse = (body: Buffer): [revision: number, jobs: KnownJob[]] | null => {
   try {
-    const v = unpack(body) as [number, Known[]] | null;
+    const v = unpack(body) as [number, KnownJob[]] | null;
     return Array.isArray(v) && Number.isSafeInteger(v[0]) && Array.isArray(v[1]) ? v : null;
   } catch {
     return null;
   }
 };
 
-export interface Verify {
+export interface VerificationParts {
   readonly lossDetector: DataLossDetector;
   readonly store: StatePort;
   readonly watcher: StoreWatcher;
@@ -91,16 +91,16 @@
 export type Comparison = 'compared' | 'ignorant' | 'silent';
 
 /** A peer compares its view with this one's; what it knows and the store does not is evidence. */
-export const verifyWith = (v: Verify, peer: Peer): Effect.Effect<Comparison> =>
+export const verifyWith = (v: VerificationParts, peer: Peer): Effect.Effect<Comparison> =>
   Effect.gen(function* () {
     const { incarnation } = v.lossDetector;
     if (incarnation === null) return 'silent' as const;
-    const body = yield* v.port.ask(peer, CHECK, encodeQuestion(incarnation.id, v.jobState));
-    const theirs = decodeAnswer(body);
+    const body = yield* v.port.ask(peer, CHECK_PATH, encodeCheckRequest(incarnation.id, v.jobState));
+    const theirs = decodeCheckResponse(body);
     if (theirs === null) return 'ignorant' as const;
     const [revision, jobs] = theirs;
     // If it has seen more than the store shows from here on, the next read is evidence.
-    v.lossDetector.peerSaw(incarnation.id, incarnation.generation, revision);
+    v.lossDetector.notePeerRevision(incarnation.id, incarnation.generation, revision);
     yield* v.watcher.refresh;
     for (const [id, stamp, touched] of jobs) {
       const mine = v.jobState.jobs.get(id);
--- a/packages/controller/src/scheduler/run-cycle.ts
+++ b/packages/controller/src/scheduler/run-cycle.ts
@@ -114,7 +114,7 @@
     for (const job of t.jobState.jobs.values()) {
       if (job.placed.size > 0 && (job.withdrawn || t.registry.isBroken(job))) t.registry.clearAway(job);
     }
-    if (!t.jobState.calm && !t.registry.allLapsed(at)) {
+    if (!t.jobState.quiescent && !t.registry.allLapsed(at)) {
       // After a loss somebody may be running what nobody here knows of: until all have shown themselves or their
       // leases have lapsed, only what ends and what is found running is recorded.
       yield* commit(t, []);
--- a/packages/controller/src/snapshots/restore.ts
+++ b/packages/controller/src/snapshots/restore.ts
@@ -5,8 +5,8 @@
  */
 import { Effect, Random } from 'effect';
 import type { Content } from '@lilacvalve/snapshot/read';
-import { floorOf } from '../recovery/model.js';
-import { CALM, INCARNATION, LEADER, REBUILD, ROOT, SETTLED, TERM } from '../jobs/keys.js';
+import { firstOfGeneration } from '../recovery/model.js';
+import { QUIESCENT, INCARNATION, LEADER, REBUILD, ROOT, RECOVERED, TERM } from '../jobs/keys.js';
 import { Priority } from '../state-store/budget.js';
 import type { StateFailure, Write } from '../state-store/client.js';
 import type { StatePort } from '../state-store/port.js';
@@ -33,7 +33,7 @@
   key === LEADER ||
   key === TERM ||
   key === RESTORE ||
-  [REBUILD, CALM, SETTLED].includes(key) ||
+  [REBUILD, QUIESCENT, RECOVERED].includes(key) ||
   key.startsWith(INCARNATION);
 
 /** A transaction's bytes: the protocol's limit, with room for what stands around the values. */
@@ -112,7 +112,7 @@
     const generation = content.generation + 1;
     const luck = (yield* Random.nextIntBetween(0, 2 ** 31)).toString(36);
     const last: Write[] = [
-      { set: TERM, value: { term: floorOf(generation) } },
+      { set: TERM, value: { term: firstOfGeneration(generation) } },
       { set: `${INCARNATION}restored.${generation}.${luck}`, value: { g: generation, by: 'restore' } },
       { set: REBUILD, value: { phase: 'gather', heard: [] } },
     ];
--- a/packages/controller/src/snapshots/duty.ts
+++ b/packages/controller/src/snapshots/snapshot-task.ts
@@ -58,13 +58,13 @@
       const view = viewOf(c);
       for (const [id, f] of view.finals.entries()) p.jobState.finals.remember(id, f);
       const relic = p.relics.viewOf(view, c.generation, null);
-      p.relics.keep(relic);
+      p.relics.add(relic);
       // A store of that incarnation that is at least as new has lost nothing of it.
-      p.lossDetector.onSound = (id) => {
+      p.lossDetector.onIncarnationConfirmed = (id) => {
         if (id === c.incarnation) p.relics.drop([relic.id]);
-        p.lossDetector.onSound = () => undefined;
+        p.lossDetector.onIncarnationConfirmed = () => undefined;
       };
-      p.lossDetector.remember(c.incarnation, c.generation, c.revision, view.term);
+      p.lossDetector.restoreKnowledge(c.incarnation, c.generation, c.revision, view.term);
       const flaws = c.files.flatMap((f) => (f.flaw ? [`${f.name} ${f.flaw.kind} at ${f.flaw.offset}`] : []));
       return info('snapshot read', {
         revision: c.revision,
@@ -76,7 +76,7 @@
     Effect.catchAllCause((cause) => error('snapshot not read', { reason: String(cause).slice(0, 300) })),
   );
 
-export const snapshotDuty = (
+export const snapshotTask = (
   p: SnapshotParts,
 ): { readonly first: Effect.Effect<void>; readonly run: Effect.Effect<never> } => ({
   first: remember(p),
--- a/packages/controller/src/workers/heartbeat-handler.ts
+++ b/packages/controller/src/workers/heartbeat-handler.ts
@@ -134,15 +134,15 @@
     desk: () => Desk | RenewalDesk | null,
     clock: () => Micros,
     contacts: Contacts,
-    lossDetector: Pick<DataLossDetector, 'heardToken' | 'suspected'>,
+    lossDetector: Pick<DataLossDetector, 'noteToken' | 'suspected'>,
   ): Receive =>
   (reports, answer) => {
     const at = clock();
     for (const r of reports) {
       if (r === null) continue;
-      contacts.note(r.machine, at);
+      contacts.recordContact(r.machine, at);
       leadership.depose(r.fencingToken);
-      lossDetector.heardToken(r.fencingToken, r.machine);
+      lossDetector.noteToken(r.fencingToken, r.machine);
     }
     const leaderTerm = leadership.answeringTerm();
     const d = desk();
--- a/packages/controller/src/workers/worker-registry.ts
+++ b/packages/controller/src/workers/worker-registry.ts
@@ -7,7 +7,7 @@
 import type { ProvisioningNews, ListedMachine } from '../provisioning/model.js';
 import type { JobState } from '../jobs/job-state.js';
 import { type Job, type Placement, taskKey } from '../jobs/model.js';
-import { CONFIRM } from '../leadership/peers.js';
+import { CONFIRMATION_VALID } from '../leadership/peers.js';
 import type { Settings } from '../settings/settings.js';
 import { type KindOf } from '../accounts/spent.js';
 import { Phases } from '../accounts/phases.js';
@@ -582,7 +582,7 @@
   /** Declares what lapsed leases have surely ended. */
   lapse(at: Micros, acknowledged: boolean): string[] {
     const out: string[] = [];
-    if (acknowledged) this.olderUntil ??= plus(at, CONFIRM);
+    if (acknowledged) this.olderUntil ??= plus(at, CONFIRMATION_VALID);
     for (const [id, on] of this.jobState.byMachine) {
       // Also for machines this leader has never heard of: an older one that holds on may still renew them.
       if (at <= this.leaseEnd(this.machines.get(id))) continue;
--- a/packages/controller/test/answer-lost.test.ts
+++ b/packages/controller/test/answer-lost.test.ts
@@ -19,7 +19,7 @@
   ACTIVE,
   CALENDAR_HEAD,
   CALENDAR_PAGE,
-  CALM,
+  QUIESCENT,
   FINAL,
   FOUNDED,
   INCARNATION,
@@ -29,12 +29,12 @@
   RECORD,
   SHOWN,
   TERM,
-  WARD,
-  wardKey,
+  ORPHANED_JOB,
+  orphanedJobKey,
 } from '../src/jobs/keys.js';
 import { Leadership } from '../src/leadership/leadership.js';
-import { declare } from '../src/recovery/rebuild.js';
-import { tendWards } from '../src/recovery/orphaned-jobs.js';
+import { declareMilestone } from '../src/recovery/rebuild.js';
+import { reconcileOrphanedJobs } from '../src/recovery/orphaned-jobs.js';
 import type { JobEvidence } from '../src/recovery/evidence-store.js';
 import { commit } from '../src/scheduler/commit.js';
 import { upkeep } from '../src/scheduler/upkeep.js';
@@ -108,7 +108,7 @@
   ...paged.pages.map((p) => ({ set: p.key, value: p.value })),
   { set: CALENDAR_HEAD, value: paged.head },
 ];
-const ward: Write = { set: wardKey(JOB), value: { since: 1e12, tasks: 3 } };
+const ward: Write = { set: orphanedJobKey(JOB), value: { since: 1e12, tasks: 3 } };
 /** An operator's command: should it fail, it is given once more. */
 const twice = <A, E>(what: Effect.Effect<A, E>): Effect.Effect<A, E> => Effect.retry(what, { times: 1 });
 const content = {
@@ -171,15 +171,15 @@
     act: (c) => times(2, Effect.zipRight(Effect.ignore(writePage(c.turn)), c.node.watcher.refresh)),
   },
   {
-    ...{ kind: 'ward', match: sets(WARD), key: WARD },
+    ...{ kind: 'ward', match: sets(ORPHANED_JOB), key: ORPHANED_JOB },
     act: (c) => {
       c.turn.registry.unknownJobs.set(JOB, new Set(['0@m']));
-      return Effect.zipRight(times(2, tendWards(c.turn)), said(c.node.users.poll(JOB)));
+      return Effect.zipRight(times(2, reconcileOrphanedJobs(c.turn)), said(c.node.users.poll(JOB)));
     },
   },
   {
-    ...{ kind: 'calm', match: sets(CALM), key: CALM, times: 2 },
-    act: (c) => declare(c.turn as never, CALM),
+    ...{ kind: 'calm', match: sets(QUIESCENT), key: QUIESCENT, times: 2 },
+    act: (c) => declareMilestone(c.turn as never, QUIESCENT),
   },
   {
     ...{ kind: 'calendar: page', match: sets(CALENDAR_PAGE), key: CALENDAR_PAGE },
@@ -329,9 +329,9 @@
     });
     const peers = {
       ...{ confirmedUntil: () => 0, highestTerm: () => 0, candidates: () => [], allAsked: () => true },
-      nothingAfter: () => Number.NEGATIVE_INFINITY,
+      unchangedSince: () => Number.NEGATIVE_INFINITY,
     };
-    const contacts = { window: 1e12, recent: () => 0, cutOff: () => null, away: () => 0 };
+    const contacts = { window: 1e12, recentCount: () => 0, cutOffReason: () => null, backoff: () => 0 };
     const leadership = new Leadership(
       ...([{ ...SETTINGS, label }, port, raw, lossDetector, () => undefined, watcher, jobState] as const),
       ...([peers as never, contacts as never, time.clock] as const),
--- a/packages/controller/test/answers.test.ts
+++ b/packages/controller/test/answers.test.ts
@@ -8,7 +8,7 @@
 import { JobState } from '../src/jobs/job-state.js';
 import { encodeJob } from '../src/jobs/codec.js';
 import { StoreWatcher } from '../src/jobs/store-watcher.js';
-import { activeKey, INCARNATION, SETTLED } from '../src/jobs/keys.js';
+import { activeKey, INCARNATION, RECOVERED } from '../src/jobs/keys.js';
 import { NO_HEAD } from '../src/jobs/model.js';
 import type { Change, Changes } from '../src/state-store/client.js';
 import type { StatePort } from '../src/state-store/port.js';
@@ -26,7 +26,7 @@
   const key = (k: string, value: unknown) => ({ key: k, value: wire(value), stamp: 1 });
   const entries = [
     key(`${INCARNATION}x`, { g: 0, t: 0, s: 0 }),
-    key(SETTLED, 'x'),
+    key(RECOVERED, 'x'),
     { ...key(activeKey(ID), encodeJob(job(ID), 0)), stamp: 5 },
   ];
   const store = {
@@ -39,7 +39,7 @@
   const users = userHandlers({
     ...{ settings: worldSettings('n0'), store, watcher, jobState, lossDetector, clock: now, dayTime: now },
     ...{ mayBeNew: () => true, durable: () => true, leads: () => true, verified: () => true },
-    witness: { tell: () => Effect.void } as never,
+    witness: { replicate: () => Effect.void } as never,
     types: () => TYPES,
     ready: () => true,
   });
--- a/packages/controller/test/calendar.test.ts
+++ b/packages/controller/test/calendar.test.ts
@@ -9,7 +9,7 @@
 import { tieOf } from '../src/calendar/tie.js';
 import { decodeJob, encodeJob } from '../src/jobs/codec.js';
 import { decodeViewResponse, encodeViewResponse } from '../src/recovery/codec.js';
-import { mergeClaims } from '../src/recovery/merge.js';
+import { mergeVersions } from '../src/recovery/merge.js';
 import { job } from './support/job.js';
 import { Luck } from './support/random-source.js';
 
@@ -76,7 +76,7 @@
     [tied, retried],
     [retried, tied],
   ]) {
-    const joined = mergeClaims(claims.map((j, i) => ({ generation: 1, revision: i, job: j })));
+    const joined = mergeVersions(claims.map((j, i) => ({ generation: 1, revision: i, job: j })));
     assert.equal(joined.spec.tie, 'c0@3');
   }
 });
@@ -87,7 +87,7 @@
   for (const calendar of [null, retired, ...Array.from({ length: 50 }, (_, n) => drawn(luck, n + 1))]) {
     const tally = { done: luck.int(9), risked: 1, missed: 0, cancelled: 2 };
     const remembered = { calendar, tallies: new Map([['c0@3', tally]]), shown: new Map() };
-    const told = { heads: [], claims: [], finals: [], next: null, calendar: remembered };
+    const told = { headers: [], versions: [], finals: [], next: null, calendar: remembered };
     assert.deepEqual(decodeViewResponse(encodeViewResponse(told)), told);
   }
 });
--- a/packages/controller/test/contacts.test.ts
+++ b/packages/controller/test/contacts.test.ts
@@ -6,14 +6,15 @@
 import { NoAnswer } from '@lilacvalve/runtime/http-client';
 import { type Micros, plus, seconds } from '@lilacvalve/runtime/micros';
 import { Contacts } from '../src/leadership/contacts.js';
-import { Peers, readBeat } from '../src/leadership/peers.js';
+import { decodePeerHeartbeat } from '../src/leadership/codec.js';
+import { type PeerHeartbeat, Peers } from '../src/leadership/peers.js';
 import type { Settings } from '../src/settings/settings.js';
 import { worldSettings } from './support/settings.js';
 
 const ZERO = 0 as Micros;
 const heardBy = (n: number): Contacts => {
   const c = new Contacts(worldSettings('n0'));
-  for (let i = 0; i < n; i++) c.note(`vm-${i}`, ZERO);
+  for (let i = 0; i < n; i++) c.recordContact(`vm-${i}`, ZERO);
   return c;
 };
 /** First moment at which it says so, asked every half second for twelve; null: never. */
@@ -22,7 +23,7 @@
   peers: (at: Micros) => { node: string; contacts: number }[],
 ): number | null => {
   for (let at = ZERO; at < seconds(12); at = plus(at, 5e5))
-    if (c.cutOff(at, peers(at)) !== null) return at / 1e6;
+    if (c.cutOffReason(at, peers(at)) !== null) return at / 1e6;
   return null;
 };
 
@@ -48,7 +49,7 @@
   );
   const heard = heardBy(0);
   const all = (at: Micros) => {
-    for (let i = 0; i < 40; i++) heard.note(`vm-${i}`, at);
+    for (let i = 0; i < 40; i++) heard.recordContact(`vm-${i}`, at);
     return [{ node: 'n1', contacts: 40 }];
   };
   assert.equal(givesWay(heard, all), null);
@@ -56,14 +57,17 @@
 
 test('who gives way again stays away for longer each time, until it is long ago', () => {
   const c = heardBy(0);
-  const times = [0, 60, 120, 180, 240, 900].map((s) => c.away(seconds(s)) / 1e6);
+  const times = [0, 60, 120, 180, 240, 900].map((s) => c.backoff(seconds(s)) / 1e6);
   assert.deepEqual(times, [20, 40, 80, 160, 160, 20]);
 });
 
 // A malformed beat once ended the connection's request with a defect, and an answer like it the duty.
 test('what is no beat is passed over, whatever it is', () => {
   const beat = { from: 'n1', term: 3, served: true, loaded: true, contacts: 4 };
-  assert.deepEqual(readBeat(Buffer.from(pack(beat))), beat);
+  assert.deepEqual(decodePeerHeartbeat(Buffer.from(pack(beat))), {
+    ...{ from: 'n1', term: 3, servedByStore: true, viewLoaded: true, reachableWorkers: 4 },
+    ...{ store: null, hasPreLossViews: false },
+  });
   const bad: unknown[] = [
     null,
     7,
@@ -73,17 +77,21 @@
     { ...beat, term: 2 ** 60 },
     { ...beat, news: 1 },
   ];
-  for (const b of bad) assert.equal(readBeat(Buffer.from(pack(b))), null, JSON.stringify(b));
+  for (const b of bad) assert.equal(decodePeerHeartbeat(Buffer.from(pack(b))), null, JSON.stringify(b));
   const whole = Buffer.from(pack(beat));
-  for (const cut of [0, 1, 5, whole.length - 1]) assert.equal(readBeat(whole.subarray(0, cut)), null);
-  assert.equal(readBeat(Buffer.from([0xc1, 0xff, 0x00])), null);
+  for (const cut of [0, 1, 5, whole.length - 1])
+    assert.equal(decodePeerHeartbeat(whole.subarray(0, cut)), null);
+  assert.equal(decodePeerHeartbeat(Buffer.from([0xc1, 0xff, 0x00])), null);
 });
 
 // Users that reached a leader cut from all others stayed with it, and got 503 for as long as the cut lasted.
 test('a controller is alone when no other has answered it lately, and only where there are others', async () => {
   let at = ZERO;
   let silent = false;
-  const beat = { from: 'n1', term: 1, served: true, loaded: true, contacts: 0 };
+  const beat: PeerHeartbeat = {
+    ...{ from: 'n1', term: 1, servedByStore: true, viewLoaded: true, reachableWorkers: 0 },
+    ...{ store: null, hasPreLossViews: false },
+  };
   const port = {
     exchange: () => (silent ? Effect.fail(new NoAnswer({ reason: 'timeout' })) : Effect.succeed(beat)),
   };
@@ -96,12 +104,12 @@
     );
   const one = of(worldSettings('n0', { peers: [] }));
   const peers = of(worldSettings('n0', { peers: [{ label: 'n1', zone: 'a', address: '' }] }));
-  assert.deepEqual([one.alone(), peers.alone()], [false, true]);
+  assert.deepEqual([one.isolated(), peers.isolated()], [false, true]);
   const beats = Effect.runFork(peers.run);
   await new Promise((go) => setTimeout(go, 50));
-  assert.equal(peers.alone(), false);
+  assert.equal(peers.isolated(), false);
   silent = true;
   at = seconds(4);
-  assert.equal(peers.alone(), true);
+  assert.equal(peers.isolated(), true);
   await Effect.runPromise(Fiber.interrupt(beats));
 });
