--- a/packages/controller/test/data-loss-detector.test.ts
+++ b/packages/controller/test/data-loss-detector.test.ts
@@ -2,15 +2,15 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Micros } from '@lilacvalve/runtime/micros';
-import { audit, keysOf } from '../src/recovery/audit.js';
+import { findLostKey, expectedKeys } from '../src/recovery/audit.js';
 import { DataLossDetector } from '../src/recovery/data-loss-detector.js';
-import { judge } from '../src/recovery/verdict.js';
+import { verdictOf } from '../src/recovery/loss-verdict.js';
 import {
-  attemptsFrom,
-  floorOf,
+  attemptFloor,
+  firstOfGeneration,
   generationOf,
   type Incarnation,
-  type Known,
+  type StoreKnowledge,
   type Probe,
 } from '../src/recovery/model.js';
 import { JobState } from '../src/jobs/job-state.js';
@@ -20,8 +20,8 @@
 
 const wire = (v: unknown): unknown => JSON.parse(JSON.stringify(v));
 const at = (n: number): Micros => n as Micros;
-const first: Incarnation = { id: 'one', generation: 0, stamp: 3, base: 50, born: 50 };
-const known: Known = { incarnation: first, generation: 0, revision: 100, term: 4 };
+const first: Incarnation = { id: 'one', generation: 0, stamp: 3, termFloor: 50, bornAt: 50 };
+const known: StoreKnowledge = { incarnation: first, generation: 0, revision: 100, term: 4 };
 const probe = (over: Partial<Probe> = {}): Probe => ({
   incarnations: [first],
   revision: 100,
@@ -30,16 +30,16 @@
 });
 
 test('a store that shows what was known, or more, is restored; one that shows less is lost once looks agree', () => {
-  assert.equal(judge(known, [probe()], 3), 'restored');
-  assert.equal(judge(known, [probe({ revision: 180, term: 5 })], 3), 'restored');
+  assert.equal(verdictOf(known, [probe()], 3), 'restored');
+  assert.equal(verdictOf(known, [probe({ revision: 180, term: 5 })], 3), 'restored');
   const empty = probe({ incarnations: [], revision: 0, term: 0 });
-  assert.equal(judge(known, [empty, empty], 3), 'again');
-  assert.equal(judge(known, [empty, empty, empty], 3), 'lost');
+  assert.equal(verdictOf(known, [empty, empty], 3), 'again');
+  assert.equal(verdictOf(known, [empty, empty, empty], 3), 'lost');
   // The key is there, at another revision: it was written anew.
   const rewritten = probe({ incarnations: [{ ...first, stamp: 9 }] });
-  assert.equal(judge(known, [rewritten, rewritten, rewritten], 3), 'lost');
+  assert.equal(verdictOf(known, [rewritten, rewritten, rewritten], 3), 'lost');
   const deposed = probe({ term: 3 });
-  assert.equal(judge(known, [deposed, deposed, deposed], 3), 'lost');
+  assert.equal(verdictOf(known, [deposed, deposed, deposed], 3), 'lost');
 });
 
 // Two copies that answer in turn, one of them older, are no loss: a rebuild would fork what the newer one has.
@@ -48,29 +48,29 @@
   const looks: Probe[] = [];
   for (let i = 0; i < 40; i++) {
     looks.push(i % 2 === 0 ? older : probe());
-    assert.notEqual(judge(known, looks, 3), 'lost');
+    assert.notEqual(verdictOf(known, looks, 3), 'lost');
   }
   const back = [probe({ revision: 70 }), probe({ revision: 60 })];
-  assert.equal(judge(known, [...back, ...back, ...back], 3), 'again');
+  assert.equal(verdictOf(known, [...back, ...back, ...back], 3), 'again');
 });
 
 test('a newer incarnation has been rebuilt by somebody; an older or an equal one is itself a loss', () => {
   const rebuilt = probe({
-    incarnations: [{ id: 'two', generation: 1, stamp: 70, base: 0, born: 60 }],
+    incarnations: [{ id: 'two', generation: 1, stamp: 70, termFloor: 0, bornAt: 60 }],
     revision: 75,
     term: 9e9,
   });
-  assert.equal(judge(known, [rebuilt], 3), 'moved');
+  assert.equal(verdictOf(known, [rebuilt], 3), 'moved');
   const anew = probe({
-    incarnations: [{ id: 'fresh', generation: 0, stamp: 1, base: 0, born: 0 }],
+    incarnations: [{ id: 'fresh', generation: 0, stamp: 1, termFloor: 0, bornAt: 0 }],
     revision: 2,
     term: 1,
   });
-  assert.equal(judge(known, [anew, anew, anew], 3), 'lost');
+  assert.equal(verdictOf(known, [anew, anew, anew], 3), 'lost');
   // A node without a view takes what is there, unless somebody has said that it knows a newer one.
-  const none: Known = { incarnation: null, generation: -1, revision: -1, term: 0 };
-  assert.equal(judge(none, [anew], 3), 'moved');
-  assert.equal(judge({ ...none, generation: 2 }, [rebuilt, rebuilt, rebuilt], 3), 'lost');
+  const none: StoreKnowledge = { incarnation: null, generation: -1, revision: -1, term: 0 };
+  assert.equal(verdictOf(none, [anew], 3), 'moved');
+  assert.equal(verdictOf({ ...none, generation: 2 }, [rebuilt, rebuilt, rebuilt], 3), 'lost');
 });
 
 test('answers are held against what was known when they were asked for', () => {
@@ -79,13 +79,13 @@
     () => 7,
   );
   lossDetector.readIncarnation(first);
-  assert.ok(lossDetector.answered(50, lossDetector.floor()));
+  assert.ok(lossDetector.acceptRevision(50, lossDetector.revisionFloor()));
   // Asked for before that one, answered after it: older, and yet sound.
-  assert.ok(lossDetector.answered(48, 40));
+  assert.ok(lossDetector.acceptRevision(48, 40));
   assert.equal(lossDetector.suspected, false);
-  assert.ok(!lossDetector.answered(49, lossDetector.floor()));
+  assert.ok(!lossDetector.acceptRevision(49, lossDetector.revisionFloor()));
   assert.deepEqual(
-    [lossDetector.suspicion!.evidence[0]!.kind, lossDetector.suspicion!.led],
+    [lossDetector.suspicion!.evidence[0]!.kind, lossDetector.suspicion!.ledTerm],
     ['revision went back', 7],
   );
 });
@@ -97,20 +97,20 @@
     () => null,
   );
   lossDetector.readIncarnation(first);
-  lossDetector.heardTerm(6, 'vm-1');
-  lossDetector.readTerm(5, at(9));
+  lossDetector.noteTerm(6, 'vm-1');
+  lossDetector.checkTerm(5, at(9));
   assert.equal(lossDetector.suspected, false, 'the read was on its way when the term was named');
-  lossDetector.readTerm(6, at(20));
+  lossDetector.checkTerm(6, at(20));
   assert.equal(lossDetector.suspected, false);
-  lossDetector.readTerm(5, at(20));
+  lossDetector.checkTerm(5, at(20));
   assert.equal(lossDetector.suspicion!.evidence[0]!.kind, 'term went back');
   lossDetector.ruleOut();
-  lossDetector.peerSaw('one', 0, 90);
-  assert.equal(lossDetector.floor(), 90);
-  lossDetector.peerSaw('another', 0, 500);
-  assert.equal(lossDetector.floor(), 90, 'revisions of another incarnation compare with nothing');
+  lossDetector.notePeerRevision('one', 0, 90);
+  assert.equal(lossDetector.revisionFloor(), 90);
+  lossDetector.notePeerRevision('another', 0, 500);
+  assert.equal(lossDetector.revisionFloor(), 90, 'revisions of another incarnation compare with nothing');
   now = 30;
-  lossDetector.peerSaw('two', 1, 4);
+  lossDetector.notePeerRevision('two', 1, 4);
   assert.equal(lossDetector.suspicion!.evidence[0]!.kind, 'other incarnation');
 });
 
@@ -122,20 +122,20 @@
       () => at(1),
       () => null,
     );
-    d.readIncarnation({ ...first, base, generation });
+    d.readIncarnation({ ...first, termFloor: base, generation });
     return d;
   };
   const lost = fresh(1000);
-  lost.heardToken(0, 'new');
-  lost.heardToken(1001, 'vm-2');
+  lost.noteToken(0, 'new');
+  lost.noteToken(1001, 'vm-2');
   assert.equal(lost.suspected, false, 'a new worker, and one that has seen this incarnation');
-  lost.heardToken(7, 'vm-1');
-  assert.ok(lost.suspicion!.proven && lost.suspicion!.led === null);
+  lost.noteToken(7, 'vm-1');
+  assert.ok(lost.suspicion!.proven && lost.suspicion!.ledTerm === null);
   const rebuilt = fresh(1000, 1);
-  rebuilt.heardToken(7, 'vm-1');
+  rebuilt.noteToken(7, 'vm-1');
   assert.equal(rebuilt.suspected, false, 'after a rebuild workers come with older tokens');
   const upgraded = fresh(0);
-  upgraded.heardToken(7, 'vm-1');
+  upgraded.noteToken(7, 'vm-1');
   assert.equal(upgraded.suspected, false, 'a store from before incarnations went on with its terms');
 });
 
@@ -143,10 +143,10 @@
 test('terms and attempts of a generation lie above all of those before it', () => {
   for (const n of [1, 5000, 2 ** 32 - 1]) {
     assert.equal(generationOf(n), 0);
-    assert.ok(floorOf(1) > n);
+    assert.ok(firstOfGeneration(1) > n);
   }
-  assert.equal(generationOf(floorOf(3) + 17), 3);
-  assert.ok(Number.isSafeInteger(floorOf(100_000) + 2 ** 32));
+  assert.equal(generationOf(firstOfGeneration(3) + 17), 3);
+  assert.ok(Number.isSafeInteger(firstOfGeneration(100_000) + 2 ** 32));
 });
 
 test('a key that is gone without a change is found, one that is written or deleted meanwhile is not missed', () => {
@@ -159,9 +159,9 @@
     jobState.apply({ key: activeKey(`job-${i}`), value: wire(encodeJob(job(`job-${i}`), 0)), stamp });
   jobState.apply({ key: recordKey(1), value: {}, stamp: 7 });
   jobState.apply({ key: `${PACK}a`, value: wire(encodePack([job('job-9', { tasks: 2 })])), stamp: 8 });
-  assert.deepEqual(keysOf(jobState, RECORD), [[recordKey(1), 7]]);
-  assert.deepEqual(keysOf(jobState, PACK), [[`${PACK}a`, 8]]);
-  const expected = keysOf(jobState, ACTIVE);
+  assert.deepEqual(expectedKeys(jobState, RECORD), [[recordKey(1), 7]]);
+  assert.deepEqual(expectedKeys(jobState, PACK), [[`${PACK}a`, 8]]);
+  const expected = expectedKeys(jobState, ACTIVE);
   assert.deepEqual(
     expected.map(([k]) => k),
     [activeKey('job-1'), activeKey('job-2'), activeKey('job-3')],
@@ -169,12 +169,19 @@
   );
   const entry = (i: number, stamp: number) => ({ key: activeKey(`job-${i}`), value: null, stamp });
   const page = (entries: ReturnType<typeof entry>[], more = false) => ({ entries, more, revision: 30 });
-  assert.equal(audit(page([entry(1, 5), entry(2, 6)]), expected, null, 45), null, 'job-3 was written later');
-  assert.match(audit(page([entry(2, 6)]), expected, null, 45)!, /job-1 is missing/);
-  assert.match(audit(page([entry(1, 5), entry(2, 4)]), expected, null, 45)!, /job-2 is as of 4, was of 6/);
-  assert.equal(audit(page([entry(2, 6)]), expected, null, 29), null, 'the view is older than the page');
-  assert.equal(audit(page([entry(1, 5)], true), expected, null, 45), null, 'job-2 is on the next page');
-  assert.match(audit(page([]), expected, activeKey('job-1'), 45)!, /job-2 is missing/);
+  assert.equal(
+    findLostKey(page([entry(1, 5), entry(2, 6)]), expected, null, 45),
+    null,
+    'job-3 was written later',
+  );
+  assert.match(findLostKey(page([entry(2, 6)]), expected, null, 45)!, /job-1 is missing/);
+  assert.match(
+    findLostKey(page([entry(1, 5), entry(2, 4)]), expected, null, 45)!,
+    /job-2 is as of 4, was of 6/,
+  );
+  assert.equal(findLostKey(page([entry(2, 6)]), expected, null, 29), null, 'the view is older than the page');
+  assert.equal(findLostKey(page([entry(1, 5)], true), expected, null, 45), null, 'job-2 is on the next page');
+  assert.match(findLostKey(page([]), expected, activeKey('job-1'), 45)!, /job-2 is missing/);
 });
 
 test('the view keeps what it had of a value that can no longer be read', () => {
@@ -189,22 +196,25 @@
   jobState.apply({ key, value: wire(encodeJob(job('job-1', { tasks: 4 }), 0)), stamp: 7 });
   assert.equal(jobState.damaged.size, 0);
   jobState.apply({ key: `${INCARNATION}x`, value: { g: 2, by: 'n0' }, stamp: 9 });
-  assert.equal(jobState.floor, floorOf(2));
+  assert.equal(jobState.floor, firstOfGeneration(2));
 });
 
 // A fifth of the records could not be read and nobody remembered them: the next leader began again at the attempts that
 // they had used, and one of them ran on two machines.
 test('attempts of a term begin above all that earlier terms can have used, whatever is forgotten', () => {
-  const i: Incarnation = { ...first, born: 1000 };
-  const early = attemptsFrom(i, null, 1000.4);
+  const i: Incarnation = { ...first, bornAt: 1000 };
+  const early = attemptFloor(i, null, 1000.4);
   assert.equal(early, 0, 'small at first');
   // A reign of 100 s, with a record in each of its turns; then the store comes back as it was before that reign.
   const used = early + 400;
-  assert.ok(attemptsFrom(i, early, 1100) > used);
-  assert.ok(attemptsFrom(i, null, 1100) > used, 'what is known of terms is lost too');
+  assert.ok(attemptFloor(i, early, 1100) > used);
+  assert.ok(attemptFloor(i, null, 1100) > used, 'what is known of terms is lost too');
   // The clock of the next leader is 10 s behind, after short reigns and long ones.
   for (const s of [1, 5, 12, 60])
-    assert.ok(attemptsFrom(i, early, 1000 + s - 10) >= early + 4 * s, `after ${s} s`);
-  assert.ok(attemptsFrom({ ...i, generation: 2 }, used, 1100) >= floorOf(2));
-  assert.ok(attemptsFrom({ ...i, generation: 2, born: null }, floorOf(2) + 7, 9) > floorOf(2) + 7);
+    assert.ok(attemptFloor(i, early, 1000 + s - 10) >= early + 4 * s, `after ${s} s`);
+  assert.ok(attemptFloor({ ...i, generation: 2 }, used, 1100) >= firstOfGeneration(2));
+  assert.ok(
+    attemptFloor({ ...i, generation: 2, bornAt: null }, firstOfGeneration(2) + 7, 9) >
+      firstOfGeneration(2) + 7,
+  );
 });
--- a/packages/controller/test/heartbeat-codec.test.ts
+++ b/packages/controller/test/heartbeat-codec.test.ts
@@ -90,7 +90,7 @@
     () => ({ registry, nextTurn: () => undefined }),
     () => 0 as Micros,
     new Contacts(settings),
-    { suspected: false, heardToken: () => undefined },
+    { suspected: false, noteToken: () => undefined },
   );
   const lost = () => assert.fail('passed on');
   const handle = heartbeatHandler(
--- a/packages/controller/test/late-answers.test.ts
+++ b/packages/controller/test/late-answers.test.ts
@@ -50,7 +50,7 @@
 /** A leader whose reports wait for a turn until `turn` is called. */
 const leader = (
   b: WorkerRegistry,
-  lossDetector: Pick<DataLossDetector, 'heardToken' | 'suspected'> | null = null,
+  lossDetector: Pick<DataLossDetector, 'noteToken' | 'suspected'> | null = null,
 ) => {
   const waiting: (() => void)[] = [];
   const deposedBy: number[] = [];
@@ -67,7 +67,7 @@
     () => ({ registry: b, nextTurn: (then) => void waiting.push(then) }),
     () => seconds(state.at),
     new Contacts(settings),
-    lossDetector ?? { suspected: false, heardToken: () => undefined },
+    lossDetector ?? { suspected: false, noteToken: () => undefined },
   );
   const take = (r: Heartbeat): { answers: Answers | null; given: boolean } => {
     const out = { answers: null as Answers | null, given: false };
@@ -113,7 +113,7 @@
 test('a copy of an old report proves a higher token all the same, also while the store is doubted', () => {
   for (const active of [false, true]) {
     const heard: number[] = [];
-    const l = leader(registry(), { suspected: active, heardToken: (t) => void heard.push(t) });
+    const l = leader(registry(), { suspected: active, noteToken: (t) => void heard.push(t) });
     l.take(report(2, 9));
     // Sent long before: its tasks, its session and what it lacks say nothing. That the token was given does.
     l.take(report(1, 3, 99));
@@ -130,7 +130,7 @@
     () => 0 as Micros,
     () => TERM,
   );
-  lossDetector.readIncarnation({ id: 'i', generation: 0, stamp: 1, base: 50, born: 0 });
+  lossDetector.readIncarnation({ id: 'i', generation: 0, stamp: 1, termFloor: 50, bornAt: 0 });
   const l = leader(registry(), lossDetector);
   l.take(report(2, 9, 51));
   assert.equal(lossDetector.suspected, false, 'given in this life');
--- a/packages/controller/test/late-writes.test.ts
+++ b/packages/controller/test/late-writes.test.ts
@@ -21,9 +21,9 @@
   RECORD,
   recordKey,
   TERM,
-  wardKey,
+  orphanedJobKey,
 } from '../src/jobs/keys.js';
-import { Gathered, rebuild, writeBack } from '../src/recovery/rebuild.js';
+import { GatheredViews, rebuild, writeBack } from '../src/recovery/rebuild.js';
 import { commit } from '../src/scheduler/commit.js';
 import { upkeep } from '../src/scheduler/upkeep.js';
 import type { Start } from '../src/scheduler/model.js';
@@ -346,7 +346,7 @@
         service.transact([], [{ set: `${INCARNATION}y`, value: { g: 1, t: 0, s: 0 } }, ...HEAD.slice(1)]);
         jobState.clear();
         watcher.loaded = false;
-        lossDetector.leave();
+        lossDetector.leaveIncarnation();
         last = -1;
       }
       if (jobState.revision < last)
@@ -401,7 +401,7 @@
           : Effect.succeed(o),
       ),
   };
-  go(rebuild({ ...r, store }, new Gathered()), 20);
+  go(rebuild({ ...r, store }, new GatheredViews()), 20);
   assert.ok(lost > 0 && !service.keys.has(REBUILD));
   service.transact([], [{ set: 's/a/now', value: 'newer' }]);
   service.again();
@@ -409,18 +409,18 @@
 });
 
 test('a job that users may be cancelling by its ward comes back by a key of its own', () => {
-  const { service, go, r } = rebuilding([{ set: wardKey('job-1'), value: { since: 0, tasks: 3 } }]);
-  const g = new Gathered();
+  const { service, go, r } = rebuilding([{ set: orphanedJobKey('job-1'), value: { since: 0, tasks: 3 } }]);
+  const g = new GatheredViews();
   const job = fresh('job-1', { attempt: 4, done: new Set([0]), touched: 7 });
-  g.take('n1', {
-    heads: [],
+  g.add('n1', {
+    headers: [],
     finals: [],
     calendar: null,
     next: null,
-    claims: [{ generation: 0, revision: 9, job }],
+    versions: [{ generation: 0, revision: 9, job }],
   });
   go(writeBack(r, g, false));
-  assert.ok(service.keys.has(activeKey('job-1')) && !service.keys.has(wardKey('job-1')));
+  assert.ok(service.keys.has(activeKey('job-1')) && !service.keys.has(orphanedJobKey('job-1')));
 });
 
 test('who waited in a period stands in one page, also if nothing was heard of its writing', () => {
--- a/packages/controller/test/leader-session.test.ts
+++ b/packages/controller/test/leader-session.test.ts
@@ -1,31 +1,32 @@
-/** One term has one book. */
+/** One term has one worker registry. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Effect, Fiber } from 'effect';
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { JobState } from '../src/jobs/job-state.js';
 import { type LeaderSessionParts, LeaderSessions } from '../src/leadership/leader-session.js';
+import type { LeadershipTerm } from '../src/leadership/leadership.js';
 import { worldSettings } from './support/settings.js';
 
-test('a session that fails ends its reign: none begins again under the same term', async () => {
+test('a session that fails ends its term: no other session begins under the same term', async () => {
   const why: string[] = [];
-  let leaderTerm: { term: number; stamp: number; began: Micros } | null = {
-    term: 3,
+  let leaderTerm: LeadershipTerm | null = {
+    number: 3,
     stamp: 1,
     began: 0 as Micros,
   };
   const leadership = {
-    mayAct: () => leaderTerm,
-    isCurrentTerm: () => leaderTerm !== null,
-    awaitReign: Effect.never,
-    giveWay: (reason: string) =>
+    currentTerm: () => leaderTerm,
+    isCurrent: () => leaderTerm !== null,
+    awaitTerm: Effect.never,
+    stepDown: (reason: string) =>
       Effect.sync(() => {
         why.push(reason);
         leaderTerm = null;
       }),
   };
   const peers = {
-    lastNews: () => {
+    lastProvisioning: () => {
       throw new Error('not as expected');
     },
   };
--- a/packages/controller/test/lending.test.ts
+++ b/packages/controller/test/lending.test.ts
@@ -10,7 +10,7 @@
 import { borrowedBy, lentOf, loansOf } from '../src/lending/loans.js';
 import { mayTake, rightOf, standingOf } from '../src/lending/may-take.js';
 import { endings, loansMade } from '../src/lending/record.js';
-import { mergeClaims } from '../src/recovery/merge.js';
+import { mergeVersions } from '../src/recovery/merge.js';
 import { schedule } from '../src/scheduler/cycle.js';
 import type { Holder, NodeView, QueuedJob, LendingView } from '../src/scheduler/model.js';
 import { job } from './support/job.js';
@@ -308,8 +308,8 @@
     { generation: 0, revision: 3, job: { ...w, loans: new Map(), taken: 0 } },
     { generation: 0, revision: 5, job: w },
   ];
-  assert.deepEqual(mergeClaims(claims).loans, w.loans);
-  assert.deepEqual(mergeClaims(claims.reverse()).loans, w.loans);
+  assert.deepEqual(mergeVersions(claims).loans, w.loans);
+  assert.deepEqual(mergeVersions(claims.reverse()).loans, w.loans);
   // Told, not gone yet: it stays open. Never told: it ends.
   assert.deepEqual(
     endings(jobs, new Map(), () => true),
--- a/packages/controller/test/meetings.test.ts
+++ b/packages/controller/test/meetings.test.ts
@@ -76,7 +76,7 @@
       new Contacts(settings),
       {
         suspected: false,
-        heardToken: () => undefined,
+        noteToken: () => undefined,
       },
     );
     const nowhere = () => undefined;
--- a/packages/controller/test/read-lease.test.ts
+++ b/packages/controller/test/read-lease.test.ts
@@ -6,12 +6,12 @@
 import { JobState } from '../src/jobs/job-state.js';
 import { StoreWatcher } from '../src/jobs/store-watcher.js';
 import {
-  holdEnds,
-  mayAnswer,
-  mayLag,
+  readLeaseExpiry,
+  answerAuthority,
+  maxViewAge,
   mayStart,
-  nothingAfter,
-  type Said,
+  unchangedSince,
+  type PeerKnowledge,
 } from '../src/leadership/read-lease.js';
 import type { StatePort } from '../src/state-store/port.js';
 import { Luck } from './support/random-source.js';
@@ -52,7 +52,7 @@
     reads.push({ asked, got, revision: revisionAt(Math.min(l.between(asked, got), out)) });
   }
   // Beats to each of the others: one that knows what it has told users of, and as much else as it has read by then.
-  const beats: { by: number; got: number; said: Said }[] = [];
+  const beats: { by: number; got: number; said: PeerKnowledge }[] = [];
   for (let by = 1; by < controllers; by++) {
     // It starts anew, once: until it has read the store it says nothing.
     const anew = l.chance(0.3) ? l.between(0, out + 30e6) : Infinity;
@@ -81,20 +81,20 @@
       const last = beats.filter((b) => b.by === i + 1 && b.got <= t).at(-1);
       return last === undefined || last.said.incarnation === null ? null : last.said;
     });
-    covered = Math.max(covered, nothingAfter(said, INCARNATION, complete));
+    covered = Math.max(covered, unchangedSince(said, INCARNATION, complete));
     const readAsOf = Math.max(Number.NEGATIVE_INFINITY, ...had.map((r) => clock(r.asked)));
-    const standing = {
+    const bounds = {
       // An outage may give a lease its full time again, at any moment; and a majority confirms as it will.
-      rightUntil: l.chance(0.5) ? clock(t) + 1 : 0,
+      leaderLeaseUntil: l.chance(0.5) ? clock(t) + 1 : 0,
       confirmedUntil: Infinity,
       knownAsOf: Math.max(readAsOf, covered),
     };
-    const by = mayAnswer(clock(t) as Micros, standing, workers, TTL);
+    const by = answerAuthority(clock(t) as Micros, bounds, workers, TTL);
     if (by === null) continue;
     count(by);
-    if (mayLag(workers) === 0) {
-      assert.equal(by, 'right', 'no hold is safe');
-      assert.ok(holdEnds(standing, workers) <= standing.knownAsOf);
+    if (maxViewAge(workers) === 0) {
+      assert.equal(by, 'leader lease', 'no read lease is safe');
+      assert.ok(readLeaseExpiry(bounds, workers) <= bounds.knownAsOf);
       continue;
     }
     if (covered > readAsOf + 5e6) count('covered');
@@ -127,15 +127,15 @@
     const late = chain(l, { lease: seconds(lease), cancel: seconds(cancel) }, met);
     assert.ok(late <= 0, `seed ${seed}, lease ${lease}, cancel ${cancel}: ${late / 1e6} s too late`);
   }
-  for (const what of ['right', 'hold', 'covered', 'unknown'])
+  for (const what of ['leader lease', 'read lease', 'covered', 'unknown'])
     assert.ok((met.get(what) ?? 0) > 100, `${what}: ${met.get(what)}`);
 });
 
-test('a hold starts nothing once its view is old, and a right does', () => {
+test('a read lease starts nothing once its view is old, and the leader lease does', () => {
   const known = seconds(100);
   const out = Number.NEGATIVE_INFINITY;
-  const may = (at: number, rightUntil: number): boolean =>
-    mayStart(seconds(at), { rightUntil, knownAsOf: known });
+  const may = (at: number, leaderLeaseUntil: number): boolean =>
+    mayStart(seconds(at), { leaderLeaseUntil, knownAsOf: known });
   assert.deepEqual([may(102.9, out), may(103, out), may(110, out)], [true, false, false]);
   assert.equal(may(110, seconds(111)), true);
 });
--- a/packages/controller/test/rebuild.test.ts
+++ b/packages/controller/test/rebuild.test.ts
@@ -15,11 +15,16 @@
   encodeViewResponse,
 } from '../src/recovery/codec.js';
 import { digestOf, RANGES } from '../src/recovery/digest.js';
-import { told } from '../src/recovery/view-exchange.js';
-import { type Claim, contentOf, mergeClaims, mergeFinals } from '../src/recovery/merge.js';
-import { planOf, type Store } from '../src/recovery/rebuild-plan.js';
-import { claimsOf, PreLossViews } from '../src/recovery/pre-loss-views.js';
-import { decodeFact, encodeFact, type JobEvidence, EvidenceStore } from '../src/recovery/evidence-store.js';
+import { answerViewRequest } from '../src/recovery/view-exchange.js';
+import { type JobVersion, contentOf, mergeVersions, mergeFinals } from '../src/recovery/merge.js';
+import { planRebuild, type RecoveredStore } from '../src/recovery/rebuild-plan.js';
+import { versionsByJob, PreLossViews } from '../src/recovery/pre-loss-views.js';
+import {
+  decodeJobEvidence,
+  encodeJobEvidence,
+  type JobEvidence,
+  EvidenceStore,
+} from '../src/recovery/evidence-store.js';
 import { Effect } from 'effect';
 import { job } from './support/job.js';
 
@@ -64,22 +69,22 @@
     }
     return states.length > 0 ? states : [now];
   });
-const claims = history.chain((states) =>
+const versions = history.chain((states) =>
   fc
     .array(fc.nat(states.length - 1), { minLength: 1, maxLength: 5 })
-    .map((picks): Claim[] => picks.map((i) => ({ generation: 0, revision: i, job: states[i]! }))),
+    .map((picks): JobVersion[] => picks.map((i) => ({ generation: 0, revision: i, job: states[i]! }))),
 );
 
 test('joining does not depend on order or on repetition', () => {
   fc.assert(
-    fc.property(claims, fc.infiniteStream(fc.nat()), (list, order) => {
-      const result = contentOf(mergeClaims(list));
+    fc.property(versions, fc.infiniteStream(fc.nat()), (list, order) => {
+      const result = contentOf(mergeVersions(list));
       const shuffled = list
         .map((c) => [order.next().value as number, c] as const)
         .sort((a, b) => a[0] - b[0])
         .map(([, c]) => c);
-      assert.equal(contentOf(mergeClaims(shuffled)), result);
-      assert.equal(contentOf(mergeClaims([...list, ...shuffled])), result);
+      assert.equal(contentOf(mergeVersions(shuffled)), result);
+      assert.equal(contentOf(mergeVersions([...list, ...shuffled])), result);
     }),
     { seed: 19, numRuns: 400 },
   );
@@ -87,8 +92,8 @@
 
 test('of views of one history the join is the latest: nothing told is lost, nothing that ended runs again', () => {
   fc.assert(
-    fc.property(claims, (list) => {
-      const merged = mergeClaims(list);
+    fc.property(versions, (list) => {
+      const merged = mergeVersions(list);
       const last = list.reduce((a, b) => (b.revision > a.revision ? b : a)).job;
       assert.equal(contentOf(merged), contentOf(last));
     }),
@@ -106,7 +111,7 @@
   old.placed.set(0, { task: 0, attempt: 3, machine: 'm1', since: 0 as Micros });
   old.placed.set(1, { task: 1, attempt: 4, machine: 'm1', since: 0 as Micros });
   old.placed.set(2, { task: 2, attempt: 5, machine: 'm2', since: 0 as Micros });
-  const merged = mergeClaims([
+  const merged = mergeVersions([
     { generation: 0, revision: 90, job: late },
     { generation: 0, revision: -1, job: old },
   ]);
@@ -120,9 +125,9 @@
   const withdrawn = { ...job('job-1', { tasks: 1 }), withdrawn: true };
   const complete = job('job-1', { tasks: 1 });
   complete.done.add(0);
-  const claim = (j: Job, revision: number): Claim => ({ generation: 0, revision, job: j });
-  assert.equal(mergeClaims([claim(withdrawn, 1), claim(open, 2)]).withdrawn, true);
-  const both = mergeClaims([claim(complete, 1), claim(withdrawn, 2)]);
+  const version = (j: Job, revision: number): JobVersion => ({ generation: 0, revision, job: j });
+  assert.equal(mergeVersions([version(withdrawn, 1), version(open, 2)]).withdrawn, true);
+  const both = mergeVersions([version(complete, 1), version(withdrawn, 2)]);
   assert.ok(isComplete(both) && !both.withdrawn);
   const done: FinalState = { status: 'done', tasks: 1 };
   const cancelled: FinalState = { status: 'cancelled', tasks: 1 };
@@ -130,15 +135,15 @@
   assert.deepEqual(mergeFinals(done, cancelled), done);
 });
 
-const emptyStore = (over: Partial<Store> = {}): Store => ({
+const emptyStore = (over: Partial<RecoveredStore> = {}): RecoveredStore => ({
   jobs: new Map(),
   damaged: () => undefined,
-  over: () => false,
+  hasFinal: () => false,
   generation: -1,
   revision: -1,
   ...over,
 });
-const claimMap = (...jobs: Job[]): Map<string, Claim[]> =>
+const versionMap = (...jobs: Job[]): Map<string, JobVersion[]> =>
   new Map(jobs.map((j) => [j.spec.id, [{ generation: 0, revision: 10, job: j }]]));
 
 test('the plan writes what is missing or differs, ends what is over, and leaves the rest alone', () => {
@@ -160,16 +165,16 @@
       ]),
     ),
     damaged: (id) => (id === 'job-6' ? 9 : undefined),
-    over: (id) => id === 'job-9',
+    hasFinal: (id) => id === 'job-9',
   });
   const finals = new Map<string, FinalState>([
     ['job-8', { status: 'done', tasks: 1 }],
     ['job-9', { status: 'done', tasks: 1 }],
     ['job-10', { status: 'cancelled', tasks: 3 }],
   ]);
-  const plan = planOf(
+  const plan = planRebuild(
     store,
-    claimMap(same, changed, lost, urgent, cancelled, broken, ended, job('job-9')),
+    versionMap(same, changed, lost, urgent, cancelled, broken, ended, job('job-9')),
     finals,
     77,
   );
@@ -194,16 +199,21 @@
     [['job-8', 7]],
   );
   assert.deepEqual(
-    plan.over.map(([id]) => id),
+    plan.finals.map(([id]) => id),
     ['job-10', 'job-7'],
   );
   // Written, it is all there: a second pass has nothing to do.
   const after = emptyStore({
     jobs: new Map([same, changed, lost, urgent, cancelled, broken].map((j) => [j.spec.id, j])),
-    over: (id) => ['job-7', 'job-8', 'job-9', 'job-10'].includes(id),
+    hasFinal: (id) => ['job-7', 'job-8', 'job-9', 'job-10'].includes(id),
   });
-  const again = planOf(after, claimMap(same, changed, lost, urgent, cancelled, broken, ended), finals, 77);
-  assert.deepEqual([again.missing, again.differing, again.close, again.over], [[], [], [], []]);
+  const again = planRebuild(
+    after,
+    versionMap(same, changed, lost, urgent, cancelled, broken, ended),
+    finals,
+    77,
+  );
+  assert.deepEqual([again.missing, again.differing, again.close, again.finals], [[], [], [], []]);
 });
 
 test('only what differs travels between two nodes, in bounded answers', () => {
@@ -218,31 +228,31 @@
   theirs.apply({ key: activeKey('job-77777'), value: wire(encodeJob(extra, 0)), stamp: 4000 });
   theirs.apply({ key: finalKey('job-88888'), value: encodeFinal({ status: 'done', tasks: 4 }), stamp: 4001 });
   const relics = new PreLossViews('n1');
-  relics.keep(relics.viewOf(theirs, 0, null));
+  relics.add(relics.viewOf(theirs, 0, null));
   const own = new PreLossViews('n0');
-  own.keep(own.viewOf(mine, 0, null));
+  own.add(own.viewOf(mine, 0, null));
   const nobody = new EvidenceStore({ ask: () => Effect.succeed(Buffer.alloc(0)) }, () => []);
-  const merged = [...claimsOf(own.all).values()].map((list) => mergeClaims(list));
+  const merged = [...versionsByJob(own.all).values()].map((list) => mergeVersions(list));
   const ask = decodeViewRequest(
     encodeViewRequest({ incarnation: 'x', digest: digestOf(merged, []), from: 0 }),
   )!;
-  const answer = decodeViewResponse(encodeViewResponse(told(ask, relics.all, theirs, nobody)))!;
+  const answer = decodeViewResponse(encodeViewResponse(answerViewRequest(ask, relics.all, theirs, nobody)))!;
   assert.equal(answer.next, null);
-  assert.ok(answer.claims.length < 60, `${answer.claims.length} of 3001 claims travelled`);
-  assert.ok(answer.claims.some((c) => c.job.spec.id === 'job-77777'));
+  assert.ok(answer.versions.length < 60, `${answer.versions.length} of 3001 versions travelled`);
+  assert.ok(answer.versions.some((c) => c.job.spec.id === 'job-77777'));
   assert.deepEqual(answer.finals, [['job-88888', { status: 'done', tasks: 4 }]]);
   // With nothing alike, all of it comes, a bounded part at a time.
   const all = new Set<string>();
   let parts = 0;
   for (let from: number | null = 0; from !== null; parts++) {
-    const t: ReturnType<typeof told> = told(
+    const t: ReturnType<typeof answerViewRequest> = answerViewRequest(
       { incarnation: 'x', digest: new Uint32Array(RANGES * 2), from },
       relics.all,
       theirs,
       nobody,
     );
-    assert.ok(t.claims.length < 1000);
-    for (const c of t.claims) all.add(c.job.spec.id);
+    assert.ok(t.versions.length < 1000);
+    for (const c of t.versions) all.add(c.job.spec.id);
     from = t.next;
   }
   assert.equal(all.size, 3001);
@@ -310,22 +320,22 @@
     value: { final: { status: 'done', tasks: 2 } as FinalState },
   };
   for (const f of [accepted, done]) {
-    assert.deepEqual(decodeFact(encodeFact(f)), f);
-    nobody.note(decodeFact(encodeFact(f))!);
+    assert.deepEqual(decodeJobEvidence(encodeJobEvidence(f)), f);
+    nobody.record(decodeJobEvidence(encodeJobEvidence(f))!);
   }
-  assert.equal(decodeFact(encodeFact({ ...accepted, value: { stored: 'nonsense' } })), null);
-  assert.equal(nobody.claims()[0]!.job.spec.id, 'job-1');
-  nobody.covered('two', 100);
+  assert.equal(decodeJobEvidence(encodeJobEvidence({ ...accepted, value: { stored: 'nonsense' } })), null);
+  assert.equal(nobody.versions()[0]!.job.spec.id, 'job-1');
+  nobody.dropCovered('two', 100);
   assert.equal(nobody.size, 2, 'revisions of another incarnation cover nothing');
-  nobody.covered('one', 40);
-  assert.deepEqual([nobody.claims().length, [...nobody.finals()].length], [0, 1]);
+  nobody.dropCovered('one', 40);
+  assert.deepEqual([nobody.versions().length, [...nobody.finals()].length], [0, 1]);
 });
 
 test('what an earlier process of the same controller is told takes nothing from the next one', () => {
   const before = new PreLossViews('n1/1000');
   const asked = before.viewOf(new JobState(), 0, null);
   const after = new PreLossViews('n1/2000');
-  after.keep(after.viewOf(new JobState(), 0, null));
+  after.add(after.viewOf(new JobState(), 0, null));
   // "All that you remember is durable", meant for the process that was asked, arrives after its end.
   after.drop([asked.id]);
   assert.equal(after.all.length, 1);
@@ -338,7 +348,7 @@
     value: { final: { status: 'done', tasks: 2 } },
   };
   const w = new EvidenceStore({ ask: () => Effect.succeed(Buffer.alloc(0)) }, () => []);
-  w.note(told);
-  w.note({ ...told, revision: 4, value: { stored: encodeJob(job('job-1'), 0) } });
+  w.record(told);
+  w.record({ ...told, revision: 4, value: { stored: encodeJob(job('job-1'), 0) } });
   assert.deepEqual([...w.finals()], [['job-1', { status: 'done', tasks: 2 }]]);
 });
--- a/packages/controller/test/support/late-store.ts
+++ b/packages/controller/test/support/late-store.ts
@@ -11,9 +11,9 @@
 import { JobState } from '../../src/jobs/job-state.js';
 import { encodeJob } from '../../src/jobs/codec.js';
 import { StoreWatcher } from '../../src/jobs/store-watcher.js';
-import { activeKey, INCARNATION, REBUILD, SETTLED, TERM } from '../../src/jobs/keys.js';
+import { activeKey, INCARNATION, REBUILD, RECOVERED, TERM } from '../../src/jobs/keys.js';
 import type { Job } from '../../src/jobs/model.js';
-import { type Rebuild } from '../../src/recovery/rebuild.js';
+import { type RebuildContext } from '../../src/recovery/rebuild.js';
 import type { JobEvidence } from '../../src/recovery/evidence-store.js';
 import { Largest } from '../../src/scheduler/largest.js';
 import { Waits } from '../../src/scheduler/waits.js';
@@ -223,7 +223,7 @@
 
 export const HEAD: Write[] = [
   { set: `${INCARNATION}x`, value: { g: 0, t: 0, s: 0 } },
-  { set: SETTLED, value: 'x' },
+  { set: RECOVERED, value: 'x' },
   { set: TERM, value: { term: 1, a: 0 } },
 ];
 export const wire = (v: unknown): unknown => JSON.parse(JSON.stringify(v));
@@ -242,7 +242,7 @@
   time: Time,
   service: Service,
   who = 0,
-  tell: (f: JobEvidence) => Effect.Effect<void> = () => Effect.void,
+  replicate: (evidence: JobEvidence) => Effect.Effect<void> = () => Effect.void,
 ) => {
   const jobState = new JobState();
   const lossDetector = new DataLossDetector(time.clock, () => null);
@@ -251,7 +251,7 @@
   const users = userHandlers({
     ...{ settings: SETTINGS, store, watcher, jobState, lossDetector, clock: time.clock, dayTime: time.clock },
     ...{ mayBeNew: () => true, durable: () => true, leads: () => false, verified: () => true },
-    witness: { tell } as never,
+    witness: { replicate } as never,
     types: () => TYPES,
     ready: () => true,
   });
@@ -279,12 +279,15 @@
 };
 
 /** One controller that leads, and a store in which nothing goes wrong but what the test does. */
-export const calm = (more: readonly Write[] = [], tell?: (f: JobEvidence) => Effect.Effect<void>) => {
+export const calm = (
+  more: readonly Write[] = [],
+  replicate?: (evidence: JobEvidence) => Effect.Effect<void>,
+) => {
   const time = new Time(1);
   const service = new Service(time, new Luck(1));
   service.trouble = false;
   service.transact([], wire([...HEAD, ...more]) as Write[]);
-  const node = controller(time, service, 0, tell);
+  const node = controller(time, service, 0, replicate);
   const go = (what: Effect.Effect<unknown, unknown>, forS = 10): void => {
     time.fork(what);
     time.run(time.now + forS * S);
@@ -303,8 +306,14 @@
 export const rebuilding = (more: readonly Write[] = []) => {
   const c = calm([{ set: REBUILD, value: { phase: 'gather', heard: [] } }, ...more]);
   const { node, turn, time } = c;
-  const nothing = { all: [], claims: () => [], finals: () => [], drop: () => undefined };
-  const r: Rebuild = {
+  const nothing = {
+    all: [],
+    versions: () => [],
+    finals: () => [],
+    drop: () => undefined,
+    clear: () => undefined,
+  };
+  const r: RebuildContext = {
     ...{
       store: turn.store,
       watcher: node.watcher,
@@ -318,7 +327,11 @@
       isCurrentTerm: () => true,
       mayAct: () => true,
     },
-    ...{ relics: nothing as never, witness: nothing as never, port: { ask: () => Effect.never } as never },
+    ...{
+      preLossViews: nothing as never,
+      evidenceStore: nothing as never,
+      viewPort: { ask: () => Effect.never } as never,
+    },
   };
   return { ...c, r };
 };
--- a/packages/controller/test/worker-registry.test.ts
+++ b/packages/controller/test/worker-registry.test.ts
@@ -129,7 +129,7 @@
       get suspected() {
         return active;
       },
-      heardToken: () => undefined,
+      noteToken: () => undefined,
     },
   );
   const answered = (r: Heartbeat, when: number): void => {
--- a/packages/operator-cli/src/cutoffs.ts
+++ b/packages/operator-cli/src/cutoffs.ts
@@ -5,7 +5,7 @@
 import { isRisk, NO_TALLY, SAID, WHY } from '@lilacvalve/controller/calendar/model';
 import { listAll } from '@lilacvalve/controller/calendar/publish';
 import { JobState } from '@lilacvalve/controller/jobs/job-state';
-import { ACTIVE, CALENDAR, LIFE, PACK, RECORD, ROOT, TERM } from '@lilacvalve/controller/jobs/keys';
+import { ACTIVE, CALENDAR, STORE_STATUS, PACK, RECORD, ROOT, TERM } from '@lilacvalve/controller/jobs/keys';
 import { isComplete } from '@lilacvalve/controller/jobs/model';
 import type { StateFailure } from '@lilacvalve/controller/state-store/client';
 import { Fail, type Io, type StateOptions, stateOptions, type Store } from './io.js';
@@ -18,7 +18,7 @@
   Effect.gen(function* () {
     for (let n = 0; n < READS; n++) {
       const base = (yield* store.page(ROOT, null, 1)).revision;
-      const lists = yield* Effect.forEach([LIFE, CALENDAR, RECORD, PACK, ACTIVE, TERM], (prefix) =>
+      const lists = yield* Effect.forEach([STORE_STATUS, CALENDAR, RECORD, PACK, ACTIVE, TERM], (prefix) =>
         listAll(store, prefix),
       );
       const since = yield* store.follow(ROOT, base, 0);
--- a/packages/simulation/src/world/meetings/answerLost.ts
+++ b/packages/simulation/src/world/meetings/answerLost.ts
@@ -4,7 +4,7 @@
   FINAL,
   INCARNATION,
   LEADER,
-  LIFE,
+  STORE_STATUS,
   RECORD,
   SHOWN,
   TYPES,
@@ -29,7 +29,7 @@
   if (sets(SHOWN)) return 'what classes have shown';
   if (sets(CALENDAR)) return 'calendar';
   if (sets(TYPES)) return 'hint';
-  return sets(LIFE) ? 'calm or settled' : 'other';
+  return sets(STORE_STATUS) ? 'calm or settled' : 'other';
 };
 
 /** Transactions are carried out at once and nothing is heard of them; the lead changes, so that campaigns are among them. */
--- a/packages/simulation/test/stored-data.test.ts
+++ b/packages/simulation/test/stored-data.test.ts
@@ -32,7 +32,8 @@
   encodePack,
   encodeRecord,
 } from '@lilacvalve/controller/jobs/codec';
-import { answerBeat, type Peers, readBeat } from '@lilacvalve/controller/leadership/peers';
+import { decodePeerHeartbeat } from '@lilacvalve/controller/leadership/codec';
+import { type Peers, respondToHeartbeat } from '@lilacvalve/controller/leadership/peers';
 import { decodeWeights, encodeWeights } from '@lilacvalve/controller/lending/weights';
 import { Links } from '@lilacvalve/controller/links';
 import {
@@ -43,7 +44,7 @@
   encodeDurable,
   encodeViewResponse,
 } from '@lilacvalve/controller/recovery/codec';
-import { decodeFact, encodeFact } from '@lilacvalve/controller/recovery/evidence-store';
+import { decodeJobEvidence, encodeJobEvidence } from '@lilacvalve/controller/recovery/evidence-store';
 import { Largest } from '@lilacvalve/controller/scheduler/largest';
 import { HeartbeatReader } from '@lilacvalve/controller/workers/codec';
 import { relayHandler } from '@lilacvalve/controller/workers/heartbeat-relay';
@@ -152,10 +153,10 @@
   const view = viewOf(pairs);
   const i = view.incarnation!;
   assert.equal(i.id, pairs[0]![0].slice('s/l/i/'.length));
-  assert.deepEqual([i.generation, i.born], [born!.g, born!.s]);
+  assert.deepEqual([i.generation, i.bornAt], [born!.g, born!.s]);
   assert.deepEqual([view.leader!.node, view.leader!.term], [leader!.node, leader!.term]);
   assert.deepEqual([view.term, view.attempts], [term!.term, term!.a]);
-  const named = view.wards.get(pairs[3]![0].slice('s/l/w/'.length))!;
+  const named = view.orphanedJobs.get(pairs[3]![0].slice('s/l/w/'.length))!;
   assert.deepEqual([named.since, named.tasks], [ward!.since, ward!.tasks]);
   assert.deepEqual([view.rebuild!.phase, view.rebuild!.heard], [rebuild!.phase, rebuild!.heard]);
   assert.deepEqual(view.types, types);
@@ -202,7 +203,7 @@
     (b) => encodeViewResponse(whole(decodeViewResponse(b))),
   ],
   '/durable': [(b) => encodeDurable(whole(decodeDurable(b))), (b) => encodeDurable(whole(decodeDurable(b)))],
-  '/witness': [(b) => encodeFact(whole(decodeFact(b)))],
+  '/witness': [(b) => encodeJobEvidence(whole(decodeJobEvidence(b)))],
 };
 for (const [path, ways] of Object.entries(message))
   test(`messages are read and written to the byte: ${path}`, () => {
@@ -245,11 +246,11 @@
     const links = new Links();
     for (const [question, answer] of list) {
       const peer = { label: 'n1', zone: 'a', address: `${here.host}:${port}` };
-      const beat = whole(readBeat(bytes(question)));
-      assert.deepEqual(yield* links.exchange(peer, beat), whole(readBeat(bytes(answer))));
+      const beat = whole(decodePeerHeartbeat(bytes(question)));
+      assert.deepEqual(yield* links.exchange(peer, beat), whole(decodePeerHeartbeat(bytes(answer))));
       assert.equal(asked.at(-1), `/beat ${question}`);
-      const peers: Pick<Peers, 'receive'> = { receive: () => whole(readBeat(bytes(answer))) };
-      const said = answerBeat(peers as Peers, bytes(question));
+      const peers: Pick<Peers, 'receive'> = { receive: () => whole(decodePeerHeartbeat(bytes(answer))) };
+      const said = respondToHeartbeat(peers, bytes(question));
       assert.equal(Buffer.from(said.body).toString('base64'), answer);
     }
   });
--- a/packages/simulation/test/support/fixed-forms.ts
+++ b/packages/simulation/test/support/fixed-forms.ts
@@ -1,7 +1,7 @@
 /** Forms that no recorded day shows, written from fixed content: a snapshot's files, a restore, a check between controllers. */
 import { Effect, Random } from 'effect';
 import { JobState } from '@lilacvalve/controller/jobs/job-state';
-import { answerCheck, encodeQuestion } from '@lilacvalve/controller/recovery/view-verification';
+import { answerCheckRequest, encodeCheckRequest } from '@lilacvalve/controller/recovery/view-verification';
 import { restore } from '@lilacvalve/controller/snapshots/restore';
 import type { StatePort } from '@lilacvalve/controller/state-store/port';
 import type { Files } from '@lilacvalve/snapshot/files';
@@ -104,11 +104,11 @@
 export const checks = (pairs: Pairs): Buffer[] => {
   const full = viewOf(pairs);
   const empty = new JobState();
-  const question = encodeQuestion('i-1', full);
+  const question = encodeCheckRequest('i-1', full);
   return [
     question,
-    answerCheck(question, empty, 'i-1', 77)!,
-    answerCheck(encodeQuestion('i-1', empty), full, 'i-1', 77)!,
-    answerCheck(question, full, 'i-2', 77)!,
+    answerCheckRequest(question, empty, 'i-1', 77)!,
+    answerCheckRequest(encodeCheckRequest('i-1', empty), full, 'i-1', 77)!,
+    answerCheckRequest(question, full, 'i-2', 77)!,
   ];
 };
--- a/packages/simulation/test/support/recorded-day.ts
+++ b/packages/simulation/test/support/recorded-day.ts
@@ -5,7 +5,7 @@
 import { createHash } from 'node:crypto';
 import { readFileSync } from 'node:fs';
 import { Effect } from 'effect';
-import { pack } from 'msgpackr';
+import { encodePeerHeartbeat } from '@lilacvalve/controller/leadership/codec';
 import { readExperiment } from '../../src/experiment.js';
 import { World } from '../../src/world/world.js';
 
@@ -100,9 +100,9 @@
       const { peers } = node;
       const receive = peers.receive.bind(peers);
       peers.receive = (beat) => {
-        const question = Buffer.from(pack(beat));
+        const question = Buffer.from(encodePeerHeartbeat(beat));
         const answer = receive(beat);
-        messages.push(['/beat', question, Buffer.from(pack(answer))]);
+        messages.push(['/beat', question, Buffer.from(encodePeerHeartbeat(answer))]);
         return answer;
       };
       const open = node as { -readonly [K in keyof typeof node]: (typeof node)[K] };
