--- a/packages/controller/test/accounts.test.ts
+++ b/packages/controller/test/accounts.test.ts
@@ -301,7 +301,7 @@
         return { ok: true, revision: 1 };
       }),
   };
-  const t = { store, clock: () => us((clock += 1e12)), ledger: new Ledger(), jobState: { accounts: { closed, pending: [] } }, leaderTerm: { stamp: 1, term: 1 }, mayAct: () => true, watcher: { refresh: Effect.void }, settings: { state: { valueBytes: 16_384 } } } as unknown as CycleContext; // prettier-ignore
+  const t = { store, clock: () => us((clock += 1e12)), ledger: new Ledger(), jobState: { accounts: { closed, pending: [] } }, leaderTerm: { stamp: 1, number: 1 }, mayAct: () => true, watcher: { refresh: Effect.void }, settings: { state: { valueBytes: 16_384 } } } as unknown as CycleContext; // prettier-ignore
   return { keys, t };
 };
 
--- a/packages/controller/test/heartbeat-codec.test.ts
+++ b/packages/controller/test/heartbeat-codec.test.ts
@@ -78,13 +78,13 @@
   const settings = worldSettings('n0');
   const registry = new WorkerRegistry(settings, jobState, 3, 0 as Micros);
   registry.removed('vm-2');
-  const leaderTerm = { term: 3, stamp: 1, began: 0 as Micros };
+  const leaderTerm = { number: 3, stamp: 1, began: 0 as Micros };
   const leadership = {
-    answering: () => leaderTerm,
-    mayAct: () => null,
+    answeringTerm: () => leaderTerm,
+    currentTerm: () => null,
     depose: () => undefined,
     mayStart: () => true,
-  };
+  } satisfies Pick<Leadership, 'answeringTerm' | 'currentTerm' | 'depose' | 'mayStart'>;
   const receive = receiver(
     leadership as unknown as Leadership,
     () => ({ registry, nextTurn: () => undefined }),
--- a/packages/controller/test/late-answers.test.ts
+++ b/packages/controller/test/late-answers.test.ts
@@ -55,13 +55,14 @@
   const waiting: (() => void)[] = [];
   const deposedBy: number[] = [];
   const state = { term: TERM as number | null, at: 10 };
-  const leaderTerm = () => (state.term === null ? null : { term: state.term, stamp: 1, began: 0 as Micros });
+  const leaderTerm = () =>
+    state.term === null ? null : { number: state.term, stamp: 1, began: 0 as Micros };
   const leadership = {
-    answering: leaderTerm,
-    mayAct: leaderTerm,
+    answeringTerm: leaderTerm,
+    currentTerm: leaderTerm,
     mayStart: () => true,
     depose: (t: number) => void deposedBy.push(t),
-  };
+  } satisfies Pick<Leadership, 'answeringTerm' | 'currentTerm' | 'depose' | 'mayStart'>;
   const receive = receiver(
     leadership as unknown as Leadership,
     () => ({ registry: b, nextTurn: (then) => void waiting.push(then) }),
--- a/packages/controller/test/meetings.test.ts
+++ b/packages/controller/test/meetings.test.ts
@@ -61,16 +61,16 @@
   ) {
     this.catchUp();
     this.registry = new WorkerRegistry(settings, this.jobState, term, began);
-    const leaderTerm = { term, stamp: 0, began };
+    const leaderTerm = { number: term, stamp: 0, began };
     const leadership = {
-      answering: () => (this.over ? null : leaderTerm),
+      answeringTerm: () => (this.over ? null : leaderTerm),
       mayStart: () => true,
-      mayAct: () => (this.mayAct() ? leaderTerm : null),
+      currentTerm: () => (this.mayAct() ? leaderTerm : null),
       depose: (token: number) => void (token > term && (this.over = true)),
-    } as unknown as Leadership;
+    } satisfies Pick<Leadership, 'answeringTerm' | 'currentTerm' | 'depose' | 'mayStart'>;
     const desk = { registry: this.registry, nextTurn: (then: () => void) => void this.waiting.push(then) };
     const receive = receiver(
-      leadership,
+      leadership as unknown as Leadership,
       () => desk,
       () => w.time.now as Micros,
       new Contacts(settings),
--- a/packages/controller/test/worker-registry.test.ts
+++ b/packages/controller/test/worker-registry.test.ts
@@ -112,14 +112,14 @@
   let registry = placed(5);
   let at = 0;
   let active = true;
-  const leaderTerm = { term: 5, stamp: 1, began: 0 as Micros };
+  const leaderTerm = { number: 5, stamp: 1, began: 0 as Micros };
   let starts = true;
   const leadership = {
-    answering: () => leaderTerm,
-    mayAct: () => null,
+    answeringTerm: () => leaderTerm,
+    currentTerm: () => null,
     depose: () => undefined,
     mayStart: () => starts,
-  };
+  } satisfies Pick<Leadership, 'answeringTerm' | 'currentTerm' | 'depose' | 'mayStart'>;
   const receive = receiver(
     leadership as unknown as Leadership,
     () => ({ registry, nextTurn: () => undefined }),
