--- a/packages/controller/test/heartbeat-codec.test.ts
+++ b/packages/controller/test/heartbeat-codec.test.ts
@@ -84,13 +84,13 @@
     currentTerm: () => null,
     depose: () => undefined,
     mayStart: () => true,
-  };
+  } satisfies Pick<Leadership, 'answeringTerm' | 'currentTerm' | 'depose' | 'mayStart'>;
   const receive = receiver(
     leadership as unknown as Leadership,
     () => ({ registry, nextTurn: () => undefined }),
     () => 0 as Micros,
     new Contacts(settings),
-    { suspected: false, heardToken: () => undefined },
+    { suspected: false, noteToken: () => undefined },
   );
   const lost = () => assert.fail('passed on');
   const handle = heartbeatHandler(
--- a/packages/controller/test/meetings.test.ts
+++ b/packages/controller/test/meetings.test.ts
@@ -67,16 +67,16 @@
       mayStart: () => true,
       currentTerm: () => (this.mayAct() ? leaderTerm : null),
       depose: (token: number) => void (token > term && (this.over = true)),
-    } as unknown as Leadership;
+    } satisfies Pick<Leadership, 'answeringTerm' | 'currentTerm' | 'depose' | 'mayStart'>;
     const desk = { registry: this.registry, nextTurn: (then: () => void) => void this.waiting.push(then) };
     const receive = receiver(
-      leadership,
+      leadership as unknown as Leadership,
       () => desk,
       () => w.time.now as Micros,
       new Contacts(settings),
       {
         suspected: false,
-        heardToken: () => undefined,
+        noteToken: () => undefined,
       },
     );
     const nowhere = () => undefined;
--- a/packages/controller/test/worker-registry.test.ts
+++ b/packages/controller/test/worker-registry.test.ts
@@ -119,7 +119,7 @@
     currentTerm: () => null,
     depose: () => undefined,
     mayStart: () => starts,
-  };
+  } satisfies Pick<Leadership, 'answeringTerm' | 'currentTerm' | 'depose' | 'mayStart'>;
   const receive = receiver(
     leadership as unknown as Leadership,
     () => ({ registry, nextTurn: () => undefined }),
@@ -129,7 +129,7 @@
       get suspected() {
         return active;
       },
-      heardToken: () => undefined,
+      noteToken: () => undefined,
     },
   );
   const answered = (r: Heartbeat, when: number): void => {
