--- a/packages/controller/src/api/handlers.ts
+++ b/packages/controller/src/api/handlers.ts
@@ -30,7 +30,7 @@
 import type { Settings } from '../settings/settings.js';
 import { Priority } from '../state-store/budget.js';
 import { Refused, type StateFailure, type Write } from '../state-store/client.js';
-import { REPORTS } from '../workers/codec.js';
+import { HEARTBEAT_PATH } from '../workers/codec.js';
 import type { StatePort } from '../state-store/port.js';
 
 export interface ApiDeps {
@@ -382,7 +382,7 @@
       Effect.succeed(json(405, { error: 'method not allowed' }, { Allow: allow }));
     countMetric(r.path === '/ready' ? 'probes' : r.path === '/work' ? 'submissions' : 'polls');
     // Reports themselves are taken before they get here.
-    if (r.path === REPORTS) return wrong('POST');
+    if (r.path === HEARTBEAT_PATH) return wrong('POST');
     if (r.path === '/ready') {
       if (r.method !== 'GET') return wrong('GET');
       const reason = ready();
--- a/packages/controller/src/calendar/duty.ts
+++ b/packages/controller/src/calendar/duty.ts
@@ -85,7 +85,7 @@
   for (const job of t.jobState.jobs.values()) {
     if (job.spec.tie === null || job.withdrawn || isComplete(job)) continue;
     // What the same record completes is not at risk; it may have missed.
-    const ends = t.registry.ends.get(job.spec.id);
+    const ends = t.registry.exits.get(job.spec.id);
     const over = ends !== undefined && job.done.size + ends.done.size >= job.spec.tasks;
     const say = sayOf(job, calendars.current, day, pace, () => hinderedOf(t, job));
     if (say === null || (over && isRisk(say))) continue;
--- a/packages/controller/src/leadership/leader-session.ts
+++ b/packages/controller/src/leadership/leader-session.ts
@@ -31,10 +31,10 @@
 import type { StatePort } from '../state-store/port.js';
 import { WorkerRegistry } from '../workers/worker-registry.js';
 import {
-  type Desk,
-  Gate,
-  type RenewalDesk,
-  sendUrgent,
+  type HeartbeatService,
+  CycleGate,
+  type LeaseRenewalService,
+  sendUrgentOrders,
   type WorkerPort,
 } from '../workers/heartbeat-handler.js';
 
@@ -89,7 +89,7 @@
 
 export class LeaderSessions {
   /** What the present session offers to whoever takes reports in. */
-  desk: Desk | RenewalDesk | null = null;
+  desk: HeartbeatService | LeaseRenewalService | null = null;
   readonly fleet: { news: ProvisioningNews; listed: boolean } = { news: NO_NEWS, listed: false };
   /** Jobs that a rebuild has gathered and not written yet; null: that is not known here. */
   private owed: ((id: string) => boolean) | null = null;
@@ -140,7 +140,7 @@
       if (p.jobState.rebuild === null || p.jobState.rebuild.phase === 'wait') return Effect.void;
       this.desk = {
         term: leaderTerm.number,
-        cancelled: (id) =>
+        isCancelled: (id) =>
           p.jobState.jobs.get(id)?.withdrawn === true ||
           p.relics.all.some((x) => x.jobs.get(id)?.withdrawn === true),
       };
@@ -178,7 +178,7 @@
       const registry = new WorkerRegistry(p.settings, p.jobState, leaderTerm.number, began);
       // What the last leader said of its machines, with the time passed since.
       const heard = p.peers.lastNews();
-      if (heard !== null) registry.warm(heard.news, heard.at);
+      if (heard !== null) registry.applyProvisioningNews(heard.news, heard.at);
       this.fleet.news = heard?.news ?? NO_NEWS;
       this.fleet.listed = false;
       const t: CycleContext = {
@@ -204,25 +204,25 @@
         largest: new Largest(p.jobState.largest),
       };
       const view: CycleState = { result: null, surplus: new Set(), companions: [], cost: 0, behind: false };
-      const gate = new Gate(p.clock);
+      const gate = new CycleGate(p.clock);
       this.desk = {
         registry,
-        nextTurn: (then) => {
+        afterNextCycle: (then) => {
           gate.wait(then);
           Queue.unsafeOffer(wake, undefined);
         },
       };
-      const relieve = Effect.sync(() => gate.relieve(LONGEST_TURN)).pipe(
+      const relieve = Effect.sync(() => gate.releaseOverdue(LONGEST_TURN)).pipe(
         Effect.zipRight(tick(OVER_MS)),
         Effect.forever,
       );
       const turns = Effect.gen(function* () {
         yield* Queue.take(wake).pipe(Effect.timeoutOption(TURN_EVERY_MS));
-        gate.begin();
+        gate.cycleBegan();
         yield* (t.mayAct() ? runCycle(t, view) : Effect.void).pipe(
-          Effect.ensuring(Effect.sync(() => gate.open())),
+          Effect.ensuring(Effect.sync(() => gate.cycleEnded())),
         );
-        if (t.mayAct()) yield* sendUrgent(registry, p.workers, p.admission);
+        if (t.mayAct()) yield* sendUrgentOrders(registry, p.workers, p.admission);
         yield* Effect.sleep(cycleGapMs(registry.machines.size, toMillis(view.cost), view.behind));
       }).pipe(Effect.forever);
       const tidy = supervise('upkeep', upkeep(t).pipe(Effect.zipRight(tick(UPKEEP_GAP_MS)), Effect.forever));
@@ -250,7 +250,7 @@
           concurrency: 'unbounded',
           discard: true,
         },
-      ).pipe(Effect.ensuring(Effect.sync(() => gate.relieve(seconds(0)))));
+      ).pipe(Effect.ensuring(Effect.sync(() => gate.releaseOverdue(seconds(0)))));
     });
   }
 
@@ -261,9 +261,11 @@
       yield* Effect.ignore(listen(r, gathered, this.p.peers.withRelics()));
       const generation = jobState.incarnation?.generation ?? 0;
       const at = t.clock();
-      if (!jobState.calm && registry.allLapsed(at)) yield* declare(r, CALM);
+      if (!jobState.calm && registry.priorLeasesExpired(at)) yield* declare(r, CALM);
       const all =
-        generation === 0 ? (t.fleet.listed && registry.accounted()) || registry.allLapsed(at) : jobState.calm;
+        generation === 0
+          ? (t.fleet.listed && registry.allMachinesConfirmed()) || registry.priorLeasesExpired(at)
+          : jobState.calm;
       if (!jobState.settled && jobState.rebuild === null && all) yield* declare(r, SETTLED);
       if (generation > 0 && jobState.rebuild?.phase !== 'gather') yield* tendWards(t);
     });
--- a/packages/controller/src/listeners.ts
+++ b/packages/controller/src/listeners.ts
@@ -10,7 +10,7 @@
 import type { LeaderSessions } from './leadership/leader-session.js';
 import type { Peer, Settings } from './settings/settings.js';
 import { countMetric } from './metrics.js';
-import { REPORTS, type Receive, HeartbeatReader } from './workers/codec.js';
+import { HEARTBEAT_PATH, type ReceiveHeartbeats, HeartbeatReader } from './workers/codec.js';
 import { heartbeatHandler } from './workers/heartbeat-handler.js';
 import { HeartbeatRouting } from './workers/heartbeat-routing.js';
 import { HeartbeatRelay, relayHandler, type RelayPort } from './workers/heartbeat-relay.js';
@@ -49,7 +49,7 @@
   readonly contacts: Contacts;
   readonly admission: Admission;
   readonly relay: RelayPort;
-  readonly receive: Receive;
+  readonly receive: ReceiveHeartbeats;
   readonly clock: () => Micros;
 }
 
@@ -71,19 +71,19 @@
   const reports = heartbeatHandler(
     p.receive,
     () => p.sessions.desk !== null && leadership.answeringTerm() !== null,
-    (report, reply) => (leader() === null ? reply(leaderless) : relay.pass(report, reply)),
+    (report, reply) => (leader() === null ? reply(leaderless) : relay.forward(report, reply)),
     (machine) => {
       const leaderTerm = leadership.currentTerm();
       const at = clock();
       if (leaderTerm !== null && at - leaderTerm.began < NEW_LEADER) return null;
       const leads = leaderTerm !== null ? settings.label : (leader()?.label ?? null);
-      return places.elsewhere(machine, leads, (n) => peers.reaches(n), at);
+      return places.redirect(machine, leads, (n) => peers.reaches(n), at);
     },
     (machine) => p.contacts.note(machine, clock()),
     new HeartbeatReader(),
   );
   const quick: Quick = (r, reply) => {
-    if (r.path !== REPORTS || r.method !== 'POST') return false;
+    if (r.path !== HEARTBEAT_PATH || r.method !== 'POST') return false;
     const refusal = admission.enter('report');
     if (refusal !== null) {
       reply(refusal);
@@ -108,7 +108,11 @@
 };
 
 /** Other controllers: beats, reports that they pass on, and what a rebuild asks. */
-export const peerListener = (peers: Peers, receive: Receive, views: (r: Incoming) => Answer | null) => {
+export const peerListener = (
+  peers: Peers,
+  receive: ReceiveHeartbeats,
+  views: (r: Incoming) => Answer | null,
+) => {
   const relayed = relayHandler(receive, new HeartbeatReader());
   const answer = (r: Incoming): Answer => {
     if (r.method !== 'POST') return json(405, {}, { Allow: 'POST' });
--- a/packages/controller/src/main.ts
+++ b/packages/controller/src/main.ts
@@ -13,7 +13,7 @@
 import { heapFigures, memoryPart } from './overload/memory.js';
 import { readSettings, type Settings } from './settings/settings.js';
 import { StateStore } from './state-store/client.js';
-import { Workers } from './workers/heartbeat-handler.js';
+import { WorkerClient } from './workers/heartbeat-handler.js';
 
 const version = process.env.LILACVALVE_VERSION ?? 'unbuilt';
 
@@ -24,7 +24,7 @@
       const node = makeNode(settings, {
         store: new StateStore(settings),
         cloud: new Cloud(settings),
-        workers: new Workers(settings),
+        workers: new WorkerClient(settings),
         peers: links,
         views: links,
         relay: links,
--- a/packages/controller/src/node.ts
+++ b/packages/controller/src/node.ts
@@ -30,7 +30,7 @@
 import { snapshotDuty } from './snapshots/duty.js';
 import type { StatePort } from './state-store/port.js';
 import type { WorkerRegistry } from './workers/worker-registry.js';
-import { receiver, type WorkerPort } from './workers/heartbeat-handler.js';
+import { heartbeatReceiver, type WorkerPort } from './workers/heartbeat-handler.js';
 import type { RelayPort } from './workers/heartbeat-relay.js';
 
 export interface Ports {
@@ -263,7 +263,7 @@
     dayTime: ports.dayTime,
     balance: ports.balance ?? null,
   });
-  const receive = receiver(leadership, () => sessions.desk, clock, contacts, lossDetector);
+  const receive = heartbeatReceiver(leadership, () => sessions.desk, clock, contacts, lossDetector);
   const users = userListener(
     {
       settings,
--- a/packages/controller/src/provisioning/autoscaler.ts
+++ b/packages/controller/src/provisioning/autoscaler.ts
@@ -84,7 +84,7 @@
     const machines = yield* cloud.list();
     listedOnce = true;
     t.fleet.listed = true;
-    t.registry.listing(machines, t.clock());
+    t.registry.applyListing(machines, t.clock());
     for (const l of machines) rented.delete(l.id);
   });
 
@@ -110,12 +110,12 @@
             type: m.type,
             zone: m.zone,
             ageS: Math.round((at - m.since) / 1e6),
-            listed: m.listed,
+            listed: m.cloudStatus,
           });
         }
       }
     }
-    for (const machine of t.registry.deaf.splice(0))
+    for (const machine of t.registry.unreachableWorkers.splice(0))
       yield* info('answers do not reach machine', { term: t.leaderTerm.number, machine });
     const old = at - 3 * t.settings.cloud.listLag - LIST_MARGIN;
     for (const known of [rented, removed]) for (const [id, since] of known) if (since < old) known.delete(id);
@@ -136,14 +136,14 @@
       const closed = candidates.slice(0, 100).filter((id) => !(onlyEmpty && holds(id)));
       for (const id of closed) {
         const m = t.registry.machines.get(id);
-        if (m) m.closed = reason;
+        if (m) m.cordonReason = reason;
       }
       if (onlyEmpty) {
         // A start decided just before the machine was closed may still be on its way into the record.
         yield* Effect.sleep(400);
         for (const id of closed) {
           const m = t.registry.machines.get(id);
-          if (m && holds(id) && m.closed === reason) m.closed = null;
+          if (m && holds(id) && m.cordonReason === reason) m.cordonReason = null;
         }
       }
       const ids = closed.filter((id) => !(onlyEmpty && holds(id)));
@@ -157,13 +157,13 @@
             if (sent) return;
             for (const id of ids) {
               const m = t.registry.machines.get(id);
-              if (m?.closed === reason) m.closed = null;
+              if (m?.cordonReason === reason) m.cordonReason = null;
             }
           }),
         ),
       );
       for (const id of ids) {
-        t.registry.removed(id);
+        t.registry.removeMachine(id);
         removed.set(id, t.clock());
         for (const known of [awaited, overdue, unneeded, rented]) known.delete(id);
       }
@@ -186,8 +186,8 @@
     const surplus: string[] = [];
     for (const m of t.registry.machines.values()) {
       const on = t.jobState.byMachine.get(m.id)?.size ?? 0;
-      if (m.listed === 'failed') failed.push(m.id);
-      else if (m.reported && at > t.registry.leaseEnd(m) + SILENT) dead.push(m.id);
+      if (m.cloudStatus === 'failed') failed.push(m.id);
+      else if (m.reported && at > t.registry.leaseExpiry(m) + SILENT) dead.push(m.id);
       else if (isDeaf(m, t.settings.workers, at)) deaf.push(m.id);
       else if (isMute(m, t.settings.workers, at)) mute.push(m.id);
       else if (!m.reported) {
@@ -205,7 +205,7 @@
         m.emptySince !== null &&
         on === 0 &&
         m.recallAt === null &&
-        !(m.closed === null && needed.has(m.id))
+        !(m.cordonReason === null && needed.has(m.id))
       ) {
         idle.push({
           id: m.id,
@@ -225,7 +225,7 @@
     yield* remove(surplus, 'overdue and not needed', true);
     // Only with a view of the demand from a recent cycle, and never while a start may be on its way.
     const back = returns(idle, (m) =>
-      t.registry.machines.get(m.id)?.closed
+      t.registry.machines.get(m.id)?.cordonReason
         ? (0 as Micros)
         : view.surplus.has(m.id) || overdue.has(m.id)
           ? IDLE_SURPLUS
@@ -248,12 +248,12 @@
     const coming = new Map<string, { m: Machine; a: Awaited }[]>();
     for (const m of t.registry.machines.values()) {
       const k = types.get(m.type);
-      if (!k || m.closed !== null || m.listed === 'failed' || m.recallAt !== null) continue;
+      if (!k || m.cordonReason !== null || m.cloudStatus === 'failed' || m.recallAt !== null) continue;
       const free = result.free.get(m.id);
-      if (t.registry.open(m, at) && free)
+      if (t.registry.isSchedulable(m, at) && free)
         bins.push({ id: m.id, type: m.type, zone: m.zone, spot: m.spot, free });
       else if (!m.reported || !m.confirmed) {
-        if (m.listed === 'running') silent = true;
+        if (m.cloudStatus === 'running') silent = true;
         const alike = coming.get(offerKey(m));
         const one = { m, a: waitedFor(m, at) };
         if (alike) alike.push(one);
@@ -295,7 +295,7 @@
       demand,
       companions: view.companions,
       surplus: view.surplus,
-      avoid: (job) => t.registry.avoid(job),
+      avoid: (job) => t.registry.avoidedMachines(job),
       refused: (o) => at < (refusedUntil.get(offerKey(o)) ?? 0),
       late: (o) => boots.late(bootKey(o), bootOf(o.type), overdueOf.get(bootKey(o)) ?? 0, at),
       most: 40,
@@ -317,7 +317,7 @@
       if (got !== null) {
         const since = t.clock();
         for (const id of got)
-          if (t.registry.rented(id, since, { type: w.type, zone: w.zone, spot: w.spot }))
+          if (t.registry.addRentedMachine(id, since, { type: w.type, zone: w.zone, spot: w.spot }))
             rented.set(id, since);
         yield* info('machines rented', {
           term: t.leaderTerm.number,
--- a/packages/controller/src/recovery/orphaned-jobs.ts
+++ b/packages/controller/src/recovery/orphaned-jobs.ts
@@ -20,7 +20,7 @@
   Effect.gen(function* () {
     const { registry, jobState } = t;
     const fresh = [...registry.unknownJobs]
-      .filter(([id]) => !jobState.wards.has(id) && !registry.givenUp.has(id))
+      .filter(([id]) => !jobState.wards.has(id) && !registry.abortedUnknownJobs.has(id))
       .slice(0, MOST);
     const write = (
       when: { key: string; stamp: number }[],
@@ -47,9 +47,9 @@
     }
     for (const [id, w] of jobState.wards) {
       const old = t.dayTime() - w.since > WARD_FOR;
-      if (!old && (registry.unknownJobs.has(id) || !registry.allLapsed(t.clock()))) continue;
+      if (!old && (registry.unknownJobs.has(id) || !registry.priorLeasesExpired(t.clock()))) continue;
       // Nobody has submitted it again, or nothing of it is left.
-      if (old) registry.givenUp.add(id);
+      if (old) registry.abortedUnknownJobs.add(id);
       if (yield* write([{ key: wardKey(id), stamp: w.stamp }], { delete: wardKey(id) }))
         yield* info('ward given up', {
           term: t.leaderTerm.number,
--- a/packages/controller/src/scheduler/commit.ts
+++ b/packages/controller/src/scheduler/commit.ts
@@ -53,7 +53,7 @@
 const refused = (t: CycleContext, failed: readonly string[], when: readonly Condition[]) =>
   Effect.gen(function* () {
     const read = yield* Effect.isSuccess(t.watcher.refresh);
-    t.registry.dirty = true;
+    t.registry.needsCycle = true;
     // Without that read the view is as old as the condition, and a key that somebody has changed looks like a lost one.
     const lost = read ? failed.find((k) => stillKnown(t, k, when)) : undefined;
     if (lost !== undefined) t.lossDetector.suspect('key lost', `${lost} is not as it was`);
@@ -70,7 +70,7 @@
       else while (!t.jobState.tail.has(r.seq) && t.isCurrentTerm()) yield* Effect.ignore(t.watcher.refresh);
       let started = 0;
       for (const [id, c] of r.jobs) {
-        t.registry.settled(id, c.done ?? [], c.gone ?? []);
+        t.registry.dropDurableExits(id, c.done ?? [], c.gone ?? []);
         for (const on of c.start?.on.values() ?? []) started += on.length;
       }
       yield* logSaid(t, r.jobs, r.head.at);
@@ -108,7 +108,7 @@
     }
     booking.committed(spent);
     yield* takeIn(t, records, outcome.revision);
-    if (!draft.whole) t.registry.dirty = true;
+    if (!draft.whole) t.registry.needsCycle = true;
     for (const e of draft.ended) yield* info('loan ended', { term: t.leaderTerm.number, ...e });
     return { lent: draft.lent, behind: !draft.whole };
   });
--- a/packages/controller/src/scheduler/draft.ts
+++ b/packages/controller/src/scheduler/draft.ts
@@ -236,7 +236,7 @@
 
 const endedJobs = (t: CycleContext): EndedJob[] => {
   const out: EndedJob[] = [];
-  for (const [id, e] of t.registry.ends) {
+  for (const [id, e] of t.registry.exits) {
     const job = t.jobState.jobs.get(id);
     if (!job) continue;
     // A gang that completed is done as a whole, whatever else its members said.
@@ -248,7 +248,7 @@
 
 const draftLoans = (t: CycleContext, d: Drafting, stops: readonly Stop[]): void => {
   for (const { taker, repay, ends } of endings(t.jobState.jobs, d.started, (job) =>
-    t.registry.unsettled(job),
+    t.registry.hasUnsettledTasks(job),
   ))
     if (d.add(taker, (c) => ({ ...c, repay }))) d.ended.push(...ends);
   for (const { taker, lend, taken, stops: of } of loansMade(stops)) {
--- a/packages/controller/src/scheduler/run-cycle.ts
+++ b/packages/controller/src/scheduler/run-cycle.ts
@@ -88,17 +88,17 @@
 export const runCycle = (t: CycleContext, view: CycleState) =>
   Effect.gen(function* () {
     const at = t.clock();
-    for (const machine of t.registry.lapse(at, t.acknowledged()))
+    for (const machine of t.registry.expireLeases(at, t.acknowledged()))
       yield* info('lease lapsed', { term: t.leaderTerm.number, machine });
-    for (const job of t.registry.suspects(at))
+    for (const job of t.registry.newSuspects(at))
       yield* info('job looks broken', { term: t.leaderTerm.number, job });
-    for (const { machine, faulty } of t.registry.judge(at))
+    for (const { machine, faulty } of t.registry.updateQuarantine(at))
       yield* info(faulty ? 'machine blamed' : 'blame taken back', { term: t.leaderTerm.number, machine });
-    for (const job of t.registry.abandon(at))
+    for (const job of t.registry.abandonUnadoptableJobs(at))
       yield* info('tasks of before a loss stopped', { term: t.leaderTerm.number, job });
-    t.registry.dirty = false;
-    t.registry.recalls(at);
-    for (const job of t.registry.complete((t.dayTime() - (at - t.leaderTerm.began)) as Micros)) {
+    t.registry.needsCycle = false;
+    t.registry.drainRecalledMachines(at);
+    for (const job of t.registry.newlyCompleteServices((t.dayTime() - (at - t.leaderTerm.began)) as Micros)) {
       const { id, tasks, imageGb, submitted } = job.spec;
       const afterS = Math.round((t.dayTime() - submitted) / 1e6);
       yield* info('service complete', {
@@ -109,12 +109,13 @@
         imageGb,
       });
     }
-    for (const job of t.registry.halfTold(at))
+    for (const job of t.registry.completePartialPreemptions(at))
       yield* info('gang half told to stop', { term: t.leaderTerm.number, job });
     for (const job of t.jobState.jobs.values()) {
-      if (job.placed.size > 0 && (job.withdrawn || t.registry.isBroken(job))) t.registry.clearAway(job);
+      if (job.placed.size > 0 && (job.withdrawn || t.registry.isBrokenGang(job)))
+        t.registry.stopRemainingTasks(job);
     }
-    if (!t.jobState.calm && !t.registry.allLapsed(at)) {
+    if (!t.jobState.calm && !t.registry.priorLeasesExpired(at)) {
       // After a loss somebody may be running what nobody here knows of: until all have shown themselves or their
       // leases have lapsed, only what ends and what is found running is recorded.
       yield* commit(t, []);
@@ -136,7 +137,7 @@
       queued,
       companions: view.companions,
       surplus: view.surplus,
-      avoid: (job) => t.registry.avoid(job),
+      avoid: (job) => t.registry.avoidedMachines(job),
       attempts: Math.max(t.jobState.floor, t.jobState.attempts),
       mostPlaces: mostPlaces(t.settings.state),
       lending: lendingOf(t, at, queued),
--- a/packages/controller/src/scheduler/upkeep.ts
+++ b/packages/controller/src/scheduler/upkeep.ts
@@ -24,7 +24,7 @@
   Effect.gen(function* () {
     const over: Job[] = [];
     for (const job of t.jobState.jobs.values()) {
-      if (finalState(job) !== null && !t.registry.ends.has(job.spec.id)) over.push(job);
+      if (finalState(job) !== null && !t.registry.exits.has(job.spec.id)) over.push(job);
       // Two changes each, and a third where a pack lists it.
       const each = t.jobState.packOf.size > 0 ? 3 : 2;
       // A tied job's occurrence has a count, which changes too.
--- a/packages/controller/src/scheduler/views.ts
+++ b/packages/controller/src/scheduler/views.ts
@@ -4,7 +4,7 @@
 import { cutoffRank } from '../calendar/slack.js';
 import { isComplete, type Job, taskKey } from '../jobs/model.js';
 import { mayBorrow } from '../lending/loans.js';
-import { type WorkerRegistry, type Ends, endsOf } from '../workers/worker-registry.js';
+import { type WorkerRegistry, type TaskExits, hasExited } from '../workers/worker-registry.js';
 import {
   type Companion,
   fits,
@@ -49,7 +49,7 @@
   // Thousands of tasks at each turn: what is the same for all of a machine or a job is asked once.
   interface OfJob {
     readonly leaves: boolean;
-    readonly ends: Ends | undefined;
+    readonly ends: TaskExits | undefined;
   }
   const jobs = new Map<Job, OfJob>();
   let last: Job | null = null;
@@ -64,14 +64,14 @@
       if (job !== last) {
         let of = jobs.get(job);
         if (of === undefined) {
-          of = { leaves: job.withdrawn || registry.isBroken(job), ends: registry.ends.get(job.spec.id) };
+          of = { leaves: job.withdrawn || registry.isBrokenGang(job), ends: registry.exits.get(job.spec.id) };
           jobs.set(job, of);
         }
         last = job;
         known = of;
       }
       // Seen to be over: the record that says so is the one that fills its room again.
-      if (known.ends !== undefined && endsOf(known.ends, task)) return;
+      if (known.ends !== undefined && hasExited(known.ends, task)) return;
       const leaving = away || known.leaves || (stops && registry.stopping.has(key));
       out.push(new HeldTask(job, task, machine, zone, leaving, key, at, registry));
     });
@@ -105,7 +105,7 @@
       total: [k.cpus, k.gpus, k.memGb],
       images: m.images,
       ...(fetches.has(m.id) ? { fetches: true } : {}),
-      open: t.registry.open(m, at),
+      open: t.registry.isSchedulable(m, at),
     });
   }
   return out;
@@ -144,11 +144,11 @@
   // What one job's key must be able to hold.
   const most = Math.max(50, Math.floor((t.settings.state.valueBytes * 0.5) / 12));
   for (const job of t.jobState.jobs.values()) {
-    if (job.withdrawn || isComplete(job) || at < t.registry.heldUntil(job, at)) continue;
-    const ends = t.registry.ends.get(job.spec.id);
-    const on = job.placed.size - (ends ? [...job.placed.keys()].filter((i) => endsOf(ends, i)).length : 0);
+    if (job.withdrawn || isComplete(job) || at < t.registry.retryNotBefore(job, at)) continue;
+    const ends = t.registry.exits.get(job.spec.id);
+    const on = job.placed.size - (ends ? [...job.placed.keys()].filter((i) => hasExited(ends, i)).length : 0);
     const tasks: number[] = [];
-    const broken = t.registry.looksBroken(job, at);
+    const broken = t.registry.isSuspect(job, at);
     const gang = job.spec.shape === 'gang';
     // Something of it runs that no record knows of: it is taken up or seen to end before more of it is started.
     if (t.registry.orphanedTasks.has(job.spec.id)) continue;
@@ -169,7 +169,7 @@
     const passedOver = from !== null && day >= from;
     const rank =
       tied === null ? rankOf(job, day, promise, broken, from) : passedOver ? from : IN_TIME_RANK + tied;
-    const rents = !broken || at - t.registry.heldUntil(job, at) > TRIED_BY_NOW;
+    const rents = !broken || at - t.registry.retryNotBefore(job, at) > TRIED_BY_NOW;
     const gathers = gang && !broken && from !== null && day >= from + GATHERS_AFTER;
     const overdue = t.waits.overdue(job, at) && !broken;
     out.push({ job, tasks, rank, gathers, cautious: broken, rents, ...(overdue ? { overdue } : {}) });
--- a/packages/controller/src/workers/codec.ts
+++ b/packages/controller/src/workers/codec.ts
@@ -45,7 +45,7 @@
   unknown: 'unknown',
 };
 
-interface WireReport {
+interface WireHeartbeat {
   readonly host: unknown;
   readonly addr: unknown;
   readonly hostKind: unknown;
@@ -89,7 +89,7 @@
   return tasks;
 };
 
-const reportOf = (v: WireReport, tasks: readonly ReportedTask[] | null): Heartbeat | null => {
+const heartbeatOf = (v: WireHeartbeat, tasks: readonly ReportedTask[] | null): Heartbeat | null => {
   if (typeof v !== 'object' || v === null || tasks === null) return null;
   const { host, addr, hostKind, room, tenure, tick, warrant } = v;
   const recall = v.recallS ?? null;
@@ -123,9 +123,9 @@
  * A report's body; null: it is malformed. Checked by hand: hundreds come in a second, and a schema's decoder takes
  * several times as long as reading the JSON does.
  */
-export const readReport = (body: Buffer): Heartbeat | null => {
-  const v = parsed<WireReport>(body.toString('utf8'));
-  return v === null ? null : reportOf(v, readTasks(v.pieces ?? []));
+export const readHeartbeat = (body: Buffer): Heartbeat | null => {
+  const v = parsed<WireHeartbeat>(body.toString('utf8'));
+  return v === null ? null : heartbeatOf(v, readTasks(v.pieces ?? []));
 };
 
 const PIECES = '"pieces":';
@@ -147,15 +147,15 @@
     const all = body.toString('utf8');
     const from = all.indexOf(PIECES);
     // Up to here it is an object that awaits a key, or this is no object.
-    const head = from < 0 ? null : parsed<WireReport>(`${all.slice(0, from)}"pieces":0}`);
-    if (head === null || typeof head !== 'object' || !text(head.host)) return readReport(body);
+    const head = from < 0 ? null : parsed<WireHeartbeat>(`${all.slice(0, from)}"pieces":0}`);
+    if (head === null || typeof head !== 'object' || !text(head.host)) return readHeartbeat(body);
     const rest = all.slice(from);
     const known = this.known.get(head.host);
-    if (known?.rest === rest) return reportOf(head, known.tasks);
-    const tail = parsed<WireReport>(`{${rest}`);
-    if (tail === null || Object.keys(tail).length !== 1) return readReport(body);
+    if (known?.rest === rest) return heartbeatOf(head, known.tasks);
+    const tail = parsed<WireHeartbeat>(`{${rest}`);
+    if (tail === null || Object.keys(tail).length !== 1) return readHeartbeat(body);
     const tasks = readTasks(tail.pieces ?? []);
-    const report = reportOf(head, tasks);
+    const report = heartbeatOf(head, tasks);
     if (report === null || tasks === null) return null;
     if (this.known.size >= MOST_KNOWN) this.known.clear();
     this.known.set(head.host, { rest, tasks });
@@ -170,28 +170,28 @@
   (HOST.exec(body.toString('utf8', 0, 300)) ?? HOST.exec(body.toString('utf8')))?.[1] ?? null;
 
 /** What a leader answers to several reports. */
-export interface Answers {
+export interface HeartbeatResponses {
   readonly term: number;
   /** Bodies in the reports' order. Empty: no orders, `plainBody` is the answer. null: that report was malformed. */
   readonly bodies: readonly (string | null)[];
 }
 /** Takes reports in, null for a malformed one; answers once, at once or after the next turn. null: it does not lead. */
-export type Receive = (
+export type ReceiveHeartbeats = (
   reports: readonly (Heartbeat | null)[],
-  answer: (answers: Answers | null) => void,
+  answer: (answers: HeartbeatResponses | null) => void,
 ) => void;
 
 /** Where workers report. */
-export const REPORTS = '/agent/beat';
+export const HEARTBEAT_PATH = '/agent/beat';
 
-export const plainBody = (token: number): string => `{"warrant":${token},"orders":[]}`;
+export const emptyResponse = (token: number): string => `{"warrant":${token},"orders":[]}`;
 
 export type Order =
   | { readonly op: 'start'; readonly key: string; readonly attempt: number }
   | { readonly op: 'stop'; readonly key: string; readonly attempt: number; readonly grace: Micros }
   | { readonly op: 'forget'; readonly key: string; readonly attempt: number };
 
-export const writeOrders = (token: number, orders: readonly Order[], tenure?: number): string =>
+export const encodeOrders = (token: number, orders: readonly Order[], tenure?: number): string =>
   JSON.stringify({
     warrant: token,
     ...(tenure === undefined ? {} : { tenure }),
--- a/packages/controller/src/workers/fault-attribution.ts
+++ b/packages/controller/src/workers/fault-attribution.ts
@@ -42,7 +42,7 @@
   constructor(private readonly began: Micros) {}
 
   /** A task failed after it had run for `ran`. */
-  failed(job: Job, machine: string, ran: number, at: Micros): void {
+  recordFailure(job: Job, machine: string, ran: number, at: Micros): void {
     const { id, shape } = job.spec;
     let s = this.jobs.get(id);
     if (!s)
@@ -65,17 +65,17 @@
   }
 
   /** A task completed: both its job and its machine are sound. */
-  completed(job: Job, machine: string): void {
+  recordCompletion(job: Job, machine: string): void {
     this.machines.delete(machine);
     if (job.failedOn.size > 0 || this.jobs.has(job.spec.id)) this.proven.add(job.spec.id);
   }
 
-  forget(machine: string): void {
+  forgetMachine(machine: string): void {
     this.machines.delete(machine);
   }
 
   /** `ranFor`: how long its longest running task has run by now. */
-  looksBroken(job: Job, ranFor: number): boolean {
+  isSuspect(job: Job, ranFor: number): boolean {
     const { id } = job.spec;
     if (job.done.size > 0 || this.proven.has(id)) return false;
     const s = this.jobs.get(id);
@@ -84,7 +84,7 @@
   }
 
   /** Not before this time should a job that looks broken be tried again. */
-  heldUntil(job: Job): Micros {
+  retryNotBefore(job: Job): Micros {
     const s = this.jobs.get(job.spec.id);
     // Known from an earlier term: this one does not begin with a try of everything that looks broken.
     if (!s) return plus(this.began, FIRST_WAIT[job.spec.shape]);
@@ -92,14 +92,14 @@
   }
 
   /** Machines the job failed on lately. */
-  avoid(job: Job): ReadonlySet<string> | null {
+  avoidedMachines(job: Job): ReadonlySet<string> | null {
     const on = this.jobs.get(job.spec.id)?.machines ?? job.failedOn;
     if (on.size === 0) return null;
     return on.size <= AVOIDED ? on : new Set([...on].slice(-AVOIDED));
   }
 
   /** Machines that the evidence speaks against by now. */
-  faulty(at: Micros, suspect: (job: Job) => boolean): Set<string> {
+  faultyMachines(at: Micros, suspect: (job: Job) => boolean): Set<string> {
     const out = new Set<string>();
     for (const [id, m] of this.machines) {
       if (at - m.since < SETTLED || m.jobs.size < FAULTY_JOBS) continue;
--- a/packages/controller/src/workers/heartbeat-handler.ts
+++ b/packages/controller/src/workers/heartbeat-handler.ts
@@ -12,25 +12,25 @@
 import type { WorkerRegistry } from './worker-registry.js';
 import {
   type Order,
-  type Receive,
+  type ReceiveHeartbeats,
   type Heartbeat,
   type HeartbeatReader,
-  REPORTS,
+  HEARTBEAT_PATH,
   senderOf,
-  writeOrders,
+  encodeOrders,
 } from './codec.js';
 import type { DataLossDetector } from '../recovery/data-loss-detector.js';
-import { answerOf } from './heartbeat-relay.js';
+import { responseAt } from './heartbeat-relay.js';
 
 export interface WorkerPort {
   /** Sends commands to a worker's address; whatever comes of it, the next reports tell. */
-  orders(addr: string, body: string): Effect.Effect<void>;
+  sendOrders(addr: string, body: string): Effect.Effect<void>;
 }
 
 /** The part of a node's sockets that direct orders may take; the rest is for reports and users. */
 const ORDER_SOCKETS = 0.1;
 
-export class Workers implements WorkerPort {
+export class WorkerClient implements WorkerPort {
   private readonly agent: http.Agent;
 
   constructor(settings: Settings) {
@@ -41,7 +41,7 @@
     });
   }
 
-  orders(addr: string, body: string): Effect.Effect<void> {
+  sendOrders(addr: string, body: string): Effect.Effect<void> {
     return new HttpClient(addr, this.agent).request('POST', '/orders', body, 3000).pipe(
       Effect.map(({ status }) => {
         if (status !== 200) recordAnomaly('unheeded', 'order refused', () => ({ addr, status }));
@@ -52,15 +52,15 @@
 }
 
 /** What the leader's session offers to the report handler. */
-export interface Desk {
+export interface HeartbeatService {
   readonly registry: WorkerRegistry;
   /** Calls back when the next turn has run, or soon after. */
-  readonly nextTurn: (then: () => void) => void;
+  readonly afterNextCycle: (then: () => void) => void;
 }
 /** Before a rebuild is durable: leases are renewed, and what users cancelled is stopped; nothing else is ordered. */
-export interface RenewalDesk {
+export interface LeaseRenewalService {
   readonly term: number;
-  readonly cancelled: (job: string) => boolean;
+  readonly isCancelled: (job: string) => boolean;
 }
 
 interface Waiter {
@@ -72,7 +72,7 @@
  * Those that wait for the turn to come; whoever asks during one waits for the one after it. As many as there are
  * reports on their way to this node, which their senders bound.
  */
-export class Gate {
+export class CycleGate {
   private next: Waiter[] = [];
   private current: Waiter[] = [];
 
@@ -83,17 +83,17 @@
   }
 
   /** A turn begins. */
-  begin(): void {
+  cycleBegan(): void {
     this.current.push(...this.next.splice(0));
   }
 
   /** It is over. */
-  open(): void {
+  cycleEnded(): void {
     release(this.current.splice(0));
   }
 
   /** Lets those go that have waited for `longest`: a turn's record may wait for the state service. */
-  relieve(longest: Micros): void {
+  releaseOverdue(longest: Micros): void {
     const old = this.clock() - longest;
     const late = [...this.current, ...this.next].filter((w) => w.since <= old);
     if (late.length === 0) return;
@@ -119,23 +119,23 @@
 const NEW_TERM = seconds(3);
 
 /** The answer to a report during a rebuild. */
-const renewal = (r: Heartbeat | null, d: RenewalDesk): string | null => {
+const renewal = (r: Heartbeat | null, d: LeaseRenewalService): string | null => {
   if (r === null) return null;
   const orders = r.tasks
-    .filter((t) => t.status !== 'exited' && d.cancelled(t.key.slice(0, t.key.indexOf('/'))))
+    .filter((t) => t.status !== 'exited' && d.isCancelled(t.key.slice(0, t.key.indexOf('/'))))
     .map((t): Order => ({ op: 'stop', key: t.key, attempt: t.attempt, grace: 0 as Micros }));
-  return orders.length === 0 ? '' : writeOrders(d.term, orders);
+  return orders.length === 0 ? '' : encodeOrders(d.term, orders);
 };
 
 /** Takes reports in, wherever they came to, and says what their answers are. */
-export const receiver =
+export const heartbeatReceiver =
   (
     leadership: Leadership,
-    desk: () => Desk | RenewalDesk | null,
+    desk: () => HeartbeatService | LeaseRenewalService | null,
     clock: () => Micros,
     contacts: Contacts,
     lossDetector: Pick<DataLossDetector, 'heardToken' | 'suspected'>,
-  ): Receive =>
+  ): ReceiveHeartbeats =>
   (reports, answer) => {
     const at = clock();
     for (const r of reports) {
@@ -157,10 +157,10 @@
     // all the same: its time runs on, and whoever renews leases must not carry it past that.
     if (lossDetector.suspected) {
       for (const r of reports) if (r !== null) registry.renewLeaseOnly(r, at);
-      const cancelled = (id: string): boolean => registry.cancelled(id);
+      const cancelled = (id: string): boolean => registry.isCancelled(id);
       return answer({
         term: leaderTerm.number,
-        bodies: reports.map((r) => renewal(r, { term: leaderTerm.number, cancelled })),
+        bodies: reports.map((r) => renewal(r, { term: leaderTerm.number, isCancelled: cancelled })),
       });
     }
     const machines = reports.map((r) => {
@@ -184,8 +184,8 @@
         if (r === null) return null;
         // Older than what is known by now: this answer must not carry what belongs to a newer report's.
         if (m === null || m.sequence !== r.sequence || m.incarnation !== r.incarnation) return '';
-        const orders = registry.orders(m, starts);
-        return orders.length === 0 ? '' : writeOrders(leaderTerm.number, orders);
+        const orders = registry.ordersFor(m, starts);
+        return orders.length === 0 ? '' : encodeOrders(leaderTerm.number, orders);
       });
       answer({ term: leaderTerm.number, bodies });
     };
@@ -193,14 +193,14 @@
     // out at once instead of a report later.
     // Not in a term's first seconds: all leases want renewing then, and the first turns are the longest.
     const settled = at - leaderTerm.began > NEW_TERM;
-    if (registry.dirty && settled && leadership.currentTerm() !== null) d.nextTurn(finish);
+    if (registry.needsCycle && settled && leadership.currentTerm() !== null) d.afterNextCycle(finish);
     else finish();
   };
 
 /** The workers' address: the leader answers by itself, a follower passes the report on, or names a better node. */
 export const heartbeatHandler =
   (
-    receive: Receive,
+    receive: ReceiveHeartbeats,
     leads: () => boolean,
     pass: (report: Buffer, reply: (a: Answer) => void) => void,
     elsewhere: (machine: string) => string | null,
@@ -208,7 +208,7 @@
     reader: HeartbeatReader,
   ): Quick =>
   (request, reply) => {
-    if (request.method !== 'POST' || request.path !== REPORTS) return false;
+    if (request.method !== 'POST' || request.path !== HEARTBEAT_PATH) return false;
     countMetric('reports');
     const { body } = request;
     if (body === null) {
@@ -228,34 +228,34 @@
       if (report === null) recordAnomaly('malformed', 'malformed report', () => ({ machine: sender }));
       receive([report], (answers) => {
         if (answers === null) pass(body, reply);
-        else reply(answerOf(answers, 0));
+        else reply(responseAt(answers, 0));
       });
     } else pass(body, reply);
     return true;
   };
 
 /** Sends what must not wait for a report. */
-export const sendUrgent = (
+export const sendUrgentOrders = (
   registry: WorkerRegistry,
   port: WorkerPort,
   admission: Pick<Admission, 'enter' | 'leave'>,
 ): Effect.Effect<void> =>
   Effect.suspend(() => {
-    if (registry.urgent.length === 0) return Effect.void;
+    if (registry.urgentOrders.length === 0) return Effect.void;
     const byMachine = new Map<string, { addr: string; tenure: number; orders: Order[] }>();
-    for (const { machine, order } of registry.urgent) {
+    for (const { ensureMachine: machine, order } of registry.urgentOrders) {
       const e = byMachine.get(machine.id);
       if (e) e.orders.push(order);
       else byMachine.set(machine.id, { addr: machine.addr, tenure: machine.incarnation, orders: [order] });
     }
-    registry.urgent = [];
+    registry.urgentOrders = [];
     return Effect.forEach(
       byMachine.values(),
       (e) => {
         // What is shed here goes with the answer to the worker's next report all the same.
         if (admission.enter('order') !== null) return Effect.void;
         countMetric('orders');
-        const sent = port.orders(e.addr, writeOrders(registry.term, e.orders, e.tenure));
+        const sent = port.sendOrders(e.addr, encodeOrders(registry.term, e.orders, e.tenure));
         return Effect.forkDaemon(
           Effect.ensuring(
             sent,
--- a/packages/controller/src/workers/heartbeat-relay.ts
+++ b/packages/controller/src/workers/heartbeat-relay.ts
@@ -16,7 +16,13 @@
 import { type Micros, millis } from '@lilacvalve/runtime/micros';
 import { recordAnomaly, countMetric } from '../metrics.js';
 import type { Peer } from '../settings/settings.js';
-import { type Answers, plainBody, type Receive, type HeartbeatReader, senderOf } from './codec.js';
+import {
+  type HeartbeatResponses,
+  emptyResponse,
+  type ReceiveHeartbeats,
+  type HeartbeatReader,
+  senderOf,
+} from './codec.js';
 
 /** Carries a batch to the leader and its answers back. */
 export interface RelayPort {
@@ -32,13 +38,13 @@
 /** A leader may wait for its next turn before it answers; past this it stands still. */
 export const RELAY_TIMEOUT_MS = 2500;
 /** Batches on their way at once; what comes meanwhile is gathered. */
-const FLYING = 6;
+const MAX_BATCHES_IN_FLIGHT = 6;
 /** Reports in one batch: a large one would keep the leader from others. */
-const MOST = 60;
+const MAX_BATCH = 60;
 /** Reports that wait to be passed on: what all batches on their way hold, once more. Past it the worker tries elsewhere. */
-const MOST_WAITING = FLYING * MOST;
+const MAX_WAITING = MAX_BATCHES_IN_FLIGHT * MAX_BATCH;
 /** A report that has waited here for longer would reach its worker's time-out before its answer does. */
-const LONGEST_WAIT = millis(1200);
+const MAX_WAIT = millis(1200);
 
 interface Waiting {
   readonly report: Buffer;
@@ -48,7 +54,7 @@
 
 export class HeartbeatRelay {
   private waiting: Waiting[] = [];
-  private flying = 0;
+  private inFlight = 0;
   /** In the last batch. */
   private gathered = 0;
   private readonly wake = Effect.runSync(Queue.sliding<void>(1));
@@ -61,8 +67,8 @@
   ) {}
 
   /** Replies with the leader's answer to a report; with 503, at once, when it can't be had. */
-  pass(report: Buffer, reply: (a: Answer) => void): void {
-    if (this.waiting.length >= MOST_WAITING) return reply(retryLater('too many reports'));
+  forward(report: Buffer, reply: (a: Answer) => void): void {
+    if (this.waiting.length >= MAX_WAITING) return reply(retryLater('too many reports'));
     this.waiting.push({ report, since: this.clock(), reply });
     if (this.waiting.length === 1) Queue.unsafeOffer(this.wake, undefined);
   }
@@ -84,29 +90,29 @@
       return Effect.void;
     }
     const flights: Waiting[][] = [];
-    while (this.waiting.length > 0 && this.flying < FLYING) {
-      this.flying++;
-      flights.push(this.waiting.splice(0, MOST));
+    while (this.waiting.length > 0 && this.inFlight < MAX_BATCHES_IN_FLIGHT) {
+      this.inFlight++;
+      flights.push(this.waiting.splice(0, MAX_BATCH));
     }
-    const old = this.clock() - LONGEST_WAIT;
+    const old = this.clock() - MAX_WAIT;
     if (this.waiting.length > 0 && this.waiting[0]!.since < old) {
       const late = this.waiting.filter((w) => w.since < old);
       this.waiting = this.waiting.filter((w) => w.since >= old);
       for (const w of late) w.reply(retryLater('too many reports'));
     }
-    return Effect.forEach(flights, (batch) => Effect.forkDaemon(this.fly(peer, batch)), { discard: true });
+    return Effect.forEach(flights, (batch) => Effect.forkDaemon(this.send(peer, batch)), { discard: true });
   }
 
-  private fly(peer: Peer, batch: readonly Waiting[]): Effect.Effect<void> {
+  private send(peer: Peer, batch: readonly Waiting[]): Effect.Effect<void> {
     return this.port.relay(peer, pack(batch.map((w) => w.report))).pipe(
       Effect.map((body) => {
         this.heard(peer.label);
-        return readAnswers(body, batch.length);
+        return decodeResponses(body, batch.length);
       }),
       Effect.orElseSucceed(() => null),
       Effect.map((answers) => {
-        this.flying--;
-        batch.forEach((w, i) => w.reply(answerOf(answers, i)));
+        this.inFlight--;
+        batch.forEach((w, i) => w.reply(responseAt(answers, i)));
         if (this.waiting.length > 0) Queue.unsafeOffer(this.wake, undefined);
       }),
     );
@@ -114,15 +120,15 @@
 }
 
 /** The answer to the `i`th report; null: the leader has not answered. */
-export const answerOf = (answers: Answers | null, i: number): Answer => {
+export const responseAt = (answers: HeartbeatResponses | null, i: number): Answer => {
   if (answers === null) return retryLater('leader not reached');
   const body = answers.bodies[i]!;
   if (body === null) return json(400, { error: 'malformed report' });
-  return { status: 200, body: body === '' ? plainBody(answers.term) : body };
+  return { status: 200, body: body === '' ? emptyResponse(answers.term) : body };
 };
 
 /** null: not the answers of a leader to so many reports. */
-const readAnswers = (body: Buffer, count: number): Answers | null => {
+const decodeResponses = (body: Buffer, count: number): HeartbeatResponses | null => {
   try {
     const [term, bodies] = unpack(body) as [number, (string | null)[]];
     return Number.isSafeInteger(term) &&
@@ -136,7 +142,7 @@
   }
 };
 
-const readBatch = (body: Buffer): Buffer[] | null => {
+const decodeBatch = (body: Buffer): Buffer[] | null => {
   try {
     const v: unknown = unpack(body);
     return Array.isArray(v) && v.every((r) => r instanceof Uint8Array) ? (v as Buffer[]) : null;
@@ -147,9 +153,9 @@
 
 /** The leader's side: a batch comes in, its answers go back; 503 if it does not lead. */
 export const relayHandler =
-  (receive: Receive, reader: HeartbeatReader): Quick =>
+  (receive: ReceiveHeartbeats, reader: HeartbeatReader): Quick =>
   (request, reply) => {
-    const batch = request.body === null ? null : readBatch(request.body);
+    const batch = request.body === null ? null : decodeBatch(request.body);
     if (batch === null) {
       recordAnomaly('malformed', 'malformed batch', () => ({}));
       reply(json(400, {}));
--- a/packages/controller/src/workers/heartbeat-routing.ts
+++ b/packages/controller/src/workers/heartbeat-routing.ts
@@ -9,7 +9,7 @@
 const AGAIN = seconds(20);
 
 /** Nodes to report to, as far as this node can tell: those that answer and whose successor does, or those that answer. */
-export const goodPlaces = (
+export const eligibleControllers = (
   nodes: readonly string[],
   leader: string,
   answers: (node: string) => boolean,
@@ -20,7 +20,7 @@
 };
 
 /** The same worker always gets the same place among the same nodes, and workers spread evenly. */
-export const placeOf = (machine: string, places: readonly string[]): string => {
+export const assignedController = (machine: string, places: readonly string[]): string => {
   let best = places[0]!;
   let most = -1;
   for (const p of places) {
@@ -42,18 +42,18 @@
   ) {}
 
   /** Where this worker should go instead; null: it is answered here. */
-  elsewhere(
+  redirect(
     machine: string,
     leader: string | null,
     answers: (node: string) => boolean,
     at: Micros,
   ): string | null {
     if (leader === null) return null;
-    const places = goodPlaces(this.nodes, leader, (n) => n === this.self || answers(n));
+    const places = eligibleControllers(this.nodes, leader, (n) => n === this.self || answers(n));
     if (places.length === 0 || places.includes(this.self)) return null;
     const last = this.sent.get(machine);
     if (last !== undefined && at - last < AGAIN) return null;
     this.sent.set(machine, at);
-    return placeOf(machine, places);
+    return assignedController(machine, places);
   }
 }
--- a/packages/controller/src/workers/worker-registry.ts
+++ b/packages/controller/src/workers/worker-registry.ts
@@ -32,7 +32,7 @@
   recallAt: Micros | null;
   readonly tasks: Map<string, ReportedTask>;
   /** The list that `tasks` was made from. */
-  list: readonly ReportedTask[];
+  lastTaskList: readonly ReportedTask[];
   /** Since when it has reported without having shown that; from the last answer on, once its lease has lapsed. */
   unconfirmedSince: Micros;
   /**
@@ -41,16 +41,16 @@
    */
   authoritative: boolean;
   /** Tasks reported in this term and session, with the attempt: a later attempt here has not been seen yet. */
-  readonly seen: Map<string, number>;
+  readonly seenAttempts: Map<string, number>;
   /** Tasks reported that the record does not know. */
   hasUnknownTasks: boolean;
-  listed: ListedMachine['status'] | null;
+  cloudStatus: ListedMachine['status'] | null;
   /** When the machine became known or was rented, for the first time it was charged. */
   since: Micros;
   /** Since when the cloud's list has called it running in this term. */
   runningSince: Micros | null;
   emptySince: Micros | null;
-  closed: string | null;
+  cordonReason: string | null;
   images: Set<string>;
   cooldownUntil: Micros;
   /** Tasks that the answer to its latest report starts. */
@@ -71,7 +71,7 @@
   readonly at: Micros;
 }
 
-export interface Ends {
+export interface TaskExits {
   readonly done: Set<number>;
   readonly gone: Set<number>;
   /** Those of `gone` that failed by themselves. */
@@ -92,7 +92,7 @@
 /** What ends on a machine is recorded within a few turns after the machine has gone. */
 const FORMERLY_KEPT = 2000;
 
-export const endsOf = (e: Ends, task: number): boolean => e.done.has(task) || e.gone.has(task);
+export const hasExited = (e: TaskExits, task: number): boolean => e.done.has(task) || e.gone.has(task);
 
 const isOlder = (r: Heartbeat, m: Machine): boolean =>
   r.incarnation < m.incarnation || (r.incarnation === m.incarnation && r.sequence <= m.sequence);
@@ -101,7 +101,7 @@
   readonly machines = new Map<string, Machine>();
   private readonly deleted = new Set<string>();
   /** Observed and not yet durable. */
-  readonly ends = new Map<string, Ends>();
+  readonly exits = new Map<string, TaskExits>();
   readonly stopping = new Map<string, Stopping>();
   readonly running = new Map<string, Running>();
   /** For the accounts. */
@@ -113,7 +113,7 @@
   private readonly serving = new Set<string>();
   private readonly holds = new Map<string, Micros>();
   /** Stops that should also go out directly. */
-  urgent: { machine: Machine; order: Order }[] = [];
+  urgentOrders: { ensureMachine: Machine; order: Order }[] = [];
   /** Until when an older leader may have renewed leases; null: not known yet. */
   private olderUntil: Micros | null = null;
   /** Jobs of which tasks run that no record knows of, from before a loss: by task, where and as which attempt. */
@@ -121,21 +121,21 @@
   /** Jobs that workers name and nobody knows, with how many tasks of them. */
   readonly unknownJobs = new Map<string, Set<string>>();
   /** Of these, those that have been kept for long enough. */
-  readonly givenUp = new Set<string>();
+  readonly abortedUnknownJobs = new Set<string>();
   /** Jobs whose strays can't be taken up. */
   private readonly abandoned = new Set<string>();
   /** Machines found deaf since this was last looked at. */
-  deaf: string[] = [];
+  unreachableWorkers: string[] = [];
   /** Something a cycle should look at has changed. */
-  dirty = true;
+  needsCycle = true;
 
   constructor(
     private readonly settings: Settings,
     private readonly jobState: JobState,
     readonly term: number,
-    readonly began: Micros,
+    readonly termBegan: Micros,
   ) {
-    this.blame = new FaultAttribution(began);
+    this.blame = new FaultAttribution(termBegan);
   }
 
   machine(
@@ -150,21 +150,21 @@
         ...info,
         incarnation: 0,
         sequence: -1,
-        lastAnswered: this.began,
+        lastAnswered: this.termBegan,
         reported: false,
         confirmed: false,
         unconfirmedSince: at,
         recallAt: null,
         tasks: new Map(),
-        list: NO_TASKS,
+        lastTaskList: NO_TASKS,
         authoritative: false,
-        seen: new Map(),
+        seenAttempts: new Map(),
         hasUnknownTasks: false,
-        listed: null,
+        cloudStatus: null,
         since: at,
         runningSince: null,
         emptySince: null,
-        closed: null,
+        cordonReason: null,
         images: new Set(this.jobState.weights.get(id) ?? []),
         cooldownUntil: ZERO,
         dispatched: NONE,
@@ -176,44 +176,44 @@
   }
 
   /** The cloud's answer to a rental names it, perhaps long after it has reported, or gone; false: it is gone. */
-  rented(id: string, at: Micros, what: { type: string; zone: string; spot: boolean }): boolean {
+  addRentedMachine(id: string, at: Micros, what: { type: string; zone: string; spot: boolean }): boolean {
     if (this.deleted.has(id)) return false;
     const m = this.machine(id, at, { addr: '', ...what });
-    m.listed ??= 'booting';
+    m.cloudStatus ??= 'booting';
     return true;
   }
 
   /** What an earlier leader has said of machines that the cloud's list does not show yet, or still shows. */
-  warm(news: ProvisioningNews, at: Micros): void {
-    for (const id of news.removed) this.removed(id);
+  applyProvisioningNews(news: ProvisioningNews, at: Micros): void {
+    for (const id of news.removed) this.removeMachine(id);
     for (const r of news.rented) {
       if (this.machines.has(r.id)) continue;
-      this.rented(r.id, plus(at, -r.age), { type: r.type, zone: r.zone, spot: r.spot });
+      this.addRentedMachine(r.id, plus(at, -r.age), { type: r.type, zone: r.zone, spot: r.spot });
     }
   }
 
   private end(job: Job, task: number, how: 'done' | 'gone'): void {
     const id = job.spec.id;
-    let e = this.ends.get(id);
-    if (!e) this.ends.set(id, (e = { done: new Set(), gone: new Set(), failed: new Set() }));
+    let e = this.exits.get(id);
+    if (!e) this.exits.set(id, (e = { done: new Set(), gone: new Set(), failed: new Set() }));
     if (how === 'done') {
       // A gang completes as a whole.
       if (job.spec.shape === 'gang') for (let t = 0; t < job.spec.tasks; t++) e.done.add(t);
       else e.done.add(task);
     } else if (!e.done.has(task)) e.gone.add(task);
-    this.dirty = true;
+    this.needsCycle = true;
   }
 
-  isEnding(jobId: string, task: number): boolean {
-    if (this.ends.size === 0) return false;
-    const e = this.ends.get(jobId);
-    return e !== undefined && endsOf(e, task);
+  hasObservedExit(jobId: string, task: number): boolean {
+    if (this.exits.size === 0) return false;
+    const e = this.exits.get(jobId);
+    return e !== undefined && hasExited(e, task);
   }
 
   /** A gang that lost a member of its attempt: the others must go before a fresh attempt. */
   private broken(job: Job): boolean {
     if (job.spec.shape !== 'gang' || job.placed.size === 0) return false;
-    return job.placed.size < job.spec.tasks || (this.ends.get(job.spec.id)?.gone.size ?? 0) > 0;
+    return job.placed.size < job.spec.tasks || (this.exits.get(job.spec.id)?.gone.size ?? 0) > 0;
   }
 
   private wanted(p: Placement & { readonly job: Job }, m: Machine): boolean {
@@ -236,7 +236,7 @@
     if (this.deleted.has(r.machine)) return;
     const m = this.machine(r.machine, at, r);
     if (isOlder(r, m)) return;
-    if (r.incarnation > m.incarnation) m.seen.clear();
+    if (r.incarnation > m.incarnation) m.seenAttempts.clear();
     m.incarnation = r.incarnation;
     m.sequence = r.sequence;
     m.lastAnswered = at;
@@ -248,20 +248,20 @@
     const m = this.machine(r.machine, at, r);
     if (isOlder(r, m)) return null;
     // After `allLapsed` a session that this leader has not heard of has lapsed, and what it has heard of only it can change.
-    const conclusive = r.fencingToken === this.term || this.allLapsed(at);
+    const conclusive = r.fencingToken === this.term || this.priorLeasesExpired(at);
     if (m.reported && r.incarnation > m.incarnation) {
       // The session before has ended, and everything it held with it. But an older leader that had not seen the start may
       // have repeated it in this one: it may be here, or still come in an answer that the worker takes, until it knows this
       // term or that leader's answers count no more.
       const here = new Map(r.tasks.map((x) => [x.key, x.attempt]));
-      for (const [key, attempt] of m.seen) {
+      for (const [key, attempt] of m.seenAttempts) {
         if (here.get(key) === attempt) continue;
         if (conclusive) this.lost(m, key, attempt);
-        m.seen.delete(key);
+        m.seenAttempts.delete(key);
       }
     }
     if (!m.reported) {
-      this.dirty = true;
+      this.needsCycle = true;
       m.unconfirmedSince = at;
     }
     m.addr = r.addr;
@@ -276,16 +276,16 @@
     m.authoritative = conclusive;
     if (r.fencingToken === this.term && !m.confirmed) {
       m.confirmed = true;
-      this.dirty = true;
+      this.needsCycle = true;
     }
     const recallAt = r.recall === null ? null : plus(at, r.recall);
-    if ((recallAt === null) !== (m.recallAt === null)) this.dirty = true;
+    if ((recallAt === null) !== (m.recallAt === null)) this.needsCycle = true;
     m.recallAt = recallAt;
     // The very list of its last report: it says the same again.
-    if (m.list !== r.tasks) {
+    if (m.lastTaskList !== r.tasks) {
       m.tasks.clear();
       for (const t of r.tasks) m.tasks.set(t.key, t);
-      m.list = r.tasks;
+      m.lastTaskList = r.tasks;
     }
 
     const on = this.jobState.byMachine.get(m.id);
@@ -300,13 +300,13 @@
         if (t.status !== 'exited') m.hasUnknownTasks = true;
       }
     }
-    if (strangers !== m.hasUnknownTasks) this.dirty = true;
+    if (strangers !== m.hasUnknownTasks) this.needsCycle = true;
     const deaf = m.dispatched !== NONE && this.unheard(m, since, at);
     m.dispatched = NONE;
     for (const [key, p] of on ?? []) {
-      if (m.tasks.has(key) || this.isEnding(p.job.spec.id, p.task)) continue;
+      if (m.tasks.has(key) || this.hasObservedExit(p.job.spec.id, p.task)) continue;
       // Seen before and not there any more, or: never arrived, and only our own next answer could still bring it.
-      if (m.authoritative && (deaf || m.seen.get(key) === p.attempt || !this.wanted(p, m)))
+      if (m.authoritative && (deaf || m.seenAttempts.get(key) === p.attempt || !this.wanted(p, m)))
         this.gone(p.job, p.task);
     }
     const empty = r.tasks.every((t) => t.status === 'exited') && (on?.size ?? 0) === 0;
@@ -323,7 +323,7 @@
     }
     if (since < HELD || ++m.unacknowledged < DEAF) return false;
     m.cooldownUntil = plus(at, Math.min(LONGEST_SHUNNED, SHUNNED * 2 ** (m.unacknowledged - DEAF)));
-    this.deaf.push(m.id);
+    this.unreachableWorkers.push(m.id);
     return true;
   }
 
@@ -343,14 +343,14 @@
     if (job.withdrawn || job.done.has(task) || task >= job.spec.tasks) return;
     // Its result is kept there: it completed, whichever attempt that was.
     if (t.status === 'exited') {
-      if (t.cause === 'done' && !this.isEnding(id, task)) this.end(job, task, 'done');
+      if (t.cause === 'done' && !this.hasObservedExit(id, task)) this.end(job, task, 'done');
       return;
     }
     let tasks = this.orphanedTasks.get(id);
     if (!tasks) this.orphanedTasks.set(id, (tasks = new Map()));
     // The record that takes it up says since when.
     tasks.set(task, { task, attempt: t.attempt, machine: m.id, since: 0 as Micros });
-    this.dirty = true;
+    this.needsCycle = true;
   }
 
   private forgetStrays(machine: string): void {
@@ -370,13 +370,13 @@
     const slash = t.key.indexOf('/');
     const id = t.key.slice(0, slash);
     if (this.unknownJobs.get(id)?.has(`${t.key.slice(slash + 1)}@${m.id}`) === true)
-      return !this.givenUp.has(id);
+      return !this.abortedUnknownJobs.has(id);
     const task = Number(t.key.slice(slash + 1));
-    if (t.status === 'exited') return t.cause === 'done' && this.ends.get(id)?.done.has(task) === true;
+    if (t.status === 'exited') return t.cause === 'done' && this.exits.get(id)?.done.has(task) === true;
     return (
       this.orphanedTasks.get(id)?.get(task)?.machine === m.id &&
       !this.abandoned.has(id) &&
-      !this.isEnding(id, task)
+      !this.hasObservedExit(id, task)
     );
   }
 
@@ -389,7 +389,9 @@
     for (const [id, tasks] of this.orphanedTasks) {
       const job = this.jobState.jobs.get(id);
       if (job === undefined) continue;
-      const free = [...tasks.values()].filter((p) => !job.placed.has(p.task) && !this.isEnding(id, p.task));
+      const free = [...tasks.values()].filter(
+        (p) => !job.placed.has(p.task) && !this.hasObservedExit(id, p.task),
+      );
       const attempt = Math.max(...free.map((p) => p.attempt));
       const taken = free.filter((p) => p.attempt === attempt);
       if (taken.length === 0) continue;
@@ -409,20 +411,20 @@
   }
 
   /** Whatever an earlier leader knew of has shown itself to this one, or its lease has surely lapsed. */
-  allLapsed(at: Micros): boolean {
-    return at > this.leaseEnd(undefined);
+  priorLeasesExpired(at: Micros): boolean {
+    return at > this.leaseExpiry(undefined);
   }
 
   /** Every machine that was there before this reign has shown itself to it. */
-  accounted(): boolean {
+  allMachinesConfirmed(): boolean {
     for (const m of this.machines.values())
-      if (!m.confirmed && m.listed !== 'failed' && m.since < this.began - 1e6) return false;
+      if (!m.confirmed && m.cloudStatus !== 'failed' && m.since < this.termBegan - 1e6) return false;
     return true;
   }
 
   /** Jobs whose strays can't be taken up (a gang of which a part is gone), once nothing more of them can appear. */
-  abandon(at: Micros): string[] {
-    if (this.orphanedTasks.size === 0 || !this.allLapsed(at)) return [];
+  abandonUnadoptableJobs(at: Micros): string[] {
+    if (this.orphanedTasks.size === 0 || !this.priorLeasesExpired(at)) return [];
     const adopted = new Set(this.adoptions().map((s) => s.job.spec.id));
     const out = [...this.orphanedTasks.keys()].filter((id) => !adopted.has(id) && !this.abandoned.has(id));
     for (const id of out) this.abandoned.add(id);
@@ -430,7 +432,7 @@
   }
 
   /** What the answer to the machine's latest report should say; without `starts`, what is to begin waits for a later one. */
-  orders(m: Machine, starts = true): Order[] {
+  ordersFor(m: Machine, starts = true): Order[] {
     const on = this.jobState.byMachine.get(m.id);
     const orders: Order[] = [];
     for (const t of m.tasks.values()) {
@@ -463,8 +465,8 @@
         !starts ||
         !m.authoritative ||
         m.tasks.has(key) ||
-        m.seen.get(key) === p.attempt ||
-        this.isEnding(p.job.spec.id, p.task)
+        m.seenAttempts.get(key) === p.attempt ||
+        this.hasObservedExit(p.job.spec.id, p.task)
       )
         continue;
       if (!this.wanted(p, m)) continue;
@@ -484,12 +486,12 @@
 
   private lost(m: Machine, key: string, attempt: number): void {
     const p = this.jobState.byMachine.get(m.id)?.get(key);
-    if (p && p.attempt === attempt && !this.isEnding(p.job.spec.id, p.task)) this.gone(p.job, p.task);
+    if (p && p.attempt === attempt && !this.hasObservedExit(p.job.spec.id, p.task)) this.gone(p.job, p.task);
   }
 
   private observe(m: Machine, p: Placement & { readonly job: Job }, t: ReportedTask, at: Micros): void {
     const { job } = p;
-    m.seen.set(t.key, t.attempt);
+    m.seenAttempts.set(t.key, t.attempt);
     if (t.status !== 'exited') {
       const phase = t.status === 'fetching' ? 'fetching' : t.status === 'waiting' ? 'gathering' : 'running';
       this.phases.note(t.key, t.attempt, phase, at);
@@ -499,7 +501,7 @@
       return;
     }
     this.phases.ended(t.key, t.attempt, t.saved);
-    if (this.isEnding(job.spec.id, p.task)) return;
+    if (this.hasObservedExit(job.spec.id, p.task)) return;
     // Should the session end, an older leader that has not heard of this may start the same attempt in the next one. What
     // is done is done.
     if (t.cause !== 'done' && !m.authoritative) return;
@@ -508,35 +510,35 @@
     this.stopping.delete(t.key);
     if (t.cause === 'done') {
       this.end(job, p.task, 'done');
-      this.blame.completed(job, m.id);
+      this.blame.recordCompletion(job, m.id);
       return;
     }
     this.end(job, p.task, 'gone');
     if (t.cause === 'error') {
-      this.ends.get(job.spec.id)!.failed.add(p.task);
-      this.blame.failed(job, m.id, since === undefined ? 0 : at - since, at);
+      this.exits.get(job.spec.id)!.failed.add(p.task);
+      this.blame.recordFailure(job, m.id, since === undefined ? 0 : at - since, at);
     } else if (t.cause === 'no-room') m.cooldownUntil = plus(at, 2e6);
     else if (t.cause === 'unknown' || t.cause === 'busy') this.holds.set(job.spec.id, plus(at, 2e6));
   }
 
   /** Failed wherever it ran: tried on, but seldom and little of it. */
-  looksBroken(job: Job, at: Micros): boolean {
-    if (!this.blame.looksBroken(job, 0)) return false;
+  isSuspect(job: Job, at: Micros): boolean {
+    if (!this.blame.isSuspect(job, 0)) return false;
     let ranFor = 0;
     for (const task of job.placed.keys()) {
       const run = this.running.get(taskKey(job.spec.id, task));
       if (run) ranFor = Math.max(ranFor, at - run.since);
     }
-    return this.blame.looksBroken(job, ranFor);
+    return this.blame.isSuspect(job, ranFor);
   }
 
   /** Jobs that have come to look broken since this was last asked. */
-  suspects(at: Micros): string[] {
+  newSuspects(at: Micros): string[] {
     const out: string[] = [];
-    for (const [id, e] of this.ends) {
+    for (const [id, e] of this.exits) {
       if (e.failed.size === 0 || this.suspected.has(id)) continue;
       const job = this.jobState.jobs.get(id);
-      if (!job || !this.looksBroken(job, at)) continue;
+      if (!job || !this.isSuspect(job, at)) continue;
       this.suspected.add(id);
       out.push(id);
     }
@@ -544,25 +546,25 @@
   }
 
   /** Not before this time should the job be started again. */
-  heldUntil(job: Job, at: Micros): Micros {
+  retryNotBefore(job: Job, at: Micros): Micros {
     const held = this.holds.get(job.spec.id) ?? ZERO;
-    return this.looksBroken(job, at) ? (Math.max(held, this.blame.heldUntil(job)) as Micros) : held;
+    return this.isSuspect(job, at) ? (Math.max(held, this.blame.retryNotBefore(job)) as Micros) : held;
   }
 
   /** Machines a job should avoid, because it failed there. */
-  avoid(job: Job): ReadonlySet<string> | null {
-    return this.blame.avoid(job);
+  avoidedMachines(job: Job): ReadonlySet<string> | null {
+    return this.blame.avoidedMachines(job);
   }
 
   /** Closes machines that the evidence speaks against, and opens those it no longer does. */
-  judge(at: Micros): { readonly machine: string; readonly faulty: boolean }[] {
-    const faulty = this.blame.faulty(at, (job) => this.looksBroken(job, at));
+  updateQuarantine(at: Micros): { readonly machine: string; readonly faulty: boolean }[] {
+    const faulty = this.blame.faultyMachines(at, (job) => this.isSuspect(job, at));
     const out: { machine: string; faulty: boolean }[] = [];
     for (const m of this.machines.values()) {
-      if (m.closed === null && faulty.has(m.id)) m.closed = FAULTY;
-      else if (m.closed === FAULTY && !faulty.has(m.id)) m.closed = null;
+      if (m.cordonReason === null && faulty.has(m.id)) m.cordonReason = FAULTY;
+      else if (m.cordonReason === FAULTY && !faulty.has(m.id)) m.cordonReason = null;
       else continue;
-      out.push({ machine: m.id, faulty: m.closed !== null });
+      out.push({ machine: m.id, faulty: m.cordonReason !== null });
     }
     return out;
   }
@@ -572,33 +574,33 @@
    * worker has shown this term's token, an older leader that holds on may have renewed it: until enough
    * nodes acknowledged this term, for as long as their earlier word counted.
    */
-  leaseEnd(m: Machine | undefined): Micros {
+  leaseExpiry(m: Machine | undefined): Micros {
     const from = m?.confirmed
       ? m.lastAnswered
-      : Math.max(m?.lastAnswered ?? this.began, this.olderUntil ?? Number.POSITIVE_INFINITY);
+      : Math.max(m?.lastAnswered ?? this.termBegan, this.olderUntil ?? Number.POSITIVE_INFINITY);
     return plus(from as Micros, this.settings.workers.lease * (1 + 2 * DRIFT) + seconds(1));
   }
 
   /** Declares what lapsed leases have surely ended. */
-  lapse(at: Micros, acknowledged: boolean): string[] {
+  expireLeases(at: Micros, acknowledged: boolean): string[] {
     const out: string[] = [];
     if (acknowledged) this.olderUntil ??= plus(at, CONFIRM);
     for (const [id, on] of this.jobState.byMachine) {
       // Also for machines this leader has never heard of: an older one that holds on may still renew them.
-      if (at <= this.leaseEnd(this.machines.get(id))) continue;
+      if (at <= this.leaseExpiry(this.machines.get(id))) continue;
       let any = false;
       for (const p of on.values()) {
-        if (this.isEnding(p.job.spec.id, p.task)) continue;
+        if (this.hasObservedExit(p.job.spec.id, p.task)) continue;
         this.gone(p.job, p.task);
         any = true;
       }
       if (any) out.push(id);
     }
     for (const m of this.machines.values()) {
-      if (m.reported && at > this.leaseEnd(m)) {
+      if (m.reported && at > this.leaseExpiry(m)) {
         if (m.confirmed) m.unconfirmedSince = m.lastAnswered;
         m.confirmed = false;
-        m.seen.clear();
+        m.seenAttempts.clear();
         this.forgetStrays(m.id);
       }
     }
@@ -611,9 +613,9 @@
   }
 
   /** The cloud has answered the delete: the machine and everything on it are gone. */
-  removed(id: string): void {
+  removeMachine(id: string): void {
     for (const p of this.jobState.byMachine.get(id)?.values() ?? []) {
-      if (!this.isEnding(p.job.spec.id, p.task)) this.gone(p.job, p.task);
+      if (!this.hasObservedExit(p.job.spec.id, p.task)) this.gone(p.job, p.task);
     }
     const m = this.machines.get(id);
     if (m) this.departed.set(id, { type: m.type, spot: m.spot });
@@ -624,12 +626,12 @@
       }
     this.machines.delete(id);
     this.forgetStrays(id);
-    this.blame.forget(id);
+    this.blame.forgetMachine(id);
     this.deleted.add(id);
-    this.dirty = true;
+    this.needsCycle = true;
   }
 
-  listing(list: readonly ListedMachine[], at: Micros): void {
+  applyListing(list: readonly ListedMachine[], at: Micros): void {
     for (const l of list) {
       if (this.deleted.has(l.id)) continue;
       const fresh = !this.machines.has(l.id);
@@ -639,7 +641,7 @@
       m.zone = l.zone;
       m.spot = l.spot;
       m.addr = l.addr;
-      m.listed = l.status;
+      m.cloudStatus = l.status;
       if (l.status === 'running') m.runningSince ??= at;
     }
   }
@@ -657,26 +659,26 @@
 
   private tell(machine: string, key: string, attempt: number, grace: Micros): void {
     const m = this.machines.get(machine);
-    if (m?.reported) this.urgent.push({ machine: m, order: { op: 'stop', key, attempt, grace } });
+    if (m?.reported) this.urgentOrders.push({ ensureMachine: m, order: { op: 'stop', key, attempt, grace } });
   }
 
   /** Stops that jobs' own states call for, sent directly: withdrawn jobs and what is left of broken gangs. */
-  clearAway(job: Job): void {
+  stopRemainingTasks(job: Job): void {
     for (const p of job.placed.values()) {
       const key = taskKey(job.spec.id, p.task);
-      if (this.isEnding(job.spec.id, p.task)) continue;
+      if (this.hasObservedExit(job.spec.id, p.task)) continue;
       const m = this.machines.get(p.machine);
       const t = m?.tasks.get(key);
       if (t && t.status !== 'exited') this.tell(p.machine, key, p.attempt, ZERO);
     }
   }
 
-  cancelled(job: string): boolean {
+  isCancelled(job: string): boolean {
     return this.jobState.jobs.get(job)?.withdrawn === true;
   }
 
   /** Services with GPUs of which all replicas run, one of them started since `day`, and did not when last asked. */
-  complete(day: Micros): Job[] {
+  newlyCompleteServices(day: Micros): Job[] {
     const out: Job[] = [];
     for (const id of this.serving) if (!this.jobState.jobs.has(id)) this.serving.delete(id);
     for (const job of this.jobState.jobs.values()) {
@@ -692,9 +694,9 @@
   }
 
   /** A task of it is being stopped, or has ended or may be ending without a record of that. */
-  unsettled(job: Job): boolean {
+  hasUnsettledTasks(job: Job): boolean {
     const { id } = job.spec;
-    if (this.ends.has(id) || this.orphanedTasks.has(id)) return true;
+    if (this.exits.has(id) || this.orphanedTasks.has(id)) return true;
     for (const p of job.placed.values()) {
       const key = taskKey(id, p.task);
       if (this.stopping.has(key)) return true;
@@ -704,13 +706,13 @@
     return false;
   }
 
-  isBroken(job: Job): boolean {
+  isBrokenGang(job: Job): boolean {
     return this.broken(job);
   }
 
   /** Drops what a committed record has made durable. */
-  settled(jobId: string, done: readonly number[], gone: readonly number[]): void {
-    const e = this.ends.get(jobId);
+  dropDurableExits(jobId: string, done: readonly number[], gone: readonly number[]): void {
+    const e = this.exits.get(jobId);
     if (!e) return;
     for (const t of done) e.done.delete(t);
     // Of a gang that completed, also what its members had said before one told of that.
@@ -724,14 +726,14 @@
       this.stopping.delete(key);
       this.phases.forget(key);
     }
-    if (e.done.size === 0 && e.gone.size === 0) this.ends.delete(jobId);
+    if (e.done.size === 0 && e.gone.size === 0) this.exits.delete(jobId);
   }
 
   /**
    * Gangs of which an earlier leader has told some members to save: the others are told too, in time if it is still
    * possible, since without them the save fails.
    */
-  halfTold(at: Micros): string[] {
+  completePartialPreemptions(at: Micros): string[] {
     const out: string[] = [];
     for (const m of this.machines.values()) {
       for (const t of m.tasks.values()) {
@@ -747,7 +749,7 @@
   }
 
   /** Saves what can be saved on machines about to be taken, as late as is safe. */
-  recalls(at: Micros): void {
+  drainRecalledMachines(at: Micros): void {
     for (const m of this.machines.values()) {
       if (m.recallAt === null) continue;
       const left = m.recallAt - at;
@@ -767,12 +769,12 @@
   }
 
   /** May get new tasks now. */
-  open(m: Machine, at: Micros): boolean {
+  isSchedulable(m: Machine, at: Micros): boolean {
     return (
       m.confirmed &&
       m.recallAt === null &&
-      m.closed === null &&
-      m.listed !== 'failed' &&
+      m.cordonReason === null &&
+      m.cloudStatus !== 'failed' &&
       !m.hasUnknownTasks &&
       at >= m.cooldownUntil &&
       at - m.lastAnswered < this.settings.workers.report * 2.5 + 1e6
--- a/packages/controller/test/answer-lost.test.ts
+++ b/packages/controller/test/answer-lost.test.ts
@@ -82,7 +82,7 @@
   Effect.suspend(() => {
     const ends = { done: new Set<number>(), gone: new Set<number>(), failed: new Set<number>() };
     ends[how].add(0);
-    c.turn.registry.ends.set(JOB, ends);
+    c.turn.registry.exits.set(JOB, ends);
     return commit(c.turn, []);
   });
 const one = { ...fresh(JOB).spec, tasks: 1 };
@@ -140,7 +140,7 @@
     act: (c) =>
       Effect.zipRight(
         Effect.zipRight(start(c), end(c, 'done')),
-        Effect.map(said(c.node.users.poll(JOB)), (s) => [c.turn.registry.ends.size, s]),
+        Effect.map(said(c.node.users.poll(JOB)), (s) => [c.turn.registry.exits.size, s]),
       ),
   },
   {
--- a/packages/controller/test/draft.test.ts
+++ b/packages/controller/test/draft.test.ts
@@ -114,7 +114,7 @@
       if (job.placed.size === 0) continue;
       const placed = [...job.placed.keys()];
       const done = job.spec.shape === 'gang' ? placed : placed.slice(luck.int(Math.ceil(placed.length / 4)));
-      l.turn.registry.ends.set(job.spec.id, { done: new Set(done), gone: new Set(), failed: new Set() });
+      l.turn.registry.exits.set(job.spec.id, { done: new Set(done), gone: new Set(), failed: new Set() });
       ended.set(job.spec.id, done.length);
     }
     for (let turn = 0; turn < 80; turn++) {
@@ -122,7 +122,7 @@
         .filter((j) => (j.spec.shape === 'gang' ? j.placed.size + j.done.size === 0 : true))
         .map((j) => startOf(j, luck))
         .filter((s) => s.on.size > 0);
-      if (starts.length === 0 && l.turn.registry.ends.size === 0) break;
+      if (starts.length === 0 && l.turn.registry.exits.size === 0) break;
       const before = new Map([...jobState.jobs].map(([id, j]) => [id, j.placed.size + j.done.size]));
       const { behind } = l.committed(starts);
       checkLimits(l.sent.at(-1)!, state);
@@ -138,7 +138,7 @@
       }
     }
     for (const [id, n] of ended) assert.ok(jobState.jobs.get(id)!.done.size >= n, `all ends of ${id}`);
-    assert.equal(l.turn.registry.ends.size, 0);
+    assert.equal(l.turn.registry.exits.size, 0);
     // A controller that reads all of it sees the same.
     const view = l.service.view();
     for (const [id, job] of jobState.jobs) {
@@ -171,7 +171,7 @@
   });
   const l = leading(jobs, state);
   for (const job of l.node.jobState.jobs.values())
-    l.turn.registry.ends.set(job.spec.id, {
+    l.turn.registry.exits.set(job.spec.id, {
       done: new Set(job.placed.keys()),
       gone: new Set(),
       failed: new Set(),
@@ -199,7 +199,7 @@
   const l = leading([], state);
   for (const job of jobs) {
     l.node.jobState.jobs.set(job.spec.id, job);
-    l.turn.registry.ends.set(job.spec.id, {
+    l.turn.registry.exits.set(job.spec.id, {
       done: new Set(job.placed.keys()),
       gone: new Set(),
       failed: new Set(),
--- a/packages/controller/test/fault-attribution.test.ts
+++ b/packages/controller/test/fault-attribution.test.ts
@@ -25,19 +25,19 @@
   const blame = new FaultAttribution(ZERO);
   const day: Day = { blame, tries: new Map(), doneAt: new Map(), blamed: new Set(), wrongly: new Set() };
   for (let at = ZERO; at < DAY; at = plus(at, 2e6)) {
-    const closed = blame.faulty(at, (j) => blame.looksBroken(j, 0));
+    const closed = blame.faultyMachines(at, (j) => blame.isSuspect(j, 0));
     for (const m of closed) (Number(m.slice(1)) < faulty ? day.blamed : day.wrongly).add(m);
     for (const j of [...broken, ...good]) {
       const { id } = j.spec;
-      if (day.doneAt.has(id) || (blame.looksBroken(j, 0) && at < blame.heldUntil(j))) continue;
+      if (day.doneAt.has(id) || (blame.isSuspect(j, 0) && at < blame.retryNotBefore(j))) continue;
       const open = Array.from({ length: MACHINES }, (_, i) => `m${i}`).filter(
-        (m) => !closed.has(m) && !blame.avoid(j)?.has(m),
+        (m) => !closed.has(m) && !blame.avoidedMachines(j)?.has(m),
       );
       const m = open[luck.int(open.length)]!;
       day.tries.set(id, (day.tries.get(id) ?? 0) + 1);
-      if (broken.includes(j) || Number(m.slice(1)) < faulty) blame.failed(j, m, 0, at);
+      if (broken.includes(j) || Number(m.slice(1)) < faulty) blame.recordFailure(j, m, 0, at);
       else {
-        blame.completed(j, m);
+        blame.recordCompletion(j, m);
         day.doneAt.set(id, at);
       }
     }
@@ -66,34 +66,34 @@
 test('blame is taken back when the jobs it rests on fail elsewhere too', () => {
   const blame = new FaultAttribution(ZERO);
   const [a, b] = [job('job-1'), job('job-2')];
-  const suspect = (j: Job): boolean => blame.looksBroken(j, 0);
-  for (const j of [a, b]) blame.failed(j, 'm', 0, ZERO);
-  assert.deepEqual([...blame.faulty(seconds(1), suspect)], [], 'not before the evidence has settled');
-  assert.deepEqual([...blame.faulty(seconds(4), suspect)], ['m']);
-  blame.failed(a, 'n', 0, seconds(5));
-  assert.deepEqual([...blame.faulty(seconds(9), suspect)], []);
+  const suspect = (j: Job): boolean => blame.isSuspect(j, 0);
+  for (const j of [a, b]) blame.recordFailure(j, 'm', 0, ZERO);
+  assert.deepEqual([...blame.faultyMachines(seconds(1), suspect)], [], 'not before the evidence has settled');
+  assert.deepEqual([...blame.faultyMachines(seconds(4), suspect)], ['m']);
+  blame.recordFailure(a, 'n', 0, seconds(5));
+  assert.deepEqual([...blame.faultyMachines(seconds(9), suspect)], []);
 });
 
 test('a new leader knows from the records what looks broken, and does not begin with trying it', () => {
   const known = job('job-1', { shape: 'gang' });
   known.failedOn.add('m1').add('m2');
   const blame = new FaultAttribution(seconds(100));
-  assert.equal(blame.looksBroken(known, 0), true);
-  assert.ok(blame.heldUntil(known) > seconds(110));
+  assert.equal(blame.isSuspect(known, 0), true);
+  assert.ok(blame.retryNotBefore(known) > seconds(110));
   // A task that runs on and on is no failure.
-  assert.equal(blame.looksBroken(known, seconds(30)), false);
+  assert.equal(blame.isSuspect(known, seconds(30)), false);
   known.done.add(0);
-  assert.equal(blame.looksBroken(known, 0), false);
+  assert.equal(blame.isSuspect(known, 0), false);
 });
 
 // No job is left waiting for 90 s beside room that it could use: one that looks broken may be sound.
 test('a job that looks broken is tried again within 75 s', () => {
   const blame = new FaultAttribution(ZERO);
   const gang = job('job-2', { shape: 'gang' });
-  blame.failed(gang, 'm', 0, ZERO);
+  blame.recordFailure(gang, 'm', 0, ZERO);
   for (let at = seconds(100), tries = 0; tries < 12; tries++) {
-    blame.failed(gang, `n${tries}`, 0, at);
-    assert.ok(blame.heldUntil(gang) <= plus(at, seconds(75)), `try ${tries}`);
-    at = plus(blame.heldUntil(gang), 1);
+    blame.recordFailure(gang, `n${tries}`, 0, at);
+    assert.ok(blame.retryNotBefore(gang) <= plus(at, seconds(75)), `try ${tries}`);
+    at = plus(blame.retryNotBefore(gang), 1);
   }
 });
--- a/packages/controller/test/heartbeat-codec.test.ts
+++ b/packages/controller/test/heartbeat-codec.test.ts
@@ -9,8 +9,8 @@
 import type { Leadership } from '../src/leadership/leadership.js';
 import { listenToAnomalies, takeMetrics } from '../src/metrics.js';
 import { WorkerRegistry } from '../src/workers/worker-registry.js';
-import { HeartbeatReader, REPORTS, readReport } from '../src/workers/codec.js';
-import { receiver, heartbeatHandler } from '../src/workers/heartbeat-handler.js';
+import { HeartbeatReader, HEARTBEAT_PATH, readHeartbeat } from '../src/workers/codec.js';
+import { heartbeatReceiver, heartbeatHandler } from '../src/workers/heartbeat-handler.js';
 import { job } from './support/job.js';
 import { Luck } from './support/random-source.js';
 import { worldSettings } from './support/settings.js';
@@ -62,7 +62,7 @@
     for (let tick = 0; tick < 150; tick++) {
       const body = Buffer.from(bodyOf(luck, tick));
       const read = reader.read(body);
-      assert.deepEqual(read, readReport(body), `seed ${seed}, ${String(body)}`);
+      assert.deepEqual(read, readHeartbeat(body), `seed ${seed}, ${String(body)}`);
       if (read !== null && lists.has(read.tasks)) again++;
       lists.add(read?.tasks);
     }
@@ -77,7 +77,7 @@
   jobState.apply({ key: activeKey('job-1'), value: encodeJob(running, 0), stamp: 1 });
   const settings = worldSettings('n0');
   const registry = new WorkerRegistry(settings, jobState, 3, 0 as Micros);
-  registry.removed('vm-2');
+  registry.removeMachine('vm-2');
   const leaderTerm = { term: 3, stamp: 1, began: 0 as Micros };
   const leadership = {
     answering: () => leaderTerm,
@@ -85,9 +85,9 @@
     depose: () => undefined,
     mayStart: () => true,
   };
-  const receive = receiver(
+  const receive = heartbeatReceiver(
     leadership as unknown as Leadership,
-    () => ({ registry, nextTurn: () => undefined }),
+    () => ({ registry, afterNextCycle: () => undefined }),
     () => 0 as Micros,
     new Contacts(settings),
     { suspected: false, heardToken: () => undefined },
@@ -126,7 +126,7 @@
   ];
   for (const [text, answer, line] of cases) {
     const before = lines.length;
-    handle({ method: 'POST', path: REPORTS, body: text === null ? null : Buffer.from(text) }, (a) =>
+    handle({ method: 'POST', path: HEARTBEAT_PATH, body: text === null ? null : Buffer.from(text) }, (a) =>
       answers.push(`${a.status} ${String(a.body)}`),
     );
     assert.ok(answers[answers.length - 1]!.startsWith(answer), `${text}: ${answers[answers.length - 1]}`);
@@ -134,5 +134,5 @@
   }
   listenToAnomalies(null);
   const { late, malformed, strange } = takeMetrics();
-  assert.deepEqual([late, malformed, strange, registry.ends.size], [4, 4, 1, 0]);
+  assert.deepEqual([late, malformed, strange, registry.exits.size], [4, 4, 1, 0]);
 });
--- a/packages/controller/test/heartbeat-routing.test.ts
+++ b/packages/controller/test/heartbeat-routing.test.ts
@@ -2,7 +2,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
-import { goodPlaces, placeOf, HeartbeatRouting } from '../src/workers/heartbeat-routing.js';
+import {
+  eligibleControllers,
+  assignedController,
+  HeartbeatRouting,
+} from '../src/workers/heartbeat-routing.js';
 
 const NODES = ['n0', 'n1', 'n2', 'n3', 'n4'];
 const but =
@@ -12,13 +16,17 @@
 
 // 303 tasks were killed: their workers' node stood still, and the next one in their list was down.
 test('workers report to followers that answer and whose successor does', () => {
-  assert.deepEqual(goodPlaces(NODES, 'n1', but()), ['n0', 'n2', 'n3', 'n4']);
-  assert.deepEqual(goodPlaces(NODES, 'n1', but('n0')), ['n2', 'n3']);
-  assert.deepEqual(goodPlaces(['n0', 'n1'], 'n0', but()), ['n1']);
-  assert.deepEqual(goodPlaces(['n0', 'n1', 'n2'], 'n0', but('n2')), ['n1'], 'the only one that is left');
+  assert.deepEqual(eligibleControllers(NODES, 'n1', but()), ['n0', 'n2', 'n3', 'n4']);
+  assert.deepEqual(eligibleControllers(NODES, 'n1', but('n0')), ['n2', 'n3']);
+  assert.deepEqual(eligibleControllers(['n0', 'n1'], 'n0', but()), ['n1']);
+  assert.deepEqual(
+    eligibleControllers(['n0', 'n1', 'n2'], 'n0', but('n2')),
+    ['n1'],
+    'the only one that is left',
+  );
   const counts = new Map<string, number>();
   for (let i = 0; i < 1000; i++) {
-    const p = placeOf(`vm-${String(i).padStart(6, '0')}`, NODES);
+    const p = assignedController(`vm-${String(i).padStart(6, '0')}`, NODES);
     counts.set(p, (counts.get(p) ?? 0) + 1);
   }
   for (const n of NODES) assert.ok(counts.get(n)! > 120, `${n} ${counts.get(n)}`);
@@ -26,12 +34,12 @@
 
 test('a worker is not sent to and fro: who comes back is answered', () => {
   const places = new HeartbeatRouting('n1', NODES);
-  const at = (s: number) => places.elsewhere('vm-1', 'n1', but(), seconds(s) as Micros);
+  const at = (s: number) => places.redirect('vm-1', 'n1', but(), seconds(s) as Micros);
   assert.deepEqual([at(0) !== null, at(1), at(19), at(21) !== null], [true, null, null, true]);
-  assert.equal(new HeartbeatRouting('n2', NODES).elsewhere('vm-1', 'n1', but(), seconds(0)), null);
+  assert.equal(new HeartbeatRouting('n2', NODES).redirect('vm-1', 'n1', but(), seconds(0)), null);
   assert.equal(
-    new HeartbeatRouting('n1', NODES).elsewhere('vm-1', 'n1', but('n0', 'n2', 'n3', 'n4'), seconds(0)),
+    new HeartbeatRouting('n1', NODES).redirect('vm-1', 'n1', but('n0', 'n2', 'n3', 'n4'), seconds(0)),
     null,
   );
-  assert.equal(new HeartbeatRouting('n1', NODES).elsewhere('vm-1', null, but(), seconds(0)), null);
+  assert.equal(new HeartbeatRouting('n1', NODES).redirect('vm-1', null, but(), seconds(0)), null);
 });
--- a/packages/controller/test/late-answers.test.ts
+++ b/packages/controller/test/late-answers.test.ts
@@ -14,8 +14,8 @@
 import { Contacts } from '../src/leadership/contacts.js';
 import type { Leadership } from '../src/leadership/leadership.js';
 import { WorkerRegistry } from '../src/workers/worker-registry.js';
-import { type Answers, readReport, type Heartbeat } from '../src/workers/codec.js';
-import { receiver, sendUrgent, Workers } from '../src/workers/heartbeat-handler.js';
+import { type HeartbeatResponses, readHeartbeat, type Heartbeat } from '../src/workers/codec.js';
+import { heartbeatReceiver, sendUrgentOrders, WorkerClient } from '../src/workers/heartbeat-handler.js';
 import { job } from './support/job.js';
 import { worldSettings } from './support/settings.js';
 
@@ -62,16 +62,16 @@
     mayStart: () => true,
     depose: (t: number) => void deposedBy.push(t),
   };
-  const receive = receiver(
+  const receive = heartbeatReceiver(
     leadership as unknown as Leadership,
-    () => ({ registry: b, nextTurn: (then) => void waiting.push(then) }),
+    () => ({ registry: b, afterNextCycle: (then) => void waiting.push(then) }),
     () => seconds(state.at),
     new Contacts(settings),
     lossDetector ?? { suspected: false, heardToken: () => undefined },
   );
-  const take = (r: Heartbeat): { answers: Answers | null; given: boolean } => {
-    const out = { answers: null as Answers | null, given: false };
-    b.dirty = true;
+  const take = (r: Heartbeat): { answers: HeartbeatResponses | null; given: boolean } => {
+    const out = { answers: null as HeartbeatResponses | null, given: false };
+    b.needsCycle = true;
     receive([r], (a) => Object.assign(out, { answers: a, given: true }));
     return out;
   };
@@ -142,7 +142,7 @@
   const jobState = new JobState();
   const b = registry(jobState);
   // The leader answers a report with the start; it is on its way when the job is cancelled.
-  assert.equal(b.orders(b.applyHeartbeat(report(1, 1), seconds(10))!)[0]?.op, 'start');
+  assert.equal(b.ordersFor(b.applyHeartbeat(report(1, 1), seconds(10))!)[0]?.op, 'start');
   setJob(jobState, 2, true);
   const answer = {
     host: 'm',
@@ -169,18 +169,21 @@
   const m = b.machines.get('m')!;
   m.addr = `127.0.0.1:${(server.address() as AddressInfo).port}`;
   const { sequence: tick } = m;
-  b.urgent.push({ machine: m, order: { op: 'stop', key: 'job-1/0', attempt: 1, grace: 0 as Micros } });
+  b.urgentOrders.push({
+    ensureMachine: m,
+    order: { op: 'stop', key: 'job-1/0', attempt: 1, grace: 0 as Micros },
+  });
   const admission = { enter: () => null, leave: () => undefined };
-  await Effect.runPromise(sendUrgent(b, new Workers(settings), admission));
+  await Effect.runPromise(sendUrgentOrders(b, new WorkerClient(settings), admission));
   for (let i = 0; i < 100 && got.length === 0; i++) await new Promise((r) => setTimeout(r, 10));
   await new Promise((r) => setTimeout(r, 50));
   server.close();
   assert.equal(got.length, 1);
   assert.match(got[0]!, /"stop"/);
-  assert.deepEqual([m.sequence, b.ends.size], [tick, 0], 'nothing is concluded from it');
+  assert.deepEqual([m.sequence, b.exits.size], [tick, 0], 'nothing is concluded from it');
   // Taken for a report, it would free the room of a task that begins when the answer arrives.
-  b.applyHeartbeat(readReport(Buffer.from(JSON.stringify(answer)))!, seconds(11));
-  assert.deepEqual([...(b.ends.get('job-1')?.gone ?? [])], [0]);
+  b.applyHeartbeat(readHeartbeat(Buffer.from(JSON.stringify(answer)))!, seconds(11));
+  assert.deepEqual([...(b.exits.get('job-1')?.gone ?? [])], [0]);
 });
 
 test('a machine that reports and never shows the token counts as room on its way for 40 s, not for ever', () => {
@@ -189,7 +192,7 @@
   const counts: number[] = [];
   for (let at = 10; at <= 80; at += 2) {
     const m = b.applyHeartbeat(report(1, at, TERM - 1), seconds(at))!;
-    b.lapse(seconds(at), true);
+    b.expireLeases(seconds(at), true);
     counts.push(countsFor(awaitedOf(m, boot, seconds(at))));
   }
   assert.equal(counts[0], 1);
--- a/packages/controller/test/late-writes.test.ts
+++ b/packages/controller/test/late-writes.test.ts
@@ -183,10 +183,10 @@
         for (const j of t.jobState.jobs.values()) {
           const ends = { done: new Set<number>(), gone: new Set<number>(), failed: new Set<number>() };
           for (const n of j.placed.keys())
-            if (!t.registry.isEnding(j.spec.id, n) && luck.chance(0.25))
+            if (!t.registry.hasObservedExit(j.spec.id, n) && luck.chance(0.25))
               ends[luck.chance(j.withdrawn ? 0.6 : 0.3) ? 'gone' : 'done'].add(n);
-          if (ends.done.size + ends.gone.size > 0 && !t.registry.ends.has(j.spec.id))
-            t.registry.ends.set(j.spec.id, ends);
+          if (ends.done.size + ends.gone.size > 0 && !t.registry.exits.has(j.spec.id))
+            t.registry.exits.set(j.spec.id, ends);
           const free = Array.from({ length: j.spec.tasks }, (_, n) => n).filter(
             (n) => !j.done.has(n) && !j.placed.has(n) && luck.chance(0.7),
           );
@@ -273,7 +273,7 @@
 test('copies of the first record and of the first folding change nothing once others have followed', () => {
   const { service, node, go, turn } = calm([kept(fresh('job-1')), kept(fresh('job-2'))]);
   for (const id of ['job-1', 'job-2']) {
-    const gone = Effect.sync(() => turn.registry.ends.set(id, { done: new Set(), gone: new Set([0]), failed: new Set() })); // prettier-ignore
+    const gone = Effect.sync(() => turn.registry.exits.set(id, { done: new Set(), gone: new Set([0]), failed: new Set() })); // prettier-ignore
     for (let n = 0; n < 6; n++) go(Effect.zipRight(gone, commit(turn, [])));
     service.transact([], [{ delete: activeKey(id) }]);
     go(node.watcher.refresh);
@@ -292,7 +292,7 @@
   const one = [...Array(3).keys()];
   go(commit(turn, [{ job: node.jobState.jobs.get('job-1')!, attempt: 1, on: new Map([['m', one]]) }]));
   const ends = (id: string, done: number[], gone: number[]): void =>
-    void turn.registry.ends.set(id, { done: new Set(done), gone: new Set(gone), failed: new Set() });
+    void turn.registry.exits.set(id, { done: new Set(done), gone: new Set(gone), failed: new Set() });
   go(node.users.withdraw('job-1'));
   assert.ok(node.jobState.jobs.get('job-1')!.withdrawn);
   ends('job-1', [0], []);
--- a/packages/controller/test/meetings.test.ts
+++ b/packages/controller/test/meetings.test.ts
@@ -22,10 +22,15 @@
 import type { Leadership } from '../src/leadership/leadership.js';
 import type { CycleContext } from '../src/scheduler/cycle-context.js';
 import { holdersOf } from '../src/scheduler/views.js';
-import { WorkerRegistry, endsOf } from '../src/workers/worker-registry.js';
-import { type Answers, REPORTS, HeartbeatReader, writeOrders } from '../src/workers/codec.js';
-import { receiver, heartbeatHandler } from '../src/workers/heartbeat-handler.js';
-import { answerOf, relayHandler } from '../src/workers/heartbeat-relay.js';
+import { WorkerRegistry, hasExited } from '../src/workers/worker-registry.js';
+import {
+  type HeartbeatResponses,
+  HEARTBEAT_PATH,
+  HeartbeatReader,
+  encodeOrders,
+} from '../src/workers/codec.js';
+import { heartbeatReceiver, heartbeatHandler } from '../src/workers/heartbeat-handler.js';
+import { responseAt, relayHandler } from '../src/workers/heartbeat-relay.js';
 import { job as anyJob } from './support/job.js';
 import { Luck } from './support/random-source.js';
 import { type Ground, meet, type Piece, Time, Worker } from './support/machines.js';
@@ -69,7 +74,7 @@
       depose: (token: number) => void (token > term && (this.over = true)),
     } as unknown as Leadership;
     const desk = { registry: this.registry, nextTurn: (then: () => void) => void this.waiting.push(then) };
-    const receive = receiver(
+    const receive = heartbeatReceiver(
       leadership,
       () => desk,
       () => w.time.now as Micros,
@@ -116,17 +121,19 @@
     this.catchUp();
     const at = this.w.time.now as Micros;
     const { registry, jobState } = this;
-    registry.lapse(at, at - this.began > this.known);
-    registry.dirty = false;
+    registry.expireLeases(at, at - this.began > this.known);
+    registry.needsCycle = false;
     for (const job of jobState.jobs.values()) {
-      if (job.placed.size > 0 && (job.withdrawn || registry.isBroken(job))) registry.clearAway(job);
+      if (job.placed.size > 0 && (job.withdrawn || registry.isBrokenGang(job)))
+        registry.stopRemainingTasks(job);
       if (this.w.troubled && this.w.luck.chance(0.01))
         for (const task of job.placed.keys()) registry.stop(job, task, 0 as Micros, at);
     }
     this.commit(this.decide(at));
-    for (const { machine, order } of registry.urgent.splice(0)) this.w.order(this.term, machine, order);
+    for (const { ensureMachine: machine, order } of registry.urgentOrders.splice(0))
+      this.w.order(this.term, machine, order);
     for (const m of registry.machines.values())
-      if (m.reported && (at > registry.leaseEnd(m) + 40e6 || isDeaf(m, settings.workers, at)))
+      if (m.reported && (at > registry.leaseExpiry(m) + 40e6 || isDeaf(m, settings.workers, at)))
         this.w.remove(m.id);
   }
 
@@ -134,19 +141,19 @@
   private decide(at: Micros): Map<string, JobChange> {
     const { registry, jobState, w } = this;
     const out = new Map<string, JobChange>();
-    for (const [id, e] of registry.ends)
+    for (const [id, e] of registry.exits)
       out.set(id, { done: [...e.done], gone: [...e.gone].filter((t) => !e.done.has(t)) });
     const holders = holdersOf({ registry, jobState } as unknown as CycleContext, at);
     const load = new Map<string, number>();
     for (const h of holders) load.set(h.machine, (load.get(h.machine) ?? 0) + 1);
     let used = holders.length;
     for (const job of jobState.jobs.values()) {
-      const ends = registry.ends.get(job.spec.id);
+      const ends = registry.exits.get(job.spec.id);
       const gang = job.spec.shape === 'gang';
-      if (job.withdrawn || isComplete(job) || at < registry.heldUntil(job, at)) continue;
-      const on = [...job.placed.keys()].filter((t) => !ends || !endsOf(ends, t));
+      if (job.withdrawn || isComplete(job) || at < registry.retryNotBefore(job, at)) continue;
+      const on = [...job.placed.keys()].filter((t) => !ends || !hasExited(ends, t));
       const free = [...registry.machines.values()].filter(
-        (m) => registry.open(m, at) && (load.get(m.id) ?? 0) < 4,
+        (m) => registry.isSchedulable(m, at) && (load.get(m.id) ?? 0) < 4,
       );
       const tasks = Array.from({ length: job.spec.tasks }, (_, t) => t).filter(
         (t) => !job.done.has(t) && !ends?.done.has(t) && !on.includes(t),
@@ -179,7 +186,7 @@
       this.busy = false;
       if (!this.mayAct()) return;
       this.catchUp();
-      for (const [id, c] of jobs) this.registry.settled(id, c.done ?? [], c.gone ?? []);
+      for (const [id, c] of jobs) this.registry.dropDurableExits(id, c.done ?? [], c.gone ?? []);
       this.open();
     };
     // No answer for a while: it may be the next leader that acts on it.
@@ -270,7 +277,7 @@
     if (w?.alive && w.deaf) meet(this, 'deaf and returned');
     w?.die();
     const lead = this.leads[this.leads.length - 1]!;
-    lead.registry.removed(id);
+    lead.registry.removeMachine(id);
     this.removed.set(id, lead);
   }
 
@@ -314,10 +321,10 @@
   order(
     term: number,
     m: { id: string; incarnation: number },
-    order: Parameters<typeof writeOrders>[1][number],
+    order: Parameters<typeof encodeOrders>[1][number],
   ): void {
     const held = this.troubled && this.luck.chance(0.3) ? this.luck.between(1e6, 2e7) : 2e4;
-    const body = writeOrders(term, [order], m.incarnation);
+    const body = encodeOrders(term, [order], m.incarnation);
     this.time.after(held, () => this.workers.get(m.id)?.direct(body, held));
   }
 
@@ -346,11 +353,11 @@
     const read = (a: { status: number; body: Buffer | string }): void =>
       reply(a.status === 200 ? a.body.toString() : null);
     if (this.luck.chance(0.5))
-      return void lead.direct({ method: 'POST', path: REPORTS, body: Buffer.from(body) }, read);
+      return void lead.direct({ method: 'POST', path: HEARTBEAT_PATH, body: Buffer.from(body) }, read);
     lead.relayed({ method: 'POST', path: '/relay', body: pack([Buffer.from(body)]) }, (a) => {
       if (a.status !== 200) return read(a);
-      const [term, bodies] = unpack(a.body as Buffer) as [number, Answers['bodies']];
-      read(answerOf({ term, bodies }, 0));
+      const [term, bodies] = unpack(a.body as Buffer) as [number, HeartbeatResponses['bodies']];
+      read(responseAt({ term, bodies }, 0));
     });
   }
 
--- a/packages/controller/test/provisioning.test.ts
+++ b/packages/controller/test/provisioning.test.ts
@@ -293,8 +293,8 @@
 test('a late answer to a rental does not bring back what is gone', () => {
   const registry = new WorkerRegistry(worldSettings('n0'), new JobState(), 5, 0 as Micros);
   const what = { type: 'c8', zone: 'a', spot: false };
-  assert.equal(registry.rented('vm-1', seconds(1), what), true);
-  registry.removed('vm-1');
-  assert.equal(registry.rented('vm-1', seconds(2), what), false);
+  assert.equal(registry.addRentedMachine('vm-1', seconds(1), what), true);
+  registry.removeMachine('vm-1');
+  assert.equal(registry.addRentedMachine('vm-1', seconds(2), what), false);
   assert.equal(registry.machines.size, 0);
 });
--- a/packages/controller/test/server.test.ts
+++ b/packages/controller/test/server.test.ts
@@ -6,7 +6,7 @@
 import { Effect, Exit, Scope } from 'effect';
 import { json, serve } from '@lilacvalve/runtime/http-server';
 import { untilTick } from '@lilacvalve/runtime/tick';
-import { Gate } from '../src/workers/heartbeat-handler.js';
+import { CycleGate } from '../src/workers/heartbeat-handler.js';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { Luck } from './support/random-source.js';
 
@@ -54,18 +54,18 @@
 
 test('at the gate one that fails keeps nobody waiting, and whoever waits too long is let go', () => {
   let now = 0 as Micros;
-  const gate = new Gate(() => now);
+  const gate = new CycleGate(() => now);
   const gone: string[] = [];
   gate.wait(() => {
     throw new Error('broken on purpose');
   });
   gate.wait(() => gone.push('first'));
-  gate.begin();
+  gate.cycleBegan();
   gate.wait(() => gone.push('during the turn'));
-  assert.throws(() => gate.open(), /on purpose/);
+  assert.throws(() => gate.cycleEnded(), /on purpose/);
   assert.deepEqual(gone, ['first']);
   now = seconds(2);
-  gate.relieve(seconds(1));
+  gate.releaseOverdue(seconds(1));
   assert.deepEqual(gone, ['first', 'during the turn']);
 });
 
--- a/packages/controller/test/wire-format.test.ts
+++ b/packages/controller/test/wire-format.test.ts
@@ -15,14 +15,14 @@
 import { StateStore } from '../src/state-store/client.js';
 import { Priority } from '../src/state-store/budget.js';
 import {
-  plainBody,
-  readReport,
+  emptyResponse,
+  readHeartbeat,
   HeartbeatReader,
-  REPORTS,
+  HEARTBEAT_PATH,
   senderOf,
-  writeOrders,
+  encodeOrders,
 } from '../src/workers/codec.js';
-import { Workers } from '../src/workers/heartbeat-handler.js';
+import { WorkerClient } from '../src/workers/heartbeat-handler.js';
 import { worldSettings } from './support/settings.js';
 
 /** A server that answers as listed, one after the other; `asked`: method, path and body of each request. */
@@ -171,8 +171,8 @@
   '{"host":"vm-000231","addr":"10.1.0.232:9000","hostKind":"g8","room":"a","borrowed":true,"tenure":1,"tick":88,"warrant":41,"recallS":2.5,' +
   '"pieces":[{"piece":"job-000412/3","try":2,"status":"running"},{"piece":"job-000398/0","try":1,"status":"ended","cause":"stopped","stored":true}]}';
 test('workers: a report, each state of a task and each cause of its end', () => {
-  assert.equal(REPORTS, '/agent/beat');
-  for (const read of [readReport, (b: Buffer) => new HeartbeatReader().read(b)]) {
+  assert.equal(HEARTBEAT_PATH, '/agent/beat');
+  for (const read of [readHeartbeat, (b: Buffer) => new HeartbeatReader().read(b)]) {
     const report = read(Buffer.from(REPORT))!;
     const { tasks, ...rest } = report;
     assert.deepEqual(Object.values(rest), [
@@ -196,7 +196,7 @@
     );
   }
   assert.equal(senderOf(Buffer.from(REPORT)), 'vm-000231');
-  const reread = (from: string, to: string) => readReport(Buffer.from(REPORT.replace(from, to)));
+  const reread = (from: string, to: string) => readHeartbeat(Buffer.from(REPORT.replace(from, to)));
   const states = ['fetching', 'gathering', 'running', 'flushing', 'ended'];
   const read = states.map((s) => reread('"running"', `"${s}"`)?.tasks[0]!.status);
   assert.equal(new Set(read).size, states.length);
@@ -222,8 +222,8 @@
 });
 
 test('workers: answers to reports, direct orders and where they go', async () => {
-  assert.equal(plainBody(41), '{"warrant":41,"orders":[]}');
-  const body = writeOrders(
+  assert.equal(emptyResponse(41), '{"warrant":41,"orders":[]}');
+  const body = encodeOrders(
     41,
     [
       { op: 'start', key: 'job-000412/4', attempt: 2 },
@@ -235,8 +235,8 @@
   const orders =
     '"orders":[{"orderKind":"run","piece":"job-000412/4","try":2},{"orderKind":"stop","piece":"job-000377/1","try":1,"windDownS":10},{"orderKind":"reap","piece":"job-000398/0","try":1}]}';
   assert.equal(body, `{"warrant":41,"tenure":3,${orders}`);
-  assert.equal(writeOrders(41, []), '{"warrant":41,"orders":[]}');
-  const asked = await stub([[200, '{}']], (address) => run(new Workers(worldSettings('n0')).orders(address, body))); // prettier-ignore
+  assert.equal(encodeOrders(41, []), '{"warrant":41,"orders":[]}');
+  const asked = await stub([[200, '{}']], (address) => run(new WorkerClient(worldSettings('n0')).sendOrders(address, body))); // prettier-ignore
   assert.deepEqual(asked, [`POST /orders ${body}`]);
 });
 
--- a/packages/controller/test/worker-registry.test.ts
+++ b/packages/controller/test/worker-registry.test.ts
@@ -10,7 +10,7 @@
 import { isDeaf } from '../src/provisioning/autoscaler.js';
 import { WorkerRegistry } from '../src/workers/worker-registry.js';
 import type { Heartbeat, ReportedTask } from '../src/workers/codec.js';
-import { receiver } from '../src/workers/heartbeat-handler.js';
+import { heartbeatReceiver } from '../src/workers/heartbeat-handler.js';
 import { job } from './support/job.js';
 import { worldSettings } from './support/settings.js';
 
@@ -27,11 +27,11 @@
     stamp: 1,
   });
   const registry = new WorkerRegistry(worldSettings('n0'), jobState, 2, zero);
-  assert.deepEqual(registry.lapse(seconds(100), false), []);
-  assert.deepEqual(registry.lapse(seconds(101), true), []);
+  assert.deepEqual(registry.expireLeases(seconds(100), false), []);
+  assert.deepEqual(registry.expireLeases(seconds(101), true), []);
   // Acknowledged at 101 s; older words count 3 s more, then the lease of 12 s with drift and margin.
-  assert.deepEqual(registry.lapse(seconds(116), true), []);
-  assert.deepEqual(registry.lapse(seconds(118), true), ['unheard']);
+  assert.deepEqual(registry.expireLeases(seconds(116), true), []);
+  assert.deepEqual(registry.expireLeases(seconds(118), true), ['unheard']);
 });
 
 /** The book of a term in which `job-1/0` is placed on `m`. */
@@ -75,7 +75,7 @@
       registry.applyHeartbeat(said(known, tenure, tenure, there ? {} : null), seconds(tenure));
     report(3, 4, true);
     report(4, token, holds);
-    return registry.isEnding('job-1', 0);
+    return registry.hasObservedExit('job-1', 0);
   };
   assert.equal(told(5, false), true);
   assert.equal(told(5, true), false);
@@ -91,12 +91,12 @@
   const older = placed(4);
   older.applyHeartbeat(said(4, 3, 10, null), seconds(0));
   older.applyHeartbeat(said(4, 4, 30, null), seconds(13));
-  assert.deepEqual(older.orders(older.machines.get('m')!), [{ op: 'start', key: 'job-1/0', attempt: 1 }]);
+  assert.deepEqual(older.ordersFor(older.machines.get('m')!), [{ op: 'start', key: 'job-1/0', attempt: 1 }]);
   const heard = (token: number, at: number, acknowledged = true): boolean => {
     const registry = placed(5, 9);
-    registry.lapse(seconds(10), acknowledged);
+    registry.expireLeases(seconds(10), acknowledged);
     registry.applyHeartbeat(said(token, 3, 20, exit), seconds(at));
-    return registry.isEnding('job-1', 0);
+    return registry.hasObservedExit('job-1', 0);
   };
   assert.equal(heard(4, 11), false);
   assert.equal(heard(5, 11), true);
@@ -104,7 +104,7 @@
   assert.deepEqual([heard(4, 25.9), heard(4, 26.1), heard(4, 99, false)], [false, true, false]);
   const done = placed(5, 9);
   done.applyHeartbeat(said(4, 3, 20, { status: 'exited', cause: 'done' }), seconds(11));
-  assert.equal(done.isEnding('job-1', 0), true);
+  assert.equal(done.hasObservedExit('job-1', 0), true);
 });
 
 // A leader that doubted the store for longer than a lease went on answering; then it counted all leases from before.
@@ -120,9 +120,9 @@
     depose: () => undefined,
     mayStart: () => starts,
   };
-  const receive = receiver(
+  const receive = heartbeatReceiver(
     leadership as unknown as Leadership,
-    () => ({ registry, nextTurn: () => undefined }),
+    () => ({ registry, afterNextCycle: () => undefined }),
     () => seconds(at),
     new Contacts(worldSettings('n0')),
     {
@@ -136,14 +136,14 @@
     at = when;
     receive([r], (a) => assert.deepEqual(a, { term: 5, bodies: [''] }));
   };
-  registry.lapse(0 as Micros, true);
+  registry.expireLeases(0 as Micros, true);
   for (let t = 1; t < 30; t += 2) answered(said(5, 1, t, { status: 'running' }), t);
   active = false;
-  assert.deepEqual(registry.lapse(seconds(31), true), []);
+  assert.deepEqual(registry.expireLeases(seconds(31), true), []);
   answered(said(0, 1, 20, null), 32);
-  assert.equal(registry.isEnding('job-1', 0), false, 'an old copy');
+  assert.equal(registry.hasObservedExit('job-1', 0), false, 'an old copy');
   answered(said(5, 1, 31, { status: 'running' }), 32);
-  assert.deepEqual(registry.lapse(seconds(60), true), ['m']);
+  assert.deepEqual(registry.expireLeases(seconds(60), true), ['m']);
   // What users cancelled went on under leases renewed in doubt where the first stop had been lost.
   active = true;
   registry = placed(5, 0, true);
@@ -170,12 +170,12 @@
   let tick = 0;
   let freed = 0;
   for (let at = 1; at < 90; at += 2) {
-    registry.lapse(seconds(at), true);
+    registry.expireLeases(seconds(at), true);
     // Its lease, renewed by the leader before, ends at 9 s.
     const m = registry.applyHeartbeat(said(4, at < 9 ? 1 : 2, ++tick, at < 9 ? {} : null), seconds(at))!;
-    registry.orders(m);
-    assert.equal(registry.open(m, seconds(at)), false);
-    if (freed === 0 && registry.isEnding('job-1', 0)) freed = at;
+    registry.ordersFor(m);
+    assert.equal(registry.isSchedulable(m, seconds(at)), false);
+    if (freed === 0 && registry.hasObservedExit('job-1', 0)) freed = at;
   }
   assert.ok(freed > 17 && freed < 27, `freed at ${freed} s`);
   const { workers } = worldSettings('n0');
@@ -194,12 +194,12 @@
   gang.placed.set(1, { task: 1, attempt: 1, machine: 'gone', since: 0 as Micros });
   jobState.apply({ key: activeKey('job-1'), value: encodeJob(gang, 0), stamp: 1 });
   const registry = new WorkerRegistry(worldSettings('n0'), jobState, 5, 0 as Micros);
-  registry.removed('gone');
+  registry.removeMachine('gone');
   registry.applyHeartbeat(said(5, 1, 1, { status: 'exited', cause: 'done' }), seconds(1));
-  const { done, gone } = registry.ends.get('job-1')!;
+  const { done, gone } = registry.exits.get('job-1')!;
   assert.deepEqual([[...done], [...gone]], [[0, 1], [1]]);
-  registry.settled('job-1', [0, 1], []);
-  assert.equal(registry.ends.size, 0);
+  registry.dropDurableExits('job-1', [0, 1], []);
+  assert.equal(registry.exits.size, 0);
 });
 
 // It looked the best place for whatever waited: empty, with a current report, and every start sent to it was lost.
@@ -207,22 +207,22 @@
   const registry = placed(5);
   const miss = (tick: number, at: number, there = false): boolean => {
     const m = registry.applyHeartbeat(said(5, 1, tick, there ? {} : null), seconds(at))!;
-    registry.orders(m);
-    return registry.isEnding('job-1', 0);
+    registry.ordersFor(m);
+    return registry.hasObservedExit('job-1', 0);
   };
   // Held up together, nobody waited for the answers between them.
   for (let tick = 1; tick < 9; tick++) assert.equal(miss(tick, 1 + tick / 10), false);
   assert.deepEqual([miss(9, 7), miss(10, 12), miss(11, 17)], [false, false, true]);
   const m = registry.machines.get('m')!;
-  assert.deepEqual([registry.open(m, seconds(17)), m.cooldownUntil], [false, seconds(27)]);
-  assert.deepEqual(registry.deaf, ['m']);
+  assert.deepEqual([registry.isSchedulable(m, seconds(17)), m.cooldownUntil], [false, seconds(27)]);
+  assert.deepEqual(registry.unreachableWorkers, ['m']);
   const heard = placed(5);
   for (const [tick, at] of [
     [1, 1],
     [2, 6],
     [3, 11],
   ] as const)
-    heard.orders(heard.applyHeartbeat(said(5, 1, tick, null), seconds(at))!);
+    heard.ordersFor(heard.applyHeartbeat(said(5, 1, tick, null), seconds(at))!);
   heard.applyHeartbeat(said(5, 1, 4, {}), seconds(16));
-  assert.equal(heard.isEnding('job-1', 0), false);
+  assert.equal(heard.hasObservedExit('job-1', 0), false);
 });
--- a/packages/simulation/src/world/controllers.ts
+++ b/packages/simulation/src/world/controllers.ts
@@ -148,7 +148,7 @@
     const node = makeNode(this.options.settings(label), {
       store,
       cloud: this.cloudPort(host),
-      workers: { orders: (address, body) => Effect.sync(() => this.sendOrders(label, address, body)) },
+      workers: { sendOrders: (address, body) => Effect.sync(() => this.sendOrders(label, address, body)) },
       ...this.peerPorts(label, host),
       clock: clock.now,
       dayTime: () => micros(time.now + DAY_BEGINS + (this.clockOffsets.get(label) ?? 0)),
--- a/packages/simulation/src/world/scenario-host.ts
+++ b/packages/simulation/src/world/scenario-host.ts
@@ -40,7 +40,7 @@
   for (const { spec, placed } of node.jobState.jobs.values())
     if (spec.team === team)
       for (const placement of placed.values())
-        if (!registry.isEnding(spec.id, placement.task))
+        if (!registry.hasObservedExit(spec.id, placement.task))
           counted.set(`${spec.id}/${placement.task}`, placement.attempt);
   return counted;
 };
