--- a/packages/controller/src/leadership/leader-session.ts
+++ b/packages/controller/src/leadership/leader-session.ts
@@ -30,13 +30,9 @@
 import type { Settings } from '../settings/settings.js';
 import type { StatePort } from '../state-store/port.js';
 import { WorkerRegistry } from '../workers/worker-registry.js';
-import {
-  type HeartbeatService,
-  CycleGate,
-  type LeaseRenewalService,
-  sendUrgentOrders,
-  type WorkerPort,
-} from '../workers/heartbeat-handler.js';
+import type { HeartbeatService, LeaseRenewalService } from '../workers/heartbeat-handler.js';
+import { CycleGate } from '../workers/cycle-gate.js';
+import { sendUrgentOrders, type WorkerPort } from '../workers/worker-client.js';
 
 /** Between two turns: each costs writes of a budget that all controllers share. */
 const TURN_GAP_MS = 250;
--- a/packages/controller/src/main.ts
+++ b/packages/controller/src/main.ts
@@ -13,7 +13,7 @@
 import { heapFigures, memoryPart } from './overload/memory.js';
 import { readSettings, type Settings } from './settings/settings.js';
 import { StateStore } from './state-store/client.js';
-import { WorkerClient } from './workers/heartbeat-handler.js';
+import { WorkerClient } from './workers/worker-client.js';
 
 const version = process.env.LILACVALVE_VERSION ?? 'unbuilt';
 
--- a/packages/controller/src/node.ts
+++ b/packages/controller/src/node.ts
@@ -30,7 +30,8 @@
 import { snapshotDuty } from './snapshots/duty.js';
 import type { StatePort } from './state-store/port.js';
 import type { WorkerRegistry } from './workers/worker-registry.js';
-import { heartbeatReceiver, type WorkerPort } from './workers/heartbeat-handler.js';
+import { heartbeatReceiver } from './workers/heartbeat-handler.js';
+import type { WorkerPort } from './workers/worker-client.js';
 import type { RelayPort } from './workers/heartbeat-relay.js';
 
 export interface Ports {
--- a/packages/controller/src/provisioning/autoscaler.ts
+++ b/packages/controller/src/provisioning/autoscaler.ts
@@ -7,7 +7,7 @@
 import { pressing } from '../calendar/slack.js';
 import type { CycleState, CycleContext } from '../scheduler/cycle-context.js';
 import type { Settings } from '../settings/settings.js';
-import type { Machine } from '../workers/worker-registry.js';
+import type { Machine } from '../workers/machine.js';
 import { type Awaited, BootTracker, countsFor, isOverdue, roomOnTheWay } from './boot-tracker.js';
 import type { CloudPort } from './cloud.js';
 import { RentalRequests } from './rental-requests.js';
--- a/packages/controller/src/scheduler/run-cycle.ts
+++ b/packages/controller/src/scheduler/run-cycle.ts
@@ -92,8 +92,11 @@
       yield* info('lease lapsed', { term: t.leaderTerm.number, machine });
     for (const job of t.registry.newSuspects(at))
       yield* info('job looks broken', { term: t.leaderTerm.number, job });
-    for (const { machine, faulty } of t.registry.updateQuarantine(at))
-      yield* info(faulty ? 'machine blamed' : 'blame taken back', { term: t.leaderTerm.number, machine });
+    for (const { machine, quarantined } of t.registry.updateQuarantine(at))
+      yield* info(quarantined ? 'machine blamed' : 'blame taken back', {
+        term: t.leaderTerm.number,
+        machine,
+      });
     for (const job of t.registry.abandonUnadoptableJobs(at))
       yield* info('tasks of before a loss stopped', { term: t.leaderTerm.number, job });
     t.registry.needsCycle = false;
--- a/packages/controller/src/scheduler/views.ts
+++ b/packages/controller/src/scheduler/views.ts
@@ -4,7 +4,8 @@
 import { cutoffRank } from '../calendar/slack.js';
 import { isComplete, type Job, taskKey } from '../jobs/model.js';
 import { mayBorrow } from '../lending/loans.js';
-import { type WorkerRegistry, type TaskExits, hasExited } from '../workers/worker-registry.js';
+import { type TaskExits, hasExited } from '../workers/observed-exits.js';
+import type { WorkerRegistry } from '../workers/worker-registry.js';
 import {
   type Companion,
   fits,
--- a/packages/controller/src/workers/heartbeat-handler.ts
+++ b/packages/controller/src/workers/heartbeat-handler.ts
@@ -1,210 +1,154 @@
-/** Answers reports while this node leads, and sends urgent stops directly. */
-import * as http from 'node:http';
-import { Effect } from 'effect';
+/** Answers workers' heartbeats: the leader itself, a follower by forwarding them to the leader. */
 import { type Answer, json, type Quick } from '@lilacvalve/runtime/http-server';
-import { HttpClient } from '@lilacvalve/runtime/http-client';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { recordAnomaly, countMetric } from '../metrics.js';
 import type { Contacts } from '../leadership/contacts.js';
 import type { Leadership } from '../leadership/leadership.js';
-import type { Admission } from '../overload/admission.js';
-import type { Settings } from '../settings/settings.js';
-import type { WorkerRegistry } from './worker-registry.js';
+import type { DataLossDetector } from '../recovery/data-loss-detector.js';
 import {
-  type Order,
-  type ReceiveHeartbeats,
+  encodeOrders,
   type Heartbeat,
-  type HeartbeatReader,
   HEARTBEAT_PATH,
+  type HeartbeatReader,
+  type HeartbeatResponses,
+  type Order,
+  type ReceiveHeartbeats,
   senderOf,
-  encodeOrders,
 } from './codec.js';
-import type { DataLossDetector } from '../recovery/data-loss-detector.js';
 import { responseAt } from './heartbeat-relay.js';
+import type { Machine } from './machine.js';
+import type { WorkerRegistry } from './worker-registry.js';
 
-export interface WorkerPort {
-  /** Sends commands to a worker's address; whatever comes of it, the next reports tell. */
-  sendOrders(addr: string, body: string): Effect.Effect<void>;
-}
-
-/** The part of a node's sockets that direct orders may take; the rest is for reports and users. */
-const ORDER_SOCKETS = 0.1;
-
-export class WorkerClient implements WorkerPort {
-  private readonly agent: http.Agent;
-
-  constructor(settings: Settings) {
-    // One connection an order: a worker gets one seldom, and a thousand idle connections would fill the node.
-    // What is over the bound waits its turn; nobody's connection is cut for another's.
-    this.agent = new http.Agent({
-      maxTotalSockets: Math.max(8, Math.floor(settings.limits.maxConnections * ORDER_SOCKETS)),
-    });
-  }
-
-  sendOrders(addr: string, body: string): Effect.Effect<void> {
-    return new HttpClient(addr, this.agent).request('POST', '/orders', body, 3000).pipe(
-      Effect.map(({ status }) => {
-        if (status !== 200) recordAnomaly('unheeded', 'order refused', () => ({ addr, status }));
-      }),
-      Effect.ignore,
-    );
-  }
-}
-
-/** What the leader's session offers to the report handler. */
+/** What the leader's session offers to the heartbeat handler. */
 export interface HeartbeatService {
   readonly registry: WorkerRegistry;
-  /** Calls back when the next turn has run, or soon after. */
+  /** Calls back when the next scheduling cycle has run, or soon after. */
   readonly afterNextCycle: (then: () => void) => void;
 }
-/** Before a rebuild is durable: leases are renewed, and what users cancelled is stopped; nothing else is ordered. */
+
+/**
+ * What it offers before a rebuild is durable: leases are renewed, and what users cancelled is stopped; nothing else is
+ * ordered.
+ */
 export interface LeaseRenewalService {
   readonly term: number;
   readonly isCancelled: (job: string) => boolean;
 }
 
-interface Waiter {
-  readonly since: Micros;
-  readonly then: () => void;
-}
-
 /**
- * Those that wait for the turn to come; whoever asks during one waits for the one after it. As many as there are
- * reports on their way to this node, which their senders bound.
+ * In a term's first seconds responses don't wait for a cycle: all leases are to be renewed then, and the first cycles are the
+ * longest.
  */
-export class CycleGate {
-  private next: Waiter[] = [];
-  private current: Waiter[] = [];
-
-  constructor(private readonly clock: () => Micros) {}
-
-  wait(then: () => void): void {
-    this.next.push({ since: this.clock(), then });
-  }
-
-  /** A turn begins. */
-  cycleBegan(): void {
-    this.current.push(...this.next.splice(0));
-  }
-
-  /** It is over. */
-  cycleEnded(): void {
-    release(this.current.splice(0));
-  }
-
-  /** Lets those go that have waited for `longest`: a turn's record may wait for the state service. */
-  releaseOverdue(longest: Micros): void {
-    const old = this.clock() - longest;
-    const late = [...this.current, ...this.next].filter((w) => w.since <= old);
-    if (late.length === 0) return;
-    this.current = this.current.filter((w) => w.since > old);
-    this.next = this.next.filter((w) => w.since > old);
-    release(late);
-  }
-}
-
-/** One that fails must not keep the others waiting; the first failure is the duty's to report. */
-const release = (waiters: readonly Waiter[]): void => {
-  let failed: { readonly reason: unknown } | null = null;
-  for (const w of waiters) {
-    try {
-      w.then();
-    } catch (reason) {
-      failed ??= { reason };
-    }
-  }
-  if (failed !== null) throw failed.reason;
+const NEW_TERM = seconds(3);
+const AT_ONCE = 0 as Micros;
+
+/** The response while only leases are renewed. */
+const renewalResponse = (heartbeat: Heartbeat | null, service: LeaseRenewalService): string | null => {
+  if (heartbeat === null) return null;
+  const orders = heartbeat.tasks
+    .filter((t) => t.status !== 'exited' && service.isCancelled(t.key.slice(0, t.key.indexOf('/'))))
+    .map((t): Order => ({ op: 'stop', key: t.key, attempt: t.attempt, grace: AT_ONCE }));
+  return orders.length === 0 ? '' : encodeOrders(service.term, orders);
 };
 
-const NEW_TERM = seconds(3);
+const renewalResponses = (
+  heartbeats: readonly (Heartbeat | null)[],
+  service: LeaseRenewalService,
+): HeartbeatResponses => ({
+  term: service.term,
+  bodies: heartbeats.map((h) => renewalResponse(h, service)),
+});
+
+/** Takes a heartbeat in; null: it is malformed or stale. */
+const apply = (registry: WorkerRegistry, heartbeat: Heartbeat | null, at: Micros): Machine | null => {
+  if (heartbeat === null) return null;
+  const machine = registry.applyHeartbeat(heartbeat, at);
+  if (machine === null)
+    recordAnomaly('late', 'stale heartbeat', () => ({
+      machine: heartbeat.machine,
+      incarnation: heartbeat.incarnation,
+      sequence: heartbeat.sequence,
+      fencingToken: heartbeat.fencingToken,
+    }));
+  return machine;
+};
 
-/** The answer to a report during a rebuild. */
-const renewal = (r: Heartbeat | null, d: LeaseRenewalService): string | null => {
-  if (r === null) return null;
-  const orders = r.tasks
-    .filter((t) => t.status !== 'exited' && d.isCancelled(t.key.slice(0, t.key.indexOf('/'))))
-    .map((t): Order => ({ op: 'stop', key: t.key, attempt: t.attempt, grace: 0 as Micros }));
-  return orders.length === 0 ? '' : encodeOrders(d.term, orders);
+const responseTo = (
+  registry: WorkerRegistry,
+  heartbeat: Heartbeat | null,
+  machine: Machine | null,
+  starts: boolean,
+): string | null => {
+  if (heartbeat === null) return null;
+  // Older than what is known by now: this response must not carry what belongs to a newer heartbeat's.
+  if (
+    machine === null ||
+    machine.sequence !== heartbeat.sequence ||
+    machine.incarnation !== heartbeat.incarnation
+  )
+    return '';
+  const orders = registry.ordersFor(machine, starts);
+  return orders.length === 0 ? '' : encodeOrders(registry.term, orders);
 };
 
-/** Takes reports in, wherever they came to, and says what their answers are. */
+/** Takes heartbeats in, whichever controller they came to, and says what the responses are. */
 export const heartbeatReceiver =
   (
-    leadership: Leadership,
-    desk: () => HeartbeatService | LeaseRenewalService | null,
+    leadership: Pick<Leadership, 'answeringTerm' | 'currentTerm' | 'mayStart' | 'depose'>,
+    currentService: () => HeartbeatService | LeaseRenewalService | null,
     clock: () => Micros,
     contacts: Contacts,
     lossDetector: Pick<DataLossDetector, 'heardToken' | 'suspected'>,
   ): ReceiveHeartbeats =>
-  (reports, answer) => {
+  (heartbeats, answer) => {
     const at = clock();
-    for (const r of reports) {
-      if (r === null) continue;
-      contacts.note(r.machine, at);
-      leadership.depose(r.fencingToken);
-      lossDetector.heardToken(r.fencingToken, r.machine);
+    for (const heartbeat of heartbeats) {
+      if (heartbeat === null) continue;
+      contacts.note(heartbeat.machine, at);
+      leadership.depose(heartbeat.fencingToken);
+      lossDetector.heardToken(heartbeat.fencingToken, heartbeat.machine);
     }
     const leaderTerm = leadership.answeringTerm();
-    const d = desk();
-    if (leaderTerm === null || d === null) return answer(null);
-    if (!('registry' in d)) {
-      if (d.term !== leaderTerm.number) return answer(null);
-      return answer({ term: leaderTerm.number, bodies: reports.map((r) => renewal(r, d)) });
-    }
-    if (d.registry.term !== leaderTerm.number) return answer(null);
-    const { registry } = d;
+    const service = currentService();
+    if (leaderTerm === null || service === null) return answer(null);
+    const term = leaderTerm.number;
+    if (!('registry' in service))
+      return answer(service.term === term ? renewalResponses(heartbeats, service) : null);
+    const { registry } = service;
+    if (registry.term !== term) return answer(null);
     // What was durable may not be any more: only the lease is renewed until that is known. What users cancelled is stopped
     // all the same: its time runs on, and whoever renews leases must not carry it past that.
     if (lossDetector.suspected) {
-      for (const r of reports) if (r !== null) registry.renewLeaseOnly(r, at);
-      const cancelled = (id: string): boolean => registry.isCancelled(id);
-      return answer({
-        term: leaderTerm.number,
-        bodies: reports.map((r) => renewal(r, { term: leaderTerm.number, isCancelled: cancelled })),
-      });
+      for (const heartbeat of heartbeats) if (heartbeat !== null) registry.renewLeaseOnly(heartbeat, at);
+      const isCancelled = (id: string): boolean => registry.isCancelled(id);
+      return answer(renewalResponses(heartbeats, { term, isCancelled }));
     }
-    const machines = reports.map((r) => {
-      if (r === null) return null;
-      const m = registry.applyHeartbeat(r, at);
-      if (m === null)
-        recordAnomaly('late', 'late report', () => ({
-          machine: r.machine,
-          tenure: r.incarnation,
-          tick: r.sequence,
-          token: r.fencingToken,
-        }));
-      return m;
-    });
-    const finish = (): void => {
-      const still = leadership.answeringTerm();
-      if (still === null || still.number !== leaderTerm.number) return answer(null);
+    const machines = heartbeats.map((h) => apply(registry, h, at));
+    const respond = (): void => {
+      if (leadership.answeringTerm()?.number !== term) return answer(null);
       const starts = leadership.mayStart();
-      const bodies = reports.map((r, i) => {
-        const m = machines[i]!;
-        if (r === null) return null;
-        // Older than what is known by now: this answer must not carry what belongs to a newer report's.
-        if (m === null || m.sequence !== r.sequence || m.incarnation !== r.incarnation) return '';
-        const orders = registry.ordersFor(m, starts);
-        return orders.length === 0 ? '' : encodeOrders(leaderTerm.number, orders);
-      });
-      answer({ term: leaderTerm.number, bodies });
+      const bodies = heartbeats.map((h, i) => responseTo(registry, h, machines[i] ?? null, starts));
+      answer({ term, bodies });
     };
-    // A turn that a report calls for is waited for, shortly: the freed room's new start then goes
-    // out at once instead of a report later.
-    // Not in a term's first seconds: all leases want renewing then, and the first turns are the longest.
-    const settled = at - leaderTerm.began > NEW_TERM;
-    if (registry.needsCycle && settled && leadership.currentTerm() !== null) d.afterNextCycle(finish);
-    else finish();
+    // A cycle that a heartbeat calls for is waited for, shortly: the freed room's new start then goes out at once instead of
+    // a heartbeat later.
+    const waits =
+      registry.needsCycle && at - leaderTerm.began > NEW_TERM && leadership.currentTerm() !== null;
+    if (waits) service.afterNextCycle(respond);
+    else respond();
   };
 
-/** The workers' address: the leader answers by itself, a follower passes the report on, or names a better node. */
+/**
+ * The workers' address. The leader answers by itself, a follower forwards the heartbeat; a worker that another controller
+ * should answer is redirected (421).
+ */
 export const heartbeatHandler =
   (
     receive: ReceiveHeartbeats,
-    leads: () => boolean,
-    pass: (report: Buffer, reply: (a: Answer) => void) => void,
-    elsewhere: (machine: string) => string | null,
-    note: (machine: string) => void,
+    isLeader: () => boolean,
+    forward: (heartbeat: Buffer, reply: (a: Answer) => void) => void,
+    redirect: (machine: string) => string | null,
+    noteContact: (machine: string) => void,
     reader: HeartbeatReader,
   ): Quick =>
   (request, reply) => {
@@ -212,57 +156,24 @@
     countMetric('reports');
     const { body } = request;
     if (body === null) {
-      recordAnomaly('malformed', 'report too large', () => ({}));
+      recordAnomaly('malformed', 'heartbeat too large', () => ({}));
       reply(json(400, { error: 'body too large' }));
       return true;
     }
     const sender = senderOf(body);
-    const better = sender === null ? null : elsewhere(sender);
-    if (better !== null) {
-      reply(json(421, { answerTo: better }));
+    const target = sender === null ? null : redirect(sender);
+    if (target !== null) {
+      reply(json(421, { answerTo: target }));
       return true;
     }
-    if (sender !== null) note(sender);
-    if (leads()) {
-      const report = reader.read(body);
-      if (report === null) recordAnomaly('malformed', 'malformed report', () => ({ machine: sender }));
-      receive([report], (answers) => {
-        if (answers === null) pass(body, reply);
-        else reply(responseAt(answers, 0));
+    if (sender !== null) noteContact(sender);
+    if (isLeader()) {
+      const heartbeat = reader.read(body);
+      if (heartbeat === null) recordAnomaly('malformed', 'malformed heartbeat', () => ({ machine: sender }));
+      receive([heartbeat], (responses) => {
+        if (responses === null) forward(body, reply);
+        else reply(responseAt(responses, 0));
       });
-    } else pass(body, reply);
+    } else forward(body, reply);
     return true;
   };
-
-/** Sends what must not wait for a report. */
-export const sendUrgentOrders = (
-  registry: WorkerRegistry,
-  port: WorkerPort,
-  admission: Pick<Admission, 'enter' | 'leave'>,
-): Effect.Effect<void> =>
-  Effect.suspend(() => {
-    if (registry.urgentOrders.length === 0) return Effect.void;
-    const byMachine = new Map<string, { addr: string; tenure: number; orders: Order[] }>();
-    for (const { ensureMachine: machine, order } of registry.urgentOrders) {
-      const e = byMachine.get(machine.id);
-      if (e) e.orders.push(order);
-      else byMachine.set(machine.id, { addr: machine.addr, tenure: machine.incarnation, orders: [order] });
-    }
-    registry.urgentOrders = [];
-    return Effect.forEach(
-      byMachine.values(),
-      (e) => {
-        // What is shed here goes with the answer to the worker's next report all the same.
-        if (admission.enter('order') !== null) return Effect.void;
-        countMetric('orders');
-        const sent = port.sendOrders(e.addr, encodeOrders(registry.term, e.orders, e.tenure));
-        return Effect.forkDaemon(
-          Effect.ensuring(
-            sent,
-            Effect.sync(() => admission.leave('order')),
-          ),
-        );
-      },
-      { discard: true },
-    );
-  });
--- a/packages/controller/src/workers/worker-registry.ts
+++ b/packages/controller/src/workers/worker-registry.ts
@@ -1,783 +1,509 @@
 /**
- * The leader's book of machines and what may run on them. Deterministic: reports, answers of the cloud and
- * the time go in; orders and observed ends come out. Nothing here is durable: the starts and ends that
- * count stand in the store, and the book is made anew by every term.
+ * The leader's registry of machines and what may run on them. Deterministic: heartbeats, the cloud's answers and the time go
+ * in; orders and observed exits come out. Nothing here is durable: the starts and exits that count stand in the state
+ * service, and each term begins with an empty registry.
+ *
+ * The registry owns the machines and takes heartbeats in. Beside it: observed exits, worker leases, start confirmation, the
+ * order queue, orphaned tasks, quarantine and service readiness, each with its own state.
  */
-import { DRIFT, type Micros, plus, seconds } from '@lilacvalve/runtime/micros';
-import type { ProvisioningNews, ListedMachine } from '../provisioning/model.js';
+import { type Micros, plus } from '@lilacvalve/runtime/micros';
+import type { ProvisioningNews, ListedMachine, Offer } from '../provisioning/model.js';
 import type { JobState } from '../jobs/job-state.js';
 import { type Job, type Placement, taskKey } from '../jobs/model.js';
-import { CONFIRM } from '../leadership/peers.js';
 import type { Settings } from '../settings/settings.js';
-import { type KindOf } from '../accounts/spent.js';
-import { Phases } from '../accounts/phases.js';
-import { recordAnomaly } from '../metrics.js';
-import { FaultAttribution } from './fault-attribution.js';
+import type { KindOf } from '../accounts/spent.js';
+import type { Phases } from '../accounts/phases.js';
 import type { Start } from '../scheduler/model.js';
 import type { Order, Heartbeat, ReportedTask } from './codec.js';
-
-export interface Machine {
-  readonly id: string;
-  addr: string;
-  type: string;
-  zone: string;
-  spot: boolean;
-  incarnation: number;
-  sequence: number;
-  /** When a report of it was last answered: its lease may run from there. */
-  lastAnswered: Micros;
-  reported: boolean;
-  /** A report has shown that the worker knows this term's token: no older leader's answer can reach it any more. */
-  confirmed: boolean;
-  recallAt: Micros | null;
-  readonly tasks: Map<string, ReportedTask>;
-  /** The list that `tasks` was made from. */
-  lastTaskList: readonly ReportedTask[];
-  /** Since when it has reported without having shown that; from the last answer on, once its lease has lapsed. */
-  unconfirmedSince: Micros;
-  /**
-   * The latest report carried this term's token, or no older leader's word can count any more, so what it lacks is surely
-   * not there, and what has ended there is not started there again.
-   */
-  authoritative: boolean;
-  /** Tasks reported in this term and session, with the attempt: a later attempt here has not been seen yet. */
-  readonly seenAttempts: Map<string, number>;
-  /** Tasks reported that the record does not know. */
-  hasUnknownTasks: boolean;
-  cloudStatus: ListedMachine['status'] | null;
-  /** When the machine became known or was rented, for the first time it was charged. */
-  since: Micros;
-  /** Since when the cloud's list has called it running in this term. */
-  runningSince: Micros | null;
-  emptySince: Micros | null;
-  cordonReason: string | null;
-  images: Set<string>;
-  cooldownUntil: Micros;
-  /** Tasks that the answer to its latest report starts. */
-  dispatched: readonly string[];
-  /** So many answers with starts in a row have not reached it. */
-  unacknowledged: number;
-}
-
-export interface Running {
-  /** When this attempt was first seen running. */
-  readonly since: Micros;
-  readonly machine: string;
-}
-
-interface Stopping {
-  readonly attempt: number;
-  grace: Micros;
-  readonly at: Micros;
-}
-
-export interface TaskExits {
-  readonly done: Set<number>;
-  readonly gone: Set<number>;
-  /** Those of `gone` that failed by themselves. */
-  readonly failed: Set<number>;
-}
-
-const ZERO = 0 as Micros;
-const NONE: readonly string[] = [];
-const NO_TASKS: readonly ReportedTask[] = [];
-/** So many answers in a row that start something have been lost: the machine's reports come, and answers don't reach it. */
-const DEAF = 3;
-/** Reports that come closer together were held up together: nobody waited for the answers between them. */
-const HELD = seconds(1);
-/** A deaf machine gets nothing for so long; doubles while it turns out to be deaf still. */
-const SHUNNED = seconds(10);
-const LONGEST_SHUNNED = seconds(60);
-const FAULTY = 'faulty';
-/** What ends on a machine is recorded within a few turns after the machine has gone. */
-const FORMERLY_KEPT = 2000;
-
-export const hasExited = (e: TaskExits, task: number): boolean => e.done.has(task) || e.gone.has(task);
-
-const isOlder = (r: Heartbeat, m: Machine): boolean =>
-  r.incarnation < m.incarnation || (r.incarnation === m.incarnation && r.sequence <= m.sequence);
+import {
+  isStale,
+  type Machine,
+  type MachineInfo,
+  type Machines,
+  newMachine,
+  NONE_DISPATCHED,
+} from './machine.js';
+import { ObservedExits, type Running, type TaskExits } from './observed-exits.js';
+import { type Stopping, OrderQueue, type UrgentOrder } from './order-queue.js';
+import { OrphanedTasks } from './orphaned-tasks.js';
+import { Quarantine, type QuarantineDecision } from './quarantine.js';
+import { ServiceReadiness } from './service-readiness.js';
+import { StartConfirmation } from './start-confirmation.js';
+import { WorkerLeases } from './worker-leases.js';
+
+/** What exits on a machine is recorded within a few cycles after the machine has gone. */
+const DEPARTED_KEPT = 2000;
+/** A machine may have been rented so shortly before the term that its leader saw it as the last. */
+const RENTED_MARGIN = 1e6;
+/** A worker that has missed heartbeats for this many intervals, and for a margin, gets no new tasks. */
+const SILENT_INTERVALS = 2.5;
+const SILENT_MARGIN = 1e6;
+
+type PlacedTask = Placement & { readonly job: Job };
 
 export class WorkerRegistry {
-  readonly machines = new Map<string, Machine>();
-  private readonly deleted = new Set<string>();
-  /** Observed and not yet durable. */
-  readonly exits = new Map<string, TaskExits>();
-  readonly stopping = new Map<string, Stopping>();
-  readonly running = new Map<string, Running>();
-  /** For the accounts. */
-  readonly phases = new Phases();
+  private readonly byId = new Map<string, Machine>();
+  readonly machines: Machines = this.byId;
+  private readonly removedIds = new Set<string>();
   /** What machines were that are gone, the latest ones. */
   private readonly departed = new Map<string, KindOf>();
-  private readonly blame: FaultAttribution;
-  private readonly suspected = new Set<string>();
-  private readonly serving = new Set<string>();
-  private readonly holds = new Map<string, Micros>();
-  /** Stops that should also go out directly. */
-  urgentOrders: { ensureMachine: Machine; order: Order }[] = [];
-  /** Until when an older leader may have renewed leases; null: not known yet. */
-  private olderUntil: Micros | null = null;
-  /** Jobs of which tasks run that no record knows of, from before a loss: by task, where and as which attempt. */
-  readonly orphanedTasks = new Map<string, Map<number, Placement>>();
-  /** Jobs that workers name and nobody knows, with how many tasks of them. */
-  readonly unknownJobs = new Map<string, Set<string>>();
-  /** Of these, those that have been kept for long enough. */
-  readonly abortedUnknownJobs = new Set<string>();
-  /** Jobs whose strays can't be taken up. */
-  private readonly abandoned = new Set<string>();
-  /** Machines found deaf since this was last looked at. */
-  unreachableWorkers: string[] = [];
-  /** Something a cycle should look at has changed. */
+  /** By task: stops that it has been told of. */
+  readonly stopping = new Map<string, Stopping>();
+  /** Something that a scheduling cycle should look at has changed. */
   needsCycle = true;
 
+  private readonly observed: ObservedExits;
+  private readonly leases: WorkerLeases;
+  private readonly startConfirmation = new StartConfirmation();
+  private readonly orphaned: OrphanedTasks;
+  private readonly orders: OrderQueue;
+  private readonly quarantine: Quarantine;
+  private readonly services: ServiceReadiness;
+
   constructor(
     private readonly settings: Settings,
     private readonly jobState: JobState,
     readonly term: number,
     readonly termBegan: Micros,
   ) {
-    this.blame = new FaultAttribution(termBegan);
+    const requestCycle = (): void => {
+      this.needsCycle = true;
+    };
+    this.observed = new ObservedExits(this.stopping, requestCycle);
+    this.leases = new WorkerLeases(settings.workers, termBegan);
+    this.orphaned = new OrphanedTasks(jobState, this.observed, requestCycle);
+    this.orders = new OrderQueue(jobState, this.machines, this.observed, this.orphaned, this.stopping);
+    this.quarantine = new Quarantine(jobState, this.observed, termBegan);
+    this.services = new ServiceReadiness(jobState, this.observed.running);
   }
 
-  machine(
-    id: string,
-    at: Micros,
-    info: { addr: string; type: string; zone: string; spot: boolean },
-  ): Machine {
-    let m = this.machines.get(id);
-    if (!m) {
-      m = {
-        id,
-        ...info,
-        incarnation: 0,
-        sequence: -1,
-        lastAnswered: this.termBegan,
-        reported: false,
-        confirmed: false,
-        unconfirmedSince: at,
-        recallAt: null,
-        tasks: new Map(),
-        lastTaskList: NO_TASKS,
-        authoritative: false,
-        seenAttempts: new Map(),
-        hasUnknownTasks: false,
-        cloudStatus: null,
-        since: at,
-        runningSince: null,
-        emptySince: null,
-        cordonReason: null,
-        images: new Set(this.jobState.weights.get(id) ?? []),
-        cooldownUntil: ZERO,
-        dispatched: NONE,
-        unacknowledged: 0,
-      };
-      this.machines.set(id, m);
+  // Machines
+
+  private ensureMachine(id: string, at: Micros, info: MachineInfo): Machine {
+    let machine = this.byId.get(id);
+    if (!machine) {
+      machine = newMachine(id, at, this.termBegan, info, this.jobState.weights.get(id) ?? []);
+      this.byId.set(id, machine);
     }
-    return m;
+    return machine;
   }
 
   /** The cloud's answer to a rental names it, perhaps long after it has reported, or gone; false: it is gone. */
-  addRentedMachine(id: string, at: Micros, what: { type: string; zone: string; spot: boolean }): boolean {
-    if (this.deleted.has(id)) return false;
-    const m = this.machine(id, at, { addr: '', ...what });
-    m.cloudStatus ??= 'booting';
+  addRentedMachine(id: string, at: Micros, offer: Offer): boolean {
+    if (this.removedIds.has(id)) return false;
+    const machine = this.ensureMachine(id, at, { addr: '', ...offer });
+    machine.cloudStatus ??= 'booting';
     return true;
   }
 
   /** What an earlier leader has said of machines that the cloud's list does not show yet, or still shows. */
   applyProvisioningNews(news: ProvisioningNews, at: Micros): void {
     for (const id of news.removed) this.removeMachine(id);
-    for (const r of news.rented) {
-      if (this.machines.has(r.id)) continue;
-      this.addRentedMachine(r.id, plus(at, -r.age), { type: r.type, zone: r.zone, spot: r.spot });
+    for (const { id, age, type, zone, spot } of news.rented) {
+      if (this.byId.has(id)) continue;
+      this.addRentedMachine(id, plus(at, -age), { type, zone, spot });
     }
   }
 
-  private end(job: Job, task: number, how: 'done' | 'gone'): void {
-    const id = job.spec.id;
-    let e = this.exits.get(id);
-    if (!e) this.exits.set(id, (e = { done: new Set(), gone: new Set(), failed: new Set() }));
-    if (how === 'done') {
-      // A gang completes as a whole.
-      if (job.spec.shape === 'gang') for (let t = 0; t < job.spec.tasks; t++) e.done.add(t);
-      else e.done.add(task);
-    } else if (!e.done.has(task)) e.gone.add(task);
-    this.needsCycle = true;
+  /** Takes the cloud's list in. */
+  applyListing(list: readonly ListedMachine[], at: Micros): void {
+    for (const listed of list) {
+      if (this.removedIds.has(listed.id)) continue;
+      const isNew = !this.byId.has(listed.id);
+      const machine = this.ensureMachine(listed.id, at, listed);
+      if (isNew) machine.since = Math.max(0, at - listed.age) as Micros;
+      machine.type = listed.type;
+      machine.zone = listed.zone;
+      machine.spot = listed.spot;
+      machine.addr = listed.addr;
+      machine.cloudStatus = listed.status;
+      if (listed.status === 'running') machine.runningSince ??= at;
+    }
   }
 
-  hasObservedExit(jobId: string, task: number): boolean {
-    if (this.exits.size === 0) return false;
-    const e = this.exits.get(jobId);
-    return e !== undefined && hasExited(e, task);
+  /** The cloud has answered the deletion: the machine and everything on it are gone. */
+  removeMachine(id: string): void {
+    this.loseTasksOn(id);
+    const machine = this.byId.get(id);
+    if (machine) this.departed.set(id, { type: machine.type, spot: machine.spot });
+    if (this.departed.size > DEPARTED_KEPT)
+      for (const oldest of this.departed.keys()) {
+        this.departed.delete(oldest);
+        break;
+      }
+    this.byId.delete(id);
+    this.orphaned.forgetMachine(id);
+    this.quarantine.forgetMachine(id);
+    this.removedIds.add(id);
+    this.needsCycle = true;
   }
 
-  /** A gang that lost a member of its attempt: the others must go before a fresh attempt. */
-  private broken(job: Job): boolean {
-    if (job.spec.shape !== 'gang' || job.placed.size === 0) return false;
-    return job.placed.size < job.spec.tasks || (this.exits.get(job.spec.id)?.gone.size ?? 0) > 0;
+  /** What a machine is, or was; null: this leader has never known. */
+  kindOf(id: string): KindOf | null {
+    return this.byId.get(id) ?? this.departed.get(id) ?? null;
   }
 
-  private wanted(p: Placement & { readonly job: Job }, m: Machine): boolean {
-    const key = taskKey(p.job.spec.id, p.task);
+  /** May get new tasks now. */
+  isSchedulable(machine: Machine, at: Micros): boolean {
     return (
-      m.recallAt === null &&
-      !p.job.withdrawn &&
-      // Of a generation before: it may have ended and been forgotten, and is never started again.
-      p.attempt > this.jobState.floor &&
-      this.stopping.get(key)?.attempt !== p.attempt &&
-      !this.broken(p.job)
+      machine.confirmed &&
+      machine.recallAt === null &&
+      machine.cordonReason === null &&
+      machine.cloudStatus !== 'failed' &&
+      !machine.hasUnknownTasks &&
+      at >= machine.cooldownUntil &&
+      at - machine.lastAnswered < this.settings.workers.report * SILENT_INTERVALS + SILENT_MARGIN
     );
   }
 
+  /** Every machine that was there before this term has sent this leader a heartbeat with its token. */
+  allMachinesConfirmed(): boolean {
+    for (const machine of this.byId.values())
+      if (
+        !machine.confirmed &&
+        machine.cloudStatus !== 'failed' &&
+        machine.since < this.termBegan - RENTED_MARGIN
+      )
+        return false;
+    return true;
+  }
+
+  // Heartbeats
+
   /**
-   * A report was answered, and nothing else was made of it: while what is durable is doubted. Its lease counts from here, and
-   * what it says is unknown; an older one must not pass for the latest.
+   * A heartbeat was answered, and nothing else was made of it: while a loss of durable state is suspected. The worker's lease
+   * counts from here, and what the heartbeat says is unknown; an older one must not pass for the latest.
    */
-  renewLeaseOnly(r: Heartbeat, at: Micros): void {
-    if (this.deleted.has(r.machine)) return;
-    const m = this.machine(r.machine, at, r);
-    if (isOlder(r, m)) return;
-    if (r.incarnation > m.incarnation) m.seenAttempts.clear();
-    m.incarnation = r.incarnation;
-    m.sequence = r.sequence;
-    m.lastAnswered = at;
-  }
-
-  /** Takes a report in. null: it is older than what is known, or the machine is gone. */
-  applyHeartbeat(r: Heartbeat, at: Micros): Machine | null {
-    if (this.deleted.has(r.machine)) return null;
-    const m = this.machine(r.machine, at, r);
-    if (isOlder(r, m)) return null;
-    // After `allLapsed` a session that this leader has not heard of has lapsed, and what it has heard of only it can change.
-    const conclusive = r.fencingToken === this.term || this.priorLeasesExpired(at);
-    if (m.reported && r.incarnation > m.incarnation) {
-      // The session before has ended, and everything it held with it. But an older leader that had not seen the start may
-      // have repeated it in this one: it may be here, or still come in an answer that the worker takes, until it knows this
-      // term or that leader's answers count no more.
-      const here = new Map(r.tasks.map((x) => [x.key, x.attempt]));
-      for (const [key, attempt] of m.seenAttempts) {
-        if (here.get(key) === attempt) continue;
-        if (conclusive) this.lost(m, key, attempt);
-        m.seenAttempts.delete(key);
-      }
-    }
-    if (!m.reported) {
+  renewLeaseOnly(heartbeat: Heartbeat, at: Micros): void {
+    if (this.removedIds.has(heartbeat.machine)) return;
+    const machine = this.ensureMachine(heartbeat.machine, at, heartbeat);
+    if (isStale(heartbeat, machine)) return;
+    if (heartbeat.incarnation > machine.incarnation) machine.seenAttempts.clear();
+    machine.incarnation = heartbeat.incarnation;
+    machine.sequence = heartbeat.sequence;
+    machine.lastAnswered = at;
+  }
+
+  /** Takes a heartbeat in. null: it is older than what is known, or the machine is gone. */
+  applyHeartbeat(heartbeat: Heartbeat, at: Micros): Machine | null {
+    if (this.removedIds.has(heartbeat.machine)) return null;
+    const machine = this.ensureMachine(heartbeat.machine, at, heartbeat);
+    if (isStale(heartbeat, machine)) return null;
+    // Once prior leases have expired, an incarnation that this leader has not heard of has ended, and what it has heard of
+    // only it can change.
+    const authoritative = heartbeat.fencingToken === this.term || this.priorLeasesExpired(at);
+    if (machine.reported && heartbeat.incarnation > machine.incarnation)
+      this.endIncarnation(machine, heartbeat, authoritative);
+    if (!machine.reported) {
       this.needsCycle = true;
-      m.unconfirmedSince = at;
-    }
-    m.addr = r.addr;
-    m.type = r.type;
-    m.zone = r.zone;
-    m.spot = r.spot;
-    const since = at - m.lastAnswered;
-    m.incarnation = r.incarnation;
-    m.sequence = r.sequence;
-    m.lastAnswered = at;
-    m.reported = true;
-    m.authoritative = conclusive;
-    if (r.fencingToken === this.term && !m.confirmed) {
-      m.confirmed = true;
+      machine.unconfirmedSince = at;
+    }
+    const elapsed = at - machine.lastAnswered;
+    this.updateMachine(machine, heartbeat, authoritative, at);
+    const placed = this.jobState.byMachine.get(machine.id);
+    this.observeTasks(machine, heartbeat.tasks, placed, at);
+    const startsFailed =
+      machine.dispatched !== NONE_DISPATCHED && this.startConfirmation.failed(machine, elapsed, at);
+    machine.dispatched = NONE_DISPATCHED;
+    for (const [key, placement] of placed ?? []) {
+      if (machine.tasks.has(key) || this.hasObservedExit(placement.job.spec.id, placement.task)) continue;
+      // Seen before and not there any more, or: never arrived, and only our own next response could still bring it.
+      const isGone =
+        startsFailed ||
+        machine.seenAttempts.get(key) === placement.attempt ||
+        !this.orders.isWanted(placement, machine);
+      if (machine.authoritative && isGone) this.observed.recordGone(placement.job, placement.task);
+    }
+    const isEmpty = heartbeat.tasks.every((t) => t.status === 'exited') && (placed?.size ?? 0) === 0;
+    if (!isEmpty) machine.emptySince = null;
+    else machine.emptySince ??= at;
+    return machine;
+  }
+
+  /**
+   * The worker's incarnation before has ended, and everything it held with it. But an older leader that had not seen the start
+   * may have repeated it in this one: it may be here, or still come in a response that the worker takes, until it knows this
+   * term or that leader's responses count no more.
+   */
+  private endIncarnation(machine: Machine, heartbeat: Heartbeat, authoritative: boolean): void {
+    const reported = new Map(heartbeat.tasks.map((t) => [t.key, t.attempt]));
+    for (const [key, attempt] of machine.seenAttempts) {
+      if (reported.get(key) === attempt) continue;
+      if (authoritative) this.loseAttempt(machine, key, attempt);
+      machine.seenAttempts.delete(key);
+    }
+  }
+
+  private updateMachine(machine: Machine, heartbeat: Heartbeat, authoritative: boolean, at: Micros): void {
+    machine.addr = heartbeat.addr;
+    machine.type = heartbeat.type;
+    machine.zone = heartbeat.zone;
+    machine.spot = heartbeat.spot;
+    machine.incarnation = heartbeat.incarnation;
+    machine.sequence = heartbeat.sequence;
+    machine.lastAnswered = at;
+    machine.reported = true;
+    machine.authoritative = authoritative;
+    if (heartbeat.fencingToken === this.term && !machine.confirmed) {
+      machine.confirmed = true;
       this.needsCycle = true;
     }
-    const recallAt = r.recall === null ? null : plus(at, r.recall);
-    if ((recallAt === null) !== (m.recallAt === null)) this.needsCycle = true;
-    m.recallAt = recallAt;
-    // The very list of its last report: it says the same again.
-    if (m.lastTaskList !== r.tasks) {
-      m.tasks.clear();
-      for (const t of r.tasks) m.tasks.set(t.key, t);
-      m.lastTaskList = r.tasks;
+    const recallAt = heartbeat.recall === null ? null : plus(at, heartbeat.recall);
+    if ((recallAt === null) !== (machine.recallAt === null)) this.needsCycle = true;
+    machine.recallAt = recallAt;
+    // The very list of its last heartbeat: it says the same again.
+    if (machine.lastTaskList !== heartbeat.tasks) {
+      machine.tasks.clear();
+      for (const reported of heartbeat.tasks) machine.tasks.set(reported.key, reported);
+      machine.lastTaskList = heartbeat.tasks;
     }
+  }
 
-    const on = this.jobState.byMachine.get(m.id);
-    const strangers = m.hasUnknownTasks;
-    m.hasUnknownTasks = false;
-    this.forgetStrays(m.id);
-    for (const t of r.tasks) {
-      const p = on?.get(t.key);
-      if (p && p.attempt === t.attempt) this.observe(m, p, t, at);
+  private observeTasks(
+    machine: Machine,
+    tasks: readonly ReportedTask[],
+    placed: ReadonlyMap<string, PlacedTask> | undefined,
+    at: Micros,
+  ): void {
+    const hadUnknownTasks = machine.hasUnknownTasks;
+    machine.hasUnknownTasks = false;
+    this.orphaned.forgetMachine(machine.id);
+    for (const reported of tasks) {
+      const placement = placed?.get(reported.key);
+      if (placement && placement.attempt === reported.attempt)
+        this.observeTask(machine, placement, reported, at);
       else {
-        if (t.attempt <= this.jobState.floor) this.stray(m, t);
-        if (t.status !== 'exited') m.hasUnknownTasks = true;
+        if (reported.attempt <= this.jobState.floor) this.orphaned.note(machine, reported);
+        if (reported.status !== 'exited') machine.hasUnknownTasks = true;
       }
     }
-    if (strangers !== m.hasUnknownTasks) this.needsCycle = true;
-    const deaf = m.dispatched !== NONE && this.unheard(m, since, at);
-    m.dispatched = NONE;
-    for (const [key, p] of on ?? []) {
-      if (m.tasks.has(key) || this.hasObservedExit(p.job.spec.id, p.task)) continue;
-      // Seen before and not there any more, or: never arrived, and only our own next answer could still bring it.
-      if (m.authoritative && (deaf || m.seenAttempts.get(key) === p.attempt || !this.wanted(p, m)))
-        this.gone(p.job, p.task);
-    }
-    const empty = r.tasks.every((t) => t.status === 'exited') && (on?.size ?? 0) === 0;
-    if (!empty) m.emptySince = null;
-    else m.emptySince ??= at;
-    return m;
-  }
-
-  /** What the last answer told it to start is not there; true: that has happened so often that it goes elsewhere. */
-  private unheard(m: Machine, since: number, at: Micros): boolean {
-    if (m.dispatched.every((key) => m.tasks.has(key))) {
-      m.unacknowledged = 0;
-      return false;
-    }
-    if (since < HELD || ++m.unacknowledged < DEAF) return false;
-    m.cooldownUntil = plus(at, Math.min(LONGEST_SHUNNED, SHUNNED * 2 ** (m.unacknowledged - DEAF)));
-    this.unreachableWorkers.push(m.id);
-    return true;
+    if (hadUnknownTasks !== machine.hasUnknownTasks) this.needsCycle = true;
   }
 
-  /** A task from before a loss that no record knows of. */
-  private stray(m: Machine, t: ReportedTask): void {
-    const slash = t.key.indexOf('/');
-    const id = t.key.slice(0, slash);
-    const task = Number(t.key.slice(slash + 1));
-    const job = this.jobState.jobs.get(id);
-    if (job === undefined) {
-      if ((t.status === 'exited' && t.cause !== 'done') || this.jobState.finals.has(id)) return;
-      const on = this.unknownJobs.get(id);
-      if (on) on.add(`${task}@${m.id}`);
-      else this.unknownJobs.set(id, new Set([`${task}@${m.id}`]));
+  private observeTask(machine: Machine, placement: PlacedTask, reported: ReportedTask, at: Micros): void {
+    const { job, task } = placement;
+    const { key, attempt, status, cause } = reported;
+    const { running, phases } = this.observed;
+    machine.seenAttempts.set(key, attempt);
+    if (status !== 'exited') {
+      const phase = status === 'fetching' ? 'fetching' : status === 'waiting' ? 'gathering' : 'running';
+      phases.note(key, attempt, phase, at);
+      if (status === 'running' && !running.has(key)) running.set(key, { since: at, machine: machine.id });
+      if (status !== 'fetching') machine.images.add(job.spec.image);
       return;
     }
-    if (job.withdrawn || job.done.has(task) || task >= job.spec.tasks) return;
-    // Its result is kept there: it completed, whichever attempt that was.
-    if (t.status === 'exited') {
-      if (t.cause === 'done' && !this.hasObservedExit(id, task)) this.end(job, task, 'done');
+    phases.ended(key, attempt, reported.saved);
+    if (this.hasObservedExit(job.spec.id, task)) return;
+    // Should the incarnation end, an older leader that has not heard of this may start the same attempt in the next one.
+    // What is done is done.
+    if (cause !== 'done' && !machine.authoritative) return;
+    const since = running.get(key)?.since;
+    if (cause === 'done') {
+      this.observed.forgetProgress(key);
+      this.observed.recordDone(job, task);
+      this.quarantine.recordCompletion(job, machine.id);
       return;
     }
-    let tasks = this.orphanedTasks.get(id);
-    if (!tasks) this.orphanedTasks.set(id, (tasks = new Map()));
-    // The record that takes it up says since when.
-    tasks.set(task, { task, attempt: t.attempt, machine: m.id, since: 0 as Micros });
-    this.needsCycle = true;
-  }
-
-  private forgetStrays(machine: string): void {
-    for (const [id, tasks] of this.orphanedTasks) {
-      for (const [task, p] of tasks) if (p.machine === machine) tasks.delete(task);
-      if (tasks.size === 0) this.orphanedTasks.delete(id);
-    }
-    for (const [id, on] of this.unknownJobs) {
-      for (const t of on) if (t.endsWith(`@${machine}`)) on.delete(t);
-      if (on.size === 0) this.unknownJobs.delete(id);
-    }
+    this.observed.recordGone(job, task, cause === 'error');
+    this.quarantine.recordExit(job, machine, cause, since === undefined ? 0 : at - since, at);
   }
 
-  /** Whether a reported task that no record knows of is left alone for now. */
-  private kept(m: Machine, t: ReportedTask): boolean {
-    if (t.attempt > this.jobState.floor) return false;
-    const slash = t.key.indexOf('/');
-    const id = t.key.slice(0, slash);
-    if (this.unknownJobs.get(id)?.has(`${t.key.slice(slash + 1)}@${m.id}`) === true)
-      return !this.abortedUnknownJobs.has(id);
-    const task = Number(t.key.slice(slash + 1));
-    if (t.status === 'exited') return t.cause === 'done' && this.exits.get(id)?.done.has(task) === true;
-    return (
-      this.orphanedTasks.get(id)?.get(task)?.machine === m.id &&
-      !this.abandoned.has(id) &&
-      !this.hasObservedExit(id, task)
-    );
-  }
+  // Exits
 
-  /**
-   * Starts that have happened already, as a record takes them up: what runs from before a loss and has no other place.
-   * A gang is taken up whole; one that is not whole can't be, and stops once all leases of before have lapsed.
-   */
-  adoptions(): Start[] {
-    const out: Start[] = [];
-    for (const [id, tasks] of this.orphanedTasks) {
-      const job = this.jobState.jobs.get(id);
-      if (job === undefined) continue;
-      const free = [...tasks.values()].filter(
-        (p) => !job.placed.has(p.task) && !this.hasObservedExit(id, p.task),
-      );
-      const attempt = Math.max(...free.map((p) => p.attempt));
-      const taken = free.filter((p) => p.attempt === attempt);
-      if (taken.length === 0) continue;
-      if (job.spec.shape === 'gang') {
-        const held = [...job.placed.values()].filter((p) => p.attempt === attempt).length;
-        if (held + taken.length < job.spec.tasks) continue;
-      }
-      const on = new Map<string, number[]>();
-      for (const p of taken) {
-        const list = on.get(p.machine);
-        if (list) list.push(p.task);
-        else on.set(p.machine, [p.task]);
-      }
-      out.push({ job, attempt, on });
-    }
-    return out;
+  /** Observed exits that are not durable yet, by job. */
+  get exits(): Map<string, TaskExits> {
+    return this.observed.byJob;
   }
 
-  /** Whatever an earlier leader knew of has shown itself to this one, or its lease has surely lapsed. */
-  priorLeasesExpired(at: Micros): boolean {
-    return at > this.leaseExpiry(undefined);
+  /** By task. */
+  get running(): ReadonlyMap<string, Running> {
+    return this.observed.running;
   }
 
-  /** Every machine that was there before this reign has shown itself to it. */
-  allMachinesConfirmed(): boolean {
-    for (const m of this.machines.values())
-      if (!m.confirmed && m.cloudStatus !== 'failed' && m.since < this.termBegan - 1e6) return false;
-    return true;
+  /** Times of the placements' phases, for the accounts. */
+  get phases(): Phases {
+    return this.observed.phases;
   }
 
-  /** Jobs whose strays can't be taken up (a gang of which a part is gone), once nothing more of them can appear. */
-  abandonUnadoptableJobs(at: Micros): string[] {
-    if (this.orphanedTasks.size === 0 || !this.priorLeasesExpired(at)) return [];
-    const adopted = new Set(this.adoptions().map((s) => s.job.spec.id));
-    const out = [...this.orphanedTasks.keys()].filter((id) => !adopted.has(id) && !this.abandoned.has(id));
-    for (const id of out) this.abandoned.add(id);
-    return out;
-  }
-
-  /** What the answer to the machine's latest report should say; without `starts`, what is to begin waits for a later one. */
-  ordersFor(m: Machine, starts = true): Order[] {
-    const on = this.jobState.byMachine.get(m.id);
-    const orders: Order[] = [];
-    for (const t of m.tasks.values()) {
-      const p = on?.get(t.key);
-      if (!p || p.attempt !== t.attempt) {
-        if (this.kept(m, t)) continue;
-        // Unknown to the record, or of an attempt that is over: a completion is durable by now, so it may go.
-        if (t.status === 'exited') orders.push({ op: 'forget', key: t.key, attempt: t.attempt });
-        else {
-          recordAnomaly('strange', 'strange task', () => ({
-            machine: m.id,
-            task: t.key,
-            attempt: t.attempt,
-          }));
-          orders.push({ op: 'stop', key: t.key, attempt: t.attempt, grace: ZERO });
-        }
-        continue;
-      }
-      if (t.status === 'exited') continue;
-      const stop = this.stopping.get(t.key);
-      if (p.job.withdrawn || this.broken(p.job)) {
-        orders.push({ op: 'stop', key: t.key, attempt: t.attempt, grace: ZERO });
-      } else if (stop && stop.attempt === t.attempt && t.status !== 'saving') {
-        orders.push({ op: 'stop', key: t.key, attempt: t.attempt, grace: stop.grace });
-      }
-    }
-    const told: string[] = [];
-    for (const [key, p] of on ?? []) {
-      if (
-        !starts ||
-        !m.authoritative ||
-        m.tasks.has(key) ||
-        m.seenAttempts.get(key) === p.attempt ||
-        this.hasObservedExit(p.job.spec.id, p.task)
-      )
-        continue;
-      if (!this.wanted(p, m)) continue;
-      orders.push({ op: 'start', key, attempt: p.attempt });
-      told.push(key);
-    }
-    if (told.length > 0) m.dispatched = told;
-    return orders;
+  /** Whether an exit of the task was observed that is not durable yet. */
+  hasObservedExit(jobId: string, task: number): boolean {
+    return this.observed.has(jobId, task);
   }
 
-  private gone(job: Job, task: number): void {
-    const key = taskKey(job.spec.id, task);
-    this.running.delete(key);
-    this.stopping.delete(key);
-    this.end(job, task, 'gone');
+  /** Drops what a committed record has made durable. */
+  dropDurableExits(jobId: string, done: readonly number[], gone: readonly number[]): void {
+    this.observed.dropDurable(jobId, done, gone);
   }
 
-  private lost(m: Machine, key: string, attempt: number): void {
-    const p = this.jobState.byMachine.get(m.id)?.get(key);
-    if (p && p.attempt === attempt && !this.hasObservedExit(p.job.spec.id, p.task)) this.gone(p.job, p.task);
+  /** A gang that lost a member of its attempt: the others must go before a fresh attempt. */
+  isBrokenGang(job: Job): boolean {
+    return this.observed.isBrokenGang(job);
   }
 
-  private observe(m: Machine, p: Placement & { readonly job: Job }, t: ReportedTask, at: Micros): void {
-    const { job } = p;
-    m.seenAttempts.set(t.key, t.attempt);
-    if (t.status !== 'exited') {
-      const phase = t.status === 'fetching' ? 'fetching' : t.status === 'waiting' ? 'gathering' : 'running';
-      this.phases.note(t.key, t.attempt, phase, at);
-      if (t.status === 'running' && !this.running.has(t.key))
-        this.running.set(t.key, { since: at, machine: m.id });
-      if (t.status !== 'fetching') m.images.add(job.spec.image);
-      return;
-    }
-    this.phases.ended(t.key, t.attempt, t.saved);
-    if (this.hasObservedExit(job.spec.id, p.task)) return;
-    // Should the session end, an older leader that has not heard of this may start the same attempt in the next one. What
-    // is done is done.
-    if (t.cause !== 'done' && !m.authoritative) return;
-    const since = this.running.get(t.key)?.since;
-    this.running.delete(t.key);
-    this.stopping.delete(t.key);
-    if (t.cause === 'done') {
-      this.end(job, p.task, 'done');
-      this.blame.recordCompletion(job, m.id);
-      return;
+  /** A task of it is being stopped, or has exited or may be exiting without a record of that. */
+  hasUnsettledTasks(job: Job): boolean {
+    const { id } = job.spec;
+    if (this.exits.has(id) || this.orphanedTasks.has(id)) return true;
+    for (const placement of job.placed.values()) {
+      const key = taskKey(id, placement.task);
+      if (this.stopping.has(key)) return true;
+      const machine = this.byId.get(placement.machine);
+      if (machine === undefined || !machine.confirmed || machine.tasks.get(key)?.status === 'saving')
+        return true;
     }
-    this.end(job, p.task, 'gone');
-    if (t.cause === 'error') {
-      this.exits.get(job.spec.id)!.failed.add(p.task);
-      this.blame.recordFailure(job, m.id, since === undefined ? 0 : at - since, at);
-    } else if (t.cause === 'no-room') m.cooldownUntil = plus(at, 2e6);
-    else if (t.cause === 'unknown' || t.cause === 'busy') this.holds.set(job.spec.id, plus(at, 2e6));
+    return false;
   }
 
-  /** Failed wherever it ran: tried on, but seldom and little of it. */
-  isSuspect(job: Job, at: Micros): boolean {
-    if (!this.blame.isSuspect(job, 0)) return false;
-    let ranFor = 0;
-    for (const task of job.placed.keys()) {
-      const run = this.running.get(taskKey(job.spec.id, task));
-      if (run) ranFor = Math.max(ranFor, at - run.since);
+  /** Records all that is placed on the machine as gone; false: there was nothing. */
+  private loseTasksOn(id: string): boolean {
+    let any = false;
+    for (const placement of this.jobState.byMachine.get(id)?.values() ?? []) {
+      if (this.hasObservedExit(placement.job.spec.id, placement.task)) continue;
+      this.observed.recordGone(placement.job, placement.task);
+      any = true;
     }
-    return this.blame.isSuspect(job, ranFor);
+    return any;
   }
 
-  /** Jobs that have come to look broken since this was last asked. */
-  newSuspects(at: Micros): string[] {
-    const out: string[] = [];
-    for (const [id, e] of this.exits) {
-      if (e.failed.size === 0 || this.suspected.has(id)) continue;
-      const job = this.jobState.jobs.get(id);
-      if (!job || !this.isSuspect(job, at)) continue;
-      this.suspected.add(id);
-      out.push(id);
-    }
-    return out;
+  private loseAttempt(machine: Machine, key: string, attempt: number): void {
+    const placement = this.jobState.byMachine.get(machine.id)?.get(key);
+    if (placement?.attempt !== attempt) return;
+    const { job, task } = placement;
+    if (!this.hasObservedExit(job.spec.id, task)) this.observed.recordGone(job, task);
   }
 
-  /** Not before this time should the job be started again. */
-  retryNotBefore(job: Job, at: Micros): Micros {
-    const held = this.holds.get(job.spec.id) ?? ZERO;
-    return this.isSuspect(job, at) ? (Math.max(held, this.blame.retryNotBefore(job)) as Micros) : held;
+  // Leases
+
+  /** After this the worker's lease has surely expired. */
+  leaseExpiry(machine: Machine): Micros {
+    return this.leases.expiryOf(machine);
   }
 
-  /** Machines a job should avoid, because it failed there. */
-  avoidedMachines(job: Job): ReadonlySet<string> | null {
-    return this.blame.avoidedMachines(job);
-  }
-
-  /** Closes machines that the evidence speaks against, and opens those it no longer does. */
-  updateQuarantine(at: Micros): { readonly machine: string; readonly faulty: boolean }[] {
-    const faulty = this.blame.faultyMachines(at, (job) => this.isSuspect(job, at));
-    const out: { machine: string; faulty: boolean }[] = [];
-    for (const m of this.machines.values()) {
-      if (m.cordonReason === null && faulty.has(m.id)) m.cordonReason = FAULTY;
-      else if (m.cordonReason === FAULTY && !faulty.has(m.id)) m.cordonReason = null;
-      else continue;
-      out.push({ machine: m.id, faulty: m.cordonReason !== null });
-    }
-    return out;
+  /** Whatever an earlier leader knew of has sent this one a heartbeat, or its lease has surely expired. */
+  priorLeasesExpired(at: Micros): boolean {
+    return this.leases.priorExpired(at);
   }
 
   /**
-   * A worker's lease, from the answer that may have renewed it last, has surely lapsed after this. Until the
-   * worker has shown this term's token, an older leader that holds on may have renewed it: until enough
-   * nodes acknowledged this term, for as long as their earlier word counted.
+   * Records as gone what surely ended with expired leases, and returns the machines. `acknowledged`: enough controllers know
+   * this term.
    */
-  leaseExpiry(m: Machine | undefined): Micros {
-    const from = m?.confirmed
-      ? m.lastAnswered
-      : Math.max(m?.lastAnswered ?? this.termBegan, this.olderUntil ?? Number.POSITIVE_INFINITY);
-    return plus(from as Micros, this.settings.workers.lease * (1 + 2 * DRIFT) + seconds(1));
-  }
-
-  /** Declares what lapsed leases have surely ended. */
   expireLeases(at: Micros, acknowledged: boolean): string[] {
-    const out: string[] = [];
-    if (acknowledged) this.olderUntil ??= plus(at, CONFIRM);
-    for (const [id, on] of this.jobState.byMachine) {
+    const expired: string[] = [];
+    if (acknowledged) this.leases.termAcknowledged(at);
+    for (const id of this.jobState.byMachine.keys()) {
       // Also for machines this leader has never heard of: an older one that holds on may still renew them.
-      if (at <= this.leaseExpiry(this.machines.get(id))) continue;
-      let any = false;
-      for (const p of on.values()) {
-        if (this.hasObservedExit(p.job.spec.id, p.task)) continue;
-        this.gone(p.job, p.task);
-        any = true;
-      }
-      if (any) out.push(id);
+      if (at <= this.leases.expiryOf(this.byId.get(id))) continue;
+      if (this.loseTasksOn(id)) expired.push(id);
     }
-    for (const m of this.machines.values()) {
-      if (m.reported && at > this.leaseExpiry(m)) {
-        if (m.confirmed) m.unconfirmedSince = m.lastAnswered;
-        m.confirmed = false;
-        m.seenAttempts.clear();
-        this.forgetStrays(m.id);
-      }
+    for (const machine of this.byId.values()) {
+      if (!machine.reported || at <= this.leases.expiryOf(machine)) continue;
+      if (machine.confirmed) machine.unconfirmedSince = machine.lastAnswered;
+      machine.confirmed = false;
+      machine.seenAttempts.clear();
+      this.orphaned.forgetMachine(machine.id);
     }
-    return out;
+    return expired;
   }
 
-  /** What a machine is, or was; null: this leader has never known. */
-  kindOf(id: string): KindOf | null {
-    return this.machines.get(id) ?? this.departed.get(id) ?? null;
-  }
+  // Orders
 
-  /** The cloud has answered the delete: the machine and everything on it are gone. */
-  removeMachine(id: string): void {
-    for (const p of this.jobState.byMachine.get(id)?.values() ?? []) {
-      if (!this.hasObservedExit(p.job.spec.id, p.task)) this.gone(p.job, p.task);
-    }
-    const m = this.machines.get(id);
-    if (m) this.departed.set(id, { type: m.type, spot: m.spot });
-    if (this.departed.size > FORMERLY_KEPT)
-      for (const old of this.departed.keys()) {
-        this.departed.delete(old);
-        break;
-      }
-    this.machines.delete(id);
-    this.forgetStrays(id);
-    this.blame.forgetMachine(id);
-    this.deleted.add(id);
-    this.needsCycle = true;
+  /** What the response to the machine's latest heartbeat should say; without `starts`, starts wait for a later one. */
+  ordersFor(machine: Machine, starts = true): Order[] {
+    return this.orders.ordersFor(machine, starts);
   }
 
-  applyListing(list: readonly ListedMachine[], at: Micros): void {
-    for (const l of list) {
-      if (this.deleted.has(l.id)) continue;
-      const fresh = !this.machines.has(l.id);
-      const m = this.machine(l.id, at, l);
-      if (fresh) m.since = Math.max(0, at - l.age) as Micros;
-      m.type = l.type;
-      m.zone = l.zone;
-      m.spot = l.spot;
-      m.addr = l.addr;
-      m.cloudStatus = l.status;
-      if (l.status === 'running') m.runningSince ??= at;
-    }
+  /** Stops that should also go out directly. */
+  get urgentOrders(): UrgentOrder[] {
+    return this.orders.urgent;
   }
 
-  /** Asks a task to stop, saving within `grace` if it can. Goes out directly and with the next answers. */
+  /** Asks a task to stop, saving within `grace` if it can. Goes out directly and with the next responses. */
   stop(job: Job, task: number, grace: Micros, at: Micros): void {
-    const p = job.placed.get(task);
-    if (!p) return;
-    const key = taskKey(job.spec.id, task);
-    const old = this.stopping.get(key);
-    if (old && old.attempt === p.attempt && old.grace <= grace) return;
-    this.stopping.set(key, { attempt: p.attempt, grace, at });
-    this.tell(p.machine, key, p.attempt, grace);
+    this.orders.stop(job, task, grace, at);
   }
 
-  private tell(machine: string, key: string, attempt: number, grace: Micros): void {
-    const m = this.machines.get(machine);
-    if (m?.reported) this.urgentOrders.push({ ensureMachine: m, order: { op: 'stop', key, attempt, grace } });
+  /** Sends stops directly that jobs' own states call for: cancelled jobs and what is left of broken gangs. */
+  stopRemainingTasks(job: Job): void {
+    this.orders.stopRemainingTasks(job);
   }
 
-  /** Stops that jobs' own states call for, sent directly: withdrawn jobs and what is left of broken gangs. */
-  stopRemainingTasks(job: Job): void {
-    for (const p of job.placed.values()) {
-      const key = taskKey(job.spec.id, p.task);
-      if (this.hasObservedExit(job.spec.id, p.task)) continue;
-      const m = this.machines.get(p.machine);
-      const t = m?.tasks.get(key);
-      if (t && t.status !== 'exited') this.tell(p.machine, key, p.attempt, ZERO);
-    }
+  /** Tells the other members of gangs that an earlier leader has preempted partially; returns these jobs. */
+  completePartialPreemptions(at: Micros): string[] {
+    return this.orders.completePartialPreemptions(at);
+  }
+
+  /** Drains machines that the cloud is about to reclaim: saves what can be saved, as late as is safe. */
+  drainRecalledMachines(at: Micros): void {
+    this.orders.drainRecalledMachines(at);
+  }
+
+  /** Workers whose responses were found lost since this was last emptied. */
+  get unreachableWorkers(): string[] {
+    return this.startConfirmation.unreachable;
   }
 
+  // Jobs
+
+  /** Whether the job's user has cancelled it. */
   isCancelled(job: string): boolean {
     return this.jobState.jobs.get(job)?.withdrawn === true;
   }
 
-  /** Services with GPUs of which all replicas run, one of them started since `day`, and did not when last asked. */
+  /** Services with GPUs that have become complete since last asked, with a replica that started since `day`. */
   newlyCompleteServices(day: Micros): Job[] {
-    const out: Job[] = [];
-    for (const id of this.serving) if (!this.jobState.jobs.has(id)) this.serving.delete(id);
-    for (const job of this.jobState.jobs.values()) {
-      const { id, shape, gpus, tasks } = job.spec;
-      if (shape !== 'service' || gpus === 0) continue;
-      let all = job.placed.size === tasks && !job.withdrawn;
-      for (let i = 0; all && i < tasks; i++) all = this.running.has(taskKey(id, i));
-      if (all && !this.serving.has(id) && [...job.placed.values()].some((p) => p.since >= day)) out.push(job);
-      if (all) this.serving.add(id);
-      else this.serving.delete(id);
-    }
-    return out;
+    return this.services.newlyComplete(day);
   }
 
-  /** A task of it is being stopped, or has ended or may be ending without a record of that. */
-  hasUnsettledTasks(job: Job): boolean {
-    const { id } = job.spec;
-    if (this.exits.has(id) || this.orphanedTasks.has(id)) return true;
-    for (const p of job.placed.values()) {
-      const key = taskKey(id, p.task);
-      if (this.stopping.has(key)) return true;
-      const m = this.machines.get(p.machine);
-      if (m === undefined || !m.confirmed || m.tasks.get(key)?.status === 'saving') return true;
-    }
-    return false;
+  /** Tasks of known jobs that run from before a loss and that no record knows of, by job and task. */
+  get orphanedTasks(): ReadonlyMap<string, ReadonlyMap<number, Placement>> {
+    return this.orphaned.byJob;
   }
 
-  isBrokenGang(job: Job): boolean {
-    return this.broken(job);
+  /** Jobs that workers name and nobody knows, with their tasks. */
+  get unknownJobs(): Map<string, Set<string>> {
+    return this.orphaned.unknownJobs;
   }
 
-  /** Drops what a committed record has made durable. */
-  dropDurableExits(jobId: string, done: readonly number[], gone: readonly number[]): void {
-    const e = this.exits.get(jobId);
-    if (!e) return;
-    for (const t of done) e.done.delete(t);
-    // Of a gang that completed, also what its members had said before one told of that.
-    for (const t of [...done, ...gone]) {
-      e.gone.delete(t);
-      e.failed.delete(t);
-    }
-    for (const t of [...done, ...gone]) {
-      const key = taskKey(jobId, t);
-      this.running.delete(key);
-      this.stopping.delete(key);
-      this.phases.forget(key);
-    }
-    if (e.done.size === 0 && e.gone.size === 0) this.exits.delete(jobId);
+  /** Of these, those that have been left alone for long enough: their tasks are stopped. */
+  get abortedUnknownJobs(): Set<string> {
+    return this.orphaned.abortedUnknownJobs;
   }
 
-  /**
-   * Gangs of which an earlier leader has told some members to save: the others are told too, in time if it is still
-   * possible, since without them the save fails.
-   */
-  completePartialPreemptions(at: Micros): string[] {
-    const out: string[] = [];
-    for (const m of this.machines.values()) {
-      for (const t of m.tasks.values()) {
-        if (t.status !== 'saving' || this.stopping.has(t.key)) continue;
-        const p = this.jobState.byMachine.get(m.id)?.get(t.key);
-        if (p?.attempt !== t.attempt || p.job.withdrawn || p.job.spec.shape !== 'gang') continue;
-        const { id, save } = p.job.spec;
-        for (const task of p.job.placed.keys()) this.stop(p.job, task, plus(save, seconds(2)), at);
-        out.push(id);
-      }
-    }
-    return out;
+  /** Starts that have happened already, before a loss, as a record adopts them. */
+  adoptions(): Start[] {
+    return this.orphaned.adoptions();
   }
 
-  /** Saves what can be saved on machines about to be taken, as late as is safe. */
-  drainRecalledMachines(at: Micros): void {
-    for (const m of this.machines.values()) {
-      if (m.recallAt === null) continue;
-      const left = m.recallAt - at;
-      for (const p of this.jobState.byMachine.get(m.id)?.values() ?? []) {
-        const s = p.job.spec;
-        const run = this.running.get(taskKey(s.id, p.task));
-        if (s.checkpoint > 0) {
-          if (left > s.save * 1.2 + 3e6) continue;
-          const members = s.shape === 'gang' ? [...p.job.placed.keys()] : [p.task];
-          for (const task of members) this.stop(p.job, task, plus(s.save, 1e6), at);
-        } else if (run && s.estimate - (at - run.since) > left * 1.5) {
-          // It can't finish there and saves nothing: better begun again elsewhere at once.
-          this.stop(p.job, p.task, ZERO, at);
-        }
-      }
-    }
+  /** Gives up the jobs whose orphaned tasks can't be adopted, and returns those newly given up. */
+  abandonUnadoptableJobs(at: Micros): string[] {
+    return this.orphaned.abandonUnadoptable(() => this.priorLeasesExpired(at));
   }
 
-  /** May get new tasks now. */
-  isSchedulable(m: Machine, at: Micros): boolean {
-    return (
-      m.confirmed &&
-      m.recallAt === null &&
-      m.cordonReason === null &&
-      m.cloudStatus !== 'failed' &&
-      !m.hasUnknownTasks &&
-      at >= m.cooldownUntil &&
-      at - m.lastAnswered < this.settings.workers.report * 2.5 + 1e6
-    );
+  // Faults
+
+  /** The job failed wherever it ran: retried, but seldom and little of it. */
+  isSuspect(job: Job, at: Micros): boolean {
+    return this.quarantine.isSuspect(job, at);
+  }
+
+  /** Jobs that have become suspect since this was last called. */
+  newSuspects(at: Micros): string[] {
+    return this.quarantine.newSuspects(at);
+  }
+
+  /** Not before this time should the job be started again. */
+  retryNotBefore(job: Job, at: Micros): Micros {
+    return this.quarantine.retryNotBefore(job, at);
+  }
+
+  /** Machines a job should avoid, because it failed there; null: none. */
+  avoidedMachines(job: Job): ReadonlySet<string> | null {
+    return this.quarantine.avoidedMachines(job);
+  }
+
+  /** Quarantines machines that the evidence speaks against, and lifts the quarantine of others. */
+  updateQuarantine(at: Micros): QuarantineDecision[] {
+    return this.quarantine.update(this.machines, at);
   }
 }
--- a/packages/controller/test/heartbeat-codec.test.ts
+++ b/packages/controller/test/heartbeat-codec.test.ts
@@ -6,7 +6,6 @@
 import { encodeJob } from '../src/jobs/codec.js';
 import { activeKey } from '../src/jobs/keys.js';
 import { Contacts } from '../src/leadership/contacts.js';
-import type { Leadership } from '../src/leadership/leadership.js';
 import { listenToAnomalies, takeMetrics } from '../src/metrics.js';
 import { WorkerRegistry } from '../src/workers/worker-registry.js';
 import { HeartbeatReader, HEARTBEAT_PATH, readHeartbeat } from '../src/workers/codec.js';
@@ -78,15 +77,15 @@
   const settings = worldSettings('n0');
   const registry = new WorkerRegistry(settings, jobState, 3, 0 as Micros);
   registry.removeMachine('vm-2');
-  const leaderTerm = { term: 3, stamp: 1, began: 0 as Micros };
+  const leaderTerm = { number: 3, stamp: 1, began: 0 as Micros };
   const leadership = {
-    answering: () => leaderTerm,
-    mayAct: () => null,
+    answeringTerm: () => leaderTerm,
+    currentTerm: () => null,
     depose: () => undefined,
     mayStart: () => true,
   };
   const receive = heartbeatReceiver(
-    leadership as unknown as Leadership,
+    leadership,
     () => ({ registry, afterNextCycle: () => undefined }),
     () => 0 as Micros,
     new Contacts(settings),
@@ -114,15 +113,15 @@
   const plain = '200 {"warrant":3,"orders":[]}';
   const cases: [string | null, string, string][] = [
     [body(2, 5, [there]), plain, ''],
-    [body(2, 5, [ended]), plain, 'late report vm-1'],
-    [body(2, 4, [ended]), plain, 'late report vm-1'],
-    [body(1, 99, []), plain, 'late report vm-1'],
-    [body(1, 1, [there], 'vm-2'), plain, 'late report vm-2'],
-    [body(2, 6, [there, ended]), '400', 'malformed report vm-1'],
-    [body(2, 6, [{ ...ended, try: 0 }]), '400', 'malformed report vm-1'],
-    [body(2, 6, [ended]).slice(0, -2), '400', 'malformed report vm-1'],
-    [null, '400', 'report too large '],
-    [body(2, 6, [there, { ...there, piece: 'job-1/7' }]), '200', 'strange task vm-1'],
+    [body(2, 5, [ended]), plain, 'stale heartbeat vm-1'],
+    [body(2, 4, [ended]), plain, 'stale heartbeat vm-1'],
+    [body(1, 99, []), plain, 'stale heartbeat vm-1'],
+    [body(1, 1, [there], 'vm-2'), plain, 'stale heartbeat vm-2'],
+    [body(2, 6, [there, ended]), '400', 'malformed heartbeat vm-1'],
+    [body(2, 6, [{ ...ended, try: 0 }]), '400', 'malformed heartbeat vm-1'],
+    [body(2, 6, [ended]).slice(0, -2), '400', 'malformed heartbeat vm-1'],
+    [null, '400', 'heartbeat too large '],
+    [body(2, 6, [there, { ...there, piece: 'job-1/7' }]), '200', 'unknown task reported vm-1'],
   ];
   for (const [text, answer, line] of cases) {
     const before = lines.length;
--- a/packages/controller/test/late-answers.test.ts
+++ b/packages/controller/test/late-answers.test.ts
@@ -12,10 +12,10 @@
 import { encodeJob } from '../src/jobs/codec.js';
 import { activeKey } from '../src/jobs/keys.js';
 import { Contacts } from '../src/leadership/contacts.js';
-import type { Leadership } from '../src/leadership/leadership.js';
 import { WorkerRegistry } from '../src/workers/worker-registry.js';
 import { type HeartbeatResponses, readHeartbeat, type Heartbeat } from '../src/workers/codec.js';
-import { heartbeatReceiver, sendUrgentOrders, WorkerClient } from '../src/workers/heartbeat-handler.js';
+import { heartbeatReceiver } from '../src/workers/heartbeat-handler.js';
+import { sendUrgentOrders, WorkerClient } from '../src/workers/worker-client.js';
 import { job } from './support/job.js';
 import { worldSettings } from './support/settings.js';
 
@@ -55,15 +55,16 @@
   const waiting: (() => void)[] = [];
   const deposedBy: number[] = [];
   const state = { term: TERM as number | null, at: 10 };
-  const leaderTerm = () => (state.term === null ? null : { term: state.term, stamp: 1, began: 0 as Micros });
+  const leaderTerm = () =>
+    state.term === null ? null : { number: state.term, stamp: 1, began: 0 as Micros };
   const leadership = {
-    answering: leaderTerm,
-    mayAct: leaderTerm,
+    answeringTerm: leaderTerm,
+    currentTerm: leaderTerm,
     mayStart: () => true,
     depose: (t: number) => void deposedBy.push(t),
   };
   const receive = heartbeatReceiver(
-    leadership as unknown as Leadership,
+    leadership,
     () => ({ registry: b, afterNextCycle: (then) => void waiting.push(then) }),
     () => seconds(state.at),
     new Contacts(settings),
@@ -170,7 +171,7 @@
   m.addr = `127.0.0.1:${(server.address() as AddressInfo).port}`;
   const { sequence: tick } = m;
   b.urgentOrders.push({
-    ensureMachine: m,
+    machine: m,
     order: { op: 'stop', key: 'job-1/0', attempt: 1, grace: 0 as Micros },
   });
   const admission = { enter: () => null, leave: () => undefined };
--- a/packages/controller/test/meetings.test.ts
+++ b/packages/controller/test/meetings.test.ts
@@ -19,10 +19,10 @@
   taskKey,
 } from '../src/jobs/model.js';
 import { Contacts } from '../src/leadership/contacts.js';
-import type { Leadership } from '../src/leadership/leadership.js';
 import type { CycleContext } from '../src/scheduler/cycle-context.js';
 import { holdersOf } from '../src/scheduler/views.js';
-import { WorkerRegistry, hasExited } from '../src/workers/worker-registry.js';
+import { hasExited } from '../src/workers/observed-exits.js';
+import { WorkerRegistry } from '../src/workers/worker-registry.js';
 import {
   type HeartbeatResponses,
   HEARTBEAT_PATH,
@@ -66,14 +66,17 @@
   ) {
     this.catchUp();
     this.registry = new WorkerRegistry(settings, this.jobState, term, began);
-    const leaderTerm = { term, stamp: 0, began };
+    const leaderTerm = { number: term, stamp: 0, began };
     const leadership = {
-      answering: () => (this.over ? null : leaderTerm),
+      answeringTerm: () => (this.over ? null : leaderTerm),
       mayStart: () => true,
-      mayAct: () => (this.mayAct() ? leaderTerm : null),
+      currentTerm: () => (this.mayAct() ? leaderTerm : null),
       depose: (token: number) => void (token > term && (this.over = true)),
-    } as unknown as Leadership;
-    const desk = { registry: this.registry, nextTurn: (then: () => void) => void this.waiting.push(then) };
+    };
+    const desk = {
+      registry: this.registry,
+      afterNextCycle: (then: () => void) => void this.waiting.push(then),
+    };
     const receive = heartbeatReceiver(
       leadership,
       () => desk,
@@ -130,8 +133,7 @@
         for (const task of job.placed.keys()) registry.stop(job, task, 0 as Micros, at);
     }
     this.commit(this.decide(at));
-    for (const { ensureMachine: machine, order } of registry.urgentOrders.splice(0))
-      this.w.order(this.term, machine, order);
+    for (const { machine, order } of registry.urgentOrders.splice(0)) this.w.order(this.term, machine, order);
     for (const m of registry.machines.values())
       if (m.reported && (at > registry.leaseExpiry(m) + 40e6 || isDeaf(m, settings.workers, at)))
         this.w.remove(m.id);
--- a/packages/controller/test/provisioning.test.ts
+++ b/packages/controller/test/provisioning.test.ts
@@ -24,7 +24,8 @@
 import { isMute } from '../src/provisioning/autoscaler.js';
 import { RentalRequests } from '../src/provisioning/rental-requests.js';
 import { JobState } from '../src/jobs/job-state.js';
-import { WorkerRegistry, type Machine } from '../src/workers/worker-registry.js';
+import type { Machine } from '../src/workers/machine.js';
+import { WorkerRegistry } from '../src/workers/worker-registry.js';
 
 const job = (over: Partial<JobSpec> = {}): Job =>
   anyJob('job-1', { urgency: 1, cpus: 4, spot: false, ...over });
--- a/packages/controller/test/server.test.ts
+++ b/packages/controller/test/server.test.ts
@@ -6,7 +6,7 @@
 import { Effect, Exit, Scope } from 'effect';
 import { json, serve } from '@lilacvalve/runtime/http-server';
 import { untilTick } from '@lilacvalve/runtime/tick';
-import { CycleGate } from '../src/workers/heartbeat-handler.js';
+import { CycleGate } from '../src/workers/cycle-gate.js';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { Luck } from './support/random-source.js';
 
--- a/packages/controller/test/wire-format.test.ts
+++ b/packages/controller/test/wire-format.test.ts
@@ -22,7 +22,7 @@
   senderOf,
   encodeOrders,
 } from '../src/workers/codec.js';
-import { WorkerClient } from '../src/workers/heartbeat-handler.js';
+import { WorkerClient } from '../src/workers/worker-client.js';
 import { worldSettings } from './support/settings.js';
 
 /** A server that answers as listed, one after the other; `asked`: method, path and body of each request. */
--- a/packages/controller/test/worker-registry.test.ts
+++ b/packages/controller/test/worker-registry.test.ts
@@ -6,7 +6,6 @@
 import { encodeJob } from '../src/jobs/codec.js';
 import { activeKey } from '../src/jobs/keys.js';
 import { Contacts } from '../src/leadership/contacts.js';
-import type { Leadership } from '../src/leadership/leadership.js';
 import { isDeaf } from '../src/provisioning/autoscaler.js';
 import { WorkerRegistry } from '../src/workers/worker-registry.js';
 import type { Heartbeat, ReportedTask } from '../src/workers/codec.js';
@@ -111,23 +110,23 @@
 test('leases count from what was answered during a doubt, and what came then is not taken for older', () => {
   let registry = placed(5);
   let at = 0;
-  let active = true;
-  const leaderTerm = { term: 5, stamp: 1, began: 0 as Micros };
+  let suspected = true;
+  const leaderTerm = { number: 5, stamp: 1, began: 0 as Micros };
   let starts = true;
   const leadership = {
-    answering: () => leaderTerm,
-    mayAct: () => null,
+    answeringTerm: () => leaderTerm,
+    currentTerm: () => null,
     depose: () => undefined,
     mayStart: () => starts,
   };
   const receive = heartbeatReceiver(
-    leadership as unknown as Leadership,
+    leadership,
     () => ({ registry, afterNextCycle: () => undefined }),
     () => seconds(at),
     new Contacts(worldSettings('n0')),
     {
       get suspected() {
-        return active;
+        return suspected;
       },
       heardToken: () => undefined,
     },
@@ -138,20 +137,20 @@
   };
   registry.expireLeases(0 as Micros, true);
   for (let t = 1; t < 30; t += 2) answered(said(5, 1, t, { status: 'running' }), t);
-  active = false;
+  suspected = false;
   assert.deepEqual(registry.expireLeases(seconds(31), true), []);
   answered(said(0, 1, 20, null), 32);
   assert.equal(registry.hasObservedExit('job-1', 0), false, 'an old copy');
   answered(said(5, 1, 31, { status: 'running' }), 32);
   assert.deepEqual(registry.expireLeases(seconds(60), true), ['m']);
   // What users cancelled went on under leases renewed in doubt where the first stop had been lost.
-  active = true;
+  suspected = true;
   registry = placed(5, 0, true);
   receive([said(5, 1, 1, { status: 'running' })], (a) =>
     assert.match(a!.bodies[0]!, /"stop".*"job-1\/0"/, 'stopped in doubt too'),
   );
   // A hold started what others had told users is cancelled, for as long as it lasted.
-  active = false;
+  suspected = false;
   registry = placed(5);
   const told = (tick: number): string => {
     let body = '';
