--- a/packages/controller/src/workers/codec.ts
+++ b/packages/controller/src/workers/codec.ts
@@ -1,28 +1,36 @@
-/** Wire form of reports and orders. */
+/** The workers' wire format: heartbeats and orders. The protocol's names stand only here. */
 import { type Micros, seconds, toSeconds } from '@lilacvalve/runtime/micros';
 
+/** What a worker says of a task. */
 export type TaskStatus = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
+/** Why a task exited. `peers`: its gang broke; `alone`: its gang did not come together in time. */
 export type ExitCause = 'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'no-room' | 'busy' | 'unknown';
 
+/** A task as a worker's heartbeat reports it. */
 export interface ReportedTask {
   /** `job/task`. */
   readonly key: string;
   readonly attempt: number;
   readonly status: TaskStatus;
   readonly cause: ExitCause | null;
+  /** Its progress was saved when it was stopped. */
   readonly saved: boolean;
 }
+
+/** A worker's periodic message: it asks for its lease, and says what the worker holds. */
 export interface Heartbeat {
   readonly machine: string;
   readonly addr: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
+  /** The worker's epoch. */
   readonly incarnation: number;
+  /** Number within the incarnation. */
   readonly sequence: number;
-  /** Highest token the worker has seen. */
+  /** Highest fencing token the worker has seen. */
   readonly fencingToken: number;
-  /** Time until the cloud takes the machine. */
+  /** Time until the cloud reclaims the machine; null: not announced. */
   readonly recall: Micros | null;
   readonly tasks: readonly ReportedTask[];
 }
@@ -57,7 +65,7 @@
   readonly recallS?: unknown;
   readonly pieces?: unknown;
 }
-interface WirePiece {
+interface WireTask {
   readonly piece: unknown;
   readonly try: unknown;
   readonly status: unknown;
@@ -71,29 +79,29 @@
 const readTasks = (pieces: unknown): ReportedTask[] | null => {
   if (!Array.isArray(pieces)) return null;
   const tasks: ReportedTask[] = [];
-  for (const p of pieces as (WirePiece | null)[]) {
-    if (typeof p !== 'object' || p === null) return null;
-    const status = STATUS[p.status as string];
-    if (!text(p.piece) || !count(p.try) || p.try === 0 || status === undefined) return null;
+  for (const piece of pieces as (WireTask | null)[]) {
+    if (typeof piece !== 'object' || piece === null) return null;
+    const status = STATUS[piece.status as string];
+    if (!text(piece.piece) || !count(piece.try) || piece.try === 0 || status === undefined) return null;
     tasks.push({
-      key: p.piece,
-      attempt: p.try,
+      key: piece.piece,
+      attempt: piece.try,
       status,
-      // An exit of a kind we don't know is handled as a failure.
-      cause: status === 'exited' ? (CAUSE[(p.cause ?? '') as string] ?? 'error') : null,
-      saved: p.stored === true,
+      // An exit of an unknown kind is handled as a failure.
+      cause: status === 'exited' ? (CAUSE[(piece.cause ?? '') as string] ?? 'error') : null,
+      saved: piece.stored === true,
     });
   }
-  // The same attempt twice: whichever of the two is true, the other would end or keep a task.
+  // The same attempt twice: whichever of the two is true, the other would stop or keep a task.
   if (tasks.length > 1 && new Set(tasks.map((t) => `${t.key} ${t.attempt}`)).size < tasks.length) return null;
   return tasks;
 };
 
-const heartbeatOf = (v: WireHeartbeat, tasks: readonly ReportedTask[] | null): Heartbeat | null => {
-  if (typeof v !== 'object' || v === null || tasks === null) return null;
-  const { host, addr, hostKind, room, tenure, tick, warrant } = v;
-  const recall = v.recallS ?? null;
-  const spot = v.borrowed ?? false;
+const heartbeatOf = (wire: WireHeartbeat, tasks: readonly ReportedTask[] | null): Heartbeat | null => {
+  if (typeof wire !== 'object' || wire === null || tasks === null) return null;
+  const { host, addr, hostKind, room, tenure, tick, warrant } = wire;
+  const recall = wire.recallS ?? null;
+  const spot = wire.borrowed ?? false;
   if (!text(host) || host === '' || !text(addr) || !text(hostKind) || !text(room)) return null;
   if (!count(tenure) || !count(tick) || !count(warrant) || typeof spot !== 'boolean') return null;
   if (recall !== null && !Number.isFinite(recall)) return null;
@@ -120,24 +128,24 @@
 };
 
 /**
- * A report's body; null: it is malformed. Checked by hand: hundreds come in a second, and a schema's decoder takes
+ * Decodes a heartbeat's body; null: it is malformed. Checked by hand: hundreds come in a second, and a schema's decoder takes
  * several times as long as reading the JSON does.
  */
 export const readHeartbeat = (body: Buffer): Heartbeat | null => {
-  const v = parsed<WireHeartbeat>(body.toString('utf8'));
-  return v === null ? null : heartbeatOf(v, readTasks(v.pieces ?? []));
+  const wire = parsed<WireHeartbeat>(body.toString('utf8'));
+  return wire === null ? null : heartbeatOf(wire, readTasks(wire.pieces ?? []));
 };
 
 const PIECES = '"pieces":';
-/** More machines than report to one leader. */
-const MOST_KNOWN = 4000;
+/** More machines than send heartbeats to one leader. */
+const MAX_KNOWN = 4000;
 
 /**
- * Reads reports as `readReport` does, the tasks of one that says the same of them as the machine's last one only once.
- * Workers put their tasks last; where they don't, the whole is read.
+ * Decodes heartbeats as `readHeartbeat` does. Tasks that a machine reports in the same words as last time are not decoded
+ * again: the very list of last time is returned. Workers put their tasks last; where they don't, the whole is decoded.
  */
 export class HeartbeatReader {
-  /** By machine: the text from its tasks on, and what that means. */
+  /** By machine: the text from its tasks on, and what it was decoded to. */
   private readonly known = new Map<
     string,
     { readonly rest: string; readonly tasks: readonly ReportedTask[] }
@@ -155,50 +163,59 @@
     const tail = parsed<WireHeartbeat>(`{${rest}`);
     if (tail === null || Object.keys(tail).length !== 1) return readHeartbeat(body);
     const tasks = readTasks(tail.pieces ?? []);
-    const report = heartbeatOf(head, tasks);
-    if (report === null || tasks === null) return null;
-    if (this.known.size >= MOST_KNOWN) this.known.clear();
+    const heartbeat = heartbeatOf(head, tasks);
+    if (heartbeat === null || tasks === null) return null;
+    if (this.known.size >= MAX_KNOWN) this.known.clear();
     this.known.set(head.host, { rest, tasks });
-    return report;
+    return heartbeat;
   }
 }
 
 const HOST = /"host"\s*:\s*"([^"\\]{1,200})"/;
-/** Whose report this seems to be, without reading it; null: whoever reads it will find it malformed. */
+/** Which machine's heartbeat this seems to be, without decoding it; null: whoever decodes it will find it malformed. */
 export const senderOf = (body: Buffer): string | null =>
   // The field stands first in what workers send.
   (HOST.exec(body.toString('utf8', 0, 300)) ?? HOST.exec(body.toString('utf8')))?.[1] ?? null;
 
-/** What a leader answers to several reports. */
+/** A leader's responses to several heartbeats. */
 export interface HeartbeatResponses {
   readonly term: number;
-  /** Bodies in the reports' order. Empty: no orders, `plainBody` is the answer. null: that report was malformed. */
+  /** Bodies in the heartbeats' order. Empty: no orders, `emptyResponse` is the body. null: that heartbeat was malformed. */
   readonly bodies: readonly (string | null)[];
 }
-/** Takes reports in, null for a malformed one; answers once, at once or after the next turn. null: it does not lead. */
+/**
+ * Takes heartbeats in, null for a malformed one; answers once, at once or after the next scheduling cycle, with null if this
+ * controller does not lead.
+ */
 export type ReceiveHeartbeats = (
-  reports: readonly (Heartbeat | null)[],
+  heartbeats: readonly (Heartbeat | null)[],
   answer: (answers: HeartbeatResponses | null) => void,
 ) => void;
 
-/** Where workers report. */
+/** Where workers send heartbeats. */
 export const HEARTBEAT_PATH = '/agent/beat';
 
+/** A response without orders; `token`: the leader's fencing token. */
 export const emptyResponse = (token: number): string => `{"warrant":${token},"orders":[]}`;
 
+/** What a worker should do with an attempt of a task; `grace`: time to save before it is killed. */
 export type Order =
   | { readonly op: 'start'; readonly key: string; readonly attempt: number }
   | { readonly op: 'stop'; readonly key: string; readonly attempt: number; readonly grace: Micros }
   | { readonly op: 'forget'; readonly key: string; readonly attempt: number };
 
-export const encodeOrders = (token: number, orders: readonly Order[], tenure?: number): string =>
+/**
+ * Encodes orders under the leader's fencing token. `incarnation`: the worker's that they are meant for; needed only where they
+ * are not a response.
+ */
+export const encodeOrders = (token: number, orders: readonly Order[], incarnation?: number): string =>
   JSON.stringify({
     warrant: token,
-    ...(tenure === undefined ? {} : { tenure }),
-    orders: orders.map((o) => {
-      const base = { piece: o.key, try: o.attempt };
-      if (o.op === 'start') return { orderKind: 'run', ...base };
-      if (o.op === 'forget') return { orderKind: 'reap', ...base };
-      return { orderKind: 'stop', ...base, windDownS: toSeconds(o.grace) };
+    ...(incarnation === undefined ? {} : { tenure: incarnation }),
+    orders: orders.map((order) => {
+      const base = { piece: order.key, try: order.attempt };
+      if (order.op === 'start') return { orderKind: 'run', ...base };
+      if (order.op === 'forget') return { orderKind: 'reap', ...base };
+      return { orderKind: 'stop', ...base, windDownS: toSeconds(order.grace) };
     }),
   });
--- a/packages/controller/src/workers/heartbeat-relay.ts
+++ b/packages/controller/src/workers/heartbeat-relay.ts
@@ -1,12 +1,12 @@
 /**
- * Reports that reach a follower. It passes them to the leader as they came, several in one message, and gives the
- * worker the leader's own answer, token and all. So a worker need not find the leader: one that stands still, ends, or
- * can't be reached by the workers costs only those that talk to that very node, and a new leader is not met by all
- * workers' connections at once.
+ * Heartbeats that reach a follower. It forwards them to the leader as they came, several in one message, and gives the
+ * worker the leader's own response with its fencing token. So a worker need not find the leader: a controller that stalls,
+ * fails or can't be reached costs only the workers that talk to it, and a new leader is not met by all workers' connections
+ * at once.
  *
- * What passes is a report and its answer, nothing else: a follower that holds either for too long has it dropped,
- * by the book (an older tick) or by the worker (which waits 4 s). A follower reads nothing of a report but who sent
- * it: decoding it here and encoding it again cost more than all that the leader does with it.
+ * Only a heartbeat and its response are forwarded: if a follower holds either for too long, the registry drops it as stale
+ * or the worker has given up waiting (4 s). A follower decodes nothing of a heartbeat but its sender: decoding it here and
+ * encoding it again cost more than all that the leader does with it.
  */
 import { Effect, Queue } from 'effect';
 import { pack, unpack } from 'msgpackr';
@@ -24,57 +24,59 @@
   senderOf,
 } from './codec.js';
 
-/** Carries a batch to the leader and its answers back. */
+/** Carries a batch of heartbeats to the leader and its responses back. */
 export interface RelayPort {
   relay(peer: Peer, batch: Buffer): Effect.Effect<Buffer, NoAnswer>;
 }
 
-/** Reports are gathered for so long before they are passed on: longer where many come, which saves messages. */
+/** Heartbeats are gathered for so long before they are forwarded: longer where many come, which saves messages. */
 const GATHER_MS = { few: 80, many: 160, most: 240 };
 const MANY = 4;
 const VERY_MANY = 12;
 const gatherMs = (last: number): number =>
   last > VERY_MANY ? GATHER_MS.most : last > MANY ? GATHER_MS.many : GATHER_MS.few;
-/** A leader may wait for its next turn before it answers; past this it stands still. */
+/** A leader may wait for its next scheduling cycle before it answers; past this it has stalled. */
 export const RELAY_TIMEOUT_MS = 2500;
-/** Batches on their way at once; what comes meanwhile is gathered. */
+/** Batches in flight at once; what comes meanwhile is gathered. */
 const MAX_BATCHES_IN_FLIGHT = 6;
-/** Reports in one batch: a large one would keep the leader from others. */
+/** Heartbeats in one batch: a large one would keep the leader from others. */
 const MAX_BATCH = 60;
-/** Reports that wait to be passed on: what all batches on their way hold, once more. Past it the worker tries elsewhere. */
+/** Heartbeats waiting to be forwarded: as many as all batches in flight hold. Past it the worker tries another controller. */
 const MAX_WAITING = MAX_BATCHES_IN_FLIGHT * MAX_BATCH;
-/** A report that has waited here for longer would reach its worker's time-out before its answer does. */
+/** A heartbeat that has waited here for longer would reach its worker's timeout before its response does. */
 const MAX_WAIT = millis(1200);
 
 interface Waiting {
-  readonly report: Buffer;
+  readonly heartbeat: Buffer;
   readonly since: Micros;
   readonly reply: (a: Answer) => void;
 }
 
+/** A follower's side. */
 export class HeartbeatRelay {
   private waiting: Waiting[] = [];
   private inFlight = 0;
-  /** In the last batch. */
+  /** How many heartbeats were gathered last. */
   private gathered = 0;
   private readonly wake = Effect.runSync(Queue.sliding<void>(1));
 
   constructor(
     private readonly port: RelayPort,
     private readonly leader: () => Peer | null,
-    private readonly heard: (label: string) => void,
+    private readonly noteAnswer: (label: string) => void,
     private readonly clock: () => Micros,
   ) {}
 
-  /** Replies with the leader's answer to a report; with 503, at once, when it can't be had. */
-  forward(report: Buffer, reply: (a: Answer) => void): void {
+  /** Replies with the leader's response to a heartbeat; with 503, at once, when it can't be had. */
+  forward(heartbeat: Buffer, reply: (a: Answer) => void): void {
     if (this.waiting.length >= MAX_WAITING) return reply(retryLater('too many reports'));
-    this.waiting.push({ report, since: this.clock(), reply });
+    this.waiting.push({ heartbeat, since: this.clock(), reply });
     if (this.waiting.length === 1) Queue.unsafeOffer(this.wake, undefined);
   }
 
+  /** Forwards what is waiting, for ever. */
   readonly run: Effect.Effect<never> = supervise(
-    'relay',
+    'heartbeat-relay',
     Effect.suspend(() => Queue.take(this.wake)).pipe(
       Effect.zipRight(Effect.suspend(() => Effect.sleep(gatherMs(this.gathered)))),
       Effect.zipRight(Effect.suspend(() => this.flush())),
@@ -89,45 +91,45 @@
       for (const w of this.waiting.splice(0)) w.reply(retryLater('leader unknown'));
       return Effect.void;
     }
-    const flights: Waiting[][] = [];
+    const batches: Waiting[][] = [];
     while (this.waiting.length > 0 && this.inFlight < MAX_BATCHES_IN_FLIGHT) {
       this.inFlight++;
-      flights.push(this.waiting.splice(0, MAX_BATCH));
+      batches.push(this.waiting.splice(0, MAX_BATCH));
     }
-    const old = this.clock() - MAX_WAIT;
-    if (this.waiting.length > 0 && this.waiting[0]!.since < old) {
-      const late = this.waiting.filter((w) => w.since < old);
-      this.waiting = this.waiting.filter((w) => w.since >= old);
+    const limit = this.clock() - MAX_WAIT;
+    if (this.waiting.length > 0 && this.waiting[0]!.since < limit) {
+      const late = this.waiting.filter((w) => w.since < limit);
+      this.waiting = this.waiting.filter((w) => w.since >= limit);
       for (const w of late) w.reply(retryLater('too many reports'));
     }
-    return Effect.forEach(flights, (batch) => Effect.forkDaemon(this.send(peer, batch)), { discard: true });
+    return Effect.forEach(batches, (batch) => Effect.forkDaemon(this.send(peer, batch)), { discard: true });
   }
 
   private send(peer: Peer, batch: readonly Waiting[]): Effect.Effect<void> {
-    return this.port.relay(peer, pack(batch.map((w) => w.report))).pipe(
+    return this.port.relay(peer, pack(batch.map((w) => w.heartbeat))).pipe(
       Effect.map((body) => {
-        this.heard(peer.label);
+        this.noteAnswer(peer.label);
         return decodeResponses(body, batch.length);
       }),
       Effect.orElseSucceed(() => null),
-      Effect.map((answers) => {
+      Effect.map((responses) => {
         this.inFlight--;
-        batch.forEach((w, i) => w.reply(responseAt(answers, i)));
+        batch.forEach((w, i) => w.reply(responseAt(responses, i)));
         if (this.waiting.length > 0) Queue.unsafeOffer(this.wake, undefined);
       }),
     );
   }
 }
 
-/** The answer to the `i`th report; null: the leader has not answered. */
-export const responseAt = (answers: HeartbeatResponses | null, i: number): Answer => {
-  if (answers === null) return retryLater('leader not reached');
-  const body = answers.bodies[i]!;
+/** The HTTP response to the heartbeat at `index`; `responses` is null where the leader has not answered. */
+export const responseAt = (responses: HeartbeatResponses | null, index: number): Answer => {
+  if (responses === null) return retryLater('leader not reached');
+  const body = responses.bodies[index]!;
   if (body === null) return json(400, { error: 'malformed report' });
-  return { status: 200, body: body === '' ? emptyResponse(answers.term) : body };
+  return { status: 200, body: body === '' ? emptyResponse(responses.term) : body };
 };
 
-/** null: not the answers of a leader to so many reports. */
+/** null: not a leader's responses to so many heartbeats. */
 const decodeResponses = (body: Buffer, count: number): HeartbeatResponses | null => {
   try {
     const [term, bodies] = unpack(body) as [number, (string | null)[]];
@@ -142,39 +144,42 @@
   }
 };
 
+/** null: not a batch of heartbeats. */
 const decodeBatch = (body: Buffer): Buffer[] | null => {
   try {
-    const v: unknown = unpack(body);
-    return Array.isArray(v) && v.every((r) => r instanceof Uint8Array) ? (v as Buffer[]) : null;
+    const batch: unknown = unpack(body);
+    const isBatch = Array.isArray(batch) && batch.every((b) => b instanceof Uint8Array);
+    return isBatch ? (batch as Buffer[]) : null;
   } catch {
     return null;
   }
 };
 
-/** The leader's side: a batch comes in, its answers go back; 503 if it does not lead. */
+/** The leader's side: a batch comes in, its responses go back; 503 if this controller does not lead. */
 export const relayHandler =
   (receive: ReceiveHeartbeats, reader: HeartbeatReader): Quick =>
   (request, reply) => {
     const batch = request.body === null ? null : decodeBatch(request.body);
     if (batch === null) {
-      recordAnomaly('malformed', 'malformed batch', () => ({}));
+      recordAnomaly('malformed', 'malformed heartbeat batch', () => ({}));
       reply(json(400, {}));
       return true;
     }
     countMetric('relayed', batch.length);
     receive(
       batch.map((b) => {
-        const report = reader.read(b);
-        if (report === null) recordAnomaly('malformed', 'malformed report', () => ({ machine: senderOf(b) }));
-        return report;
+        const heartbeat = reader.read(b);
+        if (heartbeat === null)
+          recordAnomaly('malformed', 'malformed heartbeat', () => ({ machine: senderOf(b) }));
+        return heartbeat;
       }),
-      (answers) =>
+      (responses) =>
         reply(
-          answers === null
+          responses === null
             ? retryLater('not leading')
             : {
                 status: 200,
-                body: pack([answers.term, answers.bodies]),
+                body: pack([responses.term, responses.bodies]),
                 headers: { 'Content-Type': 'application/msgpack' },
               },
         ),
