--- a/packages/controller/src/leadership/leader-session.ts
+++ b/packages/controller/src/leadership/leader-session.ts
@@ -36,13 +36,9 @@
 import type { Settings } from '../settings/settings.js';
 import type { StatePort } from '../state-store/port.js';
 import { WorkerRegistry } from '../workers/worker-registry.js';
-import {
-  type Desk,
-  Gate,
-  type RenewalDesk,
-  sendUrgent,
-  type WorkerPort,
-} from '../workers/heartbeat-handler.js';
+import { CycleGate } from '../workers/cycle-gate.js';
+import type { HeartbeatService, LeaseRenewalService } from '../workers/heartbeat-handler.js';
+import { sendUrgentOrders, type WorkerPort } from '../workers/worker-client.js';
 
 /** Between two scheduling cycles: each costs writes of a budget that all controllers share. */
 const MIN_GAP_MS = 250;
@@ -98,7 +94,7 @@
 /** Runs one session after another, each for one of this node's terms as leader. */
 export class LeaderSessions {
   /** What the present session offers to whoever takes heartbeats in; null: there is no session. */
-  desk: Desk | RenewalDesk | null = null;
+  desk: HeartbeatService | LeaseRenewalService | null = null;
   readonly fleet: { news: ProvisioningNews; listed: boolean } = { news: NO_NEWS, listed: false };
   /** Jobs that a rebuild has gathered and not written yet; null: that is not known here. */
   private pendingRestore: ((id: string) => boolean) | null = null;
@@ -184,7 +180,7 @@
       if (jobState.rebuild === null || jobState.rebuild.phase === 'wait') return Effect.void;
       this.desk = {
         term: context.leaderTerm.number,
-        cancelled: (id) =>
+        isCancelled: (id) =>
           jobState.jobs.get(id)?.withdrawn === true ||
           preLossViews.all.some((view) => view.jobs.get(id)?.withdrawn === true),
       };
@@ -204,15 +200,15 @@
       const t = this.cycleContext(context);
       const { registry } = t;
       const state: CycleState = { result: null, surplus: new Set(), companions: [], cost: 0, behind: false };
-      const gate = new Gate(parts.clock);
+      const gate = new CycleGate(parts.clock);
       this.desk = {
         registry,
-        nextTurn: (then) => {
+        afterNextCycle: (then) => {
           gate.wait(then);
           Queue.unsafeOffer(wake, undefined);
         },
       };
-      const relieve = Effect.sync(() => gate.relieve(MAX_CYCLE_WAIT)).pipe(
+      const relieve = Effect.sync(() => gate.releaseOverdue(MAX_CYCLE_WAIT)).pipe(
         Effect.zipRight(tick(TERM_CHECK_MS)),
         Effect.forever,
       );
@@ -231,7 +227,7 @@
           largestDuty(t),
         ],
         { concurrency: 'unbounded', discard: true },
-      ).pipe(Effect.ensuring(Effect.sync(() => gate.relieve(seconds(0)))));
+      ).pipe(Effect.ensuring(Effect.sync(() => gate.releaseOverdue(seconds(0)))));
     });
   }
 
@@ -243,7 +239,7 @@
     const registry = new WorkerRegistry(parts.settings, parts.jobState, leaderTerm.number, began);
     // What the last leader said of its machines, with the time passed since.
     const heard = parts.peers.lastProvisioning();
-    if (heard !== null) registry.warm(heard.news, heard.at);
+    if (heard !== null) registry.applyProvisioningNews(heard.news, heard.at);
     this.fleet.news = heard?.news ?? NO_NEWS;
     this.fleet.listed = false;
     return {
@@ -271,16 +267,16 @@
   }
 
   /** One scheduling cycle after another: when something has changed, and at least every `CYCLE_EVERY_MS`. */
-  private scheduleForever(t: CycleContext, state: CycleState, gate: Gate): Effect.Effect<never> {
+  private scheduleForever(t: CycleContext, state: CycleState, gate: CycleGate): Effect.Effect<never> {
     const { parts, wake } = this;
     const { registry } = t;
     return Effect.gen(function* () {
       yield* Queue.take(wake).pipe(Effect.timeoutOption(CYCLE_EVERY_MS));
-      gate.begin();
+      gate.cycleBegan();
       yield* (t.mayAct() ? runCycle(t, state) : Effect.void).pipe(
-        Effect.ensuring(Effect.sync(() => gate.open())),
+        Effect.ensuring(Effect.sync(() => gate.cycleEnded())),
       );
-      if (t.mayAct()) yield* sendUrgent(registry, parts.workers, parts.admission);
+      if (t.mayAct()) yield* sendUrgentOrders(registry, parts.workers, parts.admission);
       yield* Effect.sleep(cycleGapMs(registry.machines.size, toMillis(state.cost), state.behind));
     }).pipe(Effect.forever);
   }
@@ -310,10 +306,10 @@
       yield* Effect.ignore(addLateViews(context, gathered, this.parts.peers.withPreLossViews()));
       const generation = jobState.incarnation?.generation ?? 0;
       const at = t.clock();
-      if (!jobState.quiescent && registry.allLapsed(at)) yield* declareMilestone(context, QUIESCENT);
+      if (!jobState.quiescent && registry.priorLeasesExpired(at)) yield* declareMilestone(context, QUIESCENT);
       const allAccountedFor =
         generation === 0
-          ? (t.fleet.listed && registry.accounted()) || registry.allLapsed(at)
+          ? (t.fleet.listed && registry.allMachinesConfirmed()) || registry.priorLeasesExpired(at)
           : jobState.quiescent;
       if (!jobState.recovered && jobState.rebuild === null && allAccountedFor)
         yield* declareMilestone(context, RECOVERED);
