--- a/packages/controller/src/accounts/share.ts
+++ b/packages/controller/src/accounts/share.ts
@@ -5,8 +5,8 @@
  */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Job } from '../jobs/model.js';
-import type { CycleInput, CycleResult, Room } from '../scheduler/model.js';
-import { add, fits, room } from '../scheduler/model.js';
+import type { CycleInput, CycleResult, Resources } from '../scheduler/model.js';
+import { add, fits, resourcesOf } from '../scheduler/model.js';
 
 /** Why a group that waited had less than it was entitled to. */
 export const WHYS = ['limit', 'room', 'gang', 'lost', 'lent'] as const;
@@ -77,7 +77,7 @@
 };
 
 const PPM = 1e6;
-const largest = (r: Room, of: Room): number => {
+const largest = (r: Resources, of: Resources): number => {
   let most = 0;
   for (let i = 0; i < 3; i++) if (of[i]! > 0) most = Math.max(most, r[i]! / of[i]!);
   return most;
@@ -99,16 +99,19 @@
  * the team has less than that, by what they want.
  */
 export const sharesOf = (
-  input: Pick<CycleInput, 'teams' | 'weights' | 'nodes' | 'holders'>,
+  input: Pick<CycleInput, 'teams' | 'weights' | 'nodes' | 'placedTasks'>,
   result: Pick<CycleResult, 'unplaced' | 'starts' | 'free'>,
   /** The most room that there was lately. */
-  lately: Room,
+  lately: Resources,
 ): GroupShare[] => {
   if (result.unplaced.length === 0) return [];
-  const all: Room = [0, 0, 0];
+  const all: Resources = [0, 0, 0];
   for (const n of input.nodes) add(all, n.total);
-  const groups = new Map<string, { team: string; jobClass: string; had: Room; want: Room; jobs: Job[] }>();
-  const teams = new Map<string, { had: Room; want: Room }>();
+  const groups = new Map<
+    string,
+    { team: string; jobClass: string; had: Resources; want: Resources; jobs: Job[] }
+  >();
+  const teams = new Map<string, { had: Resources; want: Resources }>();
   const at = (job: Job) => {
     const { team, jobClass } = job.spec;
     const key = JSON.stringify([team, jobClass]);
@@ -120,19 +123,19 @@
   };
   const have = (job: Job, times: number): void => {
     const { g, t } = at(job);
-    add(g.had, room(job.spec), times);
-    add(t.had, room(job.spec), times);
+    add(g.had, resourcesOf(job.spec), times);
+    add(t.had, resourcesOf(job.spec), times);
   };
   const held = new Map<Job, number>();
-  for (const h of input.holders) held.set(h.job, (held.get(h.job) ?? 0) + 1);
+  for (const h of input.placedTasks) held.set(h.job, (held.get(h.job) ?? 0) + 1);
   for (const s of result.starts)
     for (const tasks of s.on.values()) held.set(s.job, (held.get(s.job) ?? 0) + tasks.length);
   for (const [job, n] of held) have(job, n);
   for (const { job, count } of result.unplaced) {
     if (count <= 0) continue;
     const { g, t } = at(job);
-    add(g.want, room(job.spec), count);
-    add(t.want, room(job.spec), count);
+    add(g.want, resourcesOf(job.spec), count);
+    add(t.want, resourcesOf(job.spec), count);
     g.jobs.push(job);
   }
   const weight = (team: string): number => input.weights.get(team) ?? 1;
@@ -163,11 +166,11 @@
 
 const whyOf = (
   jobs: readonly Job[],
-  teamHad: Room,
+  teamHad: Resources,
   limit: { readonly cpus: number; readonly gpus: number },
-  free: ReadonlyMap<string, Room>,
-  all: Room,
-  lately: Room,
+  free: ReadonlyMap<string, Resources>,
+  all: Resources,
+  lately: Resources,
 ): WhyLess => {
   const beyond = (j: Job): boolean =>
     (limit.cpus > 0 && teamHad[0] + j.spec.cpus > limit.cpus) ||
@@ -176,7 +179,7 @@
   // Its members would fit one by one, but not together.
   const one = jobs.find((j) => j.spec.shape === 'gang' && j.spec.tasks > 1);
   if (one !== undefined && jobs.every((j) => j.spec.shape === 'gang')) {
-    const need = room(one.spec);
+    const need = resourcesOf(one.spec);
     for (const f of free.values()) if (fits(need, f)) return 'gang';
   }
   return all.some((x, i) => x < 0.9 * lately[i]!) ? 'lost' : 'room';
@@ -225,13 +228,13 @@
   private rows = new Map<string, ShareSum>();
   private last: { readonly at: Micros; readonly groups: readonly GroupShare[] } | null = null;
   /** The most room lately: falls by a tenth a minute. */
-  private peak: Room = [0, 0, 0];
+  private peak: Resources = [0, 0, 0];
 
   /** What the room was at its most, a turn's own included. */
-  lately(all: Room, at: Micros): Room {
+  lately(all: Resources, at: Micros): Resources {
     const passed = this.last === null ? 0 : at - this.last.at;
     const fall = Math.exp((-0.1 * passed) / 60e6);
-    this.peak = [0, 1, 2].map((i) => Math.max(all[i]!, this.peak[i]! * fall)) as Room;
+    this.peak = [0, 1, 2].map((i) => Math.max(all[i]!, this.peak[i]! * fall)) as Resources;
     return this.peak;
   }
 
--- a/packages/controller/src/calendar/fold.ts
+++ b/packages/controller/src/calendar/calendars.ts
@@ -5,61 +5,62 @@
 import { CALENDAR_HEAD, CALENDAR_PAGE, OCCURRENCE, CLASS_DURATIONS } from '../jobs/keys.js';
 import { decodeCalendar, decodeHead, decodeTally, encodeCalendar, type Head, type Paged } from './codec.js';
 import { type Calendar, laterTally, type Tally } from './model.js';
-import { decodeShown, type Shown } from './shown.js';
+import { decodeClassDurations, type ClassDurations } from './class-durations.js';
 
-export interface Stamped<A> {
+export interface Versioned<A> {
   readonly value: A;
-  readonly stamp: number;
+  readonly revision: number;
 }
 
 export class Calendars {
   /** As the store has them. */
-  head: Stamped<Head> | null = null;
-  readonly pages = new Map<string, Stamped<unknown>>();
-  readonly tallies = new Map<string, Stamped<Tally>>();
-  shown: Stamped<Shown> | null = null;
+  head: Versioned<Head> | null = null;
+  readonly pages = new Map<string, Versioned<unknown>>();
+  readonly tallies = new Map<string, Versioned<Tally>>();
+  classDurations: Versioned<ClassDurations> | null = null;
   /** What holds: also through a loss, until the store says something newer. */
   current: Calendar | null = null;
   /** The latest of each that this node has seen: what it tells after a loss. */
-  private readonly seen = new Map<string, Tally>();
-  private seenShown: Shown = new Map();
+  private readonly latestTallies = new Map<string, Tally>();
+  private latestDurations: ClassDurations = new Map();
 
   /** Changes below `s/c/`; throws on values that can't be read. */
-  take(key: string, value: unknown, stamp: number): void {
+  apply(key: string, value: unknown, stamp: number): void {
     if (key === CALENDAR_HEAD) {
-      this.head = value === undefined ? null : { value: decodeHead(value), stamp };
+      this.head = value === undefined ? null : { value: decodeHead(value), revision: stamp };
       this.adopt();
     } else if (key.startsWith(CALENDAR_PAGE)) {
       if (value === undefined) this.pages.delete(key);
-      else this.pages.set(key, { value, stamp });
+      else this.pages.set(key, { value, revision: stamp });
       if (this.head?.value.pages.includes(key)) this.adopt();
     } else if (key.startsWith(OCCURRENCE)) {
       const id = key.slice(OCCURRENCE.length);
       if (value === undefined) {
         this.tallies.delete(id);
-        this.seen.delete(id);
+        this.latestTallies.delete(id);
         return;
       }
       const tally = decodeTally(value);
-      this.tallies.set(id, { value: tally, stamp });
-      const before = this.seen.get(id);
-      this.seen.set(id, before === undefined ? tally : laterTally(before, tally));
+      this.tallies.set(id, { value: tally, revision: stamp });
+      const before = this.latestTallies.get(id);
+      this.latestTallies.set(id, before === undefined ? tally : laterTally(before, tally));
     } else if (key === CLASS_DURATIONS) {
-      this.shown = value === undefined ? null : { value: decodeShown(value), stamp };
-      if (this.shown !== null) this.seenShown = this.shown.value;
+      this.classDurations =
+        value === undefined ? null : { value: decodeClassDurations(value), revision: stamp };
+      if (this.classDurations !== null) this.latestDurations = this.classDurations.value;
     }
   }
 
   /** The store's content is to be read anew; what held and what was seen stays. */
   clear(): void {
     this.head = null;
-    this.shown = null;
+    this.classDurations = null;
     this.pages.clear();
     this.tallies.clear();
   }
 
   /** What the store's head names is there, and is what it stands for. */
-  get whole(): boolean {
+  get complete(): boolean {
     if (this.head === null) return true;
     const values = this.head.value.pages.map((k) => this.pages.get(k)?.value);
     return decodeCalendar(this.head.value, values) !== null;
@@ -67,21 +68,21 @@
 
   /** The keys that the store has below `s/c/`, with their revisions. */
   keys(): [string, number][] {
-    const out: [string, number][] = [...this.pages].map(([key, p]) => [key, p.stamp]);
-    for (const [id, t] of this.tallies) out.push([OCCURRENCE + id, t.stamp]);
-    if (this.head !== null) out.push([CALENDAR_HEAD, this.head.stamp]);
-    if (this.shown !== null) out.push([CLASS_DURATIONS, this.shown.stamp]);
+    const out: [string, number][] = [...this.pages].map(([key, p]) => [key, p.revision]);
+    for (const [id, t] of this.tallies) out.push([OCCURRENCE + id, t.revision]);
+    if (this.head !== null) out.push([CALENDAR_HEAD, this.head.revision]);
+    if (this.classDurations !== null) out.push([CLASS_DURATIONS, this.classDurations.revision]);
     return out;
   }
 
   /** What became of an occurrence's jobs, as far as this node knows. */
   tally(id: string): Tally | undefined {
-    return this.seen.get(id);
+    return this.latestTallies.get(id);
   }
 
   /** For a rebuild: what this node remembers. */
   remembered(): Remembered {
-    return { calendar: this.current, tallies: new Map(this.seen), shown: this.seenShown };
+    return { calendar: this.current, tallies: new Map(this.latestTallies), shown: this.latestDurations };
   }
 
   private adopt(): void {
@@ -102,7 +103,7 @@
 export interface Remembered {
   readonly calendar: Calendar | null;
   readonly tallies: ReadonlyMap<string, Tally>;
-  readonly shown: Shown;
+  readonly shown: ClassDurations;
 }
 
 /** `bytes`: what a value may be long. Leaves room for what the service counts beside the JSON. */
--- a/packages/controller/src/calendar/shown.ts
+++ b/packages/controller/src/calendar/class-durations.ts
@@ -5,28 +5,31 @@
  */
 export const BUCKETS = 33;
 /** The middle bucket is a task that took what was estimated; the outer ones hold an eighth and 16 times. */
-const FIRST = -12;
+const FIRST_EXPONENT = -12;
 /** More samples than this are halved, so that a class that changes is seen. */
-const FULL = 512;
+const MAX_SAMPLES = 512;
 /** Fewer tell nothing yet. */
-const ENOUGH = 8;
+const MIN_SAMPLES = 8;
 export const MOST_CLASSES = 64;
 
 /** By class, the counts by bucket. */
-export type Shown = ReadonlyMap<string, readonly number[]>;
+export type ClassDurations = ReadonlyMap<string, readonly number[]>;
 
 const bucketOf = (ratio: number): number =>
-  Math.max(0, Math.min(BUCKETS - 1, Math.round(Math.log2(Math.max(ratio, 1e-6)) * 4) - FIRST));
+  Math.max(0, Math.min(BUCKETS - 1, Math.round(Math.log2(Math.max(ratio, 1e-6)) * 4) - FIRST_EXPONENT));
 
 /** `ratios` by class: samples that came since. */
-export const addShown = (shown: Shown, ratios: ReadonlyMap<string, readonly number[]>): Shown => {
+export const addSamples = (
+  shown: ClassDurations,
+  ratios: ReadonlyMap<string, readonly number[]>,
+): ClassDurations => {
   const out = new Map(shown);
   for (const [jobClass, list] of ratios) {
     let counts = [...(out.get(jobClass) ?? new Array<number>(BUCKETS).fill(0))];
     for (const r of list) {
       const b = bucketOf(r);
       counts[b] = counts[b]! + 1;
-      if (counts.reduce((n, c) => n + c, 0) > FULL) counts = counts.map((c) => c >> 1);
+      if (counts.reduce((n, c) => n + c, 0) > MAX_SAMPLES) counts = counts.map((c) => c >> 1);
     }
     // Last in the order: the class that was seen least lately is the first to go.
     out.delete(jobClass);
@@ -40,22 +43,22 @@
 };
 
 /** The ratio that a part `q` of a class's tasks stayed within; 1 while too few are known. */
-export const ratioOf = (shown: Shown, jobClass: string, q: number): number => {
+export const ratioQuantile = (shown: ClassDurations, jobClass: string, q: number): number => {
   const counts = shown.get(jobClass);
   if (counts === undefined) return 1;
   const all = counts.reduce((n, c) => n + c, 0);
-  if (all < ENOUGH) return 1;
+  if (all < MIN_SAMPLES) return 1;
   let below = 0;
   for (let b = 0; b < counts.length; b++) {
     below += counts[b]!;
-    if (below >= q * all) return 2 ** ((b + FIRST) / 4);
+    if (below >= q * all) return 2 ** ((b + FIRST_EXPONENT) / 4);
   }
-  return 2 ** ((counts.length - 1 + FIRST) / 4);
+  return 2 ** ((counts.length - 1 + FIRST_EXPONENT) / 4);
 };
 
 /** A list of pairs, so that the order of classes is kept whatever they are called. */
-export const encodeShown = (s: Shown): unknown => [...s];
-export const decodeShown = (value: unknown): Shown => {
+export const encodeClassDurations = (s: ClassDurations): unknown => [...s];
+export const decodeClassDurations = (value: unknown): ClassDurations => {
   const list = value as [string, number[]][];
   if (!Array.isArray(list)) throw new Error('not what classes have shown');
   for (const e of list)
--- a/packages/controller/src/calendar/duty.ts
+++ b/packages/controller/src/calendar/cutoff-tracking.ts
@@ -9,23 +9,23 @@
 import { Priority } from '../state-store/budget.js';
 import type { Condition, Write } from '../state-store/client.js';
 import { encodeTally } from './codec.js';
-import { addTally, isRisk, NO_TALLY, SAID, type Tally, WHY } from './model.js';
-import { addShown, encodeShown } from './shown.js';
-import { type Pace, sayOf } from './slack.js';
+import { addTally, isRisk, NO_TALLY, CUTOFF_RISK, type Tally, RISK_REASONS } from './model.js';
+import { addSamples, encodeClassDurations } from './class-durations.js';
+import { type Pace, newCutoffRisk } from './slack.js';
 import { occurrenceOf } from './tie.js';
 
 /** In one record: the rest follows with the next ones. */
-const MOST_SAID = 50;
+const MAX_RISKS = 50;
 /** Samples of one job in one record: members of an array are much alike. */
 const SAMPLES = 8;
-const SHOWN_EVERY = seconds(30);
+const WRITE_EVERY = seconds(30);
 const NOTICE_EVERY = seconds(86_400);
 
 /** What a reign has seen and not written yet. */
-export class Learned {
+export class ClassSamples {
   readonly ratios = new Map<string, number[]>();
-  written: Micros | null = null;
-  noticed: Micros | null = null;
+  writtenAt: Micros | null = null;
+  noticedAt: Micros | null = null;
 }
 
 /** Never earlier than the latest record: a clock that was set back does not give a cutoff its time back. */
@@ -48,14 +48,14 @@
     }
     const limits = new Map(t.settings.teams.map((s) => [s.name, s.limit]));
     return (made = {
-      shown: t.jobState.calendars.shown?.value ?? new Map(),
+      classDurations: t.jobState.calendars.classDurations?.value ?? new Map(),
       limit: (team) => limits.get(team),
       total,
     });
   };
 };
 
-const hinderedOf = (t: CycleContext, job: Job) => {
+const hindranceOf = (t: CycleContext, job: Job) => {
   const { spec } = job;
   const limit = t.settings.teams.find((s) => s.name === spec.team)?.limit;
   let cpus = 0;
@@ -77,7 +77,7 @@
 };
 
 /** By job, what a record of this time says of its cutoff. */
-export const saidOf = (t: CycleContext, day: Micros): Map<string, number> => {
+export const cutoffRisksOf = (t: CycleContext, day: Micros): Map<string, number> => {
   const out = new Map<string, number>();
   const { calendars } = t.jobState;
   if (calendars.current === null || calendars.current.cutoffs.length === 0) return out;
@@ -87,31 +87,31 @@
     // What the same record completes is not at risk; it may have missed.
     const ends = t.registry.ends.get(job.spec.id);
     const over = ends !== undefined && job.done.size + ends.done.size >= job.spec.tasks;
-    const say = sayOf(job, calendars.current, day, pace, () => hinderedOf(t, job));
+    const say = newCutoffRisk(job, calendars.current, day, pace, () => hindranceOf(t, job));
     if (say === null || (over && isRisk(say))) continue;
     out.set(job.spec.id, say);
-    if (out.size >= MOST_SAID) break;
+    if (out.size >= MAX_RISKS) break;
   }
   return out;
 };
 
 /** Once the record is durable. */
-export const logSaid = (
+export const logCutoffRisks = (
   t: CycleContext,
   jobs: ReadonlyMap<string, JobChange>,
   day: Micros,
 ): Effect.Effect<void> =>
   Effect.forEach(
-    [...jobs].filter(([, c]) => c.cutoffRisk !== undefined && c.cutoffRisk !== SAID.nothing),
+    [...jobs].filter(([, c]) => c.cutoffRisk !== undefined && c.cutoffRisk !== CUTOFF_RISK.nothing),
     ([id, c]) => {
       const spec = t.jobState.jobs.get(id)?.spec;
       const o = spec === undefined ? null : occurrenceOf(t.jobState.calendars.current, spec);
       const fields = { term: t.leaderTerm.number, job: id, cutoff: o?.id };
-      return c.cutoffRisk === SAID.missed
+      return c.cutoffRisk === CUTOFF_RISK.missed
         ? info('cutoff missed', fields)
         : info('cutoff at risk', {
             ...fields,
-            why: WHY[c.cutoffRisk!],
+            why: RISK_REASONS[c.cutoffRisk!],
             inS: o === null ? undefined : Math.round((o.at - day) / 1e6),
           });
     },
@@ -119,12 +119,12 @@
   );
 
 /** Takes what a record's ends show of their classes; called before the record is applied to the jobs. */
-export const learn = (t: CycleContext, jobs: ReadonlyMap<string, JobChange>, at: Micros): void => {
+export const recordSamples = (t: CycleContext, jobs: ReadonlyMap<string, JobChange>, at: Micros): void => {
   if ((t.jobState.calendars.current?.cutoffs.length ?? 0) === 0) return;
   for (const [id, c] of jobs) {
     const job = t.jobState.jobs.get(id);
     if (job === undefined || !c.done?.length || job.spec.estimate <= 0) continue;
-    const { ratios } = t.learned;
+    const { ratios } = t.classSamples;
     let list = ratios.get(job.spec.jobClass);
     if (!list) ratios.set(job.spec.jobClass, (list = []));
     // Members of a gang end together: one of them tells as much as all.
@@ -136,7 +136,7 @@
 };
 
 /** What is written with the closing of these jobs: the counts of their occurrences. */
-export const tallying = (
+export const tallyWrites = (
   jobState: JobState,
   over: readonly { readonly job: Job; readonly final: FinalState }[],
 ): { readonly when: Condition[]; readonly then: Write[] } => {
@@ -150,7 +150,7 @@
       addTally(sums.get(tie) ?? NO_TALLY, {
         done,
         risked: done === 1 && isRisk(job.cutoffRisk) ? 1 : 0,
-        missed: done === 1 && job.cutoffRisk === SAID.missed ? 1 : 0,
+        missed: done === 1 && job.cutoffRisk === CUTOFF_RISK.missed ? 1 : 0,
         cancelled: 1 - done,
       }),
     );
@@ -160,34 +160,35 @@
   for (const [id, sum] of sums) {
     const there = jobState.calendars.tallies.get(id);
     const key = OCCURRENCE + id;
-    when.push({ key, stamp: there?.stamp ?? 0 });
+    when.push({ key, stamp: there?.revision ?? 0 });
     then.push({ set: key, value: encodeTally(addTally(jobState.calendars.tally(id) ?? NO_TALLY, sum)) });
   }
   return { when, then };
 };
 
 /** Writes what classes have shown now and then, and says when the calendar's table is about to run out. */
-export const tendCalendar = (t: CycleContext): Effect.Effect<void> =>
+export const calendarUpkeep = (t: CycleContext): Effect.Effect<void> =>
   Effect.gen(function* () {
     const { calendars } = t.jobState;
     const calendar = calendars.current;
     if (calendar === null || calendar.cutoffs.length === 0) return;
     const at = t.clock();
-    const { learned } = t;
+    const { classSamples: learned } = t;
     const day = dayOf(t);
     if (
       day > calendar.until - calendar.notice &&
-      (learned.noticed === null || at - learned.noticed > NOTICE_EVERY)
+      (learned.noticedAt === null || at - learned.noticedAt > NOTICE_EVERY)
     ) {
-      learned.noticed = at;
+      learned.noticedAt = at;
       yield* info('calendar runs out', {
         term: t.leaderTerm.number,
         version: calendar.version,
         inDays: Math.round((calendar.until - day) / 86_400e6),
       });
     }
-    if (learned.ratios.size === 0 || (learned.written !== null && at - learned.written < SHOWN_EVERY)) return;
-    learned.written = at;
+    if (learned.ratios.size === 0 || (learned.writtenAt !== null && at - learned.writtenAt < WRITE_EVERY))
+      return;
+    learned.writtenAt = at;
     const ratios = new Map(learned.ratios);
     learned.ratios.clear();
     // Lost or refused: a few samples less.
@@ -195,9 +196,14 @@
       t.store.transact(
         [
           { key: TERM, stamp: t.leaderTerm.stamp },
-          { key: CLASS_DURATIONS, stamp: calendars.shown?.stamp ?? 0 },
+          { key: CLASS_DURATIONS, stamp: calendars.classDurations?.revision ?? 0 },
+        ],
+        [
+          {
+            set: CLASS_DURATIONS,
+            value: encodeClassDurations(addSamples(calendars.remembered().shown, ratios)),
+          },
         ],
-        [{ set: CLASS_DURATIONS, value: encodeShown(addShown(calendars.remembered().shown, ratios)) }],
         Priority.Upkeep,
         1500,
       ),
--- a/packages/controller/src/calendar/model.ts
+++ b/packages/controller/src/calendar/model.ts
@@ -44,16 +44,16 @@
 }
 
 /** What has been said of a job's cutoff, durably in the job (`Job.said`): each is said once, whoever leads. */
-export const SAID = { nothing: 0, noRoom: 1, limit: 2, estimate: 3, lost: 4, missed: 9 } as const;
-export const WHY: Readonly<Record<number, string>> = {
-  [SAID.noRoom]: 'no room',
-  [SAID.limit]: 'limit',
-  [SAID.estimate]: 'estimate',
-  [SAID.lost]: 'lost machine',
-  [SAID.missed]: 'missed',
+export const CUTOFF_RISK = { nothing: 0, noRoom: 1, limit: 2, estimate: 3, lost: 4, missed: 9 } as const;
+export const RISK_REASONS: Readonly<Record<number, string>> = {
+  [CUTOFF_RISK.noRoom]: 'no room',
+  [CUTOFF_RISK.limit]: 'limit',
+  [CUTOFF_RISK.estimate]: 'estimate',
+  [CUTOFF_RISK.lost]: 'lost machine',
+  [CUTOFF_RISK.missed]: 'missed',
 };
 export const isRisk = (said: number | undefined): boolean =>
-  said !== undefined && said > SAID.nothing && said < SAID.missed;
+  said !== undefined && said > CUTOFF_RISK.nothing && said < CUTOFF_RISK.missed;
 
 /** What became of an occurrence's jobs that are over; numbers only grow. */
 export interface Tally {
--- a/packages/controller/src/calendar/publish.ts
+++ b/packages/controller/src/calendar/publish.ts
@@ -10,7 +10,7 @@
 import type { Condition, Entry, StateFailure, Write } from '../state-store/client.js';
 import type { StatePort } from '../state-store/port.js';
 import { decodeCalendar, decodeHead, type Head, type Paged } from './codec.js';
-import { pagesOf } from './fold.js';
+import { pagesOf } from './calendars.js';
 import { type Calendar, makeCalendar } from './model.js';
 
 export type Store = Pick<StatePort, 'get' | 'page' | 'transact'>;
--- a/packages/controller/src/calendar/slack.ts
+++ b/packages/controller/src/calendar/slack.ts
@@ -6,8 +6,8 @@
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import type { Job, JobSpec } from '../jobs/model.js';
 import type { TeamSettings } from '../settings/settings.js';
-import { type Calendar, type Occurrence, SAID } from './model.js';
-import { ratioOf, type Shown } from './shown.js';
+import { type Calendar, type Occurrence, CUTOFF_RISK } from './model.js';
+import { ratioQuantile, type ClassDurations } from './class-durations.js';
 import { occurrenceOf } from './tie.js';
 
 /** Parts of a class's tasks that stayed within the ratio which a view counts with. */
@@ -24,13 +24,13 @@
 const MISSED = 1e16;
 
 /** Room by resource: CPUs, GPUs, GB. */
-export type Total = readonly [number, number, number];
+export type ResourceTotal = readonly [number, number, number];
 
 /** Tasks of a job that can run at once: by its team's limit, and by all the room there is (null: whatever is needed). */
 export const slotsOf = (
   spec: JobSpec,
   limit: TeamSettings['limit'] | undefined,
-  total: Total | null,
+  total: ResourceTotal | null,
 ): number => {
   let most = spec.tasks;
   const part = (have: number, need: number): void => {
@@ -65,24 +65,26 @@
 };
 
 export interface Pace {
-  readonly shown: Shown;
+  readonly classDurations: ClassDurations;
   readonly limit: (team: string) => TeamSettings['limit'] | undefined;
   /** All the room that there is now. */
-  readonly total: Total;
+  readonly total: ResourceTotal;
 }
 
 export const carefulLeft = (job: Job, day: Micros, pace: Pace): Micros =>
   timeLeft(
     job,
     day,
-    ratioOf(pace.shown, job.spec.jobClass, CAREFUL),
+    ratioQuantile(pace.classDurations, job.spec.jobClass, CAREFUL),
     Math.max(job.placed.size, slotsOf(job.spec, pace.limit(job.spec.team), pace.total)),
   );
 
 /** Machines can be rented: only the team's limit bounds what may run at once. */
 const hopefulLeft = (job: Job, day: Micros, pace: Pace): Micros => {
   const { jobClass, team } = job.spec;
-  const ratio = pace.shown.has(jobClass) ? Math.min(1, ratioOf(pace.shown, jobClass, HOPEFUL)) : UNKNOWN;
+  const ratio = pace.classDurations.has(jobClass)
+    ? Math.min(1, ratioQuantile(pace.classDurations, jobClass, HOPEFUL))
+    : UNKNOWN;
   return timeLeft(job, day, ratio, slotsOf(job.spec, pace.limit(team), null));
 };
 
@@ -118,10 +120,15 @@
 };
 
 /** Whether it would miss its cutoff, were nothing more done for it: renting serves such jobs first of their urgency. */
-export const pressing = (job: Job, calendar: Calendar | null, day: Micros, shown: Shown): Micros | null => {
+export const pressing = (
+  job: Job,
+  calendar: Calendar | null,
+  day: Micros,
+  shown: ClassDurations,
+): Micros | null => {
   const o = occurrenceOf(calendar, job.spec);
   if (o === null || day > o.at) return null;
-  const ratio = ratioOf(shown, job.spec.jobClass, CAREFUL);
+  const ratio = ratioQuantile(shown, job.spec.jobClass, CAREFUL);
   const left = timeLeft(job, day, ratio, slotsOf(job.spec, undefined, null));
   return o.at - day - left < Math.max(left, PRESSING) ? o.at : null;
 };
@@ -138,7 +145,7 @@
  * What is to be said of a job's cutoff now (`SAID`); null: nothing new. At risk once the careful view is past the cutoff,
  * missed once the time of day is and the job is not done. Each is said once; of an occurrence that moved, anew.
  */
-export const sayOf = (
+export const newCutoffRisk = (
   job: Job,
   calendar: Calendar | null,
   day: Micros,
@@ -147,19 +154,19 @@
 ): number | null => {
   const o = occurrenceOf(calendar, job.spec);
   if (o === null) return null;
-  const said = job.cutoffRisk ?? SAID.nothing;
-  if (day > o.at) return said === SAID.missed ? null : SAID.missed;
-  if (said === SAID.missed) return SAID.nothing;
-  if (said !== SAID.nothing) return null;
+  const said = job.cutoffRisk ?? CUTOFF_RISK.nothing;
+  if (day > o.at) return said === CUTOFF_RISK.missed ? null : CUTOFF_RISK.missed;
+  if (said === CUTOFF_RISK.missed) return CUTOFF_RISK.nothing;
+  if (said !== CUTOFF_RISK.nothing) return null;
   const p = pace();
   const left = carefulLeft(job, day, p);
   if (day + left <= o.at) return null;
   const { spec } = job;
-  if (spec.tasks - job.done.size === job.placed.size) return SAID.estimate;
+  if (spec.tasks - job.done.size === job.placed.size) return CUTOFF_RISK.estimate;
   const { limited, lost } = hindered();
-  if (limited) return SAID.limit;
-  if (lost) return SAID.lost;
+  if (limited) return CUTOFF_RISK.limit;
+  if (lost) return CUTOFF_RISK.lost;
   // With the estimate as it was given, it would make it.
   const stated = timeLeft(job, day, 1, Math.max(job.placed.size, slotsOf(spec, p.limit(spec.team), p.total)));
-  return day + stated <= o.at ? SAID.estimate : SAID.noRoom;
+  return day + stated <= o.at ? CUTOFF_RISK.estimate : CUTOFF_RISK.noRoom;
 };
--- a/packages/controller/src/jobs/codec.ts
+++ b/packages/controller/src/jobs/codec.ts
@@ -4,11 +4,11 @@
 import { decodeSpent, encodeSpent, type StoredSpent } from '../accounts/codec.js';
 import {
   decodeLoans,
-  decodeParts,
+  decodeLoanParts,
   encodeLoans,
-  encodeParts,
+  encodeLoanParts,
   type StoredLoans,
-  type StoredParts,
+  type StoredLoanParts,
 } from '../lending/codec.js';
 import { packFinalState, unpackFinalState } from './finals.js';
 import { decodeRanges, encodeRanges } from './ranges.js';
@@ -282,8 +282,8 @@
   a?: number;
   p?: Record<string, string>;
   q?: number;
-  l?: StoredParts;
-  r?: StoredParts;
+  l?: StoredLoanParts;
+  r?: StoredLoanParts;
   y?: number;
 };
 
@@ -295,8 +295,8 @@
     ? { a: c.start.attempt, p: Object.fromEntries([...c.start.on].map(([m, t]) => [m, encodeRanges(t)])) }
     : {}),
   ...(c.cutoffRisk === undefined ? {} : { q: c.cutoffRisk }),
-  ...(c.lend?.length ? { l: encodeParts(c.lend) } : {}),
-  ...(c.repay?.length ? { r: encodeParts(c.repay) } : {}),
+  ...(c.lend?.length ? { l: encodeLoanParts(c.lend) } : {}),
+  ...(c.repay?.length ? { r: encodeLoanParts(c.repay) } : {}),
   ...(c.preemptedForServices ? { y: c.preemptedForServices } : {}),
 });
 
@@ -341,8 +341,8 @@
             on: new Map(Object.entries(c.p ?? {}).map(([m, t]) => [m, decodeRanges(t)])),
           },
     ...(c.q === undefined ? {} : { cutoffRisk: c.q }),
-    lend: decodeParts(c.l),
-    repay: decodeParts(c.r),
+    lend: decodeLoanParts(c.l),
+    repay: decodeLoanParts(c.r),
     preemptedForServices: c.y,
   };
 };
--- a/packages/controller/src/jobs/job-state.ts
+++ b/packages/controller/src/jobs/job-state.ts
@@ -6,9 +6,9 @@
 import { decodeAccounts } from '../accounts/codec.js';
 import { fold } from '../accounts/fold.js';
 import { type Accounts, NO_ACCOUNTS } from '../accounts/model.js';
-import { Calendars } from '../calendar/fold.js';
+import { Calendars } from '../calendar/calendars.js';
 import { floorOf, type Incarnation, incarnationOf } from '../recovery/model.js';
-import { decodeWeights } from '../lending/weights.js';
+import { decodeImageWeights } from '../lending/image-weights.js';
 import type { Change, Condition, Entry, Write } from '../state-store/client.js';
 import {
   decodeFinalState,
@@ -221,8 +221,8 @@
    */
   get calendarLost(): boolean {
     const born = this.incarnation?.stamp ?? 0;
-    const { head, whole } = this.calendars;
-    if (head !== null && head.stamp > born && !whole) return true;
+    const { head, complete: whole } = this.calendars;
+    if (head !== null && head.revision > born && !whole) return true;
     const version = head?.value.version ?? 0;
     for (const r of this.logTail.values()) if (r.revision > born && r.head.calendar > version) return true;
     return false;
@@ -282,7 +282,7 @@
       const id = key.slice(ORPHANED_JOBS.length);
       if (value === undefined) this.orphanedJobs.delete(id);
       else this.orphanedJobs.set(id, { ...(value as OrphanedJob), stamp: c.stamp });
-    } else if (key.startsWith(CALENDAR)) this.calendars.take(key, value, c.stamp);
+    } else if (key.startsWith(CALENDAR)) this.calendars.apply(key, value, c.stamp);
     else if (key === REBUILD)
       this.rebuild = value === undefined ? null : { ...(value as RebuildStatus), revision: c.stamp };
     else if (key === QUIESCENT) this.quiescentIncarnation = value === undefined ? null : (value as string);
@@ -296,7 +296,7 @@
     } else if (key === LARGEST_JOBS) {
       this.largest = value ?? null;
     } else if (key === IMAGE_WEIGHTS) {
-      this.weights = decodeWeights(value);
+      this.weights = decodeImageWeights(value);
     } else if (key === TERM && value !== undefined) {
       const { term, a } = value as { term: unknown; a?: unknown };
       if (!Number.isSafeInteger(term)) throw new Error('the term is damaged');
--- a/packages/controller/src/jobs/model.ts
+++ b/packages/controller/src/jobs/model.ts
@@ -4,7 +4,7 @@
  */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { NOTHING_SPENT, type Spent } from '../accounts/model.js';
-import { applyLoans, type Loan, type Part } from '../lending/model.js';
+import { applyLoans, type Loan, type LoanPart } from '../lending/model.js';
 
 export type Shape = 'array' | 'gang' | 'service';
 /** Higher is more urgent. */
@@ -86,8 +86,8 @@
   /** It becomes at risk of missing its cutoff, misses it, or neither any more (calendar/model.ts, `SAID`). */
   readonly cutoffRisk?: number;
   /** What it borrows, and gives back, by lender. */
-  readonly lend?: readonly Part[];
-  readonly repay?: readonly Part[];
+  readonly lend?: readonly LoanPart[];
+  readonly repay?: readonly LoanPart[];
   /** So many of its tasks are about to be stopped for services. */
   readonly preemptedForServices?: number;
 }
--- a/packages/controller/src/leadership/leader-session.ts
+++ b/packages/controller/src/leadership/leader-session.ts
@@ -5,7 +5,7 @@
 import { type Micros, millis, seconds, toMillis } from '@lilacvalve/runtime/micros';
 import { tick } from '@lilacvalve/runtime/tick';
 import { Effect, Queue } from 'effect';
-import { Learned } from '../calendar/duty.js';
+import { ClassSamples } from '../calendar/cutoff-tracking.js';
 import type { DataLossDetector } from '../recovery/data-loss-detector.js';
 import type { CloudPort } from '../provisioning/cloud.js';
 import { autoscaler } from '../provisioning/autoscaler.js';
@@ -13,7 +13,7 @@
 import type { JobState } from '../jobs/job-state.js';
 import type { StoreWatcher } from '../jobs/store-watcher.js';
 import { QUIESCENT, RECOVERED } from '../jobs/keys.js';
-import { weightsDuty } from '../lending/duty.js';
+import { imageWeightsTask } from '../lending/image-weights-task.js';
 import type { Leadership, LeadershipTerm } from './leadership.js';
 import type { Peers } from './peers.js';
 import type { Admission } from '../overload/admission.js';
@@ -22,10 +22,10 @@
 import type { PreLossViews } from '../recovery/pre-loss-views.js';
 import type { EvidenceStore } from '../recovery/evidence-store.js';
 import { tendWards } from '../recovery/orphaned-jobs.js';
-import { Largest, largestDuty } from '../scheduler/largest.js';
+import { LargestJobs, largestJobsTask } from '../scheduler/largest-jobs.js';
 import { summary, runCycle } from '../scheduler/run-cycle.js';
 import { upkeep } from '../scheduler/upkeep.js';
-import { Waits } from '../scheduler/waits.js';
+import { StartWaits } from '../scheduler/start-waits.js';
 import type { CycleState, CycleContext } from '../scheduler/cycle-context.js';
 import type { Settings } from '../settings/settings.js';
 import type { StatePort } from '../state-store/port.js';
@@ -198,12 +198,18 @@
         fleet: this.fleet,
         clock: p.clock,
         dayTime: p.dayTime,
-        learned: new Learned(),
-        companions: new Map(),
-        waits: new Waits(),
-        largest: new Largest(p.jobState.largest),
+        classSamples: new ClassSamples(),
+        coLocatedDemand: new Map(),
+        startWaits: new StartWaits(),
+        largestJobs: new LargestJobs(p.jobState.largest),
+      };
+      const view: CycleState = {
+        result: null,
+        idleNodes: new Set(),
+        coLocatedDemand: [],
+        computeTime: 0,
+        hasBacklog: false,
       };
-      const view: CycleState = { result: null, surplus: new Set(), companions: [], cost: 0, behind: false };
       const gate = new Gate(p.clock);
       this.desk = {
         registry,
@@ -223,7 +229,7 @@
           Effect.ensuring(Effect.sync(() => gate.open())),
         );
         if (t.mayAct()) yield* sendUrgent(registry, p.workers, p.admission);
-        yield* Effect.sleep(cycleGapMs(registry.machines.size, toMillis(view.cost), view.behind));
+        yield* Effect.sleep(cycleGapMs(registry.machines.size, toMillis(view.computeTime), view.hasBacklog));
       }).pipe(Effect.forever);
       const tidy = supervise('upkeep', upkeep(t).pipe(Effect.zipRight(tick(UPKEEP_GAP_MS)), Effect.forever));
       const report = supervise(
@@ -242,10 +248,10 @@
           Effect.forever,
         ),
       );
-      const weights = weightsDuty({ ...t, machines: () => registry.machines.values() });
+      const weights = imageWeightsTask({ ...t, machines: () => registry.machines.values() });
       const fleet = autoscaler(t, view, p.cloud);
       return Effect.all(
-        [supervise('turns', turns), fleet, tidy, report, relieve, tend, weights, largestDuty(t)],
+        [supervise('turns', turns), fleet, tidy, report, relieve, tend, weights, largestJobsTask(t)],
         {
           concurrency: 'unbounded',
           discard: true,
--- a/packages/controller/src/lending/codec.ts
+++ b/packages/controller/src/lending/codec.ts
@@ -1,11 +1,11 @@
 /** Durable forms of loans, inside a job's key and inside a record's change of a job. */
 import type { Micros } from '@lilacvalve/runtime/micros';
-import type { Loan, Part } from './model.js';
+import type { Loan, LoanPart } from './model.js';
 
 /** lender -> [thousandths of a GPU, tasks, microseconds from the taker's submission to the first record] */
 export type StoredLoans = Readonly<Record<string, readonly [number, number, number]>>;
 /** lender -> [thousandths of a GPU, tasks] */
-export type StoredParts = Readonly<Record<string, readonly [number, number]>>;
+export type StoredLoanParts = Readonly<Record<string, readonly [number, number]>>;
 
 export const encodeLoans = (loans: ReadonlyMap<string, Loan>, submitted: Micros): StoredLoans =>
   Object.fromEntries([...loans].map(([id, l]) => [id, [l.gpus, l.tasks, l.since - submitted] as const]));
@@ -22,11 +22,11 @@
   return out;
 };
 
-export const encodeParts = (parts: readonly Part[]): StoredParts =>
+export const encodeLoanParts = (parts: readonly LoanPart[]): StoredLoanParts =>
   Object.fromEntries(parts.map((p) => [p.lender, [p.gpus, p.tasks] as const]));
 
 /** Throws on what `encodeParts` can't have written. */
-export const decodeParts = (v: StoredParts | undefined): Part[] | undefined =>
+export const decodeLoanParts = (v: StoredLoanParts | undefined): LoanPart[] | undefined =>
   v === undefined
     ? undefined
     : Object.entries(v).map(([lender, p]) => {
--- a/packages/controller/src/lending/duty.ts
+++ b/packages/controller/src/lending/image-weights-task.ts
@@ -6,11 +6,11 @@
 import { hintWriter } from '../state-store/hint.js';
 import type { StatePort } from '../state-store/port.js';
 import { mayBorrow } from './loans.js';
-import { encodeWeights, weightsHeld } from './weights.js';
+import { encodeImageWeights, weightsHeld } from './image-weights.js';
 
 const EVERY_MS = 10_000;
 
-export interface LendingParts {
+export interface ImageWeightsParts {
   readonly mayAct: () => boolean;
   readonly store: StatePort;
   readonly leaderTerm: { readonly stamp: number };
@@ -22,7 +22,7 @@
   readonly machines: () => Iterable<{ readonly id: string; readonly images: ReadonlySet<string> }>;
 }
 
-export const weightsDuty = (p: LendingParts) => {
+export const imageWeightsTask = (p: ImageWeightsParts) => {
   /** Images of services, those seen last behind. */
   const images = new Set<string>();
   for (const list of p.jobState.weights.values()) for (const image of list) images.add(image);
@@ -34,7 +34,10 @@
       images.add(spec.image);
     }
     if (images.size === 0 || !p.mayAct()) return Effect.void;
-    const value = encodeWeights(weightsHeld([...images], p.machines()), p.settings.state.valueBytes * 0.5);
+    const value = encodeImageWeights(
+      weightsHeld([...images], p.machines()),
+      p.settings.state.valueBytes * 0.5,
+    );
     return write(value);
   });
   return supervise('weights', Effect.sleep(EVERY_MS).pipe(Effect.zipRight(look), Effect.forever));
--- a/packages/controller/src/lending/weights.ts
+++ b/packages/controller/src/lending/image-weights.ts
@@ -4,7 +4,7 @@
  */
 
 /** Images, each with the machines that hold it. */
-export type Weights = ReadonlyMap<string, readonly string[]>;
+export type ImageWeights = ReadonlyMap<string, readonly string[]>;
 
 const MOST_IMAGES = 40;
 const MOST_MACHINES = 80;
@@ -13,7 +13,7 @@
 export const weightsHeld = (
   images: readonly string[],
   machines: Iterable<{ readonly id: string; readonly images: ReadonlySet<string> }>,
-): Weights => {
+): ImageWeights => {
   const out = new Map<string, string[]>(images.slice(-MOST_IMAGES).map((i) => [i, []]));
   for (const m of machines) {
     for (const image of m.images) {
@@ -26,14 +26,14 @@
 };
 
 /** Within `bytes`: the oldest images are left out first. */
-export const encodeWeights = (w: Weights, bytes: number): unknown => {
+export const encodeImageWeights = (w: ImageWeights, bytes: number): unknown => {
   const entries = [...w];
   while (entries.length > 0 && JSON.stringify(Object.fromEntries(entries)).length > bytes) entries.shift();
   return Object.fromEntries(entries);
 };
 
 /** By machine. Whatever can't be read is left out: it is a hint. */
-export const decodeWeights = (value: unknown): Map<string, string[]> => {
+export const decodeImageWeights = (value: unknown): Map<string, string[]> => {
   const out = new Map<string, string[]>();
   if (typeof value !== 'object' || value === null) return out;
   for (const [image, on] of Object.entries(value)) {
--- a/packages/controller/src/lending/record.ts
+++ b/packages/controller/src/lending/loan-changes.ts
@@ -1,26 +1,26 @@
 /** What a turn's record says of loans: those it makes for its stops, and those it ends. */
 import type { Job } from '../jobs/model.js';
-import { overBy, repaidBy, type Repayments } from './give-back.js';
+import { repaymentsWithoutStart, repaymentsByStarts, type Repayments } from './repayment.js';
 import { loansOf } from './loans.js';
-import { milli, type Part } from './model.js';
+import { thousandths, type LoanPart } from './model.js';
 
 /** A task about to be stopped for a service. */
-export interface Taking {
+export interface LendingPreemption {
   readonly job: Job;
   readonly task: number;
   readonly taker?: Job;
 }
 
-export interface Made<S extends Taking> {
+export interface NewLoans<S extends LendingPreemption> {
   readonly taker: Job;
-  readonly lend: readonly Part[];
+  readonly lend: readonly LoanPart[];
   /** Tasks taken, by lender. */
   readonly taken: ReadonlyMap<string, number>;
-  readonly stops: readonly S[];
+  readonly preemptions: readonly S[];
 }
 
 /** By taker, in the order of the stops. */
-export const loansMade = <S extends Taking>(stops: readonly S[]): Made<S>[] => {
+export const newLoans = <S extends LendingPreemption>(stops: readonly S[]): NewLoans<S>[] => {
   const byTaker = new Map<Job, S[]>();
   for (const s of stops) {
     if (s.taker === undefined) continue;
@@ -29,15 +29,15 @@
     else byTaker.set(s.taker, [s]);
   }
   return [...byTaker].map(([taker, of]) => {
-    const parts = new Map<string, Part>();
+    const parts = new Map<string, LoanPart>();
     for (const { job } of of) {
       const lender = job.spec.id;
       const old = parts.get(lender);
-      const gpus = (old?.gpus ?? 0) + milli(job.spec.gpus);
+      const gpus = (old?.gpus ?? 0) + thousandths(job.spec.gpus);
       parts.set(lender, { lender, gpus, tasks: (old?.tasks ?? 0) + 1 });
     }
     const lend = [...parts.values()];
-    return { taker, lend, taken: new Map(lend.map((p) => [p.lender, p.tasks])), stops: of };
+    return { taker, lend, taken: new Map(lend.map((p) => [p.lender, p.tasks])), preemptions: of };
   });
 };
 
@@ -48,26 +48,26 @@
   readonly gpus: number;
   readonly reason: 'repaid' | 'lender over' | 'lender whole';
 }
-export interface Ending {
+export interface LoanRepayment {
   readonly taker: string;
-  readonly repay: readonly Part[];
+  readonly repay: readonly LoanPart[];
   readonly ends: readonly LoanEnd[];
 }
 
 /** `started`: tasks that the record starts, by job. `unsettled`: what becomes of the job's tasks is not known yet. */
-export const endings = (
+export const loanRepayments = (
   jobs: ReadonlyMap<string, Job>,
   started: ReadonlyMap<string, number>,
   unsettled: (job: Job) => boolean,
-): Ending[] => {
+): LoanRepayment[] => {
   const loans = loansOf(jobs.values());
   if (loans.length === 0) return [];
-  const over = overBy(loans, { jobs, unsettled });
+  const over = repaymentsWithoutStart(loans, { jobs, unsettled });
   // A loan of which a part is over is looked at again in the next turn.
   const rest = loans.filter((l) => !over.get(l.taker)?.some((p) => p.lender === l.lender));
-  const repaid = repaidBy(rest, started, (id) => jobs.get(id)?.spec.gpus ?? 0);
-  const of = (from: Repayments, taker: string): readonly Part[] => from.get(taker) ?? [];
-  const end = (taker: string, p: Part, reason: LoanEnd['reason']): LoanEnd => ({
+  const repaid = repaymentsByStarts(rest, started, (id) => jobs.get(id)?.spec.gpus ?? 0);
+  const of = (from: Repayments, taker: string): readonly LoanPart[] => from.get(taker) ?? [];
+  const end = (taker: string, p: LoanPart, reason: LoanEnd['reason']): LoanEnd => ({
     taker,
     lender: p.lender,
     gpus: p.gpus / 1000,
--- a/packages/controller/src/lending/model.ts
+++ b/packages/controller/src/lending/model.ts
@@ -5,7 +5,7 @@
 import type { Micros } from '@lilacvalve/runtime/micros';
 
 /** GPUs are counted in thousandths, as whole numbers: sums of loans are exact. */
-export const milli = (gpus: number): number => Math.round(gpus * 1000);
+export const thousandths = (gpus: number): number => Math.round(gpus * 1000);
 
 /** What one job has lent to one service and not been given back. */
 export interface Loan {
@@ -18,7 +18,7 @@
 }
 
 /** What one record adds to a loan, or takes off it. */
-export interface Part {
+export interface LoanPart {
   readonly lender: string;
   readonly gpus: number;
   readonly tasks: number;
@@ -27,8 +27,8 @@
 /** One record: what it lends, then what it gives back. Neither can make an amount less than nothing. */
 export const applyLoans = (
   loans: Map<string, Loan>,
-  lend: readonly Part[] | undefined,
-  repay: readonly Part[] | undefined,
+  lend: readonly LoanPart[] | undefined,
+  repay: readonly LoanPart[] | undefined,
   at: Micros,
 ): void => {
   for (const p of lend ?? []) {
--- a/packages/controller/src/lending/give-back.ts
+++ b/packages/controller/src/lending/repayment.ts
@@ -4,19 +4,19 @@
  */
 import type { Job } from '../jobs/model.js';
 import type { OpenLoan } from './loans.js';
-import { milli, type Part } from './model.js';
+import { thousandths, type LoanPart } from './model.js';
 
 /** What a record gives back, by taker. */
-export type Repayments = Map<string, Part[]>;
+export type Repayments = Map<string, LoanPart[]>;
 
-const put = (out: Repayments, taker: string, part: Part): void => {
+const put = (out: Repayments, taker: string, part: LoanPart): void => {
   const list = out.get(taker);
   if (list) list.push(part);
   else out.set(taker, [part]);
 };
 
 /** `started`: tasks of lenders that a record starts. The oldest loans come first. `loans` as `loansOf` orders them. */
-export const repaidBy = (
+export const repaymentsByStarts = (
   loans: readonly OpenLoan[],
   started: ReadonlyMap<string, number>,
   gpusOf: (lender: string) => number,
@@ -27,13 +27,13 @@
     const n = Math.min(l.tasks, left.get(l.lender) ?? 0);
     if (n <= 0) continue;
     left.set(l.lender, left.get(l.lender)! - n);
-    const gpus = n === l.tasks ? l.gpus : Math.min(l.gpus, milli(gpusOf(l.lender) * n));
+    const gpus = n === l.tasks ? l.gpus : Math.min(l.gpus, thousandths(gpusOf(l.lender) * n));
     put(out, l.taker, { lender: l.lender, gpus, tasks: n });
   }
   return out;
 };
 
-export interface Standing {
+export interface LenderState {
   readonly jobs: ReadonlyMap<string, Job>;
   /** Some task of this job is being stopped, has ended without a record, or may do either unseen. */
   readonly unsettled: (job: Job) => boolean;
@@ -43,7 +43,7 @@
 const missing = (job: Job): number => job.spec.tasks - job.done.size - job.placed.size;
 
 /** Loans that are over without a start: the lender is over or withdrawn, or it lacks less than it lent. */
-export const overBy = (loans: readonly OpenLoan[], s: Standing): Repayments => {
+export const repaymentsWithoutStart = (loans: readonly OpenLoan[], s: LenderState): Repayments => {
   const out: Repayments = new Map();
   const owed = new Map<string, number>();
   for (const l of loans) {
@@ -61,7 +61,7 @@
     if (n > 0)
       put(out, l.taker, {
         lender: l.lender,
-        gpus: real === 0 ? l.gpus : Math.min(l.gpus, milli(lender.spec.gpus * n)),
+        gpus: real === 0 ? l.gpus : Math.min(l.gpus, thousandths(lender.spec.gpus * n)),
         tasks: n,
       });
   }
@@ -69,7 +69,7 @@
 };
 
 /** A job with tasks to start, as far as it matters here. */
-export interface Waiting {
+export interface WaitingJob {
   readonly job: Job;
   readonly tasks: number;
 }
@@ -78,7 +78,10 @@
  * Lenders that come first on free room and on room being left, with how many tasks: those with an open loan, while no
  * GPU work of higher urgency waits, which could only stop them again. Oldest loans first.
  */
-export const firstOnRoom = (loans: readonly OpenLoan[], waiting: readonly Waiting[]): Map<string, number> => {
+export const lendersToRepay = (
+  loans: readonly OpenLoan[],
+  waiting: readonly WaitingJob[],
+): Map<string, number> => {
   const out = new Map<string, number>();
   if (loans.length === 0) return out;
   const byId = new Map(waiting.map((w) => [w.job.spec.id, w]));
--- a/packages/controller/src/lending/choose.ts
+++ b/packages/controller/src/lending/replica-cost.ts
@@ -6,43 +6,44 @@
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 
 /** A second later than the aim weighs as many more. */
-const LATE = 1;
+const LATENESS_WEIGHT = 1;
 /** A GPU-second of another's lost work, or of a GPU that is paid and idle, against a second of waiting. */
-const LOST = 0.2;
+const LOSS_WEIGHT = 0.2;
 /** From the decision to the order: the record that holds the loan; then the worker's report that the room is free. */
-export const TOLD = seconds(1.5);
+export const STOP_DELAY = seconds(1.5);
 /** Part of a gang's unsaved progress that counts as lost though it is told to save: a member may fail meanwhile. */
-const UNSAVED = 0.1;
+const UNSAVED_RISK = 0.1;
 /** What a saved task repeats besides: its place in a queue, its image, its gang's wait. */
-const AGAIN = seconds(10);
+const RESTART_COST = seconds(10);
 /** Of a job, services take at most so many times its tasks: a gang as often as that whole, of an array as many tasks. */
-const MOST_OF_GANG = 2;
-const MOST_OF_ARRAY = 0.5;
+const GANG_BUDGET = 2;
+const ARRAY_BUDGET = 0.5;
 
 /** Whether `more` of a job's tasks may be taken, after `taken` of them ever. */
-export const mayTakeMore = (
+export const withinPreemptionBudget = (
   job: { readonly gang: boolean; readonly tasks: number; readonly taken: number },
   more: number,
 ): boolean =>
   job.taken + more <=
-  (job.gang ? MOST_OF_GANG * job.tasks : Math.max(1, Math.floor(MOST_OF_ARRAY * job.tasks)));
+  (job.gang ? GANG_BUDGET * job.tasks : Math.max(1, Math.floor(ARRAY_BUDGET * job.tasks)));
 
 /** What is known of an image on one machine. */
-export interface ImageThere {
+export interface ImageStatus {
   readonly gb: number;
   readonly gbPerS: number;
-  readonly there: boolean;
+  readonly present: boolean;
   /** For how long it has been fetched already; null: it is not being fetched. */
   readonly fetchedFor: Micros | null;
   /** Other images being fetched there: they share the rate. */
   readonly others: number;
 }
 /** However long it has taken, a fetch that is not over takes a little longer. */
-const REST = 0.1;
-export const fetchTime = (i: ImageThere): Micros => {
-  if (i.there || i.gbPerS <= 0) return 0 as Micros;
+const MIN_REMAINING_PART = 0.1;
+export const fetchTime = (i: ImageStatus): Micros => {
+  if (i.present || i.gbPerS <= 0) return 0 as Micros;
   const alone = (i.gb / i.gbPerS) * 1e6;
-  if (i.fetchedFor !== null) return Math.round(Math.max(alone * REST, alone - i.fetchedFor)) as Micros;
+  if (i.fetchedFor !== null)
+    return Math.round(Math.max(alone * MIN_REMAINING_PART, alone - i.fetchedFor)) as Micros;
   return Math.round(alone * (1 + i.others)) as Micros;
 };
 
@@ -57,23 +58,24 @@
   readonly save: Micros;
 }
 /** A task past its estimate has this part of what it ran still before it. */
-const OVERDUE = 0.25;
-export const leftOf = (v: Victim): Micros =>
-  (v.ran < v.estimate ? v.estimate - v.ran : Math.round(v.ran * OVERDUE)) as Micros;
+const OVERRUN_PART = 0.25;
+export const remainingTime = (v: Victim): Micros =>
+  (v.ran < v.estimate ? v.estimate - v.ran : Math.round(v.ran * OVERRUN_PART)) as Micros;
 
 /** What stopping it loses: all of its run, or what a save costs and risks: least just after a checkpoint. */
-export const lossOf = (v: Victim): Micros =>
+export const lostWork = (v: Victim): Micros =>
   v.checkpoint === 0
     ? v.ran
-    : (Math.round(v.save + UNSAVED * (v.ran % v.checkpoint) + Math.min(v.ran, AGAIN)) as Micros);
+    : (Math.round(v.save + UNSAVED_RISK * (v.ran % v.checkpoint) + Math.min(v.ran, RESTART_COST)) as Micros);
 
 /** From the order to stop until its room is free. */
 export const leaveTime = (v: Victim): Micros => (v.checkpoint > 0 ? v.save : 0) as Micros;
 
 /** What would be over before the weights are there is not worth stopping. A service never ends. */
-export const endsFirst = (v: Victim, fetch: Micros): boolean => v.estimate > 0 && leftOf(v) <= fetch;
+export const endsBeforeFetch = (v: Victim, fetch: Micros): boolean =>
+  v.estimate > 0 && remainingTime(v) <= fetch;
 
-export interface Way {
+export interface ServingOption {
   /** Until the room is there: others leave, a machine boots. */
   readonly leave: Micros;
   readonly fetch: Micros;
@@ -82,14 +84,14 @@
 }
 
 /** `due`: time until the class's aim on a start has passed for this job; null: there is none. */
-export const costOf = (w: Way, due: Micros | null): number => {
+export const servingCost = (w: ServingOption, due: Micros | null): number => {
   const serves = (w.leave + w.fetch) / 1e6;
   const late = due === null ? 0 : Math.max(0, serves - Math.max(0, due / 1e6));
-  return serves + LATE * late + LOST * (w.lost / 1e6);
+  return serves + LATENESS_WEIGHT * late + LOSS_WEIGHT * (w.lost / 1e6);
 };
 
 /** Rented: it boots, fetches, and is paid from the order on. */
-export const rentedWay = (boot: Micros, fetch: Micros, gpus: number): Way => ({
+export const rentalOption = (boot: Micros, fetch: Micros, gpus: number): ServingOption => ({
   leave: boot,
   fetch,
   lost: boot * gpus,
--- a/packages/controller/src/provisioning/autoscaler.ts
+++ b/packages/controller/src/provisioning/autoscaler.ts
@@ -3,7 +3,7 @@
 import { supervise } from '@lilacvalve/runtime/supervise';
 import { info } from '@lilacvalve/runtime/log';
 import { type Micros, plus, seconds } from '@lilacvalve/runtime/micros';
-import { dayOf } from '../calendar/duty.js';
+import { dayOf } from '../calendar/cutoff-tracking.js';
 import { pressing } from '../calendar/slack.js';
 import type { CycleState, CycleContext } from '../scheduler/cycle-context.js';
 import type { Settings } from '../settings/settings.js';
@@ -227,7 +227,7 @@
     const back = returns(idle, (m) =>
       t.registry.machines.get(m.id)?.closed
         ? (0 as Micros)
-        : view.surplus.has(m.id) || overdue.has(m.id)
+        : view.idleNodes.has(m.id) || overdue.has(m.id)
           ? IDLE_SURPLUS
           : IDLE,
     );
@@ -278,7 +278,7 @@
       const k = types.get(type);
       if (k) bins.push({ type, zone, spot, free: [k.cpus, k.gpus, k.memGb] });
     }
-    const { current, shown } = t.jobState.calendars;
+    const { current, classDurations: shown } = t.jobState.calendars;
     const day = dayOf(t);
     const classes = shown?.value ?? new Map<string, readonly number[]>();
     const demand: Demand[] = result.unplaced
@@ -296,8 +296,8 @@
       types: t.types(),
       bins,
       demand,
-      companions: view.companions,
-      surplus: view.surplus,
+      companions: view.coLocatedDemand,
+      surplus: view.idleNodes,
       avoid: (job) => t.registry.avoid(job),
       refused: (o) => at < (refusedUntil.get(offerKey(o)) ?? 0),
       late: (o) => boots.late(bootKey(o), bootOf(o.type), overdueOf.get(bootKey(o)) ?? 0, at),
--- a/packages/controller/src/provisioning/scaling-plan.ts
+++ b/packages/controller/src/provisioning/scaling-plan.ts
@@ -1,8 +1,15 @@
 /** What to rent and what to return: a pure function of demand, machines and time. */
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import type { Job } from '../jobs/model.js';
-import { add, type Companion, fits, type Room, room, times } from '../scheduler/model.js';
-import { guardsOf, strands } from '../scheduler/state.js';
+import {
+  add,
+  type CoLocatedDemand,
+  fits,
+  type Resources,
+  resourcesOf,
+  countFitting,
+} from '../scheduler/model.js';
+import { protectedDemand, strandsGpus } from '../scheduler/cluster-capacity.js';
 import { type MachineType, type Offer, offerKey } from './model.js';
 
 export interface Bin {
@@ -11,7 +18,7 @@
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  readonly free: Room;
+  readonly free: Resources;
 }
 export interface Demand {
   readonly job: Job;
@@ -31,7 +38,7 @@
   readonly bins: readonly Bin[];
   readonly demand: readonly Demand[];
   /** As the cycle saw them: room on a GPU machine that it keeps for GPU jobs is no room for the others. */
-  readonly companions: readonly Companion[];
+  readonly companions: readonly CoLocatedDemand[];
   readonly surplus: ReadonlySet<string>;
   readonly refused: (o: Offer) => boolean;
   /** Machines of this offer come up late at present: the last choice. */
@@ -49,14 +56,14 @@
 }
 
 /** How many of a task a whole machine takes. */
-const perMachine = (t: MachineType, need: Room): number =>
-  Math.min(1000, times(need, [t.cpus, t.gpus, t.memGb]));
+const perMachine = (t: MachineType, need: Resources): number =>
+  Math.min(1000, countFitting(need, [t.cpus, t.gpus, t.memGb]));
 
 /** What a lost hour costs more on spot for a task that saves nothing. */
 const spotWorth = (job: Job): number => (job.spec.checkpoint > 0 ? 1.1 : 1.3);
 
 export const offersFor = (job: Job, types: readonly MachineType[], count: number): Offer[] => {
-  const need = room(job.spec);
+  const need = resourcesOf(job.spec);
   const out: { offer: Offer; cost: number }[] = [];
   for (const t of types) {
     if (job.spec.types !== null && !job.spec.types.includes(t.name)) continue;
@@ -89,18 +96,18 @@
   const needed = new Set<string>();
   /** By type: work that asks in vain for what is sold out must not keep others from what is not. */
   const asked = new Map<string, number>();
-  const totalOf = (type: string): Room => {
+  const totalOf = (type: string): Resources => {
     const t = types.get(type);
     return t ? [t.cpus, t.gpus, t.memGb] : [0, 0, 0];
   };
   /** A task of this job can go there as the cycle sees it. */
-  const takes = (job: Job, guards: readonly Companion[], need: Room, b: Bin): boolean =>
+  const takes = (job: Job, guards: readonly CoLocatedDemand[], need: Resources, b: Bin): boolean =>
     fits(need, b.free) &&
     (job.spec.zone === null || job.spec.zone === b.zone) &&
     (job.spec.types === null || job.spec.types.includes(b.type)) &&
     (!b.spot || job.spec.spot) &&
     !(b.id !== undefined && input.avoid(job)?.has(b.id)) &&
-    !strands(guards, job, totalOf(b.type), b.id !== undefined && input.surplus.has(b.id), [
+    !strandsGpus(guards, job, totalOf(b.type), b.id !== undefined && input.surplus.has(b.id), [
       b.free[0] - need[0],
       b.free[1] - need[1],
       b.free[2] - need[2],
@@ -119,8 +126,8 @@
   };
 
   for (const d of input.demand) {
-    const need = room(d.job.spec);
-    const guards = guardsOf(input.companions, d.job);
+    const need = resourcesOf(d.job.spec);
+    const guards = protectedDemand(input.companions, d.job);
     const offers = (count: number): Offer[] =>
       offersFor(d.job, input.types, count)
         .filter((o) => !input.refused(o) && takes(d.job, guards, need, { ...o, free: totalOf(o.type) }))
@@ -131,7 +138,7 @@
       const rooms = new Map<string, number>();
       for (const b of bins) {
         if (!takes(d.job, guards, need, b)) continue;
-        rooms.set(b.zone, Math.min(d.count, (rooms.get(b.zone) ?? 0) + times(need, b.free)));
+        rooms.set(b.zone, Math.min(d.count, (rooms.get(b.zone) ?? 0) + countFitting(need, b.free)));
       }
       const offered = new Set(offers(d.count).map((o) => o.zone));
       let best = -1;
@@ -179,7 +186,7 @@
         demand.some(
           ({ job: { spec } }) =>
             (spec.types === null || spec.types.includes(k.name)) &&
-            fits(room(spec), [k.cpus, k.gpus, k.memGb]),
+            fits(resourcesOf(spec), [k.cpus, k.gpus, k.memGb]),
         ),
       )
       .map((k) => k.name),
--- a/packages/controller/src/recovery/calendar-recovery.ts
+++ b/packages/controller/src/recovery/calendar-recovery.ts
@@ -1,15 +1,19 @@
 /** The calendar's part in a rebuild: what nodes remember of the keys below `s/c/` is joined and written back. */
 import { decodeCalendar, encodeCalendar, encodeTally, decodeTally, type Head } from '../calendar/codec.js';
-import { type Calendars, pagesOf, type Remembered } from '../calendar/fold.js';
+import { type Calendars, pagesOf, type Remembered } from '../calendar/calendars.js';
 import { laterTally, type Tally } from '../calendar/model.js';
-import { decodeShown, encodeShown, type Shown } from '../calendar/shown.js';
+import {
+  decodeClassDurations,
+  encodeClassDurations,
+  type ClassDurations,
+} from '../calendar/class-durations.js';
 import { CALENDAR_HEAD, OCCURRENCE, CLASS_DURATIONS } from '../jobs/keys.js';
 import type { Condition, Write } from '../state-store/client.js';
 
 /** Counts in one transaction. */
 const TALLIES = 8;
 
-const weight = (s: Shown): number => [...s.values()].flat().reduce((n, c) => n + c, 0);
+const weight = (s: ClassDurations): number => [...s.values()].flat().reduce((n, c) => n + c, 0);
 
 /** Of two memories: the newer calendar, the higher counts. Neither order nor repetition matters. */
 export const joinRemembered = (a: Remembered, b: Remembered): Remembered => {
@@ -49,16 +53,16 @@
   const { calendar } = best;
   if (
     calendar !== null &&
-    (damaged.has(CALENDAR_HEAD) || (there.head?.value.version ?? 0) < calendar.version || !there.whole)
+    (damaged.has(CALENDAR_HEAD) || (there.head?.value.version ?? 0) < calendar.version || !there.complete)
   ) {
     const { head, pages } = pagesOf(calendar, valueBytes);
     for (const p of pages)
       steps.push({
-        when: [{ key: p.key, stamp: stampOf(p.key, there.pages.get(p.key)?.stamp) }],
+        when: [{ key: p.key, stamp: stampOf(p.key, there.pages.get(p.key)?.revision) }],
         then: [{ set: p.key, value: p.value }],
       });
     steps.push({
-      when: [{ key: CALENDAR_HEAD, stamp: stampOf(CALENDAR_HEAD, there.head?.stamp) }],
+      when: [{ key: CALENDAR_HEAD, stamp: stampOf(CALENDAR_HEAD, there.head?.revision) }],
       then: [{ set: CALENDAR_HEAD, value: head }],
     });
   }
@@ -68,17 +72,17 @@
     if (same(sum, stored?.value)) return [];
     const key = OCCURRENCE + id;
     return [
-      { when: { key, stamp: stampOf(key, stored?.stamp) }, then: { set: key, value: encodeTally(sum) } },
+      { when: { key, stamp: stampOf(key, stored?.revision) }, then: { set: key, value: encodeTally(sum) } },
     ];
   });
   for (let i = 0; i < counts.length; i += TALLIES) {
     const part = counts.slice(i, i + TALLIES);
     steps.push({ when: part.map((c) => c.when), then: part.map((c) => c.then) });
   }
-  if (there.shown === null && best.shown.size > 0)
+  if (there.classDurations === null && best.shown.size > 0)
     steps.push({
       when: [{ key: CLASS_DURATIONS, stamp: stampOf(CLASS_DURATIONS, undefined) }],
-      then: [{ set: CLASS_DURATIONS, value: encodeShown(best.shown) }],
+      then: [{ set: CLASS_DURATIONS, value: encodeClassDurations(best.shown) }],
     });
   return steps;
 };
@@ -93,7 +97,7 @@
   return [
     paged === null ? null : [paged.head, paged.pages.map((p) => p.value)],
     [...r.tallies].map(([id, t]) => [id, encodeTally(t)]),
-    encodeShown(r.shown),
+    encodeClassDurations(r.shown),
   ];
 };
 /** null: nothing that can be read. */
@@ -103,6 +107,6 @@
   return {
     calendar: calendar === null ? null : decodeCalendar(calendar[0], calendar[1]),
     tallies: new Map(tallies.map(([id, t]) => [id, decodeTally(t)])),
-    shown: decodeShown(shown),
+    shown: decodeClassDurations(shown),
   };
 };
--- a/packages/controller/src/recovery/codec.ts
+++ b/packages/controller/src/recovery/codec.ts
@@ -5,7 +5,7 @@
 import { decodeJob, encodeJob } from '../jobs/codec.js';
 import { packFinalState, unpackFinalState } from '../jobs/finals.js';
 import type { FinalState } from '../jobs/model.js';
-import type { Remembered } from '../calendar/fold.js';
+import type { Remembered } from '../calendar/calendars.js';
 import { decodeRemembered, encodeRemembered } from './calendar-recovery.js';
 import type { Claim } from './merge.js';
 
--- a/packages/controller/src/recovery/rebuild.ts
+++ b/packages/controller/src/recovery/rebuild.ts
@@ -41,7 +41,7 @@
 import { Priority } from '../state-store/budget.js';
 import type { Condition, StateFailure, Write } from '../state-store/client.js';
 import type { StatePort } from '../state-store/port.js';
-import type { Remembered } from '../calendar/fold.js';
+import type { Remembered } from '../calendar/calendars.js';
 import { calendarSteps, joinRemembered } from './calendar-recovery.js';
 import { encodeDurable, type Head, type ViewResponse } from './codec.js';
 import { digestOf } from './digest.js';
--- a/packages/controller/src/scheduler/state.ts
+++ b/packages/controller/src/scheduler/cluster-capacity.ts
@@ -2,109 +2,129 @@
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Job } from '../jobs/model.js';
 import type { TeamSettings } from '../settings/settings.js';
-import { type Companion, EPSILON, type Holder, type NodeView, type Room, goes } from './model.js';
+import {
+  type CoLocatedDemand,
+  EPSILON,
+  type PlacedTask,
+  type NodeView,
+  type Resources,
+  countOfKind,
+} from './model.js';
 
 export interface NodeState {
   readonly view: NodeView;
   /** Its place among all machines of the cycle: of two that are equal otherwise the first one is chosen. */
   readonly index: number;
-  readonly free: Room;
-  readonly leaving: Room;
+  readonly free: Resources;
+  readonly leaving: Resources;
   /** Room held by evicted tasks, by urgency: what displacing could free at the most. */
-  readonly evictedRoom: Room[];
-  /** Beyond need, see surplus.ts. */
-  readonly surplus: boolean;
+  readonly evictedResources: Resources[];
+  /** Beyond need, see idle.ts. */
+  readonly idle: boolean;
   /** Gathered for a gang that was passed over, see reserve.ts. */
-  kept: Kept | null;
+  reservation: NodeReservation | null;
 }
-export interface Kept {
+export interface NodeReservation {
   readonly job: Job;
   /** The gang can't begin for so long. */
   readonly until: Micros;
 }
 /** Estimates are often wrong by half. */
-const WRONG = 1.5;
+const ESTIMATE_ERROR = 1.5;
 /** Whether the machine is kept from `job`, which is no more urgent than the gang that it is kept for, and not gone by then. */
-export const isKeptFrom = (n: NodeState, { spec }: Job): boolean =>
-  n.kept !== null &&
-  n.kept.job.spec !== spec &&
-  spec.urgency <= n.kept.job.spec.urgency &&
-  (spec.estimate === 0 || spec.estimate * WRONG > n.kept.until / WRONG);
+export const isReservedAgainst = (n: NodeState, { spec }: Job): boolean =>
+  n.reservation !== null &&
+  n.reservation.job.spec !== spec &&
+  spec.urgency <= n.reservation.job.spec.urgency &&
+  (spec.estimate === 0 || spec.estimate * ESTIMATE_ERROR > n.reservation.until / ESTIMATE_ERROR);
 
 /** An evicted gang, or one evicted task of an array or service. */
-export class Evicted {
+export class EvictedUnit {
   /** Displaced by this cycle. */
-  out = false;
-  private worst: number | null = null;
+  displaced = false;
+  private greatestLoss: number | null = null;
 
   constructor(
     readonly team: TeamState,
     readonly job: Job,
-    readonly members: readonly Holder[],
+    readonly members: readonly PlacedTask[],
     /** Of one member, and of all. */
-    readonly need: Room,
-    readonly size: Room,
+    readonly need: Resources,
+    readonly size: Resources,
   ) {}
 
   /** What displacing it throws away, at the most by one member. */
   get loss(): number {
-    return (this.worst ??= Math.max(...this.members.map((m) => m.loss)));
+    return (this.greatestLoss ??= Math.max(...this.members.map((m) => m.loss)));
   }
 }
 export interface TeamState {
   readonly settings: TeamSettings;
   readonly weight: number;
   /** Held by tasks that stay or were refilled. */
-  readonly used: Room;
+  readonly used: Resources;
   /** Everything that may still be running, for the limit. */
-  readonly held: Room;
+  readonly held: Resources;
   /** Held by tasks that nobody is stopping, also evicted ones; nothing that this cycle starts or promises. */
-  readonly stays: Room;
+  readonly staying: Resources;
 }
 
 /** Where a gang's members, or one task, go. */
-export interface Choice {
+export interface PlacementChoice {
   readonly machines: readonly NodeState[];
-  readonly victims: ReadonlySet<Evicted>;
+  readonly victims: ReadonlySet<EvictedUnit>;
   /** All on room that is free now. */
   readonly free: boolean;
 }
 /** How far a search goes: free room, then room being left, then displacing. */
-export type Level = 0 | 1 | 2;
-export const ANY_ROOM: readonly Level[] = [0, 1, 2];
-export const LEFT_ROOM: readonly Level[] = [0, 1];
-export const FREE_ROOM: readonly Level[] = [0];
+export type SearchLevel = 0 | 1 | 2;
+export const WITH_PREEMPTION: readonly SearchLevel[] = [0, 1, 2];
+export const WITHOUT_PREEMPTION: readonly SearchLevel[] = [0, 1];
+export const FREE_ONLY: readonly SearchLevel[] = [0];
 /** null: nowhere, as far as these levels go. */
-export type Finder = (job: Job, team: TeamState, count: number, levels: readonly Level[]) => Choice | null;
+export type PlacementSearch = (
+  job: Job,
+  team: TeamState,
+  count: number,
+  levels: readonly SearchLevel[],
+) => PlacementChoice | null;
 
-export interface Floor {
+export interface ClusterCapacity {
   readonly nodes: ReadonlyMap<string, NodeState>;
   /** Evicted units on a machine that nobody has displaced, with the refill as far as it has come. */
-  readonly evictedOn: (node: NodeState) => readonly Evicted[];
+  readonly evictedOn: (node: NodeState) => readonly EvictedUnit[];
   /** To be called whenever a machine's rooms have changed. */
-  readonly touch: (node: NodeState) => void;
+  readonly markChanged: (node: NodeState) => void;
   /** Machines in the order in which they were touched. */
-  readonly touched: readonly NodeState[];
+  readonly changedNodes: readonly NodeState[];
   /** In order of name. */
   readonly zones: readonly string[];
   /** Zones that hold tasks of a job with rules about zones, with how many. */
   readonly zonesHeld: ReadonlyMap<Job, ReadonlyMap<string, number>>;
   /** Jobs with a task that may be anywhere: zone rules can't be kept for them yet. */
-  readonly lostSight: ReadonlySet<Job>;
-  readonly companions: readonly Companion[];
+  readonly zoneUnknown: ReadonlySet<Job>;
+  readonly coLocatedDemand: readonly CoLocatedDemand[];
   readonly avoid: (job: Job) => ReadonlySet<string> | null;
   /** See `QueuedJob.overdue`. */
   readonly overdue: ReadonlySet<Job>;
   readonly share: (team: TeamState) => number;
-  readonly withinGuarantee: (team: TeamState, more: Room) => boolean;
+  readonly withinGuarantee: (team: TeamState, more: Resources) => boolean;
 }
 
 /** What the platform's rules and the paper's preemption let `job` push out. */
-export const mayDisplace = (floor: Floor, job: Job, team: TeamState, need: Room, unit: Evicted): boolean => {
+export const mayPreempt = (
+  capacity: ClusterCapacity,
+  job: Job,
+  team: TeamState,
+  need: Resources,
+  unit: EvictedUnit,
+): boolean => {
   if (unit.job.spec.urgency < job.spec.urgency) return true;
   // A team's guarantee is given back by whoever runs beyond their own.
   return (
-    unit.team !== team && floor.withinGuarantee(team, need) && !floor.withinGuarantee(unit.team, [0, 0, 0])
+    unit.team !== team &&
+    capacity.withinGuarantee(team, need) &&
+    !capacity.withinGuarantee(unit.team, [0, 0, 0])
   );
 };
 
@@ -112,10 +132,14 @@
  * Companions that wait, or will soon be waited for, before whom `job` must leave a GPU machine its room; once it is
  * `overdue` only those that wait.
  */
-export const guardsOf = (companions: readonly Companion[], job: Job, overdue = false): Companion[] =>
+export const protectedDemand = (
+  coLocatedDemand: readonly CoLocatedDemand[],
+  job: Job,
+  overdue = false,
+): CoLocatedDemand[] =>
   job.spec.gpus > 0
     ? []
-    : companions.filter(
+    : coLocatedDemand.filter(
         (c) =>
           c.urgency >= job.spec.urgency &&
           (c.waiting || (!overdue && (job.spec.estimate === 0 || job.spec.estimate > c.patience))),
@@ -126,18 +150,18 @@
  * than every GPU job, or short while none of them waits: room whose GPUs nobody can reach any more is lost
  * to the jobs that need them. `left` is what would be free beside it.
  */
-export const strands = (
-  guards: readonly Companion[],
+export const strandsGpus = (
+  guards: readonly CoLocatedDemand[],
   job: Job,
-  total: Room,
-  surplus: boolean,
-  left: Room,
+  total: Resources,
+  idle: boolean,
+  left: Resources,
   overdue = false,
 ): boolean => {
   const gpus = total[1];
   if (job.spec.gpus > 0 || gpus === 0) return false;
   // Without any GPU task it is dear and idle: it should become empty and go back, not be kept by CPU tasks.
-  if (!overdue && job.spec.urgency === 0 && job.spec.types === null && (surplus || left[1] >= gpus - EPSILON))
+  if (!overdue && job.spec.urgency === 0 && job.spec.types === null && (idle || left[1] >= gpus - EPSILON))
     return true;
   for (const c of guards)
     if (left[0] < left[1] * c.cpusPerGpu - EPSILON || left[2] < left[1] * c.memPerGpu - EPSILON) return true;
@@ -145,9 +169,9 @@
 };
 
 /** GPUs that nobody could use any more, for want of what their jobs take beside them, were so much left. */
-const stranded = (companions: readonly Companion[], left: Room): number => {
+const strandedGpus = (coLocatedDemand: readonly CoLocatedDemand[], left: Resources): number => {
   let worst = 0;
-  for (const c of companions) {
+  for (const c of coLocatedDemand) {
     // As many GPUs as the rest suffices for; all of them where their jobs take nothing beside them.
     const cpus = c.cpusPerGpu > 0 ? left[0] / c.cpusPerGpu : left[1];
     const mem = c.memPerGpu > 0 ? left[2] / c.memPerGpu : left[1];
@@ -160,24 +184,31 @@
  * Tightest fit, with what a task has no use for, a missing image, and GPUs that it would strand weighing against a
  * machine: the second of two large tasks without GPUs on one machine strands more of them than the first.
  */
-export const score = (companions: readonly Companion[], job: Job, n: NodeState, left: Room): number => {
+export const score = (
+  coLocatedDemand: readonly CoLocatedDemand[],
+  job: Job,
+  n: NodeState,
+  left: Resources,
+): number => {
   const t = n.view.total;
   if (job.spec.gpus === 0 && t[1] > 0) {
-    const before: Room = [left[0] + job.spec.cpus, left[1], left[2] + job.spec.memGb];
-    return plainScore(job, n, left) + stranded(companions, left) - stranded(companions, before);
+    const before: Resources = [left[0] + job.spec.cpus, left[1], left[2] + job.spec.memGb];
+    return (
+      plainScore(job, n, left) + strandedGpus(coLocatedDemand, left) - strandedGpus(coLocatedDemand, before)
+    );
   }
   return plainScore(job, n, left);
 };
 
-const plainScore = (job: Job, n: NodeState, left: Room): number => {
+const plainScore = (job: Job, n: NodeState, left: Resources): number => {
   const t = n.view.total;
   let loose = 0;
   for (let i = 0; i < 3; i++) if (t[i]! > 0) loose += left[i]! / t[i]!;
   return (
     loose / 3 +
     (job.spec.gpus === 0 && t[1] > 0 ? 4 : 0) +
-    (n.view.images.has(job.spec.image) ? 0 : n.view.fetches === true ? 1.4 : 0.4) +
-    (n.surplus ? 8 : 0) +
+    (n.view.images.has(job.spec.image) ? 0 : n.view.fetchingWeights === true ? 1.4 : 0.4) +
+    (n.idle ? 8 : 0) +
     (prefersSpot(job) === n.view.spot ? 0 : 1)
   );
 };
@@ -186,13 +217,13 @@
  * Jobs that may use spot machines leave the others to those that may not. But where a task runs for long and saves
  * nothing, a machine that is taken back costs all its work: such tasks go elsewhere first.
  */
-const LONG = 100e6;
+const LONG_TASK = 100e6;
 const prefersSpot = (job: Job): boolean =>
-  job.spec.spot && (job.spec.checkpoint > 0 || job.spec.estimate < LONG);
+  job.spec.spot && (job.spec.checkpoint > 0 || job.spec.estimate < LONG_TASK);
 
 /** A place that promises room others are leaving, and one that displaces, rank behind any free one. */
-export const PROMISED = 100;
-export const displacing = (victims: readonly Evicted[]): number => {
+export const PROMISED_PENALTY = 100;
+export const preemptionPenalty = (victims: readonly EvictedUnit[]): number => {
   let lowest = 0;
   let loss = 0;
   for (const u of victims) {
@@ -203,25 +234,34 @@
 };
 
 /** Zones where `job` may put its next tasks, in order of name. */
-export const zonesAllowed = (floor: Floor, all: readonly string[], job: Job): readonly string[] => {
+export const allowedZones = (
+  capacity: ClusterCapacity,
+  all: readonly string[],
+  job: Job,
+): readonly string[] => {
   const { spec } = job;
-  if (floor.lostSight.has(job) && (spec.oneZone || spec.spread)) return [];
+  if (capacity.zoneUnknown.has(job) && (spec.oneZone || spec.spread)) return [];
   let list = spec.zone === null ? all : all.filter((z) => z === spec.zone);
-  const held = spec.oneZone ? floor.zonesHeld.get(job) : undefined;
+  const held = spec.oneZone ? capacity.zonesHeld.get(job) : undefined;
   if (held && held.size > 0) list = list.filter((z) => held.has(z) && held.size === 1);
   return list;
 };
 
 const URGENCIES = 4;
 /** Evicted tasks of an urgency under this may be displaced for a job, as far as an upper bound goes. */
-export const outranked = (floor: Floor, job: Job, team: TeamState, need: Room): number =>
+export const preemptibleBelow = (
+  capacity: ClusterCapacity,
+  job: Job,
+  team: TeamState,
+  need: Resources,
+): number =>
   // Who is within the team's guarantee may displace work of any urgency.
-  floor.withinGuarantee(team, need) ? URGENCIES : job.spec.urgency;
+  capacity.withinGuarantee(team, need) ? URGENCIES : job.spec.urgency;
 
 /** Room of one kind on a machine, were all evicted tasks of an urgency under `below` displaced. */
-export const reach = (n: NodeState, below: number, i: number): number => {
+export const reachableAmount = (n: NodeState, below: number, i: number): number => {
   let have = n.free[i]! + n.leaving[i]!;
-  for (let u = 0; u < below; u++) have += n.evictedRoom[u]![i]!;
+  for (let u = 0; u < below; u++) have += n.evictedResources[u]![i]!;
   return have;
 };
 
@@ -229,8 +269,8 @@
  * How many tasks fit at most at each level of a search: on free room, with what is being left, were everything displaced
  * that could be. One pass over the machines, no allocation: most searches end here, since a full fleet has no room.
  */
-export const slotsIn = (
-  need: Room,
+export const slotBounds = (
+  need: Resources,
   below: number,
   list: readonly NodeState[],
 ): readonly [number, number, number] => {
@@ -245,11 +285,11 @@
       const want = need[i]!;
       if (want <= 0) continue;
       let have = n.free[i]!;
-      kFree = Math.min(kFree, goes(want, have));
+      kFree = Math.min(kFree, countOfKind(want, have));
       have += n.leaving[i]!;
-      kLeft = Math.min(kLeft, goes(want, have));
-      for (let u = 0; u < below; u++) have += n.evictedRoom[u]![i]!;
-      kAll = Math.min(kAll, goes(want, have));
+      kLeft = Math.min(kLeft, countOfKind(want, have));
+      for (let u = 0; u < below; u++) have += n.evictedResources[u]![i]!;
+      kAll = Math.min(kAll, countOfKind(want, have));
       if (kAll <= 0) break;
     }
     if (kAll <= 0) continue;
@@ -261,20 +301,21 @@
 };
 
 export interface ZoneChoice {
-  readonly choice: Choice;
+  readonly choice: PlacementChoice;
   /** Places for such tasks in the zone, the gang's own included. */
   readonly slots: number;
 }
 /** Zones that displace up to so many times what the best one would count as equal to it. */
-const LENIENCE = 1.5;
+const PREEMPTION_TOLERANCE = 1.5;
 /**
  * Of the zones that have a place for a gang, displacing little, the one with the least room beside it: so the
  * zones with the most stay whole for the largest gangs.
  */
-export const tightestZone = (found: readonly ZoneChoice[]): Choice => {
+export const tightestZone = (found: readonly ZoneChoice[]): PlacementChoice => {
   const fewest = Math.min(...found.map((f) => f.choice.victims.size));
   let best: ZoneChoice | null = null;
   for (const f of found)
-    if (f.choice.victims.size <= fewest * LENIENCE && (best === null || f.slots < best.slots)) best = f;
+    if (f.choice.victims.size <= fewest * PREEMPTION_TOLERANCE && (best === null || f.slots < best.slots))
+      best = f;
   return best!.choice;
 };
--- a/packages/controller/src/scheduler/cycle-context.ts
+++ b/packages/controller/src/scheduler/cycle-context.ts
@@ -1,7 +1,7 @@
 /** What one reign's duties share: the ports, the book, and the questions a decision must ask. */
 import type { Ledger } from '../accounts/ledger.js';
 import type { Micros } from '@lilacvalve/runtime/micros';
-import type { Learned } from '../calendar/duty.js';
+import type { ClassSamples } from '../calendar/cutoff-tracking.js';
 import type { ProvisioningNews, MachineType } from '../provisioning/model.js';
 import type { DataLossDetector } from '../recovery/data-loss-detector.js';
 import type { JobState } from '../jobs/job-state.js';
@@ -10,9 +10,9 @@
 import type { Settings } from '../settings/settings.js';
 import type { StatePort } from '../state-store/port.js';
 import type { WorkerRegistry } from '../workers/worker-registry.js';
-import type { Largest } from './largest.js';
-import type { Waits } from './waits.js';
-import type { Companion, CycleResult } from './model.js';
+import type { LargestJobs } from './largest-jobs.js';
+import type { StartWaits } from './start-waits.js';
+import type { CoLocatedDemand, CycleResult } from './model.js';
 
 export interface CycleContext {
   readonly settings: Settings;
@@ -37,22 +37,22 @@
   readonly clock: () => Micros;
   /** Time of day: deadlines count from a time of day. */
   readonly dayTime: () => Micros;
-  readonly waits: Waits;
+  readonly startWaits: StartWaits;
   /** The largest jobs of each class, as last seen. */
-  readonly largest: Largest;
+  readonly largestJobs: LargestJobs;
   /** What its records have shown of classes, and is not written yet. */
-  readonly learned: Learned;
+  readonly classSamples: ClassSamples;
   /** What GPU jobs take beside each GPU, by class, as last seen. */
-  readonly companions: Map<string, Omit<Companion, 'waiting'> & { readonly seen: Micros }>;
+  readonly coLocatedDemand: Map<string, Omit<CoLocatedDemand, 'waiting'> & { readonly seen: Micros }>;
 }
 
 export interface CycleState {
   result: CycleResult | null;
   /** Machines beyond need, see surplus.ts. */
-  surplus: ReadonlySet<string>;
-  companions: readonly Companion[];
+  idleNodes: ReadonlySet<string>;
+  coLocatedDemand: readonly CoLocatedDemand[];
   /** How long the last turn computed. */
-  cost: number;
+  computeTime: number;
   /** The last turn left something to be recorded for the next one. */
-  behind: boolean;
+  hasBacklog: boolean;
 }
--- a/packages/controller/src/scheduler/views.ts
+++ b/packages/controller/src/scheduler/cycle-input.ts
@@ -1,24 +1,24 @@
 /** What the cycle is given: holders, machines, queues, weights and companions as the book and the jobs have them now. */
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
-import { dayOf, paceOf } from '../calendar/duty.js';
+import { dayOf, paceOf } from '../calendar/cutoff-tracking.js';
 import { cutoffRank } from '../calendar/slack.js';
 import { isComplete, type Job, taskKey } from '../jobs/model.js';
 import { mayBorrow } from '../lending/loans.js';
 import { type WorkerRegistry, type Ends, endsOf } from '../workers/worker-registry.js';
 import {
-  type Companion,
+  type CoLocatedDemand,
   fits,
-  type Holder,
+  type PlacedTask,
   type LendingView,
   type NodeView,
   type QueuedJob,
-  room,
+  resourcesOf,
 } from './model.js';
-import { GATHERS_AFTER, IN_TIME_RANK, passedOverFrom, type Promised, rankOf } from './rank.js';
+import { RESERVES_AFTER, IN_TIME_RANK, starvingFrom, type ClassObjective, rankOf } from './rank.js';
 import type { CycleContext } from './cycle-context.js';
 
 /** A task on a machine. What stopping it would cost is asked of few, so it is looked up when asked. */
-class HeldTask implements Holder {
+class PlacedTaskView implements PlacedTask {
   constructor(
     readonly job: Job,
     readonly task: number,
@@ -43,8 +43,8 @@
   }
 }
 
-export const holdersOf = (t: CycleContext, at: Micros): Holder[] => {
-  const out: Holder[] = [];
+export const placedTasksOf = (t: CycleContext, at: Micros): PlacedTask[] => {
+  const out: PlacedTask[] = [];
   const { registry } = t;
   // Thousands of tasks at each turn: what is the same for all of a machine or a job is asked once.
   interface OfJob {
@@ -54,7 +54,7 @@
   const jobs = new Map<Job, OfJob>();
   let last: Job | null = null;
   let known: OfJob = { leaves: false, ends: undefined };
-  const stops = registry.stopping.size > 0;
+  const preemptions = registry.stopping.size > 0;
   for (const [machine, on] of t.jobState.placementsByMachine) {
     const m = registry.machines.get(machine);
     const zone = m?.zone ?? null;
@@ -72,8 +72,8 @@
       }
       // Seen to be over: the record that says so is the one that fills its room again.
       if (known.ends !== undefined && endsOf(known.ends, task)) return;
-      const leaving = away || known.leaves || (stops && registry.stopping.has(key));
-      out.push(new HeldTask(job, task, machine, zone, leaving, key, at, registry));
+      const leaving = away || known.leaves || (preemptions && registry.stopping.has(key));
+      out.push(new PlacedTaskView(job, task, machine, zone, leaving, key, at, registry));
     });
   }
   return out;
@@ -104,7 +104,7 @@
       spot: m.spot,
       total: [k.cpus, k.gpus, k.memGb],
       images: m.images,
-      ...(fetches.has(m.id) ? { fetches: true } : {}),
+      ...(fetches.has(m.id) ? { fetchingWeights: true } : {}),
       open: t.registry.open(m, at),
     });
   }
@@ -115,7 +115,7 @@
  * What is promised to a class's jobs. An aim on their end orders those that have none on their start: thousands of
  * tiny jobs need not wait behind one huge array of the same team. Where a start is promised, first come goes first.
  */
-const promiseOf = (t: CycleContext, jobClass: string): Promised => {
+const objectiveOf = (t: CycleContext, jobClass: string): ClassObjective => {
   const aims = t.settings.objectives.filter((o) => o.jobClass === jobClass);
   const multiples = aims.filter((o) => o.kind === 'deadline').map((o) => o.times);
   const ends = aims.some((o) => o.kind === 'wait') ? [] : aims.filter((o) => o.kind === 'finished');
@@ -129,14 +129,14 @@
  * Nothing is rented for what looks broken, unless a try has been due for so long: there may be no other machine,
  * and a good job that met faulty ones must still get done.
  */
-const TRIED_BY_NOW = seconds(45);
+const RETRY_OVERDUE = seconds(45);
 
 /** Jobs with tasks to start, once what the book has seen to end is recorded. */
-export const queuedOf = (t: CycleContext, at: Micros): QueuedJob[] => {
+export const queuedJobsOf = (t: CycleContext, at: Micros): QueuedJob[] => {
   const out: QueuedJob[] = [];
   const day = t.dayTime();
-  const promises = new Map<string, Promised>();
-  for (const { spec } of t.jobState.jobs.values()) t.largest.see(spec);
+  const promises = new Map<string, ClassObjective>();
+  for (const { spec } of t.jobState.jobs.values()) t.largestJobs.observe(spec);
   const limits = new Map(t.settings.teams.map((s) => [s.name, s.limit]));
   const calendar = t.jobState.calendars.current;
   const cutoffDay = dayOf(t);
@@ -161,29 +161,29 @@
     }
     if (tasks.length === 0) continue;
     let promise = promises.get(job.spec.jobClass);
-    if (!promise) promises.set(job.spec.jobClass, (promise = promiseOf(t, job.spec.jobClass)));
-    const from = t.largest.has(job.spec)
-      ? passedOverFrom(job, day, limits.get(job.spec.team), gang ? Number.POSITIVE_INFINITY : most)
+    if (!promise) promises.set(job.spec.jobClass, (promise = objectiveOf(t, job.spec.jobClass)));
+    const from = t.largestJobs.has(job.spec)
+      ? starvingFrom(job, day, limits.get(job.spec.team), gang ? Number.POSITIVE_INFINITY : most)
       : null;
     const tied = broken || job.spec.tie === null ? null : cutoffRank(job, calendar, cutoffDay, pace);
     const passedOver = from !== null && day >= from;
     const rank =
       tied === null ? rankOf(job, day, promise, broken, from) : passedOver ? from : IN_TIME_RANK + tied;
-    const rents = !broken || at - t.registry.heldUntil(job, at) > TRIED_BY_NOW;
-    const gathers = gang && !broken && from !== null && day >= from + GATHERS_AFTER;
-    const overdue = t.waits.overdue(job, at) && !broken;
-    out.push({ job, tasks, rank, gathers, cautious: broken, rents, ...(overdue ? { overdue } : {}) });
+    const mayRent = !broken || at - t.registry.heldUntil(job, at) > RETRY_OVERDUE;
+    const starving = gang && !broken && from !== null && day >= from + RESERVES_AFTER;
+    const overdue = t.startWaits.overdue(job, at) && !broken;
+    out.push({ job, tasks, rank, starving, cautious: broken, mayRent, ...(overdue ? { overdue } : {}) });
   }
-  t.waits.keep(t.jobState.jobs);
+  t.startWaits.retain(t.jobState.jobs);
   return out;
 };
 
 /** How long a machine rented now takes to come, in stated boot times; and for how long a job waits for that alone. */
-const BOOTS = 1.2;
+const BOOT_TIME_FACTOR = 1.2;
 const RENTED_FIRST = seconds(10);
 
 /** What placing a replica asks of the world; undefined while none of a GPU service is missing. */
-export const lendingOf = (
+export const lendingViewOf = (
   t: CycleContext,
   at: Micros,
   queued: readonly QueuedJob[],
@@ -215,14 +215,14 @@
   const fetch = (imageGb: number, gbPerS: number): Micros =>
     (gbPerS > 0 ? Math.round((imageGb / gbPerS) * 1e6) : 0) as Micros;
   return {
-    image: (job, machine) => {
+    imageStatus: (job, machine) => {
       const on = fetchingOn(machine.id);
       const { image, imageGb } = job.spec;
       const since = on.get(image);
       return {
         gb: imageGb,
         gbPerS: pull(machine.id),
-        there: machine.images.has(image),
+        present: machine.images.has(image),
         fetchedFor: since === undefined ? null : (Math.max(0, day - since) as Micros),
         others: on.size - (since === undefined ? 0 : 1),
       };
@@ -248,13 +248,16 @@
       const within = aims.get(spec.jobClass);
       return within === undefined ? null : ((spec.submitted + within - day) as Micros);
     },
-    rented: ({ spec }) => {
+    rental: ({ spec }) => {
       if (day - spec.submitted > RENTED_FIRST) return null;
       let best: { boot: Micros; fetch: Micros } | null = null;
       for (const k of types.values()) {
         if (spec.types !== null && !spec.types.includes(k.name)) continue;
-        if (!fits(room(spec), [k.cpus, k.gpus, k.memGb])) continue;
-        const way = { boot: Math.round(k.boot * BOOTS) as Micros, fetch: fetch(spec.imageGb, k.fetchGbPerS) };
+        if (!fits(resourcesOf(spec), [k.cpus, k.gpus, k.memGb])) continue;
+        const way = {
+          boot: Math.round(k.boot * BOOT_TIME_FACTOR) as Micros,
+          fetch: fetch(spec.imageGb, k.fetchGbPerS),
+        };
         if (best === null || way.boot + way.fetch < best.boot + best.fetch) best = way;
       }
       return best;
@@ -270,7 +273,7 @@
 const PROMISED_END = 4;
 const PROMISED_NOTHING = 20;
 
-export const weightsOf = (t: CycleContext): Map<string, number> => {
+export const teamWeightsOf = (t: CycleContext): Map<string, number> => {
   const weights = new Map<string, number>();
   const named = new Map<string, number>();
   for (const o of t.settings.objectives) {
@@ -288,15 +291,15 @@
 /** A class of GPU jobs counts for this long after its last job was there: the next one is likely to come. */
 const REMEMBERED = 300e6;
 
-export const companionsOf = (t: CycleContext, at: Micros): Companion[] => {
+export const coLocatedDemandOf = (t: CycleContext, at: Micros): CoLocatedDemand[] => {
   const waiting = new Set<string>();
   for (const job of t.jobState.jobs.values()) {
     const { spec } = job;
     if (spec.gpus === 0) continue;
     if (!job.cancelled && job.done.size + job.placed.size < spec.tasks) waiting.add(spec.jobClass);
     const slack = spec.deadline === null ? 0 : Math.max(0, spec.deadline - spec.estimate);
-    const known = t.companions.get(spec.jobClass);
-    t.companions.set(spec.jobClass, {
+    const known = t.coLocatedDemand.get(spec.jobClass);
+    t.coLocatedDemand.set(spec.jobClass, {
       urgency: spec.urgency,
       cpusPerGpu: spec.cpus / spec.gpus,
       memPerGpu: spec.memGb / spec.gpus,
@@ -304,7 +307,7 @@
       seen: at,
     });
   }
-  return [...t.companions]
+  return [...t.coLocatedDemand]
     .filter(([, c]) => at - c.seen < REMEMBERED)
     .map(([jobClass, c]) => ({ ...c, waiting: waiting.has(jobClass) }));
 };
--- a/packages/controller/src/scheduler/cycle.ts
+++ b/packages/controller/src/scheduler/cycle.ts
@@ -10,7 +10,7 @@
   Evictions,
   hasZoneRules,
   type Item,
-  nothingPassed,
+  noneServed,
   type QueuedItem,
   type QueueTeam,
 } from './eviction.js';
@@ -20,113 +20,113 @@
   type CycleResult,
   EPSILON,
   fits,
-  type Room,
-  room,
+  type Resources,
+  resourcesOf,
   type Start,
-  type Stop,
+  type Preemption,
   type Unplaced,
 } from './model.js';
-import { finder } from './place.js';
-import { replicaFinder } from './replicas.js';
+import { placementSearch } from './placement-search.js';
+import { replicaSearch } from './replica-search.js';
 import { reserve } from './reserve.js';
 import {
-  ANY_ROOM,
-  type Choice,
-  type Evicted,
-  type Finder,
-  type Floor,
-  FREE_ROOM,
-  guardsOf,
-  isKeptFrom,
-  LEFT_ROOM,
+  WITH_PREEMPTION,
+  type PlacementChoice,
+  type EvictedUnit,
+  type PlacementSearch,
+  type ClusterCapacity,
+  FREE_ONLY,
+  protectedDemand,
+  isReservedAgainst,
+  WITHOUT_PREEMPTION,
   type NodeState,
-  strands,
+  strandsGpus,
   type TeamState,
-} from './state.js';
+} from './cluster-capacity.js';
 import { TeamOrder } from './team-order.js';
 
-const NONE: Room = [0, 0, 0];
-const NOBODY: ReadonlySet<Evicted> = new Set();
+const NONE: Resources = [0, 0, 0];
+const NOBODY: ReadonlySet<EvictedUnit> = new Set();
 
 const isGang = (job: Job): boolean => job.spec.shape === 'gang';
 
 class Cycle {
-  private readonly ground: Evictions;
-  private readonly floor: Floor;
-  private readonly find: Finder;
-  private readonly order = new TeamOrder<QueueTeam>();
-  private readonly touched: NodeState[] = [];
+  private readonly evictions: Evictions;
+  private readonly capacity: ClusterCapacity;
+  private readonly search: PlacementSearch;
+  private readonly teamOrder = new TeamOrder<QueueTeam>();
+  private readonly changedNodes: NodeState[] = [];
   private readonly starts = new Map<Job, Start>();
-  private readonly stops: Stop[] = [];
+  private readonly preemptions: Preemption[] = [];
   private readonly unplaced: Unplaced[] = [];
-  private readonly claims = new Map<string, number>();
+  private readonly reservations = new Map<string, number>();
   /** Shapes of task that found no room in this cycle, and how many of them: what fails once fails again. */
-  private readonly hopeless = new Map<string, number>();
+  private readonly unplaceable = new Map<string, number>();
   /** Tasks of each job that services take in this cycle. */
-  private readonly taken = new Map<Job, number>();
+  private readonly takenForServices = new Map<Job, number>();
   /** One task of each, or one gang: they have waited for that, and the rest of the GPU machines' room stays theirs. */
   private readonly overdue: Set<Job>;
   /** Teams whose evicted tasks the latest choice has displaced. */
-  private readonly displaced = new Set<QueueTeam>();
+  private readonly teamsDisplaced = new Set<QueueTeam>();
   /** One gang that was passed over gathers room. */
-  private reserved = false;
+  private madeReservation = false;
   /** Starts of a job on a machine so far. */
-  private places = 0;
+  private placements = 0;
   /** The team that is being served, until all others' evicted tasks have been let return as far as they come before it. */
-  private unsettled: QueueTeam | null = null;
+  private beingServed: QueueTeam | null = null;
 
   constructor(
     private readonly input: CycleInput,
-    search: (floor: Floor) => Finder,
+    search: (capacity: ClusterCapacity) => PlacementSearch,
   ) {
-    this.ground = new Evictions(input);
+    this.evictions = new Evictions(input);
     this.overdue = new Set(input.queued.flatMap((q) => (q.overdue === true ? [q.job] : [])));
-    this.floor = {
-      nodes: this.ground.nodes,
+    this.capacity = {
+      nodes: this.evictions.nodes,
       evictedOn: (node) => this.evictedOn(node),
-      touch: (node) => void this.touched.push(node),
-      touched: this.touched,
+      markChanged: (node) => void this.changedNodes.push(node),
+      changedNodes: this.changedNodes,
       zones: [...new Set(input.nodes.map((n) => n.zone))].sort(),
-      zonesHeld: this.ground.zonesHeld,
-      lostSight: this.ground.lostSight,
-      companions: input.companions,
+      zonesHeld: this.evictions.zonesHeld,
+      zoneUnknown: this.evictions.zoneUnknown,
+      coLocatedDemand: input.coLocatedDemand,
       avoid: input.avoid,
       overdue: this.overdue,
       share: (team) => this.share(team, NONE),
       withinGuarantee: (team, more) => this.withinGuarantee(team, more),
     };
-    this.find = replicaFinder(this.floor, search(this.floor), input.lending, this.taken);
+    this.search = replicaSearch(this.capacity, search(this.capacity), input.lending, this.takenForServices);
   }
 
   run(): CycleResult {
-    this.serveClaims();
+    this.serveReservations();
     this.refill();
-    const free = new Map<string, Room>();
-    for (const n of this.ground.nodes.values()) free.set(n.view.id, [...n.free]);
-    const { starts, stops, unplaced, claims } = this;
-    return { starts: [...starts.values()], stops, unplaced, claims, free };
+    const free = new Map<string, Resources>();
+    for (const n of this.evictions.nodes.values()) free.set(n.view.id, [...n.free]);
+    const { starts, preemptions, unplaced, reservations } = this;
+    return { starts: [...starts.values()], preemptions, unplaced, reservations, free };
   }
 
   /** Dominant share over weight, as it would be with `more` placed. */
-  private share(team: TeamState, more: Room): number {
+  private share(team: TeamState, more: Resources): number {
     return this.shareOf(team.used, more, team.weight);
   }
 
-  private shareOf(used: Room, more: Room, weight: number): number {
-    const { total } = this.ground;
+  private shareOf(used: Resources, more: Resources, weight: number): number {
+    const { total } = this.evictions;
     let worst = 0;
     for (let i = 0; i < 3; i++) if (total[i]! > 0) worst = Math.max(worst, (used[i]! + more[i]!) / total[i]!);
     return worst / weight;
   }
 
-  private withinGuarantee(team: TeamState, more: Room): boolean {
+  private withinGuarantee(team: TeamState, more: Resources): boolean {
     const { guarantee } = team.settings;
     return (
       team.used[0] + more[0] <= guarantee.cpus + EPSILON && team.used[1] + more[1] <= guarantee.gpus + EPSILON
     );
   }
 
-  private overLimit(team: TeamState, more: Room): boolean {
+  private overLimit(team: TeamState, more: Resources): boolean {
     const { limit } = team.settings;
     return (
       (limit.cpus > 0 && team.held[0] + more[0] > limit.cpus + EPSILON) ||
@@ -135,26 +135,26 @@
   }
 
   /** Those whose room is being left for them by others had their turn when the others were stopped. */
-  private serveClaims(): void {
-    if (this.input.claims.size === 0) return;
+  private serveReservations(): void {
+    if (this.input.reservations.size === 0) return;
     const waiting = new Map<string, readonly [QueueTeam, QueuedItem]>();
-    for (const team of this.ground.teams.values())
+    for (const team of this.evictions.teams.values())
       for (const item of team.queue)
         if (item.kind === 'queued') waiting.set(item.queued.job.spec.id, [team, item]);
-    for (const [id, count] of this.input.claims) {
+    for (const [id, count] of this.input.reservations) {
       const [team, item] = waiting.get(id) ?? [];
       if (team !== undefined && item !== undefined && !item.queued.cautious)
-        this.serveClaim(team, item, count);
+        this.serveReservation(team, item, count);
     }
   }
 
-  private serveClaim(team: QueueTeam, item: QueuedItem, count: number): void {
+  private serveReservation(team: QueueTeam, item: QueuedItem, count: number): void {
     const { job, tasks } = item.queued;
-    while (item.at < Math.min(count, tasks.length) && !this.overLimit(team, item.size)) {
-      const group = nextOf(item);
-      if (!this.put(team, item, group, this.find(job, team, group.length, LEFT_ROOM))) break;
+    while (item.nextTask < Math.min(count, tasks.length) && !this.overLimit(team, item.size)) {
+      const group = nextTasks(item);
+      if (!this.place(team, item, group, this.search(job, team, group.length, WITHOUT_PREEMPTION))) break;
     }
-    item.over = item.at >= tasks.length;
+    item.finished = item.nextTask >= tasks.length;
   }
 
   /**
@@ -163,28 +163,34 @@
    * some, so that is worked out when somebody asks.
    */
   private refill(): void {
-    for (const team of this.ground.teams.values()) this.reorder(team);
+    for (const team of this.evictions.teams.values()) this.reorder(team);
     for (;;) {
-      const team = this.order.first();
+      const team = this.teamOrder.first();
       if (team === null) return;
-      if (this.places >= (this.input.mostPlaces ?? Number.POSITIVE_INFINITY)) return this.noteUnreached();
+      if (this.placements >= (this.input.maxPlacements ?? Number.POSITIVE_INFINITY))
+        return this.noteUnreached();
       const item = this.returnEvicted(team);
-      this.notePassed(team);
-      this.unsettled = team;
+      this.noteServed(team);
+      this.beingServed = team;
       if (!this.serve(team, item)) team.next++;
-      this.unsettled = null;
-      for (const other of this.displaced) this.reorder(other);
-      this.displaced.clear();
+      this.beingServed = null;
+      for (const other of this.teamsDisplaced) this.reorder(other);
+      this.teamsDisplaced.clear();
       this.reorder(team);
     }
   }
 
   /** What waits still counts as demand: machines with room for it are not to be returned. */
   private noteUnreached(): void {
-    for (const team of this.ground.teams.values())
+    for (const team of this.evictions.teams.values())
       for (const item of team.queue.slice(team.next))
-        if (item.kind === 'queued' && !item.over && item.queued.rents && !this.overLimit(team, item.size))
-          this.unplaced.push({ job: item.queued.job, count: left(item) });
+        if (
+          item.kind === 'queued' &&
+          !item.finished &&
+          item.queued.mayRent &&
+          !this.overLimit(team, item.size)
+        )
+          this.unplaced.push({ job: item.queued.job, count: unplacedCount(item) });
   }
 
   /** Lets all that the team has evicted before its next waiting item return; answers with that item. */
@@ -192,15 +198,15 @@
     for (;;) {
       const item = team.queue[team.next]!;
       if (item.kind === 'queued') {
-        if (!item.over) return item;
-      } else while (item.next < item.length) giveBackNext(team, item);
+        if (!item.finished) return item;
+      } else while (item.next < item.length) returnNext(team, item);
       team.next++;
     }
   }
 
   /** Shares at which teams are served fall only where tasks have been displaced, or a larger item has found no room. */
-  private notePassed(served: QueueTeam): void {
-    for (const { passed } of this.ground.teams.values()) {
+  private noteServed(served: QueueTeam): void {
+    for (const { servedBefore: passed } of this.evictions.teams.values()) {
       if (!isBefore(passed, served)) continue;
       passed.share = served.share;
       passed.rank = served.rank;
@@ -210,23 +216,23 @@
   /** Works out the share by which the team is ordered; to be called when that may have changed. */
   private reorder(team: QueueTeam): void {
     team.share = this.shareAtNext(team);
-    this.order.update(team);
+    this.teamOrder.update(team);
   }
 
   /** Infinite: nothing of the team waits. */
   private shareAtNext(team: QueueTeam): number {
-    const used: Room = [...team.used];
+    const used: Resources = [...team.used];
     let least = Number.NEGATIVE_INFINITY;
     for (let i = team.next; i < team.queue.length; i++) {
       const item = team.queue[i]!;
       if (item.kind === 'queued') {
-        if (item.over) continue;
+        if (item.finished) continue;
         return Math.max(least, this.shareOf(used, item.size, team.weight));
       }
       for (let k = item.next; k < item.length; k++) {
         const size = item.sizeOf(k);
         // A displaced one still has its turn in the team's queue, and takes nothing.
-        if (item.isOut(k)) least = Math.max(least, this.shareOf(used, size, team.weight));
+        if (item.isDisplaced(k)) least = Math.max(least, this.shareOf(used, size, team.weight));
         else add(used, size);
       }
     }
@@ -234,29 +240,29 @@
   }
 
   /** The evicted units on a machine that are not displaced, with all teams as far as the refill has come. */
-  private evictedOn(node: NodeState): readonly Evicted[] {
-    this.settleOthers();
-    return this.ground.on(node).filter((unit) => !unit.out);
+  private evictedOn(node: NodeState): readonly EvictedUnit[] {
+    this.returnOthers();
+    return this.evictions.on(node).filter((unit) => !unit.displaced);
   }
 
   /** Lets return what the other teams have evicted and whose turn came before that of the team being served. */
-  private settleOthers(): void {
-    const served = this.unsettled;
+  private returnOthers(): void {
+    const served = this.beingServed;
     if (served === null) return;
-    this.unsettled = null;
-    for (const team of this.ground.teams.values()) if (team !== served) this.returnPassed(team);
+    this.beingServed = null;
+    for (const team of this.evictions.teams.values()) if (team !== served) this.returnServedBefore(team);
   }
 
-  private returnPassed(team: QueueTeam): void {
-    const { passed, rank } = team;
-    team.passed = nothingPassed();
+  private returnServedBefore(team: QueueTeam): void {
+    const { servedBefore: passed, rank } = team;
+    team.servedBefore = noneServed();
     for (; team.next < team.queue.length; team.next++) {
       const item: Item = team.queue[team.next]!;
       if (item.kind === 'queued') {
-        if (!item.over) return;
+        if (!item.finished) return;
         continue;
       }
-      for (; item.next < item.length; giveBackNext(team, item))
+      for (; item.next < item.length; returnNext(team, item))
         if (!isBefore({ share: this.share(team, item.sizeOf(item.next)), rank }, passed)) return;
     }
   }
@@ -264,31 +270,33 @@
   /** Places the next of what `item` wants; false: there is nothing more to be had for it now. */
   private serve(team: QueueTeam, item: QueuedItem): boolean {
     const { job, tasks, cautious } = item.queued;
-    const group = nextOf(item);
+    const group = nextTasks(item);
     const limited = this.overLimit(team, item.size);
-    const shape = this.shapeOf(item);
-    const known = shape !== null && group.length >= (this.hopeless.get(shape) ?? Number.POSITIVE_INFINITY);
+    const shape = this.failureKey(item);
+    const known = shape !== null && group.length >= (this.unplaceable.get(shape) ?? Number.POSITIVE_INFINITY);
     const choice =
       limited || known
         ? null
-        : (this.besideLast(item, job) ?? this.find(job, team, group.length, cautious ? FREE_ROOM : ANY_ROOM));
-    if (this.put(team, item, group, choice)) return item.at < tasks.length;
+        : (this.sameNodeAsLast(item, job) ??
+          this.search(job, team, group.length, cautious ? FREE_ONLY : WITH_PREEMPTION));
+    if (this.place(team, item, group, choice)) return item.nextTask < tasks.length;
     // A limit says nothing about room, and more machines would not help.
     if (!limited) this.noteUnplaced(team, item, shape);
     return false;
   }
 
   private noteUnplaced(team: QueueTeam, item: QueuedItem, shape: string | null): void {
-    const { job, gathers, rents } = item.queued;
-    const { length } = nextOf(item);
+    const { job, starving, mayRent } = item.queued;
+    const { length } = nextTasks(item);
     if (shape !== null)
-      this.hopeless.set(shape, Math.min(length, this.hopeless.get(shape) ?? Number.POSITIVE_INFINITY));
-    if (!this.reserved && gathers) this.reserved = reserve(this.floor, this.input.holders, job, team);
-    if (rents) this.unplaced.push({ job, count: left(item) });
+      this.unplaceable.set(shape, Math.min(length, this.unplaceable.get(shape) ?? Number.POSITIVE_INFINITY));
+    if (!this.madeReservation && starving)
+      this.madeReservation = reserve(this.capacity, this.input.placedTasks, job, team);
+    if (mayRent) this.unplaced.push({ job, count: unplacedCount(item) });
   }
 
   /** What makes items fail alike; null: this one is looked for in a way of its own. */
-  private shapeOf(item: QueuedItem): string | null {
+  private failureKey(item: QueuedItem): string | null {
     const { job, cautious } = item.queued;
     const { spec } = job;
     const gang = isGang(job);
@@ -306,7 +314,7 @@
       spec.zone,
       spec.spot,
       gang ? `${spec.oneZone}${spec.spread}` : spec.spread || spec.oneZone ? spec.id : '',
-      spec.gpus > 0 ? '' : guardsOf(this.input.companions, job).length,
+      spec.gpus > 0 ? '' : protectedDemand(this.input.coLocatedDemand, job).length,
     ].join('|'));
   }
 
@@ -315,39 +323,47 @@
    * promised: it was the tightest fit, and is tighter now. Arrays of thousands of small tasks need one search a machine,
    * not one a task. Free room that the last one did not find is not there now either.
    */
-  private besideLast(item: QueuedItem, job: Job): Choice | null {
-    if (item.last === null || job.spec.spread || isKeptFrom(item.last.n, job)) return null;
+  private sameNodeAsLast(item: QueuedItem, job: Job): PlacementChoice | null {
+    if (item.lastPlacement === null || job.spec.spread || isReservedAgainst(item.lastPlacement.n, job))
+      return null;
     if (this.input.lending !== undefined && mayBorrow(job.spec)) return null;
-    const { n, free } = item.last;
-    const need = room(job.spec);
-    const after: Room = [n.free[0] - need[0], n.free[1] - need[1], n.free[2] - need[2]];
-    if (strands(guardsOf(this.input.companions, job), job, n.view.total, n.surplus, after)) return null;
+    const { n, free } = item.lastPlacement;
+    const need = resourcesOf(job.spec);
+    const after: Resources = [n.free[0] - need[0], n.free[1] - need[1], n.free[2] - need[2]];
+    if (strandsGpus(protectedDemand(this.input.coLocatedDemand, job), job, n.view.total, n.idle, after))
+      return null;
     if (!free) add(after, n.leaving);
     if (!fits(NONE, after)) return null;
     return { machines: [n], victims: NOBODY, free };
   }
 
   /** Places `group`, the next tasks of `item`, and says whether there was room. */
-  private put(team: QueueTeam, item: QueuedItem, group: readonly number[], choice: Choice | null): boolean {
+  private place(
+    team: QueueTeam,
+    item: QueuedItem,
+    group: readonly number[],
+    choice: PlacementChoice | null,
+  ): boolean {
     if (choice === null) return false;
     const { job } = item.queued;
-    this.take(job, team, group, choice);
+    this.occupy(job, team, group, choice);
     this.overdue.delete(job);
-    item.last =
+    item.lastPlacement =
       choice.victims.size === 0 && !isGang(job) ? { n: choice.machines[0]!, free: choice.free } : null;
-    if (!choice.free) this.claims.set(job.spec.id, (this.claims.get(job.spec.id) ?? 0) + group.length);
-    item.at += group.length;
+    if (!choice.free)
+      this.reservations.set(job.spec.id, (this.reservations.get(job.spec.id) ?? 0) + group.length);
+    item.nextTask += group.length;
     return true;
   }
 
-  private take(job: Job, team: TeamState, tasks: readonly number[], choice: Choice): void {
-    const need = room(job.spec);
-    for (const v of choice.victims) if (!v.out) this.displace(v as RunUnit, job);
+  private occupy(job: Job, team: TeamState, tasks: readonly number[], choice: PlacementChoice): void {
+    const need = resourcesOf(job.spec);
+    for (const v of choice.victims) if (!v.displaced) this.displace(v as RunUnit, job);
     const start = choice.free ? this.startOf(job) : null;
     tasks.forEach((task, i) => {
       const n = choice.machines[i]!;
       add(n.free, need, -1);
-      this.touched.push(n);
+      this.changedNodes.push(n);
       add(team.used, need);
       add(team.held, need);
       if (hasZoneRules(job)) this.noteZone(job, n.view.zone);
@@ -356,23 +372,23 @@
       if (on) on.push(task);
       else {
         start.on.set(n.view.id, [task]);
-        this.places++;
+        this.placements++;
       }
     });
-    if (!choice.free) for (const n of choice.machines) takeFromLeaving(n);
+    if (!choice.free) for (const n of choice.machines) reserveLeaving(n);
   }
 
   private startOf(job: Job): Start {
     let start = this.starts.get(job);
     if (start === undefined) {
-      const attempt = Math.max(job.attempt, this.input.attempts ?? 0) + 1;
+      const attempt = Math.max(job.attempt, this.input.attemptFloor ?? 0) + 1;
       this.starts.set(job, (start = { job, attempt, on: new Map() }));
     }
     return start;
   }
 
   private noteZone(job: Job, zone: string): void {
-    const { zonesHeld } = this.ground;
+    const { zonesHeld } = this.evictions;
     let zones = zonesHeld.get(job);
     if (!zones) zonesHeld.set(job, (zones = new Map()));
     zones.set(zone, (zones.get(zone) ?? 0) + 1);
@@ -382,21 +398,22 @@
     const team = unit.team as QueueTeam;
     // A unit that was already refilled gives back what was counted for it.
     if (unit.returned) add(team.used, unit.size, -1);
-    this.displaced.add(team);
+    this.teamsDisplaced.add(team);
     unit.displace();
     const { need } = unit;
-    add(team.stays, unit.size, -1);
+    add(team.staying, unit.size, -1);
     const lent = this.input.lending !== undefined && mayBorrow(by.spec) && need[1] > 0;
-    if (lent) this.taken.set(unit.job, (this.taken.get(unit.job) ?? 0) + unit.members.length);
+    if (lent)
+      this.takenForServices.set(unit.job, (this.takenForServices.get(unit.job) ?? 0) + unit.members.length);
     for (const m of unit.members) {
-      const n = this.ground.nodes.get(m.machine);
+      const n = this.evictions.nodes.get(m.machine);
       if (n) {
-        add(n.evictedRoom[unit.job.spec.urgency]!, need, -1);
+        add(n.evictedResources[unit.job.spec.urgency]!, need, -1);
         add(n.leaving, need);
-        this.touched.push(n);
+        this.changedNodes.push(n);
       }
       const stop = { job: unit.job, task: m.task, machine: m.machine };
-      this.stops.push(lent ? { ...stop, taker: by } : stop);
+      this.preemptions.push(lent ? { ...stop, taker: by } : stop);
     }
   }
 }
@@ -409,20 +426,20 @@
   a.share < b.share || (a.share === b.share && a.rank < b.rank);
 
 /** The next of a team's evicted units is back in its place, unless it was displaced. */
-const giveBackNext = (team: QueueTeam, run: EvictedRun): void => {
-  if (!run.isOut(run.next)) add(team.used, run.sizeOf(run.next));
+const returnNext = (team: QueueTeam, run: EvictedRun): void => {
+  if (!run.isDisplaced(run.next)) add(team.used, run.sizeOf(run.next));
   run.next++;
 };
 
 /** Tasks that are not placed; of a gang all. */
-const left = ({ queued, at }: QueuedItem): number =>
+const unplacedCount = ({ queued, nextTask: at }: QueuedItem): number =>
   isGang(queued.job) ? queued.tasks.length : queued.tasks.length - at;
 
-const nextOf = (item: QueuedItem): readonly number[] =>
-  isGang(item.queued.job) ? item.queued.tasks : [item.queued.tasks[item.at]!];
+const nextTasks = (item: QueuedItem): readonly number[] =>
+  isGang(item.queued.job) ? item.queued.tasks : [item.queued.tasks[item.nextTask]!];
 
 /** Room that is only promised is taken from what is leaving, so that nobody else counts on it. */
-const takeFromLeaving = (n: NodeState): void => {
+const reserveLeaving = (n: NodeState): void => {
   for (let i = 0; i < 3; i++) {
     if (n.free[i]! >= 0) continue;
     n.leaving[i]! += n.free[i]!;
@@ -431,5 +448,7 @@
 };
 
 /** `search` chooses the machines; tests put the plain search there. */
-export const schedule = (input: CycleInput, search: (floor: Floor) => Finder = finder): CycleResult =>
-  new Cycle(input, search).run();
+export const schedule = (
+  input: CycleInput,
+  search: (capacity: ClusterCapacity) => PlacementSearch = placementSearch,
+): CycleResult => new Cycle(input, search).run();
--- a/packages/controller/src/scheduler/draft.ts
+++ b/packages/controller/src/scheduler/draft.ts
@@ -11,28 +11,28 @@
 import { jobUnchanged } from '../jobs/keys.js';
 import { encodeRanges } from '../jobs/ranges.js';
 import type { Job, JobChange } from '../jobs/model.js';
-import { endings, type LoanEnd, loansMade } from '../lending/record.js';
+import { loanRepayments, type LoanEnd, newLoans } from '../lending/loan-changes.js';
 import type { Settings } from '../settings/settings.js';
 import type { Condition } from '../state-store/client.js';
-import type { Start, Stop } from './model.js';
+import type { Start, Preemption } from './model.js';
 import type { CycleContext } from './cycle-context.js';
 
 /** Ends and starts of one turn, within the limits of one transaction. */
 export interface Draft {
   /** By record, in their order; none: there is nothing to record. */
-  readonly records: readonly ReadonlyMap<string, JobChange>[];
-  readonly when: readonly Condition[];
+  readonly entries: readonly ReadonlyMap<string, JobChange>[];
+  readonly conditions: readonly Condition[];
   /** Everything that was to be recorded is in it. */
-  readonly whole: boolean;
+  readonly complete: boolean;
   /** Stops whose loans it holds, and loans that it ends or shortens. */
-  readonly lent: readonly Stop[];
-  readonly ended: readonly LoanEnd[];
+  readonly lendingPreemptions: readonly Preemption[];
+  readonly endedLoans: readonly LoanEnd[];
 }
 
 /** A record's head, and room for what it may say. */
-const HEAD_BYTES = 120;
+const HEADER_BYTES = 120;
 /** A change's key, and the signs around both. */
-const ENTRY_BYTES = 6;
+const CHANGE_BYTES = 6;
 /** The part of a value that is filled. */
 const VALUE_PART = 0.85;
 /** Protocol: 64 KiB in total, a request's body included. */
@@ -40,19 +40,19 @@
 const TRANSACTION_PART = 0.92;
 /** What a condition, and a record's key with its own conditions, take of that. */
 const CONDITION_BYTES = 64;
-const RECORD_BYTES = 200;
+const LOG_ENTRY_BYTES = 200;
 /** Records of one turn: each is a change of the state service's rate. */
-const MOST_RECORDS = 4;
+const MAX_ENTRIES = 4;
 /** Beside the jobs' conditions stand the term, the incarnation, the record before and one for each record. */
-const OTHER_CONDITIONS = 5 + MOST_RECORDS;
+const OTHER_CONDITIONS = 5 + MAX_ENTRIES;
 
 /** What a start on one machine takes at the least: `"vm-000001":"1",`. */
-const PLACE_BYTES = 16;
+const PLACEMENT_BYTES = 16;
 
 /** Starts of a job on a machine that one turn can record at the most: a cycle need not look for more. */
-export const mostPlaces = ({ valueBytes, txnOps }: Settings['state']): number => {
-  const values = Math.min(MOST_RECORDS, txnOps) * valueBytes * VALUE_PART;
-  return Math.floor(Math.min(values, TRANSACTION_BYTES * TRANSACTION_PART) / PLACE_BYTES);
+export const maxPlacements = ({ valueBytes, txnOps }: Settings['state']): number => {
+  const values = Math.min(MAX_ENTRIES, txnOps) * valueBytes * VALUE_PART;
+  return Math.floor(Math.min(values, TRANSACTION_BYTES * TRANSACTION_PART) / PLACEMENT_BYTES);
 };
 
 /** Rows are somewhat shorter than their bound, and never get all of a value. */
@@ -60,7 +60,7 @@
 const MOST_ROWS_PART = 0.8;
 
 const sizeOf = (id: string, change: JobChange): number =>
-  JSON.stringify(encodeChange(change)).length + id.length + ENTRY_BYTES;
+  JSON.stringify(encodeChange(change)).length + id.length + CHANGE_BYTES;
 
 /** What of one job has been seen to end. */
 interface EndedJob {
@@ -71,9 +71,9 @@
   readonly failed: readonly number[];
 }
 
-class RecordDraft {
+class LogEntryDraft {
   readonly changes = new Map<string, JobChange>();
-  bytes = HEAD_BYTES;
+  bytes = HEADER_BYTES;
   private readonly sizes = new Map<string, number>();
 
   /** What the record would take with this change in place of what it says of the job. */
@@ -89,36 +89,36 @@
   }
 }
 
-class Drafting {
-  readonly records: RecordDraft[] = [new RecordDraft()];
-  readonly when: Condition[] = [];
+class DraftBuilder {
+  readonly entries: LogEntryDraft[] = [new LogEntryDraft()];
+  readonly conditions: Condition[] = [];
   readonly started = new Map<string, number>();
-  readonly lent: Stop[] = [];
-  readonly ended: LoanEnd[] = [];
-  whole = true;
+  readonly lendingPreemptions: Preemption[] = [];
+  readonly endedLoans: LoanEnd[] = [];
+  complete = true;
   /** Bytes of the first record that are kept for the accounts' rows: what else goes there must not crowd them out. */
-  private reserved = 0;
+  private reservedBytes = 0;
   private readonly valueLimit: number;
   private readonly mostConditions: number;
 
   constructor(
-    private readonly t: CycleContext,
+    private readonly context: CycleContext,
     private readonly spending: Booking['spending'],
   ) {
-    const { valueBytes, txnOps } = t.settings.state;
+    const { valueBytes, txnOps } = context.settings.state;
     this.valueLimit = valueBytes * VALUE_PART;
     this.mostConditions = txnOps * 4 - OTHER_CONDITIONS;
   }
 
   /** The draft's last record: what belongs to one job in one turn comes in this order, ends before starts. */
-  private get last(): RecordDraft {
-    return this.records[this.records.length - 1]!;
+  private get last(): LogEntryDraft {
+    return this.entries[this.entries.length - 1]!;
   }
 
   /** Bytes that a record may take; the accounts' rows, and `booked` more of them, stand in the first one. */
-  private limitOf(record: RecordDraft, booked: number): number {
-    if (record !== this.records[0]) return this.valueLimit;
-    return this.valueLimit - Math.max(this.spending.bytes + booked, this.reserved);
+  private limitOf(record: LogEntryDraft, booked: number): number {
+    if (record !== this.entries[0]) return this.valueLimit;
+    return this.valueLimit - Math.max(this.spending.bytes + booked, this.reservedBytes);
   }
 
   /** Keeps room for the rows of all that has ended: jobs of one team and class mostly share theirs. */
@@ -130,12 +130,12 @@
       ofGroup.set(group, Math.max(ofGroup.get(group) ?? 0, rows));
     }
     const bound = [...ofGroup.values()].reduce((a, b) => a + b, 0);
-    this.reserved = Math.min(this.valueLimit * MOST_ROWS_PART, bound * ROW_OF_BOUND);
+    this.reservedBytes = Math.min(this.valueLimit * MOST_ROWS_PART, bound * ROW_OF_BOUND);
   }
 
   private transactionBytes(): number {
-    const values = this.records.reduce((n, r) => n + r.bytes + RECORD_BYTES, 0);
-    return values + this.spending.bytes + this.when.length * CONDITION_BYTES;
+    const values = this.entries.reduce((n, r) => n + r.bytes + LOG_ENTRY_BYTES, 0);
+    return values + this.spending.bytes + this.conditions.length * CONDITION_BYTES;
   }
 
   private get transactionLimit(): number {
@@ -153,7 +153,7 @@
    */
   add(id: string, change: (sofar: JobChange | undefined) => JobChange, booked = 0): boolean {
     const { last } = this;
-    const [first] = this.records;
+    const [first] = this.entries;
     // Rows stand in the first record, whichever one the change goes to.
     const rowsFit = first!.bytes <= this.limitOf(first!, booked);
     const inLast = change(last.changes.get(id));
@@ -163,23 +163,24 @@
       return true;
     }
     const added = rowsFit && this.addToNew(id, change(undefined), booked);
-    if (!added) this.whole = false;
+    if (!added) this.complete = false;
     return added;
   }
 
   private addToNew(id: string, change: JobChange, booked: number): boolean {
-    const record = new RecordDraft();
+    const record = new LogEntryDraft();
     const bytes = record.with(id, change);
-    const room = this.records.length < MOST_RECORDS && this.records.length < this.t.settings.state.txnOps;
-    if (!room || bytes > this.valueLimit || !this.fits(bytes + RECORD_BYTES + booked)) return false;
+    const room =
+      this.entries.length < MAX_ENTRIES && this.entries.length < this.context.settings.state.txnOps;
+    if (!room || bytes > this.valueLimit || !this.fits(bytes + LOG_ENTRY_BYTES + booked)) return false;
     record.put(id, change, bytes);
-    this.records.push(record);
+    this.entries.push(record);
     return true;
   }
 
   /** false: another job's start, or a job's loan, can't be made conditional any more. */
-  mayCondition(): boolean {
-    return this.when.length < this.mostConditions;
+  hasConditionsLeft(): boolean {
+    return this.conditions.length < this.mostConditions;
   }
 
   /** Bytes that a start may take: of the last record's rest or of a record of its own, whichever is more. */
@@ -187,16 +188,16 @@
     const { last } = this;
     const inTransaction = this.transactionLimit - this.transactionBytes();
     const inLast = Math.min(inTransaction, this.limitOf(last, 0) - last.bytes);
-    const another = this.records.length < Math.min(MOST_RECORDS, this.t.settings.state.txnOps);
-    const inNew = another ? Math.min(inTransaction - RECORD_BYTES, this.valueLimit) - HEAD_BYTES : 0;
+    const another = this.entries.length < Math.min(MAX_ENTRIES, this.context.settings.state.txnOps);
+    const inNew = another ? Math.min(inTransaction - LOG_ENTRY_BYTES, this.valueLimit) - HEADER_BYTES : 0;
     return Math.max(inLast, inNew);
   }
 
   /** Adds a start; of an array as many tasks as fit. */
-  start(s: Start): void {
+  addStart(s: Start): void {
     const { id } = s.job.spec;
-    if (this.started.has(id) || !this.mayCondition()) {
-      this.whole = false;
+    if (this.started.has(id) || !this.hasConditionsLeft()) {
+      this.complete = false;
       return;
     }
     const entire = (on: Start['on']) => this.add(id, (c) => ({ ...c, start: { attempt: s.attempt, on } }));
@@ -204,17 +205,17 @@
     if (!entire(on)) {
       on = s.job.spec.shape === 'array' ? firstTasks(s, this.roomForStart()) : new Map();
       if (on.size === 0 || !entire(on)) return;
-      this.whole = false;
+      this.complete = false;
     }
     this.started.set(
       id,
       [...on.values()].reduce((n, tasks) => n + tasks.length, 0),
     );
     // Conditional on the job's key: a job withdrawn in this moment, or over by the time, is not started.
-    this.when.push(...jobUnchanged(id, s.job.revision));
+    this.conditions.push(...jobUnchanged(id, s.job.revision));
   }
 
-  ends({ job, done, gone, failed }: EndedJob): void {
+  addEnds({ job, done, gone, failed }: EndedJob): void {
     const booked = this.spending.wouldAdd(job, [...done, ...gone]);
     if (!this.add(job.spec.id, (c) => ({ ...c, done, gone, failed }), booked)) return;
     this.spending.add(job, done, 'done');
@@ -246,21 +247,21 @@
   return out;
 };
 
-const draftLoans = (t: CycleContext, d: Drafting, stops: readonly Stop[]): void => {
-  for (const { taker, repay, ends } of endings(t.jobState.jobs, d.started, (job) =>
+const draftLoans = (t: CycleContext, d: DraftBuilder, preemptions: readonly Preemption[]): void => {
+  for (const { taker, repay, ends } of loanRepayments(t.jobState.jobs, d.started, (job) =>
     t.registry.unsettled(job),
   ))
-    if (d.add(taker, (c) => ({ ...c, repay }))) d.ended.push(...ends);
-  for (const { taker, lend, taken, stops: of } of loansMade(stops)) {
-    if (!d.mayCondition()) break;
+    if (d.add(taker, (c) => ({ ...c, repay }))) d.endedLoans.push(...ends);
+  for (const { taker, lend, taken, preemptions: of } of newLoans(preemptions)) {
+    if (!d.hasConditionsLeft()) break;
     const { id } = taker.spec;
     if (!d.add(id, (c) => ({ ...c, lend }))) continue;
     // A service that is withdrawn in this moment takes nothing.
-    d.when.push(...jobUnchanged(id, taker.revision));
+    d.conditions.push(...jobUnchanged(id, taker.revision));
     let all = true;
     for (const [lender, n] of taken)
       all &&= d.add(lender, (c) => ({ ...c, preemptedForServices: (c?.preemptedForServices ?? 0) + n }));
-    if (all) d.lent.push(...of);
+    if (all) d.lendingPreemptions.push(...of);
   }
 };
 
@@ -268,22 +269,28 @@
 export const draftOf = (
   t: CycleContext,
   starts: readonly Start[],
-  stops: readonly Stop[],
+  preemptions: readonly Preemption[],
   { spending }: Booking,
   said: ReadonlyMap<string, number>,
 ): Draft => {
-  const d = new Drafting(t, spending);
+  const d = new DraftBuilder(t, spending);
   const ended = endedJobs(t);
   d.reserveRows(ended);
-  for (const e of ended) d.ends(e);
+  for (const e of ended) d.addEnds(e);
   for (const [id, say] of said) d.add(id, (c) => ({ ...c, cutoffRisk: say }));
   // The starts count on the room of every end: with one of these left out, they wait for the next record.
-  if (d.whole) {
+  if (d.complete) {
     // What runs already from before a loss is recorded before anything is started anew.
-    for (const s of [...t.registry.adoptions(), ...starts]) d.start(s);
-    draftLoans(t, d, stops);
+    for (const s of [...t.registry.adoptions(), ...starts]) d.addStart(s);
+    draftLoans(t, d, preemptions);
   }
   // The accounts' rows stand in the first record, also where every change went to a later one.
-  const records = d.records.some((r) => r.changes.size > 0) ? d.records.map((r) => r.changes) : [];
-  return { records, when: d.when, whole: d.whole, lent: d.lent, ended: d.ended };
+  const records = d.entries.some((r) => r.changes.size > 0) ? d.entries.map((r) => r.changes) : [];
+  return {
+    entries: records,
+    conditions: d.conditions,
+    complete: d.complete,
+    lendingPreemptions: d.lendingPreemptions,
+    endedLoans: d.endedLoans,
+  };
 };
--- a/packages/controller/src/scheduler/evicted-run.ts
+++ b/packages/controller/src/scheduler/evicted-run.ts
@@ -4,18 +4,18 @@
  * asks whether it may be displaced.
  */
 import type { Job } from '../jobs/model.js';
-import type { Holder, Room } from './model.js';
-import { Evicted, type TeamState } from './state.js';
+import type { PlacedTask, Resources } from './model.js';
+import { EvictedUnit, type TeamState } from './cluster-capacity.js';
 
 /** An evicted task or gang that stands in a run. */
-export class RunUnit extends Evicted {
+export class RunUnit extends EvictedUnit {
   constructor(
     readonly run: EvictedRun,
     private readonly index: number,
     job: Job,
-    members: readonly Holder[],
-    need: Room,
-    size: Room,
+    members: readonly PlacedTask[],
+    need: Resources,
+    size: Resources,
   ) {
     super(run.team, job, members, need, size);
   }
@@ -26,8 +26,8 @@
   }
 
   displace(): void {
-    this.out = true;
-    this.run.anyOut = true;
+    this.displaced = true;
+    this.run.anyDisplaced = true;
   }
 }
 
@@ -36,9 +36,9 @@
   /** Index of the next one to return. */
   next = 0;
   /** One of them has been displaced. */
-  anyOut = false;
-  private readonly holders: Holder[] = [];
-  private readonly sizes: Room[] = [];
+  anyDisplaced = false;
+  private readonly tasks: PlacedTask[] = [];
+  private readonly sizes: Resources[] = [];
   /** Gangs, and tasks that somebody has asked for, by their index. */
   private readonly units = new Map<number, RunUnit>();
 
@@ -49,13 +49,13 @@
   }
 
   /** Adds one task that takes `size`. */
-  addTask(holder: Holder, size: Room): void {
-    this.holders.push(holder);
+  addTask(holder: PlacedTask, size: Resources): void {
+    this.tasks.push(holder);
     this.sizes.push(size);
   }
 
   /** Adds what is left of a gang on machines; `need` is what one member takes. */
-  addGang(job: Job, members: readonly Holder[], need: Room, size: Room): RunUnit {
+  addGang(job: Job, members: readonly PlacedTask[], need: Resources, size: Resources): RunUnit {
     const index = this.length;
     this.addTask(members[0]!, size);
     const unit = new RunUnit(this, index, job, members, need, size);
@@ -63,19 +63,19 @@
     return unit;
   }
 
-  sizeOf(index: number): Room {
+  sizeOf(index: number): Resources {
     return this.sizes[index]!;
   }
 
-  isOut(index: number): boolean {
-    return this.anyOut && this.units.get(index)?.out === true;
+  isDisplaced(index: number): boolean {
+    return this.anyDisplaced && this.units.get(index)?.displaced === true;
   }
 
   /** A task as a unit that may be displaced. */
   unit(index: number): RunUnit {
     let unit = this.units.get(index);
     if (unit === undefined) {
-      const holder = this.holders[index]!;
+      const holder = this.tasks[index]!;
       const size = this.sizes[index]!;
       unit = new RunUnit(this, index, holder.job, [holder], size, size);
       this.units.set(index, unit);
--- a/packages/controller/src/scheduler/eviction.ts
+++ b/packages/controller/src/scheduler/eviction.ts
@@ -10,28 +10,28 @@
 import {
   add,
   type CycleInput,
-  type Holder,
+  type PlacedTask,
   type NodeView,
   type QueuedJob,
-  type Room,
-  room,
+  type Resources,
+  resourcesOf,
 } from './model.js';
-import type { NodeState, TeamState } from './state.js';
+import type { NodeState, TeamState } from './cluster-capacity.js';
 import type { OrderedTeam } from './team-order.js';
 
 export interface QueuedItem {
   readonly kind: 'queued';
   readonly queued: QueuedJob;
   /** What its next gang or task takes. */
-  readonly size: Room;
+  readonly size: Resources;
   /** Index of the next task. */
-  at: number;
+  nextTask: number;
   /** The machine that took the last one without displacing anybody, and whether on free room. */
-  last: { readonly n: NodeState; readonly free: boolean } | null;
+  lastPlacement: { readonly n: NodeState; readonly free: boolean } | null;
   /** See `Cycle.shapeOf`; null: not asked yet. */
   shape: string | null;
   /** It had its turn before all others, on room that was being left for it. */
-  over: boolean;
+  finished: boolean;
 }
 export type Item = EvictedRun | QueuedItem;
 
@@ -44,20 +44,20 @@
    * The greatest share, and the rank of the team that had it, at which a team was served since this one's evicted tasks were
    * last let return: those that come before it have had their turn.
    */
-  passed: { share: number; rank: number };
+  servedBefore: { share: number; rank: number };
 }
 
 /** Nobody has been served. */
-export const nothingPassed = (): QueueTeam['passed'] => ({ share: Number.NEGATIVE_INFINITY, rank: -1 });
+export const noneServed = (): QueueTeam['servedBefore'] => ({ share: Number.NEGATIVE_INFINITY, rank: -1 });
 
 /** What all tasks of a job have in common. */
-interface JobGround {
+interface JobEviction {
   readonly team: QueueTeam;
-  readonly need: Room;
+  readonly need: Resources;
   readonly run: EvictedRun;
   readonly zoneRules: boolean;
   /** Of a gang: its evicted members. */
-  readonly members: Holder[] | null;
+  readonly members: PlacedTask[] | null;
 }
 
 const NO_TEAM: TeamSettings = { name: '', guarantee: { cpus: 0, gpus: 0 }, limit: { cpus: 0, gpus: 0 } };
@@ -68,22 +68,22 @@
 /** Where a job's tasks are matters only to jobs with rules about zones. */
 export const hasZoneRules = ({ spec }: Job): boolean => spec.oneZone || spec.spread;
 
-const nodeOf = (view: NodeView, index: number, surplus: boolean): NodeState => ({
+const nodeStateOf = (view: NodeView, index: number, idle: boolean): NodeState => ({
   view,
   index,
   free: [...view.total],
   leaving: [0, 0, 0],
-  evictedRoom: [
+  evictedResources: [
     [0, 0, 0],
     [0, 0, 0],
     [0, 0, 0],
     [0, 0, 0],
   ],
-  surplus,
-  kept: null,
+  idle,
+  reservation: null,
 });
 
-const sizeOf = ({ spec }: Job): Room => {
+const sizeOf = ({ spec }: Job): Resources => {
   const count = spec.shape === 'gang' ? spec.tasks : 1;
   return [spec.cpus * count, spec.gpus * count, spec.memGb * count];
 };
@@ -92,7 +92,7 @@
   a.queued.rank - b.queued.rank || (a.queued.job.spec.id < b.queued.job.spec.id ? -1 : 1);
 
 /** A team's items while they are gathered, by urgency. */
-class Gathered {
+class TeamQueueBuilder {
   readonly runs: readonly EvictedRun[];
   readonly queued: QueuedItem[][] = Array.from({ length: URGENCIES }, () => []);
 
@@ -118,31 +118,31 @@
 export class Evictions {
   readonly nodes = new Map<string, NodeState>();
   /** All room of reporting machines. */
-  readonly total: Room = [0, 0, 0];
+  readonly total: Resources = [0, 0, 0];
   readonly teams = new Map<string, QueueTeam>();
   /** See `Floor`. */
   readonly zonesHeld = new Map<Job, Map<string, number>>();
-  readonly lostSight = new Set<Job>();
-  private readonly gathered = new Map<QueueTeam, Gathered>();
-  private readonly jobs = new Map<Job, JobGround>();
+  readonly zoneUnknown = new Set<Job>();
+  private readonly queueBuilders = new Map<QueueTeam, TeamQueueBuilder>();
+  private readonly jobs = new Map<Job, JobEviction>();
   private readonly gangs: RunUnit[] = [];
   /** Evicted units by their machine's index; null: nobody has asked yet. */
-  private places: RunUnit[][] | null = null;
+  private unitsByNode: RunUnit[][] | null = null;
 
   constructor(private readonly input: CycleInput) {
     for (const view of input.nodes) {
-      this.nodes.set(view.id, nodeOf(view, this.nodes.size, input.surplus.has(view.id)));
+      this.nodes.set(view.id, nodeStateOf(view, this.nodes.size, input.idleNodes.has(view.id)));
       add(this.total, view.total);
     }
-    this.evictHolders();
+    this.evictPlacedTasks();
     for (const q of input.queued) this.enqueue(q);
-    for (const [team, items] of this.gathered) team.queue = items.inOrder();
+    for (const [team, items] of this.queueBuilders) team.queue = items.inOrder();
   }
 
   /** The evicted units on a machine, displaced ones included. */
   on(node: NodeState): readonly RunUnit[] {
-    this.places ??= this.place();
-    return this.places[node.index]!;
+    this.unitsByNode ??= this.locateUnits();
+    return this.unitsByNode[node.index]!;
   }
 
   private teamOf(name: string): QueueTeam {
@@ -154,28 +154,28 @@
         weight: weights.get(name) ?? 1,
         used: [0, 0, 0],
         held: [0, 0, 0],
-        stays: [0, 0, 0],
+        staying: [0, 0, 0],
         queue: [],
         next: 0,
         share: Number.POSITIVE_INFINITY,
         rank: this.teams.size,
         place: -1,
-        passed: nothingPassed(),
+        servedBefore: noneServed(),
       };
       this.teams.set(name, team);
-      this.gathered.set(team, new Gathered(team));
+      this.queueBuilders.set(team, new TeamQueueBuilder(team));
     }
     return team;
   }
 
-  private groundOf(job: Job): JobGround {
+  private jobEvictionOf(job: Job): JobEviction {
     let ground = this.jobs.get(job);
     if (ground === undefined) {
       const team = this.teamOf(job.spec.team);
       ground = {
         team,
-        need: room(job.spec),
-        run: this.gathered.get(team)!.runs[job.spec.urgency]!,
+        need: resourcesOf(job.spec),
+        run: this.queueBuilders.get(team)!.runs[job.spec.urgency]!,
         zoneRules: hasZoneRules(job),
         members: job.spec.shape === 'gang' ? [] : null,
       };
@@ -184,11 +184,11 @@
     return ground;
   }
 
-  private evictHolders(): void {
-    const gangs = new Map<Job, JobGround>();
-    for (const h of this.input.holders) {
+  private evictPlacedTasks(): void {
+    const gangs = new Map<Job, JobEviction>();
+    for (const h of this.input.placedTasks) {
       const { job } = h;
-      const ground = this.groundOf(job);
+      const ground = this.jobEvictionOf(job);
       const { team, need } = ground;
       const node = this.nodes.get(h.machine);
       add(team.held, need);
@@ -200,28 +200,28 @@
         continue;
       }
       if (ground.members === null) {
-        add(team.stays, need);
-        if (node !== undefined) add(node.evictedRoom[job.spec.urgency]!, need);
+        add(team.staying, need);
+        if (node !== undefined) add(node.evictedResources[job.spec.urgency]!, need);
         ground.run.addTask(h, need);
       } else if (ground.members.push(h) === 1) gangs.set(job, ground);
     }
     for (const [job, ground] of gangs) this.evictGang(job, ground, ground.members!);
   }
 
-  private evictGang(job: Job, { team, need, run }: JobGround, members: readonly Holder[]): void {
+  private evictGang(job: Job, { team, need, run }: JobEviction, members: readonly PlacedTask[]): void {
     const k = members.length;
-    const size: Room = [need[0] * k, need[1] * k, need[2] * k];
-    add(team.stays, size);
+    const size: Resources = [need[0] * k, need[1] * k, need[2] * k];
+    add(team.staying, size);
     for (const m of members) {
       const node = this.nodes.get(m.machine);
-      if (node !== undefined) add(node.evictedRoom[job.spec.urgency]!, need);
+      if (node !== undefined) add(node.evictedResources[job.spec.urgency]!, need);
     }
     this.gangs.push(run.addGang(job, members, need, size));
   }
 
-  private noteZone(h: Holder): void {
+  private noteZone(h: PlacedTask): void {
     if (h.zone === null) {
-      this.lostSight.add(h.job);
+      this.zoneUnknown.add(h.job);
       return;
     }
     let zones = this.zonesHeld.get(h.job);
@@ -230,10 +230,10 @@
   }
 
   /** Goes over the holders once more, in the same order, and notes where each evicted unit is. */
-  private place(): RunUnit[][] {
+  private locateUnits(): RunUnit[][] {
     const places: RunUnit[][] = Array.from({ length: this.nodes.size }, () => []);
     const passed = new Map<EvictedRun, number>();
-    for (const h of this.input.holders) {
+    for (const h of this.input.placedTasks) {
       const { run, members } = this.jobs.get(h.job)!;
       if (h.leaving || members !== null) continue;
       const index = passed.get(run) ?? 0;
@@ -252,15 +252,15 @@
   private enqueue(queued: QueuedJob): void {
     if (queued.tasks.length === 0) return;
     const { job } = queued;
-    const { queued: waiting } = this.gathered.get(this.teamOf(job.spec.team))!;
+    const { queued: waiting } = this.queueBuilders.get(this.teamOf(job.spec.team))!;
     waiting[job.spec.urgency]!.push({
       kind: 'queued',
       queued,
       size: sizeOf(job),
-      at: 0,
-      last: null,
+      nextTask: 0,
+      lastPlacement: null,
       shape: null,
-      over: false,
+      finished: false,
     });
   }
 }
--- a/packages/controller/src/scheduler/surplus.ts
+++ b/packages/controller/src/scheduler/idle-nodes.ts
@@ -3,18 +3,18 @@
  * when more GPUs are free than tasks wait for, with some to spare, the least used machines take no more low
  * work without GPUs and are the last choice for the rest, so that they become empty and go back.
  */
-import type { Holder, NodeView, QueuedJob } from './model.js';
+import type { PlacedTask, NodeView, QueuedJob } from './model.js';
 
 /** GPUs kept free for the next job, as a part of those in use. */
 const SPARE = 0.2;
 
-export const surplusOf = (
+export const idleNodesOf = (
   nodes: readonly NodeView[],
-  holders: readonly Holder[],
+  placedTasks: readonly PlacedTask[],
   queued: readonly QueuedJob[],
 ): Set<string> => {
   const used = new Map<string, number>();
-  for (const h of holders) used.set(h.machine, (used.get(h.machine) ?? 0) + h.job.spec.gpus);
+  for (const h of placedTasks) used.set(h.machine, (used.get(h.machine) ?? 0) + h.job.spec.gpus);
   const waiting = queued.reduce((n, q) => n + q.job.spec.gpus * q.tasks.length, 0);
   const gpuNodes = nodes.filter((n) => n.total[1] > 0 && n.open);
   const inUse = gpuNodes.reduce((n, m) => n + (used.get(m.id) ?? 0), 0);
--- a/packages/controller/src/scheduler/largest.ts
+++ b/packages/controller/src/scheduler/largest-jobs.ts
@@ -19,9 +19,9 @@
 
 type Sized = Pick<JobSpec, 'id' | 'jobClass' | 'tasks'>;
 
-export class Largest {
+export class LargestJobs {
   /** The greatest of a class, largest first. */
-  private readonly greatest = new Map<string, Sized[]>();
+  private readonly topByClass = new Map<string, Sized[]>();
 
   /** `hint`: what `told` said to an earlier leader; whatever can't be read of it is left out. */
   constructor(hint: unknown = null) {
@@ -31,14 +31,14 @@
       for (const one of list as unknown[]) {
         const [id, tasks] = Array.isArray(one) ? (one as unknown[]) : [];
         if (typeof id === 'string' && Number.isSafeInteger(tasks))
-          this.see({ id, jobClass, tasks: tasks as number });
+          this.observe({ id, jobClass, tasks: tasks as number });
       }
     }
   }
 
-  see({ id, jobClass, tasks }: Sized): void {
-    let top = this.greatest.get(jobClass);
-    if (!top) this.greatest.set(jobClass, (top = []));
+  observe({ id, jobClass, tasks }: Sized): void {
+    let top = this.topByClass.get(jobClass);
+    if (!top) this.topByClass.set(jobClass, (top = []));
     if (top.length === AT_LEAST && tasks <= top[AT_LEAST - 1]!.tasks) return;
     if (top.some((s) => s.id === id)) return;
     top.push({ id, jobClass, tasks });
@@ -48,25 +48,25 @@
 
   /** Whether the job is one of them. */
   has({ jobClass, tasks }: Sized): boolean {
-    const top = this.greatest.get(jobClass) ?? [];
+    const top = this.topByClass.get(jobClass) ?? [];
     return tasks >= Math.min(WITHIN * (top[0]?.tasks ?? 0), top[top.length - 1]?.tasks ?? 0);
   }
 
   /** For the next leader: by class, ids and tasks. */
-  told(): Record<string, (readonly [string, number])[]> {
-    const last = [...this.greatest].slice(-MOST_CLASSES);
+  hint(): Record<string, (readonly [string, number])[]> {
+    const last = [...this.topByClass].slice(-MOST_CLASSES);
     return Object.fromEntries(last.map(([c, top]) => [c, top.map((s) => [s.id, s.tasks] as const)]));
   }
 }
 
 /** Keeps the hint. */
-export const largestDuty = (p: {
+export const largestJobsTask = (p: {
   readonly mayAct: () => boolean;
   readonly store: StatePort;
   readonly leaderTerm: { readonly stamp: number };
-  readonly largest: Largest;
+  readonly largestJobs: LargestJobs;
 }) => {
   const write = hintWriter(p.store, { key: TERM, stamp: p.leaderTerm.stamp }, LARGEST_JOBS);
-  const look = Effect.suspend(() => (p.mayAct() ? write(p.largest.told()) : Effect.void));
+  const look = Effect.suspend(() => (p.mayAct() ? write(p.largestJobs.hint()) : Effect.void));
   return supervise('largest', Effect.sleep(EVERY_MS).pipe(Effect.zipRight(look), Effect.forever));
 };
--- a/packages/controller/src/scheduler/node-ranking.ts
+++ b/packages/controller/src/scheduler/node-ranking.ts
@@ -2,7 +2,7 @@
  * The machines that a job may use, best first, kept up while a cycle changes their rooms: a search for the next task costs
  * by what has changed since the last one, not by how many machines there are.
  */
-import type { NodeState } from './state.js';
+import type { NodeState } from './cluster-capacity.js';
 
 export interface WeighedNode {
   readonly n: NodeState;
--- a/packages/controller/src/scheduler/place.ts
+++ b/packages/controller/src/scheduler/placement-search.ts
@@ -5,35 +5,35 @@
  * machines has a few milliseconds.
  */
 import type { Job } from '../jobs/model.js';
-import { add, EPSILON, fits, type Room, room } from './model.js';
+import { add, EPSILON, fits, type Resources, resourcesOf } from './model.js';
 import { NodeRanking, type WeighedNode } from './node-ranking.js';
 import {
-  type Choice,
-  displacing,
-  type Evicted,
-  type Finder,
-  type Floor,
-  guardsOf,
-  isKeptFrom,
-  type Level,
-  mayDisplace,
+  type PlacementChoice,
+  preemptionPenalty,
+  type EvictedUnit,
+  type PlacementSearch,
+  type ClusterCapacity,
+  protectedDemand,
+  isReservedAgainst,
+  type SearchLevel,
+  mayPreempt,
   type NodeState,
-  outranked,
-  PROMISED,
-  reach,
+  preemptibleBelow,
+  PROMISED_PENALTY,
+  reachableAmount,
   score,
-  slotsIn,
-  strands,
+  slotBounds,
+  strandsGpus,
   type TeamState,
   tightestZone,
   type ZoneChoice,
-  zonesAllowed,
-} from './state.js';
+  allowedZones,
+} from './cluster-capacity.js';
 
-const NONE: Room = [0, 0, 0];
+const NONE: Resources = [0, 0, 0];
 
 interface Option extends WeighedNode {
-  readonly victims: readonly Evicted[];
+  readonly victims: readonly EvictedUnit[];
   readonly free: boolean;
 }
 
@@ -43,16 +43,16 @@
   /** By a machine's index: whether it is one of them. */
   readonly allowed: Uint8Array;
   /** By level, those that have CPUs left. Shared: on a full fleet they are few, and hundreds of jobs look for them. */
-  readonly roomy: Roomy[];
+  readonly withCpus: NodesWithCpus[];
 }
-interface Roomy {
+interface NodesWithCpus {
   readonly list: readonly NodeState[];
   /** How many of the cycle's changes it includes. */
   readonly asOf: number;
 }
 
-export const finder = (floor: Floor): Finder => {
-  const { zones } = floor;
+export const placementSearch = (capacity: ClusterCapacity): PlacementSearch => {
+  const { zones } = capacity;
 
   /** Shared by all jobs that allow the same. */
   const lists = new Map<string, Candidates>();
@@ -61,28 +61,30 @@
     const key = `${types?.join(',') ?? ''}|${spot}|${at.join(',')}`;
     let shared = lists.get(key);
     if (!shared) {
-      const list = [...floor.nodes.values()].filter(
+      const list = [...capacity.nodes.values()].filter(
         (n) =>
           n.view.open &&
           at.includes(n.view.zone) &&
           (types === null || types.includes(n.view.type)) &&
           (!n.view.spot || spot),
       );
-      const allowed = new Uint8Array(floor.nodes.size);
+      const allowed = new Uint8Array(capacity.nodes.size);
       for (const n of list) allowed[n.index] = 1;
-      lists.set(key, (shared = { list, allowed, roomy: [] }));
+      lists.set(key, (shared = { list, allowed, withCpus: [] }));
     }
-    const shunned = floor.avoid(job);
-    return shunned === null
+    const avoided = capacity.avoid(job);
+    return avoided === null
       ? shared
-      : { ...shared, list: shared.list.filter((n) => !shunned.has(n.view.id)) };
+      : { ...shared, list: shared.list.filter((n) => !avoided.has(n.view.id)) };
   };
 
   /** Machines with CPUs left at a level below displacing: free ones only become fewer, and others are touched. */
-  const roomyOf = (machinesOf: Candidates, level: Level): Roomy =>
-    (machinesOf.roomy[level] ??= {
-      list: machinesOf.list.filter((n) => reach(n, 0, 0) > EPSILON && (level > 0 || n.free[0] > EPSILON)),
-      asOf: floor.touched.length,
+  const roomyOf = (machinesOf: Candidates, level: SearchLevel): NodesWithCpus =>
+    (machinesOf.withCpus[level] ??= {
+      list: machinesOf.list.filter(
+        (n) => reachableAmount(n, 0, 0) > EPSILON && (level > 0 || n.free[0] > EPSILON),
+      ),
+      asOf: capacity.changedNodes.length,
     });
 
   /**
@@ -92,7 +94,7 @@
   const rankings = new Map<Job, NodeRanking<Option>[]>();
   const rankingOf = (
     job: Job,
-    level: Level,
+    level: SearchLevel,
     machinesOf: Candidates,
     weigh: (n: NodeState) => Option | null,
   ): NodeRanking<Option> => {
@@ -102,35 +104,35 @@
     const { list, asOf } =
       job.spec.cpus > EPSILON
         ? roomyOf(machinesOf, level)
-        : { list: machinesOf.list, asOf: floor.touched.length };
-    return (mine[level] = new NodeRanking({ list, asOf }, machinesOf.allowed, floor.touched, weigh));
+        : { list: machinesOf.list, asOf: capacity.changedNodes.length };
+    return (mine[level] = new NodeRanking({ list, asOf }, machinesOf.allowed, capacity.changedNodes, weigh));
   };
   /** Whether the machines that a job may use are the same for each of its tasks. */
   const ranks = (job: Job): boolean =>
-    !job.spec.spread && !job.spec.oneZone && floor.avoid(job) === null && !floor.overdue.has(job);
+    !job.spec.spread && !job.spec.oneZone && capacity.avoid(job) === null && !capacity.overdue.has(job);
 
   const victimsOn = (
     job: Job,
     team: TeamState,
-    need: Room,
+    need: Resources,
     n: NodeState,
-    have: Room,
-    taken: ReadonlySet<Evicted>,
-  ): Evicted[] | null => {
-    const options: Evicted[] = [];
-    for (const u of floor.evictedOn(n))
-      if (!taken.has(u) && mayDisplace(floor, job, team, need, u)) options.push(u);
+    have: Resources,
+    taken: ReadonlySet<EvictedUnit>,
+  ): EvictedUnit[] | null => {
+    const options: EvictedUnit[] = [];
+    for (const u of capacity.evictedOn(n))
+      if (!taken.has(u) && mayPreempt(capacity, job, team, need, u)) options.push(u);
     options.sort(
       (a, b) =>
         a.job.spec.urgency - b.job.spec.urgency ||
-        (a.team === b.team ? 0 : floor.share(b.team) - floor.share(a.team)) ||
+        (a.team === b.team ? 0 : capacity.share(b.team) - capacity.share(a.team)) ||
         a.loss - b.loss,
     );
-    const got: Room = [...have];
-    const out: Evicted[] = [];
+    const got: Resources = [...have];
+    const out: EvictedUnit[] = [];
     for (const u of options) {
       if (fits(need, got)) break;
-      for (const m of u.members) if (m.machine === n.view.id) add(got, room(u.job.spec));
+      for (const m of u.members) if (m.machine === n.view.id) add(got, resourcesOf(u.job.spec));
       out.push(u);
     }
     return fits(need, got) ? out : null;
@@ -142,40 +144,50 @@
     count: number,
     below: number,
     machinesOf: Candidates,
-    level: Level,
+    level: SearchLevel,
     ranked: boolean,
-  ): Choice | null => {
-    const need = room(job.spec);
-    const overdue = floor.overdue.has(job);
-    const guards = guardsOf(floor.companions, job, overdue);
-    const used = new Map<NodeState, Room>();
-    const victims = new Set<Evicted>();
+  ): PlacementChoice | null => {
+    const need = resourcesOf(job.spec);
+    const overdue = capacity.overdue.has(job);
+    const guards = protectedDemand(capacity.coLocatedDemand, job, overdue);
+    const used = new Map<NodeState, Resources>();
+    const victims = new Set<EvictedUnit>();
     /** The place on a machine as things stand, or null. */
     const weigh = (n: NodeState): Option | null => {
-      if (isKeptFrom(n, job)) return null;
+      if (isReservedAgainst(n, job)) return null;
       for (let i = 0; i < 3; i++) {
-        const most = level === 0 ? n.free[i]! : reach(n, level === 1 ? 0 : below, i);
+        const most = level === 0 ? n.free[i]! : reachableAmount(n, level === 1 ? 0 : below, i);
         if (need[i]! > most + EPSILON) return null;
       }
       const mine = used.get(n) ?? NONE;
-      const left: Room = [n.free[0] - mine[0], n.free[1] - mine[1], n.free[2] - mine[2]];
-      const after: Room = [left[0] - need[0], left[1] - need[1], left[2] - need[2]];
-      if (strands(guards, job, n.view.total, n.surplus, after, overdue)) return null;
+      const left: Resources = [n.free[0] - mine[0], n.free[1] - mine[1], n.free[2] - mine[2]];
+      const after: Resources = [left[0] - need[0], left[1] - need[1], left[2] - need[2]];
+      if (strandsGpus(guards, job, n.view.total, n.idle, after, overdue)) return null;
       if (fits(need, left))
-        return { n, score: score(floor.companions, job, n, after), victims: [], free: true };
+        return { n, score: score(capacity.coLocatedDemand, job, n, after), victims: [], free: true };
       if (level === 0) return null;
       add(left, n.leaving);
       for (const v of victims)
-        for (const m of v.members) if (m.machine === n.view.id) add(left, room(v.job.spec));
+        for (const m of v.members) if (m.machine === n.view.id) add(left, resourcesOf(v.job.spec));
       if (fits(need, left))
-        return { n, score: PROMISED + score(floor.companions, job, n, left), victims: [], free: false };
+        return {
+          n,
+          score: PROMISED_PENALTY + score(capacity.coLocatedDemand, job, n, left),
+          victims: [],
+          free: false,
+        };
       if (level === 1) return null;
       const v = victimsOn(job, team, need, n, left, victims);
       if (v === null) return null;
-      return { n, score: displacing(v) + score(floor.companions, job, n, left), victims: v, free: false };
+      return {
+        n,
+        score: preemptionPenalty(v) + score(capacity.coLocatedDemand, job, n, left),
+        victims: v,
+        free: false,
+      };
     };
 
-    const byZone = new Map(floor.zonesHeld.get(job) ?? []);
+    const byZone = new Map(capacity.zonesHeld.get(job) ?? []);
     const zoneCap = job.spec.spread ? Math.ceil(job.spec.tasks / 2) : Number.POSITIVE_INFINITY;
     const full = (zone: string): boolean => (byZone.get(zone) ?? 0) >= zoneCap;
     const best = (options: readonly (Option | null)[]): Option | null => {
@@ -217,7 +229,7 @@
       again(b.n);
       for (const v of b.victims)
         for (const m of v.members) {
-          const n = floor.nodes.get(m.machine);
+          const n = capacity.nodes.get(m.machine);
           if (n && n !== b.n) again(n);
         }
     }
@@ -225,15 +237,15 @@
   };
 
   return (job, team, count, levels) => {
-    const at = zonesAllowed(floor, zones, job);
+    const at = allowedZones(capacity, zones, job);
     if (at.length === 0) return null;
-    const need = room(job.spec);
-    const below = outranked(floor, job, team, need);
+    const need = resourcesOf(job.spec);
+    const below = preemptibleBelow(capacity, job, team, need);
     const one = job.spec.oneZone;
     const groups = (one ? at.map((z) => [z]) : [at]).map((g) => {
       const machinesOf = candidates(job, g);
       let known: readonly [number, number, number] | null = null;
-      return { machinesOf, slots: () => (known ??= slotsIn(need, below, machinesOf.list)) };
+      return { machinesOf, slots: () => (known ??= slotBounds(need, below, machinesOf.list)) };
     });
     for (const level of levels) {
       const found: ZoneChoice[] = [];
--- a/packages/controller/src/scheduler/rank.ts
+++ b/packages/controller/src/scheduler/rank.ts
@@ -17,12 +17,12 @@
 const LEVEL = 1e16;
 const IN_TIME = 1;
 const LAST = 1000;
-const at = (level: number, within: number): number => level * LEVEL + within;
+const rankAt = (level: number, within: number): number => level * LEVEL + within;
 /** Where the level of jobs that are in time begins: those tied to a cutoff have a place in it (calendar/slack.ts). */
 export const IN_TIME_RANK = IN_TIME * LEVEL;
 
 /** What a class's jobs are promised, as far as it orders a queue. */
-export interface Promised {
+export interface ClassObjective {
   /** Multiples of the job's own deadline by which it is wanted, smallest first. */
   readonly multiples: readonly number[];
   /** For jobs without a deadline of their own: done within this time; null: nothing is promised. */
@@ -30,17 +30,17 @@
 }
 
 /** A job should have begun so long after its submission, whatever its size; later, its begin is missed anyhow. */
-export const BEGUN_WITHIN = seconds(240);
+export const START_WITHIN = seconds(240);
 /**
  * The largest jobs of a class are let wait for so long before they go first. They have begun some 30 s later on crowded days,
  * which leaves as much again for troubles; sooner costs the others their deadlines (docs/results.md).
  */
-const PATIENCE = seconds(165);
+const STARVATION_BOUND = seconds(165);
 /** A gang that has been passed over for so long gathers room: most find some without, and others wait for it. */
-export const GATHERS_AFTER = seconds(15);
+export const RESERVES_AFTER = seconds(15);
 
 /** Tasks that must be there at once before a job counts as begun: all of a gang or service, of an array what the limit lets. */
-const toBegin = (job: Job, limit: TeamSettings['limit'] | undefined): number => {
+const tasksToStart = (job: Job, limit: TeamSettings['limit'] | undefined): number => {
   const { shape, tasks, cpus, gpus } = job.spec;
   if (shape !== 'array' || limit === undefined) return tasks;
   let most = tasks;
@@ -56,36 +56,36 @@
  * job has begun, and since when it waits, follows from what is durable, so a new leader goes on with it. `atOnce`: so many
  * of its tasks can be on machines; an array that needs more can't begin in time, and would only hold up the others.
  */
-export const passedOverFrom = (
+export const starvingFrom = (
   job: Job,
   day: Micros,
   limit: TeamSettings['limit'] | undefined,
   atOnce: number,
 ): Micros | null => {
   const { submitted } = job.spec;
-  const need = toBegin(job, limit);
-  if (day > submitted + BEGUN_WITHIN || need > atOnce || job.done.size + job.placed.size >= need) return null;
-  return (submitted + PATIENCE) as Micros;
+  const need = tasksToStart(job, limit);
+  if (day > submitted + START_WITHIN || need > atOnce || job.done.size + job.placed.size >= need) return null;
+  return (submitted + STARVATION_BOUND) as Micros;
 };
 
 /** `from`: see `passedOverFrom`. */
 export const rankOf = (
   job: Job,
   day: Micros,
-  promise: Promised,
+  promise: ClassObjective,
   broken = false,
   from: Micros | null = null,
 ): number => {
   const { estimate, submitted, tasks } = job.spec;
-  if (broken) return at(LAST, submitted);
+  if (broken) return rankAt(LAST, submitted);
   const deadline = job.spec.deadline ?? promise.within;
   const multiples = job.spec.deadline === null ? [1] : promise.multiples;
-  if (deadline === null) return at(IN_TIME, submitted);
-  if (from !== null && day >= from) return at(0, from);
+  if (deadline === null) return rankAt(IN_TIME, submitted);
+  if (from !== null && day >= from) return rankAt(0, from);
   const left = tasks - job.done.size - job.placed.size;
   for (let i = 0; i < multiples.length; i++) {
     const due = submitted + deadline * multiples[i]!;
-    if (day <= due) return at(IN_TIME + i, i === 0 ? left * estimate : due);
+    if (day <= due) return rankAt(IN_TIME + i, i === 0 ? left * estimate : due);
   }
-  return at(IN_TIME + multiples.length, submitted);
+  return rankAt(IN_TIME + multiples.length, submitted);
 };
--- a/packages/controller/src/scheduler/replicas.ts
+++ b/packages/controller/src/scheduler/replica-search.ts
@@ -6,47 +6,47 @@
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Job } from '../jobs/model.js';
 import {
-  costOf,
-  endsFirst,
+  servingCost,
+  endsBeforeFetch,
   fetchTime,
-  type ImageThere,
+  type ImageStatus,
   leaveTime,
-  lossOf,
-  mayTakeMore,
-  rentedWay,
-  TOLD,
+  lostWork,
+  withinPreemptionBudget,
+  rentalOption,
+  STOP_DELAY,
   type Victim,
-} from '../lending/choose.js';
+} from '../lending/replica-cost.js';
 import { mayBorrow } from '../lending/loans.js';
-import { mayTake, rightOf, standingOf } from '../lending/may-take.js';
-import { add, EPSILON, fits, type LendingView, type Room, room } from './model.js';
+import { mayBorrowFrom, entitlementOf, standingOf } from '../lending/borrowing-rules.js';
+import { add, EPSILON, fits, type LendingView, type Resources, resourcesOf } from './model.js';
 import {
-  type Choice,
-  type Evicted,
-  type Finder,
-  type Floor,
-  isKeptFrom,
-  type Level,
+  type PlacementChoice,
+  type EvictedUnit,
+  type PlacementSearch,
+  type ClusterCapacity,
+  isReservedAgainst,
+  type SearchLevel,
   type NodeState,
   score,
   type TeamState,
-  zonesAllowed,
-} from './state.js';
+  allowedZones,
+} from './cluster-capacity.js';
 
 /** A machine's fit weighs little against seconds: it decides between places that are equal otherwise. */
-const FIT = 0.5;
+const FIT_WEIGHT = 0.5;
 /** Room on its way counts as left so much later. */
-const LEFT_SOON = TOLD;
+const LEAVING_DELAY = STOP_DELAY;
 
-const NOBODY: ReadonlySet<Evicted> = new Set();
+const NOBODY: ReadonlySet<EvictedUnit> = new Set();
 
 /** `stopped`: how many tasks of a job this cycle stops for services so far. */
-export const replicaFinder = (
-  floor: Floor,
-  plain: Finder,
+export const replicaSearch = (
+  capacity: ClusterCapacity,
+  plain: PlacementSearch,
   lending: LendingView | undefined,
   stopped: ReadonlyMap<Job, number>,
-): Finder => {
+): PlacementSearch => {
   if (lending === undefined) return plain;
 
   interface Weighed {
@@ -58,10 +58,10 @@
   }
   /** Images that this cycle's own replicas will be fetching. */
   const begun = new Map<NodeState, Set<string>>();
-  const imageOn = (job: Job, n: NodeState): ImageThere => {
-    const i = lending.image(job, n.view);
+  const imageOn = (job: Job, n: NodeState): ImageStatus => {
+    const i = lending.imageStatus(job, n.view);
     const more = begun.get(n);
-    if (more === undefined || i.there) return i;
+    if (more === undefined || i.present) return i;
     const mine = more.has(job.spec.image);
     return {
       ...i,
@@ -69,8 +69,8 @@
       others: i.others + more.size - (mine ? 1 : 0),
     };
   };
-  const known = new Map<Evicted, Weighed>();
-  const weigh = (u: Evicted): Weighed => {
+  const known = new Map<EvictedUnit, Weighed>();
+  const weigh = (u: EvictedUnit): Weighed => {
     let w = known.get(u);
     if (!w) {
       const all = u.members.map((m) => lending.victim(m));
@@ -81,7 +81,7 @@
         reachable:
           (u.job.spec.shape !== 'gang' || u.members.length === u.job.spec.tasks) &&
           u.members.every((m) => lending.reachable(m.machine)),
-        lost: all.reduce((n, v) => n + lossOf(v) * Math.max(u.need[1], EPSILON), 0),
+        lost: all.reduce((n, v) => n + lostWork(v) * Math.max(u.need[1], EPSILON), 0),
         leave: leaveTime(victim),
       };
       known.set(u, w);
@@ -93,13 +93,13 @@
   const allowed = (
     job: Job,
     team: TeamState,
-    need: Room,
+    need: Resources,
     fetch: Micros,
-    u: Evicted,
-    others: readonly Evicted[] = [],
+    u: EvictedUnit,
+    others: readonly EvictedUnit[] = [],
   ): boolean => {
     const { spec } = u.job;
-    const stays: Room = [...u.team.stays];
+    const stays: Resources = [...u.team.staying];
     let tasks = u.members.length;
     for (const o of others) {
       if (o.team === u.team) add(stays, [-o.size[0], -o.size[1], -o.size[2]]);
@@ -107,44 +107,45 @@
     }
     // What computes without GPUs beside them goes by the cycle's own rule.
     if (
-      !mayTake({
+      !mayBorrowFrom({
         sameTeam: u.team === team,
         lower: spec.urgency < job.spec.urgency,
-        right: rightOf(team.held, need, team.settings.guarantee),
+        entitlement: entitlementOf(team.held, need, team.settings.guarantee),
         standing: standingOf(stays, u.size, u.team.settings.guarantee),
       })
     )
       return false;
     const taken = u.job.preemptedForServices + (stopped.get(u.job) ?? 0);
     const bound = { gang: spec.shape === 'gang', tasks: spec.tasks, taken };
-    if (spec.gpus > 0 && !mayTakeMore(bound, tasks)) return false;
+    if (spec.gpus > 0 && !withinPreemptionBudget(bound, tasks)) return false;
     const w = weigh(u);
-    return w.reachable && !endsFirst(w.victim, fetch);
+    return w.reachable && !endsBeforeFetch(w.victim, fetch);
   };
 
   interface Place {
     readonly n: NodeState;
     readonly cost: number;
-    readonly victims: readonly Evicted[];
+    readonly victims: readonly EvictedUnit[];
     readonly free: boolean;
   }
-  const placeOn = (job: Job, team: TeamState, n: NodeState, level: Level): Place | null => {
-    const need = room(job.spec);
+  const placeOn = (job: Job, team: TeamState, n: NodeState, level: SearchLevel): Place | null => {
+    const need = resourcesOf(job.spec);
     const { total } = n.view;
     if (need[0] > total[0] + EPSILON || need[1] > total[1] + EPSILON || need[2] > total[2] + EPSILON)
       return null;
     const fetch = fetchTime(imageOn(job, n));
     const due = lending.due(job);
-    const after: Room = [n.free[0] - need[0], n.free[1] - need[1], n.free[2] - need[2]];
-    const cost = (leave: number, lost: number, left: Room): number =>
-      costOf({ leave: leave as Micros, fetch, lost }, due) + FIT * score(floor.companions, job, n, left);
+    const after: Resources = [n.free[0] - need[0], n.free[1] - need[1], n.free[2] - need[2]];
+    const cost = (leave: number, lost: number, left: Resources): number =>
+      servingCost({ leave: leave as Micros, fetch, lost }, due) +
+      FIT_WEIGHT * score(capacity.coLocatedDemand, job, n, left);
     if (fits(need, n.free)) return { n, cost: cost(0, 0, after), victims: [], free: true };
     if (level === 0) return null;
-    const have: Room = [...n.free];
+    const have: Resources = [...n.free];
     add(have, n.leaving);
-    if (fits(need, have)) return { n, cost: cost(LEFT_SOON, 0, have), victims: [], free: false };
+    if (fits(need, have)) return { n, cost: cost(LEAVING_DELAY, 0, have), victims: [], free: false };
     if (level === 1) return null;
-    const options = floor.evictedOn(n).filter((u) => allowed(job, team, need, fetch, u));
+    const options = capacity.evictedOn(n).filter((u) => allowed(job, team, need, fetch, u));
     if (options.length === 0) return null;
     options.sort(
       (a, b) =>
@@ -152,7 +153,7 @@
         // Whoever runs without GPUs is no help where GPUs are short, and the other way round.
         weigh(a).lost - weigh(b).lost,
     );
-    const victims: Evicted[] = [];
+    const victims: EvictedUnit[] = [];
     let lost = 0;
     let leave = 0;
     for (const u of options) {
@@ -166,33 +167,33 @@
       leave = Math.max(leave, weigh(u).leave);
     }
     if (!fits(need, have)) return null;
-    return { n, cost: cost(TOLD + leave, lost, have), victims, free: false };
+    return { n, cost: cost(STOP_DELAY + leave, lost, have), victims, free: false };
   };
 
-  const replica = (job: Job, team: TeamState, levels: readonly Level[]): Choice | null => {
-    const all = [...new Set([...floor.nodes.values()].map((n) => n.view.zone))].sort();
-    const zones = zonesAllowed(floor, all, job);
+  const replica = (job: Job, team: TeamState, levels: readonly SearchLevel[]): PlacementChoice | null => {
+    const all = [...new Set([...capacity.nodes.values()].map((n) => n.view.zone))].sort();
+    const zones = allowedZones(capacity, all, job);
     const { types, spot, spread, tasks } = job.spec;
-    const held = floor.zonesHeld.get(job);
+    const held = capacity.zonesHeld.get(job);
     const cap = spread ? Math.ceil(tasks / 2) : Number.POSITIVE_INFINITY;
     const open = new Set(zones.filter((z) => (held?.get(z) ?? 0) < cap));
-    const shunned = floor.avoid(job);
-    const level = Math.max(...levels) as Level;
+    const avoided = capacity.avoid(job);
+    const level = Math.max(...levels) as SearchLevel;
     let best: Place | null = null;
-    for (const n of floor.nodes.values()) {
+    for (const n of capacity.nodes.values()) {
       const v = n.view;
       if (!v.open || !open.has(v.zone) || (types !== null && !types.includes(v.type)) || (v.spot && !spot))
         continue;
-      if (shunned?.has(v.id) || isKeptFrom(n, job)) continue;
+      if (avoided?.has(v.id) || isReservedAgainst(n, job)) continue;
       const p = placeOn(job, team, n, level);
       if (p !== null && (best === null || p.cost < best.cost)) best = p;
     }
     if (best === null) return null;
     if (best.victims.length > 0) {
-      const rented = lending.rented(job);
+      const rented = lending.rental(job);
       if (rented !== null) {
-        const way = rentedWay(rented.boot, rented.fetch, job.spec.gpus);
-        if (costOf(way, lending.due(job)) < best.cost) return null;
+        const way = rentalOption(rented.boot, rented.fetch, job.spec.gpus);
+        if (servingCost(way, lending.due(job)) < best.cost) return null;
       }
     }
     const images = begun.get(best.n);
--- a/packages/controller/src/scheduler/run-cycle.ts
+++ b/packages/controller/src/scheduler/run-cycle.ts
@@ -6,16 +6,30 @@
 import { info } from '@lilacvalve/runtime/log';
 import { type Micros, plus, seconds } from '@lilacvalve/runtime/micros';
 import { sharesOf } from '../accounts/share.js';
-import { firstOnRoom } from '../lending/give-back.js';
+import { lendersToRepay } from '../lending/repayment.js';
 import { loansOf } from '../lending/loans.js';
-import { loansMade } from '../lending/record.js';
+import { newLoans } from '../lending/loan-changes.js';
 import { schedule } from './cycle.js';
-import { add, type CycleInput, type CycleResult, type QueuedJob, type Room, type Stop } from './model.js';
+import {
+  add,
+  type CycleInput,
+  type CycleResult,
+  type QueuedJob,
+  type Resources,
+  type Preemption,
+} from './model.js';
 import { commit } from './commit.js';
-import { mostPlaces } from './draft.js';
-import { surplusOf } from './surplus.js';
+import { maxPlacements } from './draft.js';
+import { idleNodesOf } from './idle-nodes.js';
 import type { CycleState, CycleContext } from './cycle-context.js';
-import { companionsOf, holdersOf, lendingOf, nodesOf, queuedOf, weightsOf } from './views.js';
+import {
+  coLocatedDemandOf,
+  placedTasksOf,
+  lendingViewOf,
+  nodesOf,
+  queuedJobsOf,
+  teamWeightsOf,
+} from './cycle-input.js';
 
 /** The state of the cluster in one line, however many machines there are. */
 export const summary = (t: CycleContext, view: CycleState): Record<string, string | number> => {
@@ -43,33 +57,33 @@
     machines: [...rows].map(([k, r]) => `${k}:${r.up}+${r.coming}/${r.empty}`).join(','),
     tasks: [...classes].map(([k, c]) => `${k}:${c.on}+${c.waiting}/${c.jobs}`).join(','),
     stopping: t.registry.stopping.size,
-    turnMs: Math.round(view.cost / 1000),
+    turnMs: Math.round(view.computeTime / 1000),
   };
 };
 
-const stop = (t: CycleContext, { job, task }: Stop, at: Micros): void => {
+const stop = (t: CycleContext, { job, task }: Preemption, at: Micros): void => {
   const { checkpoint, save } = job.spec;
   t.registry.stop(job, task, checkpoint > 0 ? plus(save, seconds(2)) : (0 as Micros), at);
 };
 
 /** Those whose room is being left for them, then lenders that are owed some. */
-const claimsOf = (
+const reservationsOf = (
   t: CycleContext,
   view: CycleState,
   queued: readonly QueuedJob[],
 ): ReadonlyMap<string, number> => {
-  const claims = view.result?.claims ?? new Map<string, number>();
+  const reservations = view.result?.reservations ?? new Map<string, number>();
   const loans = loansOf(t.jobState.jobs.values());
-  if (loans.length === 0) return claims;
+  if (loans.length === 0) return reservations;
   const waiting = queued.filter((q) => !q.cautious).map((q) => ({ job: q.job, tasks: q.tasks.length }));
-  const out = new Map(claims);
-  for (const [id, n] of firstOnRoom(loans, waiting)) out.set(id, Math.max(n, out.get(id) ?? 0));
+  const out = new Map(reservations);
+  for (const [id, n] of lendersToRepay(loans, waiting)) out.set(id, Math.max(n, out.get(id) ?? 0));
   return out;
 };
 
 /** For the accounts: who waits after this turn, and what they have of what they are entitled to. */
 const noteShares = (t: CycleContext, input: CycleInput, result: CycleResult, at: Micros): void => {
-  const all: Room = [0, 0, 0];
+  const all: Resources = [0, 0, 0];
   for (const n of input.nodes) add(all, n.total);
   const lately = t.ledger.share.lately(all, at);
   const groups = sharesOf(input, result, lately);
@@ -78,7 +92,10 @@
 };
 
 /** Exception (docs/accounts.md): off, and the weights as they are, unless a file under `deploy/` turns it on. */
-const leant = (t: CycleContext, weights: ReadonlyMap<string, number>): ReadonlyMap<string, number> =>
+const balancedWeights = (
+  t: CycleContext,
+  weights: ReadonlyMap<string, number>,
+): ReadonlyMap<string, number> =>
   t.ledger.balance?.lean(
     weights,
     t.settings.teams.map((x) => x.name),
@@ -121,38 +138,42 @@
       return;
     }
     const began = t.clock();
-    const queued = t.mayStart() ? queuedOf(t, at) : [];
+    const queued = t.mayStart() ? queuedJobsOf(t, at) : [];
     const nodes = nodesOf(t, at);
-    const holders = holdersOf(t, at);
-    view.surplus = surplusOf(nodes, holders, queued);
-    view.companions = companionsOf(t, at);
+    const placedTasks = placedTasksOf(t, at);
+    view.idleNodes = idleNodesOf(nodes, placedTasks, queued);
+    view.coLocatedDemand = coLocatedDemandOf(t, at);
     const input: CycleInput = {
       now: at,
       teams: t.settings.teams,
-      weights: leant(t, weightsOf(t)),
-      claims: claimsOf(t, view, queued),
+      weights: balancedWeights(t, teamWeightsOf(t)),
+      reservations: reservationsOf(t, view, queued),
       nodes,
-      holders,
+      placedTasks,
       queued,
-      companions: view.companions,
-      surplus: view.surplus,
+      coLocatedDemand: view.coLocatedDemand,
+      idleNodes: view.idleNodes,
       avoid: (job) => t.registry.avoid(job),
-      attempts: Math.max(t.jobState.attemptFloor, t.jobState.attemptBase),
-      mostPlaces: mostPlaces(t.settings.state),
-      lending: lendingOf(t, at, queued),
+      attemptFloor: Math.max(t.jobState.attemptFloor, t.jobState.attemptBase),
+      maxPlacements: maxPlacements(t.settings.state),
+      lending: lendingViewOf(t, at, queued),
     };
     const result = schedule(input);
     view.result = result;
     noteShares(t, input, result, at);
-    view.cost = t.clock() - began;
-    for (const s of result.stops) if (s.taker === undefined) stop(t, s, at);
-    if (result.stops.length > 0)
-      yield* info('stops for others', { term: t.leaderTerm.number, tasks: result.stops.length });
-    const { lent, behind } = yield* commit(t, result.starts, result.stops);
-    view.behind = behind;
+    view.computeTime = t.clock() - began;
+    for (const s of result.preemptions) if (s.taker === undefined) stop(t, s, at);
+    if (result.preemptions.length > 0)
+      yield* info('preemptions for others', { term: t.leaderTerm.number, tasks: result.preemptions.length });
+    const { lendingPreemptions: lent, hasBacklog: behind } = yield* commit(
+      t,
+      result.starts,
+      result.preemptions,
+    );
+    view.hasBacklog = behind;
     // Whoever reads the store knows of these loans before anybody is told to stop.
     for (const s of lent) stop(t, s, t.clock());
-    for (const { taker, lend } of loansMade(lent))
+    for (const { taker, lend } of newLoans(lent))
       for (const { lender, gpus, tasks } of lend)
         yield* info('loan made', {
           term: t.leaderTerm.number,
--- a/packages/controller/src/scheduler/waits.ts
+++ b/packages/controller/src/scheduler/start-waits.ts
@@ -8,7 +8,7 @@
 /** A start takes a turn, its record and the machine's next report. */
 const OVERDUE = seconds(70);
 
-export class Waits {
+export class StartWaits {
   /** By job: its last attempt as last seen, and since when it has been that. */
   private readonly known = new Map<string, { readonly attempt: number; readonly since: Micros }>();
 
@@ -22,7 +22,7 @@
   }
 
   /** Forgets what is over. */
-  keep(jobs: ReadonlyMap<string, Job>): void {
+  retain(jobs: ReadonlyMap<string, Job>): void {
     for (const id of this.known.keys()) if (!jobs.has(id)) this.known.delete(id);
   }
 }
--- a/packages/controller/src/scheduler/settle.ts
+++ b/packages/controller/src/scheduler/transact-until-known.ts
@@ -6,20 +6,20 @@
 import type { CycleContext } from './cycle-context.js';
 
 /** An outcome; `revision` null: applied, but at which revision is not known. */
-export type Settled =
+export type KnownOutcome =
   Exclude<Outcome, { ok: true }> | { readonly ok: true; readonly revision: number | null };
 
 /**
  * Sends one transaction until its outcome is known or the reign is over. Without right it waits: giving up
  * in between would leave a record that may be applied and that nobody here counts with.
  */
-export const settle = (
+export const transactUntilKnown = (
   t: CycleContext,
   when: readonly Condition[],
   then: readonly Write[],
   probe: string,
   priority = Priority.Commit,
-): Effect.Effect<Settled | null> =>
+): Effect.Effect<KnownOutcome | null> =>
   Effect.gen(function* () {
     let unsure = false;
     for (;;) {
--- a/packages/controller/src/scheduler/upkeep.ts
+++ b/packages/controller/src/scheduler/upkeep.ts
@@ -2,25 +2,25 @@
 import { Effect } from 'effect';
 import { info } from '@lilacvalve/runtime/log';
 import { checkpointWrites, joinOld, writePage } from '../accounts/upkeep.js';
-import { tallying, tendCalendar } from '../calendar/duty.js';
+import { tallyWrites, calendarUpkeep } from '../calendar/cutoff-tracking.js';
 import { encodeFinalState, encodeJob } from '../jobs/codec.js';
 import { ACCOUNTS, activeJobKey, jobUnchanged, finalStateKey, logEntryKey, TERM } from '../jobs/keys.js';
 import { finalState, type Job } from '../jobs/model.js';
 import { Priority } from '../state-store/budget.js';
 import type { Condition, Write } from '../state-store/client.js';
-import { settle } from './settle.js';
+import { transactUntilKnown } from './transact-until-known.js';
 import type { CycleContext } from './cycle-context.js';
 
 /**
  * Records to keep before their jobs are folded. Most jobs are over before their first record is the oldest
  * of so many: then only the record is to be deleted, and the job's key is never written again on its account.
  */
-const TAIL = 160;
+const LOG_TAIL_KEPT = 160;
 /** Changes in one transaction of upkeep: larger ones would have to wait longer for their part of the budget. */
 const UPKEEP_OPS = 8;
 
 /** Moves jobs that are over to their final keys. Whoever writes a job's key first, withdrawal or this, wins. */
-const finish = (t: CycleContext) =>
+const closeFinishedJobs = (t: CycleContext) =>
   Effect.gen(function* () {
     const over: Job[] = [];
     for (const job of t.jobState.jobs.values()) {
@@ -49,12 +49,12 @@
       );
     }
     const packs = t.jobState.removalFromBundles(finals.map((f) => f.id));
-    const counts = tallying(t.jobState, finals);
+    const counts = tallyWrites(t.jobState, finals);
     when.push(...packs.when, ...counts.when);
     then.push(...packs.then, ...counts.then);
     const first = finals[0]!;
     const probe = first.stamp > 0 ? activeJobKey(first.id) : (t.jobState.bundleOf.get(first.id) ?? '');
-    const outcome = yield* settle(t, when, then, probe, Priority.Upkeep);
+    const outcome = yield* transactUntilKnown(t, when, then, probe, Priority.Upkeep);
     if (outcome === null) return true;
     // Applied or not, the watch's view decides what became of each job.
     yield* Effect.ignore(t.watcher.refresh);
@@ -70,9 +70,9 @@
   });
 
 /** Shortens the tail: writes the jobs of the oldest records into their own keys, then deletes the records. */
-const fold = (t: CycleContext) =>
+const compactLog = (t: CycleContext) =>
   Effect.gen(function* () {
-    if (t.jobState.logTail.size <= (t.settings.state.tail ?? TAIL)) return;
+    if (t.jobState.logTail.size <= (t.settings.state.tail ?? LOG_TAIL_KEPT)) return;
     const upTo = t.jobState.lastSequence;
     const ops = t.settings.state.txnOps;
     const { checkpoint, accounts } = t.jobState;
@@ -119,7 +119,7 @@
       }
     }
     if (then.length === 0) return;
-    const outcome = yield* settle(t, when, then, '', Priority.Upkeep);
+    const outcome = yield* transactUntilKnown(t, when, then, '', Priority.Upkeep);
     if (outcome === null) return;
     const read = yield* Effect.isSuccess(t.watcher.refresh);
     if (
@@ -135,8 +135,8 @@
 export const upkeep = (t: CycleContext): Effect.Effect<void> =>
   Effect.gen(function* () {
     if (!t.mayAct()) return;
-    yield* tendCalendar(t);
-    if (yield* finish(t)) return;
-    if (t.mayAct()) yield* fold(t);
+    yield* calendarUpkeep(t);
+    if (yield* closeFinishedJobs(t)) return;
+    if (t.mayAct()) yield* compactLog(t);
     if (t.mayAct() && !(yield* writePage(t))) yield* joinOld(t);
   }).pipe(Effect.ignore);
--- a/packages/controller/test/accounts.test.ts
+++ b/packages/controller/test/accounts.test.ts
@@ -34,7 +34,7 @@
 import { joinOld } from '../src/accounts/upkeep.js';
 import { TERM } from '../src/jobs/keys.js';
 import type { Job } from '../src/jobs/model.js';
-import type { Holder, Room } from '../src/scheduler/model.js';
+import type { PlacedTask, Resources } from '../src/scheduler/model.js';
 import type { CycleContext } from '../src/scheduler/cycle-context.js';
 import { job } from './support/job.js';
 
@@ -223,17 +223,21 @@
   const nodes = ['a', 'b'].map((id) => ({
     ...node,
     id,
-    total: [8, 0, 32] as Room,
+    total: [8, 0, 32] as Resources,
     images: new Set<string>(),
   }));
-  const free = new Map<string, Room>([['a', [2, 0, 30]]]);
-  const of = (mine: Job, limit: number, held: number, lately: Room = [16, 0, 64]) => {
+  const free = new Map<string, Resources>([['a', [2, 0, 30]]]);
+  const of = (mine: Job, limit: number, held: number, lately: Resources = [16, 0, 64]) => {
     const other = job('job-2', { team: 'blue', cpus: 1, tasks: 14 });
-    const holder = (j: Job, task: number): Holder => ({ job: j, task, machine: 'a', zone: 'a', leaving: false, left: us(0), loss: us(0) }); // prettier-ignore
+    const holder = (j: Job, task: number): PlacedTask => ({ job: j, task, machine: 'a', zone: 'a', leaving: false, left: us(0), loss: us(0) }); // prettier-ignore
     const holders = [...Array.from({ length: 12 }, (_, i) => holder(other, i)), ...Array.from({ length: held }, (_, i) => holder(mine, i))]; // prettier-ignore
     const teams = [{ name: 'red', guarantee: { cpus: 0, gpus: 0 }, limit: { cpus: limit, gpus: 0 } }];
     const unplaced = [{ job: mine, count: 4 }];
-    return sharesOf({ teams, weights: new Map(), nodes, holders }, { unplaced, starts: [], free }, lately);
+    return sharesOf(
+      { teams, weights: new Map(), nodes, placedTasks: holders },
+      { unplaced, starts: [], free },
+      lately,
+    );
   };
   const array = job('job-1', { team: 'red', cpus: 2, tasks: 9 });
   // Half of 16 CPUs is its share; it has 2 and wants 8 more: it is owed 6 of 16.
--- a/packages/controller/test/answer-lost.test.ts
+++ b/packages/controller/test/answer-lost.test.ts
@@ -11,9 +11,9 @@
 import { MINUTE, NO_ACCOUNTS } from '../src/accounts/model.js';
 import { writePage } from '../src/accounts/upkeep.js';
 import { publish } from '../src/calendar/publish.js';
-import { tendCalendar } from '../src/calendar/duty.js';
+import { calendarUpkeep } from '../src/calendar/cutoff-tracking.js';
 import { makeCalendar } from '../src/calendar/model.js';
-import { pagesOf } from '../src/calendar/fold.js';
+import { pagesOf } from '../src/calendar/calendars.js';
 import {
   ACCOUNTS,
   ACTIVE_JOBS,
@@ -206,8 +206,8 @@
       key: CLASS_DURATIONS,
     },
     act: (c) => {
-      c.turn.learned.ratios.set('x', [1, 2]);
-      return times(2, tendCalendar(c.turn));
+      c.turn.classSamples.ratios.set('x', [1, 2]);
+      return times(2, calendarUpkeep(c.turn));
     },
   },
   {
--- a/packages/controller/test/calendar.test.ts
+++ b/packages/controller/test/calendar.test.ts
@@ -3,9 +3,9 @@
 import { test } from 'node:test';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { makeCalendar } from '../src/calendar/model.js';
-import { SAID } from '../src/calendar/model.js';
-import { addShown, ratioOf } from '../src/calendar/shown.js';
-import { cutoffRank, type Pace, sayOf, slotsOf, timeLeft } from '../src/calendar/slack.js';
+import { CUTOFF_RISK } from '../src/calendar/model.js';
+import { addSamples, ratioQuantile } from '../src/calendar/class-durations.js';
+import { cutoffRank, type Pace, newCutoffRisk, slotsOf, timeLeft } from '../src/calendar/slack.js';
 import { tieOf } from '../src/calendar/tie.js';
 import { decodeJob, encodeJob } from '../src/jobs/codec.js';
 import { decodeViewResponse, encodeViewResponse } from '../src/recovery/codec.js';
@@ -65,7 +65,7 @@
 });
 
 test('the tie is part of the job: through its key, and when what several remember is joined', () => {
-  const tied = { ...job('job-1', { tie: 'c0@3', submitted: seconds(5) }), said: 2 };
+  const tied = { ...job('job-1', { tie: 'c0@3', submitted: seconds(5) }), cutoffRisk: 2 };
   const back = decodeJob('job-1', JSON.parse(JSON.stringify(encodeJob(tied, 0))), 1);
   assert.equal(back.spec.tie, 'c0@3');
   assert.equal(back.cutoffRisk, 2);
@@ -102,7 +102,7 @@
     },
     [{ id: 'c@1', cutoff: 0, at: seconds(at) }],
   );
-const pace: Pace = { shown: new Map(), limit: () => ({ cpus: 0, gpus: 0 }), total: [1000, 0, 1000] };
+const pace: Pace = { classDurations: new Map(), limit: () => ({ cpus: 0, gpus: 0 }), total: [1000, 0, 1000] };
 const tied = (id: string, over: Parameters<typeof job>[1] = {}) =>
   job(id, { tie: 'c@1', estimate: seconds(100), ...over });
 
@@ -150,50 +150,57 @@
 test('at risk once, missed once, and anew only for an occurrence that moved; the reason is what hinders', () => {
   const free = () => ({ limited: false, lost: false });
   const say = (j: ReturnType<typeof job>, at: number, day: number, h = free) =>
-    sayOf(j, one(at), seconds(day), () => pace, h);
+    newCutoffRisk(j, one(at), seconds(day), () => pace, h);
   const j = tied('job-1', { tasks: 2, cpus: 600 });
   assert.equal(say(j, 1000, 0), null);
   // Two tasks of 600 CPUs one after the other in a room of 1,000: 200 s.
-  assert.equal(say(j, 1000, 801), SAID.noRoom);
+  assert.equal(say(j, 1000, 801), CUTOFF_RISK.noRoom);
   assert.equal(
     say(j, 1000, 801, () => ({ limited: true, lost: true })),
-    SAID.limit,
+    CUTOFF_RISK.limit,
   );
   assert.equal(
     say(j, 1000, 801, () => ({ limited: false, lost: true })),
-    SAID.lost,
+    CUTOFF_RISK.lost,
   );
-  assert.equal(say({ ...j, cutoffRisk: SAID.noRoom }, 1000, 900), null, 'once');
-  assert.equal(say({ ...j, cutoffRisk: SAID.noRoom }, 1000, 1000), null, 'the instant itself is in time');
-  assert.equal(say({ ...j, cutoffRisk: SAID.noRoom }, 1000, 1000.000001), SAID.missed);
-  assert.equal(say({ ...j, cutoffRisk: SAID.missed }, 1000, 2000), null, 'once');
+  assert.equal(say({ ...j, cutoffRisk: CUTOFF_RISK.noRoom }, 1000, 900), null, 'once');
   assert.equal(
-    say({ ...j, cutoffRisk: SAID.missed }, 5000, 2000),
-    SAID.nothing,
+    say({ ...j, cutoffRisk: CUTOFF_RISK.noRoom }, 1000, 1000),
+    null,
+    'the instant itself is in time',
+  );
+  assert.equal(say({ ...j, cutoffRisk: CUTOFF_RISK.noRoom }, 1000, 1000.000001), CUTOFF_RISK.missed);
+  assert.equal(say({ ...j, cutoffRisk: CUTOFF_RISK.missed }, 1000, 2000), null, 'once');
+  assert.equal(
+    say({ ...j, cutoffRisk: CUTOFF_RISK.missed }, 5000, 2000),
+    CUTOFF_RISK.nothing,
     'it moved: said anew if need be',
   );
   assert.equal(slotsOf(j.spec, { cpus: 600, gpus: 0 }, null), 1);
 });
 
 test('what a class has shown corrects its estimates, forgets slowly, and keeps to its bounds', () => {
-  let shown = addShown(new Map(), new Map([['x', [2, 2, 2, 2, 2, 2, 2]]]));
-  assert.equal(ratioOf(shown, 'x', 0.75), 1, 'seven tell nothing yet');
-  shown = addShown(shown, new Map([['x', [2, 2, 2]]]));
-  assert.equal(ratioOf(shown, 'x', 0.75), 2);
+  let shown = addSamples(new Map(), new Map([['x', [2, 2, 2, 2, 2, 2, 2]]]));
+  assert.equal(ratioQuantile(shown, 'x', 0.75), 1, 'seven tell nothing yet');
+  shown = addSamples(shown, new Map([['x', [2, 2, 2]]]));
+  assert.equal(ratioQuantile(shown, 'x', 0.75), 2);
   for (let i = 0; i < 200; i++)
-    shown = addShown(
+    shown = addSamples(
       shown,
       new Map([
         ['x', Array<number>(8).fill(0.5)],
         [`y${i}`, [1]],
       ]),
     );
-  assert.equal(ratioOf(shown, 'x', 0.75), 0.5);
+  assert.equal(ratioQuantile(shown, 'x', 0.75), 0.5);
   assert.ok(shown.size <= 64 && shown.has('x'));
-  const slow = { ...pace, shown: addShown(new Map(), new Map([['x', Array<number>(20).fill(3)]])) };
+  const slow = {
+    ...pace,
+    classDurations: addSamples(new Map(), new Map([['x', Array<number>(20).fill(3)]])),
+  };
   const j = tied('job-1');
   assert.equal(
-    sayOf(
+    newCutoffRisk(
       j,
       one(1000),
       seconds(750),
@@ -203,13 +210,13 @@
     null,
   );
   assert.equal(
-    sayOf(
+    newCutoffRisk(
       j,
       one(1000),
       seconds(750),
       () => slow,
       () => ({ limited: false, lost: false }),
     ),
-    SAID.estimate,
+    CUTOFF_RISK.estimate,
   );
 });
--- a/packages/controller/test/draft.test.ts
+++ b/packages/controller/test/draft.test.ts
@@ -6,7 +6,7 @@
 import { LOG_ENTRIES } from '../src/jobs/keys.js';
 import type { Job } from '../src/jobs/model.js';
 import { cycleGapMs } from '../src/leadership/leader-session.js';
-import { commit, type Committed } from '../src/scheduler/commit.js';
+import { commit, type CommitResult } from '../src/scheduler/commit.js';
 import type { Start } from '../src/scheduler/model.js';
 import type { CycleContext } from '../src/scheduler/cycle-context.js';
 import type { Condition, Write } from '../src/state-store/client.js';
@@ -73,8 +73,8 @@
     return store.transact(when, then, ...rest);
   };
   const turn: CycleContext = { ...c.turn, store: spy, settings: { ...SETTINGS, state } };
-  const committed = (starts: readonly Start[]): Committed => {
-    let out: Committed | null = null;
+  const committed = (starts: readonly Start[]): CommitResult => {
+    let out: CommitResult | null = null;
     c.go(Effect.map(commit(turn, starts), (x) => (out = x)));
     return out!;
   };
@@ -124,7 +124,7 @@
         .filter((s) => s.on.size > 0);
       if (starts.length === 0 && l.turn.registry.ends.size === 0) break;
       const before = new Map([...jobState.jobs].map(([id, j]) => [id, j.placed.size + j.done.size]));
-      const { behind } = l.committed(starts);
+      const { hasBacklog: behind } = l.committed(starts);
       checkLimits(l.sent.at(-1)!, state);
       seen.several += l.sent.at(-1)!.then.length > 1 ? 1 : 0;
       seen.behind += behind ? 1 : 0;
@@ -177,7 +177,7 @@
       failed: new Set(),
     });
   const first = l.node.jobState.jobs.get('job-1')!;
-  const { behind } = l.committed([{ job: first, attempt: 2, on: new Map([['vm-1', [0]]]) }]);
+  const { hasBacklog: behind } = l.committed([{ job: first, attempt: 2, on: new Map([['vm-1', [0]]]) }]);
   checkLimits(l.sent.at(-1)!, state);
   assert.equal(l.sent.at(-1)!.then.length, 2);
   assert.equal(behind, false);
--- a/packages/controller/test/late-writes.test.ts
+++ b/packages/controller/test/late-writes.test.ts
@@ -128,7 +128,7 @@
   // As a rebuild leaves it: some jobs in a pack, records that went by.
   const packed = [1, 2, 3, 4, 5].map((n) => ({
     ...job(`job-9${n}`, { tasks: 3, submitted: time.clock() }),
-    ...{ attempt: 4, done: new Set([0]), touched: 7 },
+    ...{ attempt: 4, done: new Set([0]), lastSequence: 7 },
   }));
   for (const j of packed) truth.set(j.spec.id, { tasks: 3, done: new Set([0]), placed: new Set() });
   service.transact([], [...HEAD, { set: 's/p/1-000000', value: wire(encodeBundle(packed)) }]);
@@ -365,7 +365,7 @@
 
 // A job that nobody heard of remembered may be submitted again before its holder is heard.
 test('an acceptance that arrives after a rebuild has found the job changes nothing of it', () => {
-  const state = { attempt: 4, done: new Set([0]), touched: 7 };
+  const state = { attempt: 4, done: new Set([0]), lastSequence: 7 };
   const known = fresh('job-1', state);
   const { service, node, go, turn } = calm([
     { set: 's/p/1-0', value: encodeBundle([known, fresh('job-2', { ...state, cancelled: true })]) },
