--- a/packages/controller/test/lending.test.ts
+++ b/packages/controller/test/lending.test.ts
@@ -5,14 +5,20 @@
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { decodeJob, encodeJob } from '../src/jobs/codec.js';
 import { applyChange, type Job, type JobSpec, type Urgency } from '../src/jobs/model.js';
-import { costOf, endsFirst, fetchTime, lossOf, mayTakeMore } from '../src/lending/choose.js';
-import { firstOnRoom } from '../src/lending/give-back.js';
+import {
+  servingCost,
+  endsBeforeFetch,
+  fetchTime,
+  lostWork,
+  withinPreemptionBudget,
+} from '../src/lending/replica-cost.js';
+import { lendersToRepay } from '../src/lending/repayment.js';
 import { borrowedBy, lentOf, loansOf } from '../src/lending/loans.js';
-import { mayTake, rightOf, standingOf } from '../src/lending/may-take.js';
-import { endings, loansMade } from '../src/lending/record.js';
+import { mayBorrowFrom, entitlementOf, standingOf } from '../src/lending/borrowing-rules.js';
+import { loanRepayments, newLoans } from '../src/lending/loan-changes.js';
 import { mergeClaims } from '../src/recovery/merge.js';
 import { schedule } from '../src/scheduler/cycle.js';
-import type { Holder, NodeView, QueuedJob, LendingView } from '../src/scheduler/model.js';
+import type { PlacedTask, NodeView, QueuedJob, LendingView } from '../src/scheduler/model.js';
 import { job } from './support/job.js';
 import { input } from './support/cycle.js';
 
@@ -54,10 +60,10 @@
         size: fc.integer({ min: 1, max: 4 }),
       }),
       (w) => {
-        const said = mayTake({
+        const said = mayBorrowFrom({
           sameTeam: w.sameTeam,
           lower: w.lower,
-          right: rightOf([0, w.takerHolds, 0], [0, 1, 0], { cpus: 0, gpus: w.takerHas }),
+          entitlement: entitlementOf([0, w.takerHolds, 0], [0, 1, 0], { cpus: 0, gpus: w.takerHas }),
           standing: standingOf([0, w.lenderKeeps, 0], [0, w.size, 0], { cpus: 0, gpus: w.lenderHas }),
         });
         assert.equal(said, plainly(w));
@@ -79,10 +85,10 @@
   ...over,
 });
 const view = (over: Partial<LendingView> = {}): LendingView => ({
-  image: (j, n) => ({
+  imageStatus: (j, n) => ({
     gb: j.spec.imageGb,
     gbPerS: 0.5,
-    there: n.images.has(j.spec.image),
+    present: n.images.has(j.spec.image),
     fetchedFor: null,
     others: 0,
   }),
@@ -94,19 +100,19 @@
   }),
   reachable: () => true,
   due: () => null,
-  rented: () => null,
+  rental: () => null,
   ...over,
 });
-const held = (j: Job, machine: string, task = 0, loss = ZERO, zone = 'a'): Holder => {
+const held = (j: Job, machine: string, task = 0, loss = ZERO, zone = 'a'): PlacedTask => {
   j.placed.set(task, { task, attempt: 1, machine, since: ZERO });
   return { job: j, task, machine, zone, leaving: false, loss, left: ZERO };
 };
 const wants = (j: Job): QueuedJob => ({
   job: j,
   rank: 0,
-  gathers: false,
+  starving: false,
   cautious: false,
-  rents: true,
+  mayRent: true,
   tasks: Array.from({ length: j.spec.tasks }, (_, i) => i),
 });
 
@@ -139,44 +145,48 @@
       ];
       const nodes = Array.from({ length: c.machines }, (_, i) => gpuNode(`m${i}`));
       const free = nodes.flatMap((n) => [n.id, n.id, n.id, n.id]);
-      const holders: Holder[] = [];
+      const placedTasks: PlacedTask[] = [];
       c.lenders.forEach((l, i) => {
         if (free.length < l.tasks) return;
         const shape = l.gang ? ('gang' as const) : ('array' as const);
         const b = batch(`job-${i}`, { team: l.team, shape, urgency: l.urgency, tasks: l.tasks, cpus: 0 });
         b.preemptedForServices = l.taken;
-        for (let k = 0; k < l.tasks; k++) holders.push(held(b, free.shift()!, k, at(5)));
+        for (let k = 0; k < l.tasks; k++) placedTasks.push(held(b, free.shift()!, k, at(5)));
       });
-      const holds = (team: string, leaving: ReadonlySet<Holder>): number =>
-        holders.filter((h) => h.job.spec.team === team && !leaving.has(h)).length;
+      const holds = (team: string, leaving: ReadonlySet<PlacedTask>): number =>
+        placedTasks.filter((h) => h.job.spec.team === team && !leaving.has(h)).length;
       const queued = c.takers.map((s, i) =>
         wants(service(`job-9${i}`, { team: s.team, tasks: s.tasks, cpus: 0 })),
       );
-      const r = schedule(input({ teams, nodes, holders, queued, lending: view() }));
-      const stopped = new Set(r.stops.map((s) => holders.find((h) => h.job === s.job && h.task === s.task)!));
-      for (const s of r.stops) {
+      const r = schedule(input({ teams, nodes, placedTasks, queued, lending: view() }));
+      const stopped = new Set(
+        r.preemptions.map((s) => placedTasks.find((h) => h.job === s.job && h.task === s.task)!),
+      );
+      for (const s of r.preemptions) {
         assert.ok(s.taker, 'only services take here');
         const lender = s.job.spec;
         assert.ok(lender.urgency < 2 || s.taker.spec.team !== lender.team);
-        const all = r.stops.filter((x) => x.job === s.job).length;
+        const all = r.preemptions.filter((x) => x.job === s.job).length;
         const bound = {
           gang: lender.shape === 'gang',
           tasks: lender.tasks,
           taken: s.job.preemptedForServices,
         };
-        assert.ok(mayTakeMore(bound, all), 'taken too often');
+        assert.ok(withinPreemptionBudget(bound, all), 'taken too often');
         if (lender.shape === 'gang') assert.equal(all, lender.tasks, 'gangs leave whole');
       }
       const toOthers = new Set(
         [...stopped].filter((h) =>
-          r.stops.some((s) => s.job === h.job && s.task === h.task && s.taker!.spec.team !== h.job.spec.team),
+          r.preemptions.some(
+            (s) => s.job === h.job && s.task === h.task && s.taker!.spec.team !== h.job.spec.team,
+          ),
         ),
       );
       for (const { name, guarantee } of teams) {
         const before = holds(name, new Set());
         // What its own services take stays with the team.
         const kept = holds(name, toOthers);
-        const others = r.stops.filter((s) => s.job.spec.team === name && s.taker?.spec.team !== name);
+        const others = r.preemptions.filter((s) => s.job.spec.team === name && s.taker?.spec.team !== name);
         if (kept >= Math.min(before, guarantee.gpus) || others.length === 0) continue;
         // Below its guarantee only for a team that had less than its own.
         const own = others.some((s) => {
@@ -200,9 +210,10 @@
     const lenders = [0, 1, 2, 3].map((i) =>
       batch(`job-${i}`, { team: 'blue', urgency: 0, tasks: 1, cpus: 0 }),
     );
-    const holders = lenders.map((b) => held(b, 'm0', 0, at(5)));
+    const placedTasks = lenders.map((b) => held(b, 'm0', 0, at(5)));
     const queued = [wants(service('job-90', { team: 'red', tasks: 1, cpus: 0, gpus: 2 }))];
-    return schedule(input({ teams, nodes: [gpuNode('m0')], holders, queued, lending: view() })).stops.length;
+    return schedule(input({ teams, nodes: [gpuNode('m0')], placedTasks, queued, lending: view() }))
+      .preemptions.length;
   };
   assert.deepEqual([2, 3].map(of), [2, 0]);
 });
@@ -222,14 +233,14 @@
         }),
       );
       const half = jobs.length >> 1;
-      const holders = jobs
+      const placedTasks = jobs
         .slice(0, half)
         .flatMap((j) =>
           free.length < j.spec.tasks
             ? []
             : Array.from({ length: j.spec.tasks }, (_, k) => held(j, free.shift()!, k, at(5))),
         );
-      const all = input({ nodes, holders, queued: jobs.slice(half).map(wants) });
+      const all = input({ nodes, placedTasks, queued: jobs.slice(half).map(wants) });
       assert.deepEqual(schedule({ ...all, lending: view() }), schedule(all));
     }),
     { seed: 24, numRuns: 400 },
@@ -241,59 +252,59 @@
   const b = batch('job-2', { tasks: 8 });
   const cold = gpuNode('cold');
   const warm = gpuNode('warm', { images: new Set([w.spec.image]) });
-  const busy = (id: string, from: number, loss: Micros): Holder[] =>
+  const busy = (id: string, from: number, loss: Micros): PlacedTask[] =>
     [0, 1, 2, 3].map((i) => held(b, id, from + i, loss));
-  const placed = (holders: Holder[], nodes: NodeView[], over: Partial<LendingView> = {}) =>
-    schedule(input({ nodes, holders, queued: [wants(w)], lending: view(over) }));
+  const placed = (placedTasks: PlacedTask[], nodes: NodeView[], over: Partial<LendingView> = {}) =>
+    schedule(input({ nodes, placedTasks, queued: [wants(w)], lending: view(over) }));
   // Free room on both: where the weights are.
   assert.deepEqual([...placed([], [cold, warm]).starts[0]!.on.keys()], ['warm']);
   // Forty seconds sooner are worth ten seconds of another's work.
   const r = placed(busy('warm', 0, at(10)), [cold, warm]);
   assert.deepEqual(
-    r.stops.map((s) => [s.machine, s.taker?.spec.id]),
+    r.preemptions.map((s) => [s.machine, s.taker?.spec.id]),
     [['warm', 'job-1']],
   );
   // They are not worth five minutes.
-  assert.equal(placed(busy('warm', 0, at(290)), [cold, warm]).stops.length, 0);
+  assert.equal(placed(busy('warm', 0, at(290)), [cold, warm]).preemptions.length, 0);
   // What is over before the weights are there is left alone; what runs on is not.
-  assert.equal(placed(busy('cold', 0, at(270)), [cold]).stops.length, 0);
-  assert.equal(placed(busy('cold', 0, at(200)), [cold]).stops.length, 1);
+  assert.equal(placed(busy('cold', 0, at(270)), [cold]).preemptions.length, 0);
+  assert.equal(placed(busy('cold', 0, at(200)), [cold]).preemptions.length, 1);
   // A machine that an order can't reach now is not told.
-  assert.equal(placed(busy('cold', 0, at(200)), [cold], { reachable: () => false }).stops.length, 0);
+  assert.equal(placed(busy('cold', 0, at(200)), [cold], { reachable: () => false }).preemptions.length, 0);
   // A rented machine that is up at once beats others' work.
   const rented = placed(busy('cold', 0, at(200)), [cold], {
-    rented: () => ({ boot: at(1), fetch: at(20) }),
+    rental: () => ({ boot: at(1), fetch: at(20) }),
   });
-  assert.equal(rented.stops.length, 0);
+  assert.equal(rented.preemptions.length, 0);
   assert.equal(rented.unplaced.length, 1);
 });
 
 test('what a way costs', () => {
-  const image = { gb: 20, gbPerS: 0.5, there: false, fetchedFor: null, others: 0 };
+  const image = { gb: 20, gbPerS: 0.5, present: false, fetchedFor: null, others: 0 };
   assert.equal(fetchTime(image), at(40));
   assert.equal(fetchTime({ ...image, others: 1 }), at(80));
   assert.equal(fetchTime({ ...image, fetchedFor: at(30) }), at(10));
   assert.equal(fetchTime({ ...image, fetchedFor: at(300) }), at(4));
-  assert.equal(fetchTime({ ...image, there: true }), ZERO);
+  assert.equal(fetchTime({ ...image, present: true }), ZERO);
   const saves = { ran: at(81), estimate: at(200), checkpoint: at(40), save: at(4) };
   // Just after a checkpoint less is at risk than just before the next.
-  assert.ok(lossOf(saves) < lossOf({ ...saves, ran: at(119) }));
-  assert.ok(lossOf({ ...saves, checkpoint: ZERO }) > lossOf(saves));
-  assert.equal(endsFirst({ ...saves, ran: at(170) }, at(40)), true);
-  assert.equal(endsFirst({ ...saves, ran: at(150) }, at(40)), false);
-  assert.equal(endsFirst({ ...saves, ran: at(210) }, at(40)), false);
-  assert.equal(endsFirst({ ...saves, estimate: ZERO }, at(1e6)), false);
+  assert.ok(lostWork(saves) < lostWork({ ...saves, ran: at(119) }));
+  assert.ok(lostWork({ ...saves, checkpoint: ZERO }) > lostWork(saves));
+  assert.equal(endsBeforeFetch({ ...saves, ran: at(170) }, at(40)), true);
+  assert.equal(endsBeforeFetch({ ...saves, ran: at(150) }, at(40)), false);
+  assert.equal(endsBeforeFetch({ ...saves, ran: at(210) }, at(40)), false);
+  assert.equal(endsBeforeFetch({ ...saves, estimate: ZERO }, at(1e6)), false);
   const way = { leave: at(2), fetch: at(40), lost: 10e6 };
-  assert.equal(costOf(way, null), 44);
-  assert.ok(costOf(way, at(30)) > costOf(way, at(60)));
+  assert.equal(servingCost(way, null), 44);
+  assert.ok(servingCost(way, at(30)) > servingCost(way, at(60)));
 });
 
-test('loans are made by stops, repaid by starts, and end with their lender', () => {
+test('loans are made by preemptions, repaid by starts, and end with their lender', () => {
   const w = service('job-1', { tasks: 2 });
   const b = batch('job-2', { tasks: 4 });
   const jobs = new Map([w, b].map((j) => [j.spec.id, j]));
   for (let i = 0; i < 4; i++) b.placed.set(i, { task: i, attempt: 1, machine: 'm', since: ZERO });
-  const made = loansMade([
+  const made = newLoans([
     { job: b, task: 0, taker: w },
     { job: b, task: 1, taker: w },
     { job: b, task: 2 },
@@ -308,33 +319,33 @@
   // Durable forms and a rebuild carry them.
   const back = decodeJob('job-1', JSON.parse(JSON.stringify(encodeJob(w, 0))), 1);
   assert.deepEqual(back.loans, w.loans);
-  const claims = [
-    { generation: 0, revision: 3, job: { ...w, loans: new Map(), taken: 0 } },
+  const reservations = [
+    { generation: 0, revision: 3, job: { ...w, loans: new Map(), preemptedForServices: 0 } },
     { generation: 0, revision: 5, job: w },
   ];
-  assert.deepEqual(mergeClaims(claims).loans, w.loans);
-  assert.deepEqual(mergeClaims(claims.reverse()).loans, w.loans);
+  assert.deepEqual(mergeClaims(reservations).loans, w.loans);
+  assert.deepEqual(mergeClaims(reservations.reverse()).loans, w.loans);
   // Told, not gone yet: it stays open. Never told: it ends.
   assert.deepEqual(
-    endings(jobs, new Map(), () => true),
+    loanRepayments(jobs, new Map(), () => true),
     [],
   );
-  assert.equal(endings(jobs, new Map(), () => false)[0]!.ends[0]!.reason, 'lender whole');
+  assert.equal(loanRepayments(jobs, new Map(), () => false)[0]!.ends[0]!.reason, 'lender whole');
   b.placed.delete(0);
   b.placed.delete(1);
   assert.deepEqual(
-    endings(jobs, new Map(), () => false),
+    loanRepayments(jobs, new Map(), () => false),
     [],
   );
   // While a more urgent job with GPUs waits, the lender is not put before it.
   const waiting = [{ job: b, tasks: 2 }];
-  assert.deepEqual([...firstOnRoom(loansOf([w]), waiting)], [['job-2', 2]]);
-  assert.equal(firstOnRoom(loansOf([w]), [...waiting, { job: service('job-3'), tasks: 1 }]).size, 0);
-  const one = endings(jobs, new Map([['job-2', 1]]), () => false);
+  assert.deepEqual([...lendersToRepay(loansOf([w]), waiting)], [['job-2', 2]]);
+  assert.equal(lendersToRepay(loansOf([w]), [...waiting, { job: service('job-3'), tasks: 1 }]).size, 0);
+  const one = loanRepayments(jobs, new Map([['job-2', 1]]), () => false);
   applyChange(w, { repay: one[0]!.repay }, 2, at(20));
   assert.deepEqual([...w.loans], [['job-2', { gpus: 1000, tasks: 1, since: at(10) }]]);
   b.cancelled = true;
-  const last = endings(jobs, new Map(), () => false);
+  const last = loanRepayments(jobs, new Map(), () => false);
   assert.equal(last[0]!.ends[0]!.reason, 'lender over');
   applyChange(w, { repay: last[0]!.repay }, 3, at(30));
   assert.equal(w.loans.size, 0);
--- a/packages/controller/test/meetings.test.ts
+++ b/packages/controller/test/meetings.test.ts
@@ -21,7 +21,7 @@
 import { Contacts } from '../src/leadership/contacts.js';
 import type { Leadership } from '../src/leadership/leadership.js';
 import type { CycleContext } from '../src/scheduler/cycle-context.js';
-import { holdersOf } from '../src/scheduler/views.js';
+import { placedTasksOf } from '../src/scheduler/cycle-input.js';
 import { WorkerRegistry, endsOf } from '../src/workers/worker-registry.js';
 import { type Answers, REPORTS, HeartbeatReader, writeOrders } from '../src/workers/codec.js';
 import { receiver, heartbeatHandler } from '../src/workers/heartbeat-handler.js';
@@ -136,10 +136,10 @@
     const out = new Map<string, JobChange>();
     for (const [id, e] of registry.ends)
       out.set(id, { done: [...e.done], gone: [...e.gone].filter((t) => !e.done.has(t)) });
-    const holders = holdersOf({ registry, jobState } as unknown as CycleContext, at);
+    const placedTasks = placedTasksOf({ registry, jobState } as unknown as CycleContext, at);
     const load = new Map<string, number>();
-    for (const h of holders) load.set(h.machine, (load.get(h.machine) ?? 0) + 1);
-    let used = holders.length;
+    for (const h of placedTasks) load.set(h.machine, (load.get(h.machine) ?? 0) + 1);
+    let used = placedTasks.length;
     for (const job of jobState.jobs.values()) {
       const ends = registry.ends.get(job.spec.id);
       const gang = job.spec.shape === 'gang';
--- a/packages/controller/test/program.test.ts
+++ b/packages/controller/test/program.test.ts
@@ -134,13 +134,13 @@
         start: { attempt: 7, on: new Map([['m', [3, 4]]]) },
         lend: [{ lender: 'job-2', gpus: 2500, tasks: 5 }],
         repay: [{ lender: 'job-3', gpus: 0, tasks: 1 }],
-        taken: 2,
+        preemptedForServices: 2,
       },
     ],
   ]);
   assert.deepEqual(decodeLogEntry(9, JSON.parse(JSON.stringify(encodeLogEntry(jobs, head))), 12), {
-    seq: 9,
-    stamp: 12,
+    sequence: 9,
+    revision: 12,
     head: { ...head, spent: { ...head.spent, rows: [{ ...row, us: [5, 0, 3] }] } },
     jobs,
   });
--- a/packages/controller/test/rebuild.test.ts
+++ b/packages/controller/test/rebuild.test.ts
@@ -117,7 +117,7 @@
 
 test('who was told done stays told done, and a cancellation holds against everything but that', () => {
   const open = job('job-1', { tasks: 1 });
-  const withdrawn = { ...job('job-1', { tasks: 1 }), withdrawn: true };
+  const withdrawn = { ...job('job-1', { tasks: 1 }), cancelled: true };
   const complete = job('job-1', { tasks: 1 });
   complete.done.add(0);
   const claim = (j: Job, revision: number): Claim => ({ generation: 0, revision, job: j });
@@ -147,7 +147,7 @@
   changed.done.add(1);
   const lost = job('job-3', { urgency: 1 });
   const urgent = job('job-4', { urgency: 3 });
-  const cancelled = { ...job('job-5'), withdrawn: true };
+  const cancelled = { ...job('job-5'), cancelled: true };
   cancelled.placed.set(0, { task: 0, attempt: 1, machine: 'm', since: 0 as Micros });
   const broken = job('job-6');
   const ended = job('job-7');
@@ -156,7 +156,7 @@
     jobs: new Map(
       ['job-1', 'job-2', 'job-8'].map((id, i) => [
         id,
-        { ...job(id, { tasks: id === 'job-2' ? 2 : 1 }), stamp: 5 + i },
+        { ...job(id, { tasks: id === 'job-2' ? 2 : 1 }), revision: 5 + i },
       ]),
     ),
     damaged: (id) => (id === 'job-6' ? 9 : undefined),
--- a/packages/controller/test/scheduler.test.ts
+++ b/packages/controller/test/scheduler.test.ts
@@ -5,15 +5,15 @@
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import type { Job, JobSpec, Urgency } from '../src/jobs/model.js';
 import { schedule } from '../src/scheduler/cycle.js';
-import { Largest } from '../src/scheduler/largest.js';
-import type { CycleInput, CycleResult, Holder, NodeView, QueuedJob } from '../src/scheduler/model.js';
-import { Waits } from '../src/scheduler/waits.js';
-import { surplusOf } from '../src/scheduler/surplus.js';
+import { LargestJobs } from '../src/scheduler/largest-jobs.js';
+import type { CycleInput, CycleResult, PlacedTask, NodeView, QueuedJob } from '../src/scheduler/model.js';
+import { StartWaits } from '../src/scheduler/start-waits.js';
+import { idleNodesOf } from '../src/scheduler/idle-nodes.js';
 import { job } from './support/job.js';
 import { input } from './support/cycle.js';
 import { plainSchedule } from './support/plain-cycle.js';
-import { plainFinder } from './support/plain-place.js';
-import { passedOverFrom, type Promised, rankOf } from '../src/scheduler/rank.js';
+import { plainFinder } from './support/plain-placement-search.js';
+import { starvingFrom, type ClassObjective, rankOf } from '../src/scheduler/rank.js';
 
 const ZERO = 0 as Micros;
 const node = (id: string, over: Partial<NodeView> = {}): NodeView => ({
@@ -30,11 +30,11 @@
   job: j,
   rank,
   cautious,
-  rents: !cautious,
-  gathers: false,
+  mayRent: !cautious,
+  starving: false,
   tasks: Array.from({ length: j.spec.tasks }, (_, i) => i),
 });
-const held = (j: Job, machine: string, task = 0, leaving = false): Holder => ({
+const held = (j: Job, machine: string, task = 0, leaving = false): PlacedTask => ({
   job: j,
   task,
   machine,
@@ -43,7 +43,7 @@
   loss: ZERO,
   left: ZERO,
 });
-const by = (...multiples: number[]): Promised => ({ multiples, within: null });
+const by = (...multiples: number[]): ClassObjective => ({ multiples, within: null });
 const count = (r: CycleResult, id: string): number =>
   r.starts.filter((s) => s.job.spec.id === id).reduce((n, s) => n + [...s.on.values()].flat().length, 0);
 
@@ -77,7 +77,7 @@
   { name: 'green', guarantee: { cpus: 2, gpus: 0 }, limit: { cpus: 0, gpus: 2 } },
 ];
 
-const companions = [
+const coLocatedDemand = [
   { urgency: 0, cpusPerGpu: 1, memPerGpu: 2, waiting: true, patience: ZERO },
   { urgency: 1, cpusPerGpu: 2, memPerGpu: 1, waiting: false, patience: 1e6 as Micros },
 ];
@@ -95,11 +95,11 @@
   const first = schedule(
     input({ teams, nodes, queued: s.jobs.slice(0, s.runs).map((j, i) => queued(j, i)) }),
   );
-  const holders: Holder[] = [];
+  const placedTasks: PlacedTask[] = [];
   for (const st of first.starts) {
     for (const [m, tasks] of st.on) {
       for (const t of tasks) {
-        holders.push({ ...held(st.job, m, t), zone: nodes.find((n) => n.id === m)!.zone });
+        placedTasks.push({ ...held(st.job, m, t), zone: nodes.find((n) => n.id === m)!.zone });
         st.job.placed.set(t, { task: t, attempt: 1, machine: m, since: 0 as Micros });
       }
     }
@@ -108,33 +108,33 @@
     .filter((j) => (j.spec.shape === 'gang' ? j.placed.size === 0 : j.placed.size < j.spec.tasks))
     .map((j, i) => ({
       ...queued(j, i, i % 7 === 6),
-      gathers: i % 2 === 0 && j.spec.shape === 'gang',
+      starving: i % 2 === 0 && j.spec.shape === 'gang',
       overdue: i % 3 === 1,
       tasks: queued(j).tasks.filter((t) => !j.placed.has(t)),
     }));
   return input({
     teams,
     nodes: nodes.map((n, i) => ({ ...n, open: s.nodes[i]!.open })),
-    holders,
+    placedTasks,
     queued: left,
   });
 };
 
 test('the quick search for machines chooses what the plain one does', () => {
   // Guards the passing over of machines that can't matter: a cycle over a thousand machines took a second.
-  const seen = { free: 0, stops: 0, unplaced: 0 };
+  const seen = { free: 0, preemptions: 0, unplaced: 0 };
   fc.assert(
-    fc.property(arbState, fc.boolean(), fc.nat({ max: 5 }), (s, guarded, shunned) => {
+    fc.property(arbState, fc.boolean(), fc.nat({ max: 5 }), (s, guarded, avoided) => {
       const i = {
         ...stateOf(s),
-        companions: guarded ? companions : [],
-        surplus: new Set([`vm-${shunned}`]),
-        avoid: (j: Job) => (j.spec.id.endsWith('3') ? new Set([`vm-${shunned}`]) : null),
+        coLocatedDemand: guarded ? coLocatedDemand : [],
+        idleNodes: new Set([`vm-${avoided}`]),
+        avoid: (j: Job) => (j.spec.id.endsWith('3') ? new Set([`vm-${avoided}`]) : null),
       };
       const quick = schedule(i);
       assert.deepEqual(quick, schedule(i, plainFinder));
       seen.free += quick.starts.length;
-      seen.stops += quick.stops.length;
+      seen.preemptions += quick.preemptions.length;
       seen.unplaced += quick.unplaced.length;
     }),
     { seed: 71, numRuns: 600 },
@@ -162,13 +162,13 @@
     { minLength: 20, maxLength: 20 },
   ),
   weights: fc.array(fc.constantFrom(1, 0.25, 0.05), { minLength: 9, maxLength: 9 }),
-  mostPlaces: fc.constantFrom(undefined, undefined, 3, 8),
+  maxPlacements: fc.constantFrom(undefined, undefined, 3, 8),
 });
 
 test('the cycle decides what the plain one does', () => {
   // Guards the heap of teams, the ranking of machines and the queues made without sorting: at 45,000 tasks the plain cycle
   // takes most of a second.
-  const seen = { starts: 0, stops: 0, claims: 0, unplaced: 0, cut: 0 };
+  const seen = { starts: 0, preemptions: 0, reservations: 0, unplaced: 0, cut: 0 };
   fc.assert(
     fc.property(arbShortTasks, (s) => {
       const jobs = s.jobs.map((j, i) =>
@@ -184,7 +184,7 @@
       const nodes = Array.from({ length: s.machines }, (_, i) =>
         node(`vm-${i}`, { zone: i % 2 === 0 ? 'a' : 'b', open: i % 5 !== 4 }),
       );
-      const holders: Holder[] = s.held.flatMap((h) => {
+      const placedTasks: PlacedTask[] = s.held.flatMap((h) => {
         const j = jobs[h.job]!;
         const task = j.placed.size;
         if (task >= j.spec.tasks || (j.spec.shape === 'gang' && s.jobs[h.job]!.waits)) return [];
@@ -196,7 +196,7 @@
       const waiting = jobs.flatMap((j, i) => {
         const rest = queued(j, s.jobs[i]!.rank).tasks.filter((t) => !j.placed.has(t));
         if (!s.jobs[i]!.waits || rest.length === 0) return [];
-        return [{ ...queued(j, s.jobs[i]!.rank, i === 7), gathers: j.spec.shape === 'gang', tasks: rest }];
+        return [{ ...queued(j, s.jobs[i]!.rank, i === 7), starving: j.spec.shape === 'gang', tasks: rest }];
       });
       const cycle = input({
         teams: [
@@ -205,31 +205,31 @@
         ],
         weights: new Map(s.weights.map((w, i) => [`team-${i}`, w])),
         nodes,
-        holders,
+        placedTasks,
         queued: waiting,
-        mostPlaces: s.mostPlaces,
-        claims: new Map(s.jobs.flatMap((j, i) => (j.claimed === 1 ? [[`job-${i}`, 2]] : []))),
+        maxPlacements: s.maxPlacements,
+        reservations: new Map(s.jobs.flatMap((j, i) => (j.claimed === 1 ? [[`job-${i}`, 2]] : []))),
       });
       const quick = schedule(cycle);
       assert.deepEqual(quick, plainSchedule(cycle));
       seen.starts += quick.starts.length;
-      seen.stops += quick.stops.length;
-      seen.claims += quick.claims.size;
+      seen.preemptions += quick.preemptions.length;
+      seen.reservations += quick.reservations.size;
       seen.unplaced += quick.unplaced.length;
       const places = quick.starts.reduce((n, x) => n + x.on.size, 0);
-      seen.cut += places >= (s.mostPlaces ?? Number.POSITIVE_INFINITY) ? 1 : 0;
+      seen.cut += places >= (s.maxPlacements ?? Number.POSITIVE_INFINITY) ? 1 : 0;
     }),
     { seed: 2026, numRuns: 500 },
   );
   for (const [what, n] of Object.entries(seen)) assert.ok(n > 100, `${what} ${n}`);
   // The states of the older property as well: GPU machines, services, shunned machines.
   fc.assert(
-    fc.property(arbState, fc.nat({ max: 5 }), (s, shunned) => {
+    fc.property(arbState, fc.nat({ max: 5 }), (s, avoided) => {
       const i = {
         ...stateOf(s),
-        companions,
-        surplus: new Set([`vm-${shunned}`]),
-        avoid: (j: Job) => (j.spec.id.endsWith('3') ? new Set([`vm-${shunned}`]) : null),
+        coLocatedDemand,
+        idleNodes: new Set([`vm-${avoided}`]),
+        avoid: (j: Job) => (j.spec.id.endsWith('3') ? new Set([`vm-${avoided}`]) : null),
       };
       assert.deepEqual(schedule(i), plainSchedule(i));
     }),
@@ -256,7 +256,7 @@
         zones.set(j, z.set(zone, (z.get(zone) ?? 0) + 1));
       };
       // What was held stays counted until it is gone, stopped or not.
-      for (const h of i.holders) put(h.job, h.machine);
+      for (const h of i.placedTasks) put(h.job, h.machine);
       for (const st of r.starts) {
         const tasks = [...st.on.values()].flat();
         assert.equal(new Set(tasks).size, tasks.length, 'a task started twice');
@@ -281,15 +281,16 @@
         if (t.limit.cpus > 0) assert.ok(u[0] <= t.limit.cpus, `limit of ${t.name}`);
         if (t.limit.gpus > 0) assert.ok(u[1] <= t.limit.gpus, `limit of ${t.name}`);
       }
-      if (i.queued.length === 0) assert.equal(r.stops.length, 0, 'stops for nobody');
+      if (i.queued.length === 0) assert.equal(r.preemptions.length, 0, 'preemptions for nobody');
       const waits = r.unplaced.reduce((n, u) => n + u.count, 0);
       const all = i.queued.reduce((n, q) => n + q.tasks.length, 0);
       const started = r.starts.reduce((n, st) => n + [...st.on.values()].flat().length, 0);
-      if (waits + started === all) assert.equal(r.stops.length, 0, 'stops though nobody waits for the room');
-      for (const stop of r.stops) {
+      if (waits + started === all)
+        assert.equal(r.preemptions.length, 0, 'preemptions though nobody waits for the room');
+      for (const stop of r.preemptions) {
         if (stop.job.spec.shape === 'gang') {
           assert.equal(
-            r.stops.filter((x) => x.job === stop.job).length,
+            r.preemptions.filter((x) => x.job === stop.job).length,
             stop.job.placed.size,
             'a gang stopped in part',
           );
@@ -322,7 +323,7 @@
   const behind = schedule(
     input({
       nodes: [node('m')],
-      holders: [held(job('job-3', { team: 'red', cpus: 4 }), 'm')],
+      placedTasks: [held(job('job-3', { team: 'red', cpus: 4 }), 'm')],
       queued: [queued(a), queued(b)],
     }),
   );
@@ -333,19 +334,19 @@
   const low = job('job-1', { cpus: 8, urgency: 0 });
   const normal = job('job-2', { cpus: 8, urgency: 1 });
   const nodes = [node('m0'), node('m1')];
-  const holders = [held(low, 'm0'), held(normal, 'm1')];
+  const placedTasks = [held(low, 'm0'), held(normal, 'm1')];
   const high = schedule(
-    input({ nodes, holders, queued: [queued(job('job-3', { cpus: 8, urgency: 2, team: 'blue' }))] }),
+    input({ nodes, placedTasks, queued: [queued(job('job-3', { cpus: 8, urgency: 2, team: 'blue' }))] }),
   );
   assert.deepEqual(
-    high.stops.map((s) => s.job.spec.id),
+    high.preemptions.map((s) => s.job.spec.id),
     ['job-1'],
   );
   assert.equal(high.starts.length, 0, 'room that is still held is not given out');
   const same = schedule(
-    input({ nodes, holders, queued: [queued(job('job-3', { cpus: 8, urgency: 0, team: 'blue' }))] }),
+    input({ nodes, placedTasks, queued: [queued(job('job-3', { cpus: 8, urgency: 0, team: 'blue' }))] }),
   );
-  assert.equal(same.stops.length, 0);
+  assert.equal(same.preemptions.length, 0);
   assert.deepEqual(
     same.unplaced.map((u) => u.job.spec.id),
     ['job-3'],
@@ -354,9 +355,9 @@
 
 test('a gang waits for room that is leaving instead of stopping more', () => {
   const nodes = [node('m0'), node('m1')];
-  const holders = [held(job('job-1', { cpus: 8 }), 'm0', 0, true), held(job('job-2', { cpus: 8 }), 'm1')];
-  const r = schedule(input({ nodes, holders, queued: [queued(job('job-3', { cpus: 8, urgency: 3 }))] }));
-  assert.equal(r.stops.length, 0);
+  const placedTasks = [held(job('job-1', { cpus: 8 }), 'm0', 0, true), held(job('job-2', { cpus: 8 }), 'm1')];
+  const r = schedule(input({ nodes, placedTasks, queued: [queued(job('job-3', { cpus: 8, urgency: 3 }))] }));
+  assert.equal(r.preemptions.length, 0);
   assert.equal(r.starts.length, 0);
 });
 
@@ -366,29 +367,32 @@
     input({
       teams,
       nodes: [node('m')],
-      holders: borrowed,
+      placedTasks: borrowed,
       queued: [queued(job('job-9', { cpus: 4, team: 'red', urgency: 0 }))],
     }),
   );
-  assert.equal(r.stops.length, 1);
+  assert.equal(r.preemptions.length, 1);
 });
 
 // CPU tasks once filled the GPU machines while GPU jobs waited and could not displace their own class.
 test('a task without GPUs leaves free GPUs what they need beside them', () => {
-  const companions = [{ urgency: 0, cpusPerGpu: 3, memPerGpu: 1, waiting: true, patience: ZERO }];
+  const coLocatedDemand = [{ urgency: 0, cpusPerGpu: 3, memPerGpu: 1, waiting: true, patience: ZERO }];
   const nodes = [node('m', { type: 'g4', total: [8, 2, 32] })];
   const gpu = held(job('job-0', { cpus: 3, gpus: 1 }), 'm');
   const many = (over: Partial<JobSpec>) => [queued(job('job-1', { tasks: 8, ...over }))];
   const placed = (over: Partial<CycleInput>, spec: Partial<JobSpec> = {}) =>
-    count(schedule(input({ nodes, companions, holders: [gpu], queued: many(spec), ...over })), 'job-1');
+    count(
+      schedule(input({ nodes, coLocatedDemand, placedTasks: [gpu], queued: many(spec), ...over })),
+      'job-1',
+    );
   assert.equal(placed({}), 2);
   assert.equal(placed({}, { urgency: 1 }), 5);
   // While none of them waits, short tasks may use the room.
-  const calm = [{ ...companions[0]!, waiting: false, patience: 30e6 as Micros }];
-  assert.equal(placed({ companions: calm }, { estimate: 20e6 as Micros }), 5);
-  assert.equal(placed({ companions: calm }, { estimate: 40e6 as Micros }), 2);
+  const calm = [{ ...coLocatedDemand[0]!, waiting: false, patience: 30e6 as Micros }];
+  assert.equal(placed({ coLocatedDemand: calm }, { estimate: 20e6 as Micros }), 5);
+  assert.equal(placed({ coLocatedDemand: calm }, { estimate: 40e6 as Micros }), 2);
   // A GPU machine without GPU tasks is to become empty and go back.
-  assert.equal(placed({ holders: [] }), 0);
+  assert.equal(placed({ placedTasks: [] }), 0);
 });
 
 // A new leader knows of tasks on machines it has not heard from: wherever they stand, they still count.
@@ -397,11 +401,11 @@
   const j = job('job-1', { tasks: 4, oneZone: true });
   const rest = [{ ...queued(j), tasks: [1, 2, 3] }];
   const starts = (zone: string | null) =>
-    count(schedule(input({ nodes, holders: [{ ...held(j, 'unheard'), zone }], queued: rest })), 'job-1');
+    count(schedule(input({ nodes, placedTasks: [{ ...held(j, 'unheard'), zone }], queued: rest })), 'job-1');
   assert.deepEqual([starts('a'), starts(null), starts('b')], [0, 0, 3]);
   const s = job('job-2', { tasks: 4, spread: true });
   const two = [0, 1].map((t) => ({ ...held(s, 'unheard', t), zone: 'b' }));
-  const r = schedule(input({ nodes, holders: two, queued: [{ ...queued(s), tasks: [2, 3] }] }));
+  const r = schedule(input({ nodes, placedTasks: two, queued: [{ ...queued(s), tasks: [2, 3] }] }));
   assert.equal(count(r, 'job-2'), 0);
 });
 
@@ -411,26 +415,29 @@
   const gang = job('job-1', { urgency: 1, shape: 'gang', tasks: 2, cpus: 6 });
   const guests = job('job-2', { team: 'blue', tasks: 4, cpus: 6 });
   const nodes = ['m', 'n', 'o'].map((id) => node(id));
-  const holders = nodes.map((n, i) => held(guests, n.id, i));
-  for (const h of holders)
+  const placedTasks = nodes.map((n, i) => held(guests, n.id, i));
+  for (const h of placedTasks)
     guests.placed.set(h.task, { task: h.task, attempt: 1, machine: h.machine, since: 0 as Micros });
   const waiting = { ...queued(guests), tasks: [3] };
-  const first = schedule(input({ nodes, holders, queued: [queued(gang), waiting] }));
-  assert.deepEqual([first.stops.length, first.claims.get('job-1')], [2, 2]);
+  const first = schedule(input({ nodes, placedTasks, queued: [queued(gang), waiting] }));
+  assert.deepEqual([first.preemptions.length, first.reservations.get('job-1')], [2, 2]);
   // One of the two is gone, the other is leaving; the owner of the gang holds more elsewhere than the guests do.
-  const [a, b] = first.stops.map((s) => s.machine);
+  const [a, b] = first.preemptions.map((s) => s.machine);
   const owned = held(job('job-3', { urgency: 1, cpus: 8 }), 'p');
   const next = {
     nodes: [...nodes, node('p')],
-    holders: [
+    placedTasks: [
       owned,
-      ...holders.filter((h) => h.machine !== a).map((h) => ({ ...h, leaving: h.machine === b })),
+      ...placedTasks.filter((h) => h.machine !== a).map((h) => ({ ...h, leaving: h.machine === b })),
     ],
     queued: [queued(gang), waiting],
   };
   assert.equal(count(schedule(input(next)), 'job-2'), 1, 'without the claim the guest goes first');
-  const kept = schedule(input({ ...next, claims: first.claims }));
-  assert.deepEqual([count(kept, 'job-2'), kept.stops.length, kept.claims.get('job-1')], [0, 0, 2]);
+  const kept = schedule(input({ ...next, reservations: first.reservations }));
+  assert.deepEqual(
+    [count(kept, 'job-2'), kept.preemptions.length, kept.reservations.get('job-1')],
+    [0, 0, 2],
+  );
 });
 
 // A job submitted with a mistake displaced others at each try, kept the room it waited for, and had machines rented.
@@ -438,10 +445,10 @@
   const low = job('job-1', { team: 'blue', cpus: 8 });
   const urgent = job('job-2', { urgency: 2, cpus: 8 });
   low.placed.set(0, { task: 0, attempt: 1, machine: 'm', since: 0 as Micros });
-  const full = { nodes: [node('m')], holders: [held(low, 'm')] };
-  assert.equal(schedule(input({ ...full, queued: [queued(urgent)] })).stops.length, 1);
+  const full = { nodes: [node('m')], placedTasks: [held(low, 'm')] };
+  assert.equal(schedule(input({ ...full, queued: [queued(urgent)] })).preemptions.length, 1);
   const cautious = schedule(input({ ...full, queued: [queued(urgent, 0, true)] }));
-  assert.deepEqual([cautious.starts, cautious.stops, cautious.unplaced], [[], [], []]);
+  assert.deepEqual([cautious.starts, cautious.preemptions, cautious.unplaced], [[], [], []]);
   assert.equal(count(schedule(input({ nodes: [node('m')], queued: [queued(urgent, 0, true)] })), 'job-2'), 1);
   assert.ok(
     rankOf(urgent, ZERO, by(1), true) > rankOf(job('job-3', { deadline: seconds(1) }), seconds(9), by(1, 2)),
@@ -462,14 +469,19 @@
 test('GPU machines beyond need are left to become empty', () => {
   const nodes = Array.from({ length: 5 }, (_, i) => node(`m${i}`, { type: 'g4', total: [8, 2, 32] }));
   const gpu = (machine: string) => held(job('job-1', { gpus: 1, tasks: 5 }), machine);
-  const holders = [gpu('m0'), gpu('m1'), gpu('m2')];
-  const surplus = surplusOf(nodes, holders, []);
-  assert.deepEqual([...surplus].sort(), ['m2', 'm3', 'm4']);
-  assert.equal(surplusOf(nodes, holders, [queued(job('job-2', { gpus: 1, tasks: 6 }))]).size, 0);
+  const placedTasks = [gpu('m0'), gpu('m1'), gpu('m2')];
+  const idleNodes = idleNodesOf(nodes, placedTasks, []);
+  assert.deepEqual([...idleNodes].sort(), ['m2', 'm3', 'm4']);
+  assert.equal(idleNodesOf(nodes, placedTasks, [queued(job('job-2', { gpus: 1, tasks: 6 }))]).size, 0);
   const r = schedule(
-    input({ nodes, holders, surplus, queued: [queued(job('job-3', { gpus: 1, urgency: 1 }))] }),
+    input({
+      nodes,
+      placedTasks,
+      idleNodes: idleNodes,
+      queued: [queued(job('job-3', { gpus: 1, urgency: 1 }))],
+    }),
   );
-  assert.ok(!surplus.has([...r.starts[0]!.on.keys()][0]!));
+  assert.ok(!idleNodes.has([...r.starts[0]!.on.keys()][0]!));
 });
 
 // Past its deadline a job once kept its place, and one late job made the next one late.
@@ -484,7 +496,7 @@
 
 // 552 tiny jobs waited a minute and more behind one array of 25,000 tasks of the same team, submitted before them.
 test('jobs promised an end only go by the work they have left, and before those promised nothing', () => {
-  const within: Promised = { multiples: [1], within: seconds(400) };
+  const within: ClassObjective = { multiples: [1], within: seconds(400) };
   const huge = job('job-1', { tasks: 25_000, estimate: seconds(3), submitted: seconds(1) });
   const tiny = job('job-2', { estimate: seconds(150), submitted: seconds(2) });
   const idle = job('job-3', { estimate: seconds(1), submitted: ZERO });
@@ -517,7 +529,7 @@
   const large = job('job-1', { tasks: 80, estimate: seconds(90), submitted: s(0), deadline: seconds(240) });
   const young = job('job-2', { estimate: seconds(1), submitted: s(100), deadline: seconds(240) });
   const rank = (j: Job, day: Micros, limit = none): number =>
-    rankOf(j, day, by(1, 1.5), false, passedOverFrom(j, day, limit, 100));
+    rankOf(j, day, by(1, 1.5), false, starvingFrom(j, day, limit, 100));
   assert.ok(rank(large, s(164)) > rank(young, s(164)), 'first the least work, as long as it can wait');
   assert.ok(rank(large, s(166)) < rank(young, s(166)));
   assert.ok(rank(large, s(241)) > rank(young, s(241)), 'what begins late anyhow is not worth others');
@@ -531,30 +543,30 @@
   assert.ok(looksBroken > rank(job('job-4', { submitted: s(9) }), s(900)), 'what failed stays last');
   // Of a class, those within a tenth of the greatest, and five at least.
   // A new leader sees only what is not over: without the hint of the one before it, ordinary jobs are its largest.
-  const before = new Largest();
-  for (const tasks of [80, 75, 72, 71, 70]) before.see(job(`job-${tasks}`, { tasks }).spec);
+  const before = new LargestJobs();
+  for (const tasks of [80, 75, 72, 71, 70]) before.observe(job(`job-${tasks}`, { tasks }).spec);
   for (const [hint, taken] of [
-    [JSON.parse(JSON.stringify(before.told())) as unknown, [70, 80]],
+    [JSON.parse(JSON.stringify(before.hint())) as unknown, [70, 80]],
     [null, [3, 5, 6, 10, 12, 70, 80]],
     [{ x: [['job-1', 'y'], 7], y: 3 }, [3, 5, 6, 10, 12, 70, 80]],
   ] as const) {
-    const next = new Largest(hint);
-    for (const tasks of [3, 5, 6, 10, 12]) next.see(job(`job-${tasks}`, { tasks }).spec);
+    const next = new LargestJobs(hint);
+    for (const tasks of [3, 5, 6, 10, 12]) next.observe(job(`job-${tasks}`, { tasks }).spec);
     const sizes = [3, 5, 6, 10, 12, 70, 80];
     assert.deepEqual(
       sizes.filter((tasks) => next.has(job('job-9', { tasks }).spec)),
       taken,
     );
   }
-  const largest = new Largest();
-  for (const tasks of [3, 80, 75, 72, 71, 10, 20, 30]) largest.see(job(`job-${tasks}`, { tasks }).spec);
+  const largest = new LargestJobs();
+  for (const tasks of [3, 80, 75, 72, 71, 10, 20, 30]) largest.observe(job(`job-${tasks}`, { tasks }).spec);
   const has = (tasks: number): boolean => largest.has(job('job-9', { tasks }).spec);
   assert.deepEqual([71, 30, 29].map(has), [true, true, false]);
-  for (const tasks of [76, 77, 78]) largest.see(job(`job-${tasks}`, { tasks }).spec);
+  for (const tasks of [76, 77, 78]) largest.observe(job(`job-${tasks}`, { tasks }).spec);
   assert.deepEqual([72, 71].map(has), [true, false]);
 });
 
-test('a gang that was passed over gathers room that younger ones of its urgency would fill', () => {
+test('a starving gang reserves nodes that younger jobs of its urgency would fill', () => {
   const large = job('job-1', { shape: 'gang', urgency: 1, tasks: 2, cpus: 8, oneZone: true });
   const other = job('job-2', { urgency: 1, cpus: 8 });
   const small = job('job-3', { shape: 'gang', urgency: 1, cpus: 8, estimate: seconds(90) });
@@ -564,12 +576,14 @@
   other.placed.set(0, { task: 0, attempt: 1, machine: 'm2', since: ZERO });
   // The task on m2 ends in about a minute. In the other zone there is no room for two.
   const nodes = [node('m1'), node('m2'), node('m3', { zone: 'b' })];
-  const full: Holder = { ...held(other, 'm2'), left: seconds(60) };
-  const placed = (next: Job, gathers = true, rest = nodes): string[] => {
-    const first = { ...queued(large), gathers };
+  const full: PlacedTask = { ...held(other, 'm2'), left: seconds(60) };
+  const placed = (next: Job, starving = true, rest = nodes): string[] => {
+    const first = { ...queued(large), starving };
     // Whoever is not of the gang's team comes after it.
     const weights = new Map([['blue', 0.01]]);
-    const r = schedule(input({ nodes: rest, holders: [full], queued: [first, queued(next, 1)], weights }));
+    const r = schedule(
+      input({ nodes: rest, placedTasks: [full], queued: [first, queued(next, 1)], weights }),
+    );
     return r.starts.flatMap((s) => [...s.on.keys()].map((m) => `${s.job.spec.id} ${m}`));
   };
   assert.deepEqual(placed(small, false), ['job-3 m1'], 'else the small one takes what the large one needs');
@@ -588,13 +602,13 @@
   const placed = (overdue: boolean, waiting: boolean): number => {
     const j = job('job-1', { cpus: 1, memGb: 1, tasks: 4, urgency: 0, estimate: 60e6 as Micros });
     const nodes = [node('m1', { type: 'g4', total: [8, 4, 64] })];
-    const companions = [{ ...companion, waiting }];
-    return count(schedule(input({ nodes, queued: [{ ...queued(j), overdue }], companions })), 'job-1');
+    const coLocatedDemand = [{ ...companion, waiting }];
+    return count(schedule(input({ nodes, queued: [{ ...queued(j), overdue }], coLocatedDemand })), 'job-1');
   };
   assert.equal(placed(false, false), 0);
   assert.equal(placed(true, false), 1);
   assert.equal(placed(true, true), 0);
-  const waits = new Waits();
+  const waits = new StartWaits();
   const j = job('job-1');
   const asked = (at: number): boolean => waits.overdue(j, seconds(at));
   assert.deepEqual([asked(100), asked(170), asked(171)], [false, false, true]);
--- a/packages/controller/test/support/late-store.ts
+++ b/packages/controller/test/support/late-store.ts
@@ -5,7 +5,7 @@
 import { Cause, Clock, Duration, Effect, Logger, Random, Scheduler } from 'effect';
 import { Ledger } from '../../src/accounts/ledger.js';
 import { userHandlers } from '../../src/api/handlers.js';
-import { Learned } from '../../src/calendar/duty.js';
+import { ClassSamples } from '../../src/calendar/cutoff-tracking.js';
 import { DataLossDetector } from '../../src/recovery/data-loss-detector.js';
 import { GuardedStore } from '../../src/recovery/guarded-store.js';
 import { JobState } from '../../src/jobs/job-state.js';
@@ -15,8 +15,8 @@
 import type { Job } from '../../src/jobs/model.js';
 import { type Rebuild } from '../../src/recovery/rebuild.js';
 import type { JobEvidence } from '../../src/recovery/evidence-store.js';
-import { Largest } from '../../src/scheduler/largest.js';
-import { Waits } from '../../src/scheduler/waits.js';
+import { LargestJobs } from '../../src/scheduler/largest-jobs.js';
+import { StartWaits } from '../../src/scheduler/start-waits.js';
 import type { CycleContext } from '../../src/scheduler/cycle-context.js';
 import { WorkerRegistry } from '../../src/workers/worker-registry.js';
 import { type Condition, Refused, type StateFailure, type Write } from '../../src/state-store/client.js';
@@ -269,10 +269,10 @@
       types: () => TYPES,
       mayStart: () => true,
       fleet: { news: null as never, listed: true },
-      largest: new Largest(),
-      learned: new Learned(),
-      companions: new Map(),
-      waits: new Waits(),
+      largestJobs: new LargestJobs(),
+      classSamples: new ClassSamples(),
+      coLocatedDemand: new Map(),
+      startWaits: new StartWaits(),
     };
   };
   return { jobState, lossDetector, store, watcher, users, leaderTerm };
--- a/packages/controller/test/support/plain-cycle.ts
+++ b/packages/controller/test/support/plain-cycle.ts
@@ -10,36 +10,36 @@
   type CycleResult,
   type QueuedJob,
   fits,
-  type Holder,
-  type Room,
-  room,
+  type PlacedTask,
+  type Resources,
+  resourcesOf,
   type Start,
-  type Stop,
+  type Preemption,
   type Unplaced,
 } from '../../src/scheduler/model.js';
 import { mayBorrow } from '../../src/lending/loans.js';
-import { plainFinder } from './plain-place.js';
+import { plainFinder } from './plain-placement-search.js';
 import { reserve } from '../../src/scheduler/reserve.js';
-import { replicaFinder } from '../../src/scheduler/replicas.js';
+import { replicaSearch } from '../../src/scheduler/replica-search.js';
 import {
-  type Choice,
-  Evicted,
-  type Finder,
-  type Floor,
-  guardsOf,
-  isKeptFrom,
-  strands,
+  type PlacementChoice,
+  EvictedUnit,
+  type PlacementSearch,
+  type ClusterCapacity,
+  protectedDemand,
+  isReservedAgainst,
+  strandsGpus,
   type NodeState as Node,
   type TeamState as TeamRooms,
-  ANY_ROOM,
-  FREE_ROOM,
-  LEFT_ROOM,
-} from '../../src/scheduler/state.js';
+  WITH_PREEMPTION,
+  FREE_ONLY,
+  WITHOUT_PREEMPTION,
+} from '../../src/scheduler/cluster-capacity.js';
 
 const NO_TEAM: TeamSettings = { name: '', guarantee: { cpus: 0, gpus: 0 }, limit: { cpus: 0, gpus: 0 } };
 
 interface NodeState extends Node {
-  readonly evicted: Set<Evicted>;
+  readonly evicted: Set<EvictedUnit>;
 }
 interface QueuedItem {
   readonly kind: 'queued';
@@ -50,7 +50,7 @@
   last: { readonly n: Node; readonly free: boolean } | null;
 }
 type Item =
-  | { readonly kind: 'evicted'; readonly unit: Evicted; readonly urgency: number; readonly rank: number }
+  | { readonly kind: 'evicted'; readonly unit: EvictedUnit; readonly urgency: number; readonly rank: number }
   | QueuedItem;
 interface TeamState extends TeamRooms {
   readonly queue: Item[];
@@ -60,10 +60,10 @@
 
 export const plainSchedule = (
   input: CycleInput,
-  search: (floor: Floor) => Finder = plainFinder,
+  search: (capacity: ClusterCapacity) => PlacementSearch = plainFinder,
 ): CycleResult => {
   const nodes = new Map<string, NodeState>();
-  const total: Room = [0, 0, 0];
+  const total: Resources = [0, 0, 0];
   for (const view of input.nodes) {
     nodes.set(view.id, {
       view,
@@ -71,14 +71,14 @@
       free: [...view.total],
       leaving: [0, 0, 0],
       evicted: new Set(),
-      evictedRoom: [
+      evictedResources: [
         [0, 0, 0],
         [0, 0, 0],
         [0, 0, 0],
         [0, 0, 0],
       ],
-      surplus: input.surplus.has(view.id),
-      kept: null,
+      idle: input.idleNodes.has(view.id),
+      reservation: null,
     });
     add(total, view.total);
   }
@@ -91,7 +91,7 @@
         weight: input.weights.get(name) ?? 1,
         used: [0, 0, 0],
         held: [0, 0, 0],
-        stays: [0, 0, 0],
+        staying: [0, 0, 0],
         queue: [],
         next: 0,
         share: null,
@@ -102,31 +102,31 @@
   };
 
   // Eviction. Everything held takes room; what is evicted may be displaced from it later.
-  const gangs = new Map<Job, Holder[]>();
+  const gangs = new Map<Job, PlacedTask[]>();
   const zonesHeld = new Map<Job, Map<string, number>>();
   /** Jobs with a task that may be anywhere: zone rules can't be kept for them yet. */
-  const lostSight = new Set<Job>();
-  const evict = (job: Job, members: readonly Holder[]): void => {
+  const zoneUnknown = new Set<Job>();
+  const evict = (job: Job, members: readonly PlacedTask[]): void => {
     const team = teamOf(job.spec.team);
-    const need = room(job.spec);
+    const need = resourcesOf(job.spec);
     const k = members.length;
-    const size: Room = k === 1 ? need : [need[0] * k, need[1] * k, need[2] * k];
-    const unit = new Evicted(team, job, members, need, size);
-    add(team.stays, size);
+    const size: Resources = k === 1 ? need : [need[0] * k, need[1] * k, need[2] * k];
+    const unit = new EvictedUnit(team, job, members, need, size);
+    add(team.staying, size);
     for (const m of members) {
       const n = nodes.get(m.machine);
       n?.evicted.add(unit);
-      if (n) add(n.evictedRoom[job.spec.urgency]!, need);
+      if (n) add(n.evictedResources[job.spec.urgency]!, need);
     }
     team.queue.push({ kind: 'evicted', unit, urgency: job.spec.urgency, rank: -1 });
   };
-  for (const h of input.holders) {
-    const need = room(h.job.spec);
+  for (const h of input.placedTasks) {
+    const need = resourcesOf(h.job.spec);
     const team = teamOf(h.job.spec.team);
     add(team.held, need);
     const node = nodes.get(h.machine);
     if (node) add(node.free, need, -1);
-    if (h.zone === null) lostSight.add(h.job);
+    if (h.zone === null) zoneUnknown.add(h.job);
     else {
       let zones = zonesHeld.get(h.job);
       if (!zones) zonesHeld.set(h.job, (zones = new Map()));
@@ -170,32 +170,32 @@
   }
 
   const starts = new Map<Job, Start>();
-  const stops: Stop[] = [];
+  const preemptions: Preemption[] = [];
   const unplaced: Unplaced[] = [];
-  const claims = new Map<string, number>();
+  const reservations = new Map<string, number>();
   /** Shapes of task that found no room in this cycle, and how many of them: what fails once fails again. */
   const hopeless = new Map<string, number>();
 
-  const sizeOf = (item: Item): Room => {
+  const sizeOf = (item: Item): Resources => {
     if (item.kind === 'evicted') return item.unit.size;
     const { job } = item.queued;
     const count = job.spec.shape === 'gang' ? job.spec.tasks : 1;
-    const need = room(job.spec);
+    const need = resourcesOf(job.spec);
     return [need[0] * count, need[1] * count, need[2] * count];
   };
   /** Dominant share over weight, as it would be with `more` placed. */
-  const share = (team: TeamRooms, more: Room): number => {
+  const share = (team: TeamRooms, more: Resources): number => {
     let worst = 0;
     for (let i = 0; i < 3; i++) {
       if (total[i]! > 0) worst = Math.max(worst, (team.used[i]! + more[i]!) / total[i]!);
     }
     return worst / team.weight;
   };
-  const withinGuarantee = (team: TeamRooms, more: Room): boolean => {
+  const withinGuarantee = (team: TeamRooms, more: Resources): boolean => {
     const g = team.settings.guarantee;
     return team.used[0] + more[0] <= g.cpus + 1e-6 && team.used[1] + more[1] <= g.gpus + 1e-6;
   };
-  const overLimit = (team: TeamState, more: Room): boolean => {
+  const overLimit = (team: TeamState, more: Resources): boolean => {
     const l = team.settings.limit;
     return (
       (l.cpus > 0 && team.held[0] + more[0] > l.cpus + 1e-6) ||
@@ -205,48 +205,48 @@
 
   /** Tasks of each job that services take in this cycle. */
   const taken = new Map<Job, number>();
-  const displace = (unit: Evicted, by: Job): void => {
-    unit.out = true;
+  const displace = (unit: EvictedUnit, by: Job): void => {
+    unit.displaced = true;
     const { need } = unit;
-    add(unit.team.stays, unit.size, -1);
+    add(unit.team.staying, unit.size, -1);
     const lent = input.lending !== undefined && mayBorrow(by.spec) && need[1] > 0;
     if (lent) taken.set(unit.job, (taken.get(unit.job) ?? 0) + unit.members.length);
     for (const m of unit.members) {
       const n = nodes.get(m.machine);
       if (n) {
         n.evicted.delete(unit);
-        add(n.evictedRoom[unit.job.spec.urgency]!, need, -1);
+        add(n.evictedResources[unit.job.spec.urgency]!, need, -1);
         add(n.leaving, need);
       }
       const stop = { job: unit.job, task: m.task, machine: m.machine };
-      stops.push(lent ? { ...stop, taker: by } : stop);
+      preemptions.push(lent ? { ...stop, taker: by } : stop);
     }
   };
 
-  const NONE: Room = [0, 0, 0];
-  const NOBODY: ReadonlySet<Evicted> = new Set();
+  const NONE: Resources = [0, 0, 0];
+  const NOBODY: ReadonlySet<EvictedUnit> = new Set();
   /** One task of each, or one gang: they have waited for that, and the rest of the GPU machines' room stays theirs. */
   const overdue = new Set(input.queued.flatMap((q) => (q.overdue === true ? [q.job] : [])));
-  const floor: Floor = {
+  const capacity: ClusterCapacity = {
     nodes,
     evictedOn: (n) => [...(n as NodeState).evicted],
-    touch: () => undefined,
-    touched: [],
+    markChanged: () => undefined,
+    changedNodes: [],
     zones: [...new Set(input.nodes.map((n) => n.zone))].sort(),
     zonesHeld,
-    lostSight,
-    companions: input.companions,
+    zoneUnknown,
+    coLocatedDemand: input.coLocatedDemand,
     avoid: input.avoid,
     overdue,
     share: (t) => share(t, NONE),
     withinGuarantee,
   };
-  const find = replicaFinder(floor, search(floor), input.lending, taken);
+  const find = replicaSearch(capacity, search(capacity), input.lending, taken);
 
-  const take = (job: Job, team: TeamState, tasks: readonly number[], choice: Choice): void => {
-    const need = room(job.spec);
+  const take = (job: Job, team: TeamState, tasks: readonly number[], choice: PlacementChoice): void => {
+    const need = resourcesOf(job.spec);
     for (const v of choice.victims) {
-      if (v.out) continue;
+      if (v.displaced) continue;
       // A unit that was already refilled gives back what was counted for it.
       if (returned.has(v)) add(v.team.used, v.size, -1);
       (v.team as TeamState).share = null;
@@ -254,7 +254,7 @@
     }
     let start = starts.get(job);
     if (choice.free && !start) {
-      start = { job, attempt: Math.max(job.attempt, input.attempts ?? 0) + 1, on: new Map() };
+      start = { job, attempt: Math.max(job.attempt, input.attemptFloor ?? 0) + 1, on: new Map() };
       starts.set(job, start);
     }
     let zones = zonesHeld.get(job);
@@ -286,7 +286,7 @@
       }
     }
   };
-  const returned = new Set<Evicted>();
+  const returned = new Set<EvictedUnit>();
   let places = 0;
 
   /** Places `group`, the next tasks of `item`, and says whether there was room. */
@@ -294,7 +294,7 @@
     team: TeamState,
     item: QueuedItem,
     group: readonly number[],
-    choice: Choice | null,
+    choice: PlacementChoice | null,
   ): boolean => {
     if (choice === null) return false;
     const { job } = item.queued;
@@ -304,7 +304,7 @@
       choice.victims.size === 0 && job.spec.shape !== 'gang'
         ? { n: choice.machines[0]!, free: choice.free }
         : null;
-    if (!choice.free) claims.set(job.spec.id, (claims.get(job.spec.id) ?? 0) + group.length);
+    if (!choice.free) reservations.set(job.spec.id, (reservations.get(job.spec.id) ?? 0) + group.length);
     item.at += group.length;
     return true;
   };
@@ -316,13 +316,14 @@
    * promised: it was the tightest fit, and is tighter now. Arrays of thousands of small tasks need one search a machine,
    * not one a task. Free room that the last one did not find is not there now either.
    */
-  const besideLast = (item: QueuedItem, job: Job): Choice | null => {
-    if (item.last === null || job.spec.spread || isKeptFrom(item.last.n, job)) return null;
+  const besideLast = (item: QueuedItem, job: Job): PlacementChoice | null => {
+    if (item.last === null || job.spec.spread || isReservedAgainst(item.last.n, job)) return null;
     if (input.lending !== undefined && mayBorrow(job.spec)) return null;
     const { n, free } = item.last;
-    const need = room(job.spec);
-    const after: Room = [n.free[0] - need[0], n.free[1] - need[1], n.free[2] - need[2]];
-    if (strands(guardsOf(input.companions, job), job, n.view.total, n.surplus, after)) return null;
+    const need = resourcesOf(job.spec);
+    const after: Resources = [n.free[0] - need[0], n.free[1] - need[1], n.free[2] - need[2]];
+    if (strandsGpus(protectedDemand(input.coLocatedDemand, job), job, n.view.total, n.idle, after))
+      return null;
     if (!free) add(after, n.leaving);
     if (!fits(NONE, after)) return null;
     return { machines: [n], victims: NOBODY, free };
@@ -333,7 +334,7 @@
 
   /** Places the next of what `item` wants; false: there is nothing more to be had for it now. */
   const serve = (team: TeamState, item: QueuedItem): boolean => {
-    const { job, tasks, cautious, rents } = item.queued;
+    const { job, tasks, cautious, mayRent } = item.queued;
     const gang = job.spec.shape === 'gang';
     const group = nextOf(item);
     const { spec } = job;
@@ -354,19 +355,20 @@
             spec.zone,
             spec.spot,
             gang ? `${spec.oneZone}${spec.spread}` : spec.spread || spec.oneZone ? spec.id : '',
-            spec.gpus > 0 ? '' : guardsOf(input.companions, job).length,
+            spec.gpus > 0 ? '' : protectedDemand(input.coLocatedDemand, job).length,
           ].join('|');
     const limited = overLimit(team, sizeOf(item));
     const choice =
       limited || (key !== '' && group.length >= (hopeless.get(key) ?? Number.POSITIVE_INFINITY))
         ? null
-        : (besideLast(item, job) ?? find(job, team, group.length, cautious ? FREE_ROOM : ANY_ROOM));
+        : (besideLast(item, job) ?? find(job, team, group.length, cautious ? FREE_ONLY : WITH_PREEMPTION));
     if (!put(team, item, group, choice)) {
       if (key !== '' && !limited)
         hopeless.set(key, Math.min(group.length, hopeless.get(key) ?? Number.POSITIVE_INFINITY));
-      if (!limited && !reserved && item.queued.gathers) reserved = reserve(floor, input.holders, job, team);
+      if (!limited && !reserved && item.queued.starving)
+        reserved = reserve(capacity, input.placedTasks, job, team);
       // More machines would not help a team at its limit.
-      if (!limited && rents) unplaced.push({ job, count: gang ? tasks.length : tasks.length - item.at });
+      if (!limited && mayRent) unplaced.push({ job, count: gang ? tasks.length : tasks.length - item.at });
       return false;
     }
     return item.at < tasks.length;
@@ -374,13 +376,13 @@
 
   // Those whose room is being left for them by others had their turn when the others were stopped.
   const over = new Set<Item>();
-  for (const [id, count] of input.claims) {
+  for (const [id, count] of input.reservations) {
     for (const team of teams.values()) {
       const item = team.queue.find((i) => i.kind === 'queued' && i.queued.job.spec.id === id);
       if (item?.kind !== 'queued' || item.queued.cautious) continue;
       while (item.at < Math.min(count, item.queued.tasks.length) && !overLimit(team, sizeOf(item))) {
         const group = nextOf(item);
-        if (!put(team, item, group, find(item.queued.job, team, group.length, LEFT_ROOM))) break;
+        if (!put(team, item, group, find(item.queued.job, team, group.length, WITHOUT_PREEMPTION))) break;
       }
       if (item.at >= item.queued.tasks.length) over.add(item);
     }
@@ -408,15 +410,15 @@
     const item = team.queue[team.next]!;
     if (item.kind === 'evicted') {
       team.next++;
-      if (item.unit.out) continue;
+      if (item.unit.displaced) continue;
       add(team.used, item.unit.size);
       returned.add(item.unit);
       continue;
     }
-    if (places >= (input.mostPlaces ?? Number.POSITIVE_INFINITY)) {
+    if (places >= (input.maxPlacements ?? Number.POSITIVE_INFINITY)) {
       for (const t of teams.values())
         for (const i of t.queue.slice(t.next)) {
-          if (i.kind === 'evicted' || over.has(i) || !i.queued.rents || overLimit(t, sizeOf(i))) continue;
+          if (i.kind === 'evicted' || over.has(i) || !i.queued.mayRent || overLimit(t, sizeOf(i))) continue;
           const { job, tasks } = i.queued;
           unplaced.push({ job, count: job.spec.shape === 'gang' ? tasks.length : tasks.length - i.at });
         }
@@ -425,7 +427,7 @@
     if (!serve(team, item)) team.next++;
   }
 
-  const free = new Map<string, Room>();
+  const free = new Map<string, Resources>();
   for (const n of nodes.values()) free.set(n.view.id, [...n.free]);
-  return { starts: [...starts.values()], stops, unplaced, claims, free };
+  return { starts: [...starts.values()], preemptions, unplaced, reservations, free };
 };
--- a/packages/operator-cli/src/cutoffs.ts
+++ b/packages/operator-cli/src/cutoffs.ts
@@ -2,7 +2,7 @@
 import type { Command } from 'commander';
 import { Effect } from 'effect';
 import type { Micros } from '@lilacvalve/runtime/micros';
-import { isRisk, NO_TALLY, SAID, WHY } from '@lilacvalve/controller/calendar/model';
+import { isRisk, NO_TALLY, CUTOFF_RISK, RISK_REASONS } from '@lilacvalve/controller/calendar/model';
 import { listAll } from '@lilacvalve/controller/calendar/publish';
 import { JobState } from '@lilacvalve/controller/jobs/job-state';
 import {
@@ -100,12 +100,13 @@
     else if (job.cancelled) r.cancelled++;
     else if (job.placed.size > 0) r.running++;
     else r.waiting++;
-    const late = job.cutoffRisk === SAID.missed || (!done && !job.cancelled && r.at !== null && r.at < day);
+    const late =
+      job.cutoffRisk === CUTOFF_RISK.missed || (!done && !job.cancelled && r.at !== null && r.at < day);
     if (late && !job.cancelled) {
       r.missed++;
       if (r.jobs.length < names) r.jobs.push({ id, why: 'missed' });
     } else if (!done && !job.cancelled && r.state === 'coming' && isRisk(job.cutoffRisk)) {
-      const why = WHY[job.cutoffRisk!]!;
+      const why = RISK_REASONS[job.cutoffRisk!]!;
       r.atRisk++;
       r.why[why] = (r.why[why] ?? 0) + 1;
       if (r.jobs.length < names) r.jobs.push({ id, why });
--- a/packages/simulation/src/sample-fleet.ts
+++ b/packages/simulation/src/sample-fleet.ts
@@ -1,8 +1,8 @@
 /** Inputs of one scheduling cycle, made up at a given size: what measurements and property tests of the cycle run on. */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Job, JobSpec } from '@lilacvalve/controller/jobs/model';
-import type { CycleInput, Holder, NodeView, QueuedJob } from '@lilacvalve/controller/scheduler/model';
-import { surplusOf } from '@lilacvalve/controller/scheduler/surplus';
+import type { CycleInput, PlacedTask, NodeView, QueuedJob } from '@lilacvalve/controller/scheduler/model';
+import { idleNodesOf } from '@lilacvalve/controller/scheduler/idle-nodes';
 import { job } from '@lilacvalve/controller/support/job';
 
 export interface SampleFleet {
@@ -24,7 +24,7 @@
 
 /** Makes jobs of teams by turns and places their tasks. */
 class Workload {
-  readonly holders: Holder[] = [];
+  readonly placedTasks: PlacedTask[] = [];
   readonly queued: QueuedJob[] = [];
   private count = 0;
   /** Jobs that tasks are still being placed of, by kind. */
@@ -81,7 +81,7 @@
     }
     const task = open.placed.size;
     open.placed.set(task, { task, attempt: 1, machine: machine.id, since: 0 as Micros });
-    this.holders.push({
+    this.placedTasks.push({
       job: open,
       task,
       machine: machine.id,
@@ -97,9 +97,9 @@
       job: waiting,
       tasks: Array.from({ length: waiting.spec.tasks }, (_, i) => i),
       rank: this.random() * 1e9,
-      gathers: waiting.spec.shape === 'gang',
+      starving: waiting.spec.shape === 'gang',
       cautious: false,
-      rents: true,
+      mayRent: true,
     });
   }
 
@@ -113,11 +113,13 @@
       })),
       weights: new Map(),
       nodes,
-      holders: this.holders,
+      placedTasks: this.placedTasks,
       queued: this.queued,
-      companions: [{ urgency: 0, cpusPerGpu: 5, memPerGpu: 18, waiting: true, patience: 30e6 as Micros }],
-      surplus: surplusOf(nodes, this.holders, this.queued),
-      claims: new Map(),
+      coLocatedDemand: [
+        { urgency: 0, cpusPerGpu: 5, memPerGpu: 18, waiting: true, patience: 30e6 as Micros },
+      ],
+      idleNodes: idleNodesOf(nodes, this.placedTasks, this.queued),
+      reservations: new Map(),
       avoid: () => null,
     };
   }
--- a/packages/simulation/src/turns.ts
+++ b/packages/simulation/src/turns.ts
@@ -11,7 +11,7 @@
 import { share, wholeNumber } from '@lilacvalve/runtime/flag-values';
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { makeCalendar } from '@lilacvalve/controller/calendar/model';
-import { cutoffRank, sayOf } from '@lilacvalve/controller/calendar/slack';
+import { cutoffRank, newCutoffRisk } from '@lilacvalve/controller/calendar/slack';
 import type { Job } from '@lilacvalve/controller/jobs/model';
 import { schedule } from '@lilacvalve/controller/scheduler/cycle';
 import type { CycleInput, CycleResult } from '@lilacvalve/controller/scheduler/model';
@@ -61,11 +61,11 @@
   const tied = jobs
     .filter((_, i) => i % 2 === 0)
     .map((j, i) => ({ ...j, spec: { ...j.spec, tie: `c@${i % 1000}` } }));
-  const pace = { shown: new Map(), limit: () => undefined, total: [10_000, 400, 40_000] as const };
+  const pace = { classDurations: new Map(), limit: () => undefined, total: [10_000, 400, 40_000] as const };
   const { median, longest } = timed(rounds, () => {
     for (const j of tied) {
       cutoffRank(j, calendar, 1e9 as Micros, () => pace);
-      sayOf(
+      newCutoffRisk(
         j,
         calendar,
         1e9 as Micros,
@@ -94,13 +94,13 @@
   const tasks = input.queued.reduce((n, q) => n + q.tasks.length, 0);
   const figures = {
     machines,
-    held: input.holders.length,
+    held: input.placedTasks.length,
     waiting: tasks,
     teams: input.teams.length,
     medianMs: Number(turn.median.toFixed(2)),
     longestMs: Number(turn.longest.toFixed(2)),
     started: startedBy(result),
-    stops: result.stops.length,
+    stops: result.preemptions.length,
     unplaced: result.unplaced.length,
   };
   if (options.json === true) {
@@ -112,7 +112,7 @@
       `turn ${figures.medianMs} ms, longest ${figures.longestMs} ms; ` +
       `starts ${figures.started}, stops ${figures.stops}, unplaced ${figures.unplaced}\n`,
   );
-  const jobs = [...new Set([...input.holders.map((h) => h.job), ...input.queued.map((q) => q.job)])];
+  const jobs = [...new Set([...input.placedTasks.map((h) => h.job), ...input.queued.map((q) => q.job)])];
   process.stdout.write(timeCutoffs(jobs, rounds));
 };
 
--- a/packages/simulation/src/world/cutoffs.ts
+++ b/packages/simulation/src/world/cutoffs.ts
@@ -4,7 +4,7 @@
  */
 import { Effect, Exit } from 'effect';
 import { type Micros, micros, seconds } from '@lilacvalve/runtime/micros';
-import { type Calendar, makeCalendar, SAID } from '@lilacvalve/controller/calendar/model';
+import { type Calendar, makeCalendar, CUTOFF_RISK } from '@lilacvalve/controller/calendar/model';
 import { publish } from '@lilacvalve/controller/calendar/publish';
 import type { JobState } from '@lilacvalve/controller/jobs/job-state';
 import { decodeTally } from '@lilacvalve/controller/calendar/codec';
@@ -149,8 +149,9 @@
       this.version = r.head.calendar;
       for (const [id, c] of r.jobs) {
         if (c.cutoffRisk === undefined) continue;
-        const before = this.said.get(id) ?? SAID.nothing;
-        const again = c.cutoffRisk === before || (before === SAID.missed && c.cutoffRisk !== SAID.nothing);
+        const before = this.said.get(id) ?? CUTOFF_RISK.nothing;
+        const again =
+          c.cutoffRisk === before || (before === CUTOFF_RISK.missed && c.cutoffRisk !== CUTOFF_RISK.nothing);
         if (again) broke('said_twice', `${id}: ${c.cutoffRisk} after ${before} in record ${seq}`);
         this.said.set(id, c.cutoffRisk);
         this.kinds[c.cutoffRisk] = (this.kinds[c.cutoffRisk] ?? 0) + 1;
--- a/packages/simulation/test/calendar.test.ts
+++ b/packages/simulation/test/calendar.test.ts
@@ -163,5 +163,5 @@
   )!;
   s.state.keys.set(page, { ...s.state.keys.get(page)!, value: '[["noon",0,null,null,null,null]]' });
   assert.equal(view(s).calendars.current, null);
-  assert.ok(!view(s).calendars.whole);
+  assert.ok(!view(s).calendars.complete);
 });
--- a/packages/simulation/test/cutoffs.test.ts
+++ b/packages/simulation/test/cutoffs.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
-import { SAID } from '@lilacvalve/controller/calendar/model';
+import { CUTOFF_RISK } from '@lilacvalve/controller/calendar/model';
 import { readExperiment } from '../src/experiment.js';
 import { faultsOf, playDay } from '../src/play.js';
 
@@ -19,5 +19,5 @@
       assert.deepEqual(faultsOf(day), []);
       const c = day.cutoffs!;
       assert.ok(c.tied > 10 && c.applied >= 3, JSON.stringify(c));
-      assert.ok((c.said[SAID.missed] ?? 0) > 0 || name !== 'cutoffs', JSON.stringify(c));
+      assert.ok((c.said[CUTOFF_RISK.missed] ?? 0) > 0 || name !== 'cutoffs', JSON.stringify(c));
     });
--- a/packages/simulation/test/stored-data.test.ts
+++ b/packages/simulation/test/stored-data.test.ts
@@ -19,7 +19,7 @@
   encodeCalendar,
   encodeTally,
 } from '@lilacvalve/controller/calendar/codec';
-import { decodeShown, encodeShown } from '@lilacvalve/controller/calendar/shown';
+import { decodeClassDurations, encodeClassDurations } from '@lilacvalve/controller/calendar/class-durations';
 import {
   decodeFinalState,
   decodeJob,
@@ -33,7 +33,7 @@
   encodeLogEntry,
 } from '@lilacvalve/controller/jobs/codec';
 import { answerBeat, type Peers, readBeat } from '@lilacvalve/controller/leadership/peers';
-import { decodeWeights, encodeWeights } from '@lilacvalve/controller/lending/weights';
+import { decodeImageWeights, encodeImageWeights } from '@lilacvalve/controller/lending/image-weights';
 import { Links } from '@lilacvalve/controller/links';
 import {
   decodeViewRequest,
@@ -44,7 +44,7 @@
   encodeViewResponse,
 } from '@lilacvalve/controller/recovery/codec';
 import { decodeFact, encodeFact } from '@lilacvalve/controller/recovery/evidence-store';
-import { Largest } from '@lilacvalve/controller/scheduler/largest';
+import { LargestJobs } from '@lilacvalve/controller/scheduler/largest-jobs';
 import { HeartbeatReader } from '@lilacvalve/controller/workers/codec';
 import { relayHandler } from '@lilacvalve/controller/workers/heartbeat-relay';
 import type { Answer, Incoming } from '@lilacvalve/runtime/http-server';
@@ -100,9 +100,9 @@
   's/p/': (v) => encodeBundle(decodeBundle(v)),
   's/y/': (v) => encodeFinalStates(decodeFinalStates(v)),
   's/c/o/': (v) => encodeTally(decodeTally(v)),
-  's/c/e': (v) => encodeShown(decodeShown(v)),
-  's/types/largest': (v) => new Largest(v).told(),
-  's/types/weights': (v) => encodeWeights(new Map(Object.entries(v)), 16_384),
+  's/c/e': (v) => encodeClassDurations(decodeClassDurations(v)),
+  's/types/largest': (v) => new LargestJobs(v).hint(),
+  's/types/weights': (v) => encodeImageWeights(new Map(Object.entries(v)), 16_384),
 };
 for (const [kind, write] of Object.entries(again))
   test(`stored values are read and written to the byte: ${kind}`, () => {
@@ -164,7 +164,7 @@
   assert.equal(view.damaged.size, 0);
   const weights = fixture.values['s/types/weights']!.at(-1)!;
   const on = Object.values(JSON.parse(weights[1]) as Record<string, string[]>).flat();
-  assert.deepEqual([...decodeWeights(JSON.parse(weights[1])).keys()].sort(), [...new Set(on)].sort());
+  assert.deepEqual([...decodeImageWeights(JSON.parse(weights[1])).keys()].sort(), [...new Set(on)].sort());
 });
 
 test('what a day stores and sends has the same keys and field names', () => {
