--- a/packages/controller/src/accounts/booking.ts
+++ b/packages/controller/src/accounts/booking.ts
@@ -1,4 +1,4 @@
-/** What the leader's next record says for the accounts: prepared before it is drafted, as of the record's time of day. */
+/** What the leader's next log entry says for the accounts: prepared before it is drafted, as of the log entry's time of day. */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Job } from '../jobs/model.js';
 import { borrowedBy } from '../lending/loans.js';
@@ -9,7 +9,7 @@
 import { type Books, roomOf, Spending } from './spent.js';
 
 /**
- * Whether a replica ran on lent room: loans are of the job, so they are taken to be of the replicas that were started last,
+ * Whether a replica ran on lent capacity: loans are of the job, so they are taken to be of the replicas that were started last,
  * as many as what is lent when it ends suffices for.
  */
 export const onLentRoom = (job: Job, task: number): boolean => {
@@ -24,7 +24,7 @@
 
 export class Booking {
   readonly spending: Spending;
-  /** What stands open where a period ends, before the record's own ends and starts. */
+  /** What stands open where a period ends, before the log entry's own ends and starts. */
   private open: Rows = new Map();
 
   constructor(
@@ -45,14 +45,14 @@
     this.spending = new Spending(books, at);
   }
 
-  /** The record that says so is committed. */
+  /** The log entry that says so is committed. */
   committed(spent: Spent): void {
     const { t } = this;
     if (spent.closes === null) return;
     t.ledger.closing.set(spent.closes, { open: this.open, shares: t.ledger.share.take(t.clock()) });
   }
 
-  /** What the head of the record says. */
+  /** What the head of the log entry says. */
   spent(): Spent {
     const { t, at } = this;
     const { accounts } = t.jobState;
--- a/packages/controller/src/accounts/codec.ts
+++ b/packages/controller/src/accounts/codec.ts
@@ -1,4 +1,4 @@
-/** Durable forms of accounts: a record's part in its head, the checkpoint, pages. Amounts are hexadecimal text. */
+/** Durable forms of accounts: a log entry's part in its head, the checkpoint, pages. Amounts are hexadecimal text. */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { compact } from './fold.js';
 import {
@@ -30,7 +30,7 @@
   rate: number,
   ...us: number[],
 ];
-/** The members of a record's head that are the accounts'. */
+/** The members of a log entry's header that are the accounts'. */
 export interface StoredSpent {
   readonly s?: readonly WireSpent[];
   readonly p?: number;
@@ -42,9 +42,9 @@
   while (us.length > 0 && us[us.length - 1] === 0) us.pop();
   return [...r.group, ...r.shape, r.rate, ...us];
 };
-/** Bytes of a row in a record, with the sign after it. */
+/** Bytes of a row in a log entry, with the sign after it. */
 export const bytesOfRow = (r: SpentRow): number => JSON.stringify(wireRow(r)).length + 1;
-/** Bytes of a row in a record, at the most. */
+/** Bytes of a row in a log entry, at the most. */
 export const rowBytes = (group: Group): number => JSON.stringify(group).length + 130;
 
 export const encodeSpent = (s: Spent): StoredSpent => ({
--- a/packages/controller/src/accounts/fold.ts
+++ b/packages/controller/src/accounts/fold.ts
@@ -1,4 +1,4 @@
-/** Folds records into accounts: pure, in the records' order, the same on every controller. */
+/** Folds log entries into accounts: pure, in the log entries' order, the same on every controller. */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import {
   type Accounts,
@@ -113,7 +113,7 @@
   return [joined, ...rest];
 };
 
-/** Whether a record should say how much room there is (`Spent.bound`). */
+/** Whether a log entry should say how much room there is (`Spent.bound`). */
 export const wantsBound = (a: Accounts): boolean => a.gaps.some((g) => g.open || g.room === null);
 
 const bounded = (gaps: readonly Gap[], at: Micros, bound: Spent['bound']): readonly Gap[] =>
@@ -134,7 +134,7 @@
   return [{ from: a.from, to: b.to, rows: joinRows(a.rows, b.rows) }, ...rest];
 };
 
-/** The accounts with one record more. `at`: its time of day; 0: it has none. Records already in them change nothing. */
+/** The accounts with one log entry more. `at`: its time of day; 0: it has none. Log entries already in them change nothing. */
 export const fold = (a: Accounts, seq: number, at: Micros, spent: Spent): Accounts => {
   if (seq <= a.upTo) return a;
   let { gaps, pending, current, closed } = a;
@@ -146,7 +146,7 @@
   if (at === 0)
     gaps = addGap(gaps, { why: 'untimed', from: a.at, to: a.at, seqs: [seq, seq], room: null, open: true });
   else {
-    // What can't be read ends where the next record begins to be.
+    // What can't be read ends where the next log entry begins to be.
     gaps = gaps.map((g) => (g.why === 'untimed' && g.open ? { ...g, to: at, open: false } : g));
     gaps = bounded(gaps, at, spent.bound);
   }
@@ -173,7 +173,7 @@
   b.life > a.life || (b.life === a.life && b.upTo > a.upTo) ? b : a;
 
 /**
- * What a rebuild writes back: the latest of the views. `whole`: somebody among them knew every record. Else what comes
+ * What a rebuild writes back: the latest of the views. `whole`: somebody among them knew every log entry. Else what comes
  * after the view is a gap, that stands open until nothing from before can be running any more.
  */
 export const joinAccounts = (
--- a/packages/controller/src/accounts/ledger.ts
+++ b/packages/controller/src/accounts/ledger.ts
@@ -1,4 +1,4 @@
-/** What a leader gathers in its reign for the next pages. Nothing of it is durable before its page is. */
+/** What a leader gathers in its leadership term for the next pages. Nothing of it is durable before its page is. */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { JobState } from '../jobs/job-state.js';
 import { addAmounts, amountsOf } from './fold.js';
--- a/packages/controller/src/accounts/model.ts
+++ b/packages/controller/src/accounts/model.ts
@@ -6,7 +6,7 @@
 
 /**
  * What the time of a placement was: running what need not be run again; running what must be run again after a loss;
- * waiting for the other members of a gang; on its way and fetching the image; running on lent room; not known, because
+ * waiting for the other members of a gang; on its way and fetching the image; running on lent capacity; not known, because
  * another leader saw it; and `unsure`: an upper bound where it is not known since when it was placed, part of no sum.
  */
 export const SPLITS = ['useful', 'repeated', 'gathering', 'fetching', 'lent', 'unknown', 'unsure'] as const;
@@ -32,7 +32,7 @@
 /** Class of rows that were joined for want of room: still of their team and kind. */
 export const OTHERS = '*';
 
-/** Placements of one shape that ended in one record. */
+/** Placements of one shape that ended in one log entry. */
 export interface SpentRow {
   readonly group: Group;
   /** Thousandths of a CPU, a GPU and a GB that each of them took. */
@@ -46,19 +46,19 @@
 /** Room of all machines: thousandths of CPUs, GPUs, GB. */
 export type RoomBound = readonly [cpus: number, gpus: number, mem: number];
 
-/** What one record says for the accounts. */
+/** What one log entry says for the accounts. */
 export interface Spent {
   readonly rows: readonly SpentRow[];
-  /** The record is the first one at or after this time of day: what was booked before it is a period of its own. */
+  /** The log entry is the first one at or after this time of day: what was booked before it is a period of its own. */
   readonly closes: Micros | null;
-  /** While a gap stands open: the room of all machines, and whether the gap ends with this record. */
+  /** While a gap stands open: the room of all machines, and whether the gap ends with this log entry. */
   readonly bound: { readonly room: RoomBound; readonly shut: boolean } | null;
 }
 export const NOTHING_SPENT: Spent = { rows: [], closes: null, bound: null };
 
 /**
- * Why something is missing: `before`: there were records before there were accounts; `loss`: the state service lost
- * data, and nobody who knew all of it was left; `records`: records went without a trace; `untimed`: a record that can't
+ * Why something is missing: `before`: there were log entries before there were accounts; `loss`: the state service lost
+ * data, and nobody who knew all of it was left; `records`: log entries went without a trace; `untimed`: a log entry that can't
  * be read, or of an older version; `several`: older gaps, joined.
  */
 export type Why = 'before' | 'loss' | 'records' | 'untimed' | 'several';
@@ -68,11 +68,11 @@
   readonly why: Why;
   readonly from: Micros;
   readonly to: Micros;
-  /** Sequence numbers of the records in question. */
+  /** Sequence numbers of the log entries in question. */
   readonly seqs: readonly [first: number, last: number];
   /** null: not known yet. */
   readonly room: RoomBound | null;
-  /** It goes on: something from before the loss may still be running that no record knows of. */
+  /** It goes on: something from before the loss may still be running that no log entry knows of. */
   readonly open: boolean;
 }
 export const GAPS_KEPT = 24;
@@ -88,11 +88,11 @@
 /** Length of a period. */
 export const MINUTE = 60_000_000;
 
-/** The accounts as of one record: the same on every controller that has read as far. */
+/** The accounts as of one log entry: the same on every controller that has read as far. */
 export interface Accounts {
   /** Grows with each rebuild of the store. */
   readonly life: number;
-  /** The last record in them, and its time of day. */
+  /** The last log entry in them, and its time of day. */
   readonly upTo: number;
   readonly at: Micros;
   /** Everything booked so far. */
--- a/packages/controller/src/accounts/phases.ts
+++ b/packages/controller/src/accounts/phases.ts
@@ -1,6 +1,6 @@
 /**
  * What the leader has seen of a placement: from when on it was on its way, waited for its gang, ran. Kept in the leader's
- * book by task; times are the book's clock.
+ * worker registry by task; times are the worker registry's clock.
  */
 import type { Micros } from '@lilacvalve/runtime/micros';
 
--- a/packages/controller/src/accounts/share.ts
+++ b/packages/controller/src/accounts/share.ts
@@ -94,7 +94,7 @@
 }
 
 /**
- * One turn's outcome as shares, of the groups that wait after it. A team is entitled to its weight among the teams that
+ * One cycle's outcome as shares, of the groups that wait after it. A team is entitled to its weight among the teams that
  * have or want anything, or to its guarantee if that is more, up to its limit; its waiting groups divide among them what
  * the team has less than that, by what they want.
  */
@@ -195,7 +195,7 @@
 
 /**
  * What teams were owed lately, decayed by half every `halfLife`: parts of all room. Leans on the order between teams, within
- * `LEAN`. A reign begins without any.
+ * `LEAN`. A leadership term begins without any.
  */
 export class Balance {
   private readonly owed = new Map<string, number>();
@@ -223,14 +223,14 @@
   }
 }
 
-/** Sums of the leader's turns since the last page. */
+/** Sums of the leader's cycles since the last page. */
 export class ShareBook {
   private rows = new Map<string, ShareSum>();
   private last: { readonly at: Micros; readonly groups: readonly GroupShare[] } | null = null;
   /** The most room lately: falls by a tenth a minute. */
   private peak: Resources = [0, 0, 0];
 
-  /** What the room was at its most, a turn's own included. */
+  /** What the room was at its most, a cycle's own included. */
   lately(all: Resources, at: Micros): Resources {
     const passed = this.last === null ? 0 : at - this.last.at;
     const fall = Math.exp((-0.1 * passed) / 60e6);
@@ -238,7 +238,7 @@
     return this.peak;
   }
 
-  /** A turn ended so: until the next one this is how it stands, for at most 10 s. */
+  /** A cycle ended so: until the next one this is how it stands, for at most 10 s. */
   note(groups: readonly GroupShare[], at: Micros): void {
     this.advance(at);
     this.last = { at, groups };
--- a/packages/controller/src/accounts/spent.ts
+++ b/packages/controller/src/accounts/spent.ts
@@ -1,4 +1,4 @@
-/** The rows that a record books: the placements that end in it, by what the leader's book knows of them. */
+/** The rows that a log entry books: the placements that end in it, by what the leader's worker registry knows of them. */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { MachineType } from '../provisioning/model.js';
 import type { Job } from '../jobs/model.js';
@@ -23,7 +23,7 @@
   readonly lent: (job: Job, task: number) => boolean;
   /** Placements of this time of day or later were started by this leader. */
   readonly reignFrom: Micros;
-  /** The book's clock as time of day. */
+  /** The worker registry's clock as time of day. */
   readonly day: (clock: Micros) => Micros;
 }
 
@@ -41,7 +41,7 @@
 
 /**
  * Microseconds by split of one placement from `since` to `at`; their sum is `at - since` exactly. `how`: it completed, it
- * went without completing, or it went because its user withdrew the job.
+ * went without completing, or it went because its user cancelled the job.
  */
 export const splitOf = (
   job: Job,
@@ -85,7 +85,7 @@
   return us;
 };
 
-/** Gathers the rows of one record. */
+/** Gathers the rows of one log entry. */
 export class Spending {
   private readonly rows = new Map<string, SpentRow[]>();
   /** Bytes of the rows as they stand. */
--- a/packages/controller/src/calendar/class-durations.ts
+++ b/packages/controller/src/calendar/class-durations.ts
@@ -1,5 +1,5 @@
 /**
- * What a class's tasks have shown: how many times their estimate they took, from the record that started them to the one
+ * What a class's tasks have shown: how many times their estimate they took, from the log entry that started them to the one
  * that ended them. A distribution in fixed buckets, a quarter of an octave each, that forgets by halving: a few hundred
  * bytes a class, the same on every node. (A histogram library keeps thousands of counters for its precision.)
  */
--- a/packages/controller/src/calendar/cutoff-tracking.ts
+++ b/packages/controller/src/calendar/cutoff-tracking.ts
@@ -1,4 +1,4 @@
-/** The leader's part: what is said of cutoffs with each record, the counts of what is over, and what classes have shown. */
+/** The leader's part: what is said of cutoffs with each log entry, the counts of what is over, and what classes have shown. */
 import { Effect } from 'effect';
 import { info } from '@lilacvalve/runtime/log';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
@@ -14,21 +14,21 @@
 import { type Pace, newCutoffRisk } from './slack.js';
 import { occurrenceOf } from './tie.js';
 
-/** In one record: the rest follows with the next ones. */
+/** In one log entry: the rest follows with the next ones. */
 const MAX_RISKS = 50;
-/** Samples of one job in one record: members of an array are much alike. */
+/** Samples of one job in one log entry: members of an array are much alike. */
 const SAMPLES = 8;
 const WRITE_EVERY = seconds(30);
 const NOTICE_EVERY = seconds(86_400);
 
-/** What a reign has seen and not written yet. */
+/** What a leadership term has seen and not written yet. */
 export class ClassSamples {
   readonly ratios = new Map<string, number[]>();
   writtenAt: Micros | null = null;
   noticedAt: Micros | null = null;
 }
 
-/** Never earlier than the latest record: a clock that was set back does not give a cutoff its time back. */
+/** Never earlier than the latest log entry: a clock that was set back does not give a cutoff its time back. */
 export const dayOf = (t: Pick<CycleContext, 'dayTime' | 'jobState'>): Micros =>
   Math.max(t.dayTime(), t.jobState.lastAt) as Micros;
 
@@ -76,7 +76,7 @@
   return { limited: over(limit?.cpus, cpus, spec.cpus) || over(limit?.gpus, gpus, spec.gpus), lost };
 };
 
-/** By job, what a record of this time says of its cutoff. */
+/** By job, what a log entry of this time says of its cutoff. */
 export const cutoffRisksOf = (t: CycleContext, day: Micros): Map<string, number> => {
   const out = new Map<string, number>();
   const { calendars } = t.jobState;
@@ -84,7 +84,7 @@
   const pace = paceOf(t);
   for (const job of t.jobState.jobs.values()) {
     if (job.spec.tie === null || job.cancelled || isComplete(job)) continue;
-    // What the same record completes is not at risk; it may have missed.
+    // What the same log entry completes is not at risk; it may have missed.
     const ends = t.registry.ends.get(job.spec.id);
     const over = ends !== undefined && job.done.size + ends.done.size >= job.spec.tasks;
     const say = newCutoffRisk(job, calendars.current, day, pace, () => hindranceOf(t, job));
@@ -95,7 +95,7 @@
   return out;
 };
 
-/** Once the record is durable. */
+/** Once the log entry is durable. */
 export const logCutoffRisks = (
   t: CycleContext,
   jobs: ReadonlyMap<string, JobChange>,
@@ -118,7 +118,7 @@
     { discard: true },
   );
 
-/** Takes what a record's ends show of their classes; called before the record is applied to the jobs. */
+/** Takes what a log entry's ends show of their classes; called before the log entry is applied to the jobs. */
 export const recordSamples = (t: CycleContext, jobs: ReadonlyMap<string, JobChange>, at: Micros): void => {
   if ((t.jobState.calendars.current?.cutoffs.length ?? 0) === 0) return;
   for (const [id, c] of jobs) {
--- a/packages/controller/src/calendar/model.ts
+++ b/packages/controller/src/calendar/model.ts
@@ -43,7 +43,7 @@
   readonly byId: ReadonlyMap<string, Occurrence>;
 }
 
-/** What has been said of a job's cutoff, durably in the job (`Job.said`): each is said once, whoever leads. */
+/** What has been said of a job's cutoff, durably in the job (`Job.cutoffRisk`): each is said once, whoever leads. */
 export const CUTOFF_RISK = { nothing: 0, noRoom: 1, limit: 2, estimate: 3, lost: 4, missed: 9 } as const;
 export const RISK_REASONS: Readonly<Record<number, string>> = {
   [CUTOFF_RISK.noRoom]: 'no room',
--- a/packages/controller/src/calendar/slack.ts
+++ b/packages/controller/src/calendar/slack.ts
@@ -142,7 +142,7 @@
 }
 
 /**
- * What is to be said of a job's cutoff now (`SAID`); null: nothing new. At risk once the careful view is past the cutoff,
+ * What is to be said of a job's cutoff now (`CUTOFF_RISK`); null: nothing new. At risk once the careful view is past the cutoff,
  * missed once the time of day is and the job is not done. Each is said once; of an occurrence that moved, anew.
  */
 export const newCutoffRisk = (
--- a/packages/controller/src/jobs/codec.ts
+++ b/packages/controller/src/jobs/codec.ts
@@ -118,12 +118,12 @@
   readonly l: number | null;
   readonly t: number;
   readonly w?: 1;
-  /** With `w`: `Job.withdrawnFirst`. */
+  /** With `w`: `Job.cancelledFirst`. */
   readonly v?: 1;
   readonly f?: number;
   readonly a?: number;
   readonly d?: string;
-  /** machine -> [attempt, tasks, microseconds from submission to the start's record][]; without the last: not known */
+  /** machine -> [attempt, tasks, microseconds from submission to the start's log entry][]; without the last: not known */
   readonly p?: Readonly<Record<string, readonly (readonly [number, string, number?])[]>>;
   /** Machines it failed on. */
   readonly x?: readonly string[];
@@ -153,7 +153,7 @@
 export const encodeJob = (job: Job, folded: number): StoredJob => {
   const s = job.spec;
   const p: Record<string, [number, string, number?][]> = {};
-  // Started by one record on one machine: the same attempt and the same time.
+  // Started by one log entry on one machine: the same attempt and the same time.
   const groups = new Map<string, { readonly attempt: number; readonly since: Micros; tasks: number[] }[]>();
   for (const x of job.placed.values()) {
     let on = groups.get(x.machine);
@@ -300,7 +300,7 @@
   ...(c.preemptedForServices ? { y: c.preemptedForServices } : {}),
 });
 
-/** A record's member for its head; no job has such an id. */
+/** A log entry's member for its head; no job has such an id. */
 const HEADER = '@';
 interface StoredHeader extends StoredSpent {
   /** Microseconds, time of day. */
@@ -310,7 +310,7 @@
 }
 
 const optionalText = (v: unknown): boolean => v === undefined || typeof v === 'string';
-/** What decoding relies on: a record whose changes can't be told would else pass for one without any. */
+/** What decoding relies on: a log entry whose changes can't be told would else pass for one without any. */
 const isStoredChange = (c: StoredChange | null): boolean =>
   typeof c === 'object' &&
   c !== null &&
--- a/packages/controller/src/jobs/job-state.ts
+++ b/packages/controller/src/jobs/job-state.ts
@@ -1,5 +1,5 @@
 /**
- * The watch-fed view of the store on every node: jobs that are not over, the tail of cycle records, the
+ * The watch-fed view of the store on every node: jobs that are not over, the tail of log entries, the
  * term, the leader. Pure: changes go in, in revision order; nothing here talks to anybody.
  */
 import type { Micros } from '@lilacvalve/runtime/micros';
@@ -79,14 +79,14 @@
   /** The calendar of cutoffs, and what has become of their jobs. */
   readonly calendars = new Calendars();
   readonly logTail = new Map<number, LogEntry>();
-  /** See `byMachine`; null: nobody has asked for it since it was let go. */
+  /** See `placementsByMachine`; null: nobody has asked for it since it was let go. */
   private placementIndex: Map<string, Map<string, Placement & { readonly job: Job }>> | null = null;
   lastSequence = 0;
-  /** Time of day of the latest record. */
+  /** Time of day of the latest log entry. */
   lastAt = 0 as Micros;
   /** The accounts as far as anybody has asked for them; see `accounts`. */
   private accountsSoFar: Accounts = NO_ACCOUNTS;
-  /** The checkpoint that the store has: up to which record, and the revision of its first value; 0: none. */
+  /** The checkpoint that the store has: up to which log entry, and the revision of its first value; 0: none. */
   checkpoint = { upTo: 0, stamp: 0 };
   /** Its values as read so far, by part. */
   private accountParts: unknown[] = [];
@@ -94,7 +94,7 @@
   leaderRevision = 0;
   term = 0;
   termRevision = 0;
-  /** Bumped when a job appears, is withdrawn or is over: the leader's cue to run a cycle. */
+  /** Bumped when a job appears, is cancelled or is over: the leader's cue to run a cycle. */
   version = 0;
   /** The machine types as last written by a leader: a node that restarts while the cloud is down knows them. */
   types: unknown = null;
@@ -110,15 +110,15 @@
   readonly incarnations = new Map<string, Incarnation>();
   /** How far a rebuild has come; null: there is none. */
   rebuild: RebuildStatus | null = null;
-  /** Ids of the incarnations of which this has been said; see `CALM` and `SETTLED`. */
+  /** Ids of the incarnations of which this has been said; see `QUIESCENT` and `RECOVERED`. */
   private quiescentIncarnation: string | null = null;
   private recoveredIncarnation: string | null = null;
-  /** Packs of rebuilt jobs, and the pack that still lists a job. */
+  /** Bundles of rebuilt jobs, and the bundle that still lists a job. */
   readonly bundles = new Map<string, { readonly stamp: number; readonly ids: readonly string[] }>();
   readonly bundleOf = new Map<string, string>();
-  /** Jobs whose own key says less than their pack; see `setJob`. */
+  /** Jobs whose own key says less than their bundle; see `setJob`. */
   private readonly newerInBundle = new Set<string>();
-  /** Parts of the final states' pages; see `overKey`. */
+  /** Parts of the final states' pages; see `finalStatePageKey`. */
   readonly finalStateParts = new Set<string>();
   /** Jobs that only workers name. */
   readonly orphanedJobs = new Map<string, OrphanedJob & { readonly stamp: number }>();
@@ -135,7 +135,7 @@
     this.clear();
     const rank = (key: string): number =>
       key.startsWith(ACCOUNTS) ? 0 : key.startsWith(LOG_ENTRIES) ? 1 : key.startsWith(JOB_BUNDLES) ? 2 : 3;
-    // Records first, since jobs include them; packs before the keys of their own that some jobs have by now.
+    // Log entries first, since jobs include them; bundles before the keys of their own that some jobs have by now.
     for (const r of [0, 1, 2, 3]) for (const e of entries) if (rank(e.key) === r) this.apply({ ...e });
     this.revision = revision;
     this.version++;
@@ -217,7 +217,7 @@
 
   /**
    * Part of the calendar was lost without a change to tell of it: a head of this incarnation whose pages are not there, or
-   * a record that went by a newer one. What is from before the incarnation has been made good, as far as it could be.
+   * a log entry that went by a newer one. What is from before the incarnation has been made good, as far as it could be.
    */
   get calendarLost(): boolean {
     const born = this.incarnation?.stamp ?? 0;
@@ -233,7 +233,7 @@
     return this.incarnation !== null && this.recoveredIncarnation === this.incarnation.id;
   }
 
-  /** Changes of a watch answer; those already seen are passed over. */
+  /** Changes of a watch answer; those already seen are skipped. */
   advance(changes: readonly Change[], revision: number): void {
     for (const c of changes) if (c.stamp > this.revision) this.apply(c);
     if (revision > this.revision) this.revision = revision;
@@ -312,7 +312,7 @@
     for (const id of this.bundles.get(key)?.ids ?? []) {
       if (listed.has(id) || this.bundleOf.get(id) !== key) continue;
       this.bundleOf.delete(id);
-      // Taken out of its pack without a key of its own: it is over.
+      // Taken out of its bundle without a key of its own: it is over.
       if (this.jobs.get(id)?.revision === 0) this.removeJob(id);
     }
     if (value === undefined) this.bundles.delete(key);
@@ -324,7 +324,7 @@
     }
   }
 
-  /** What takes these jobs out of the packs that still list them. */
+  /** What takes these jobs out of the bundles that still list them. */
   removalFromBundles(ids: readonly string[]): { readonly when: Condition[]; readonly then: Write[] } {
     const when: Condition[] = [];
     const then: Write[] = [];
@@ -344,7 +344,7 @@
   private setJob(id: string, job: Job): void {
     const old = this.jobs.get(id);
     if (old && old.revision >= job.revision) return;
-    // Accepted by a late transaction, after a rebuild had found it in somebody's memory: what the pack says of it holds.
+    // Accepted by a late transaction, after a rebuild had found it in somebody's memory: what the bundle says of it holds.
     if (old?.revision === 0 && isNew(job) && !isNew(old)) {
       old.revision = job.revision;
       this.newerInBundle.add(id);
@@ -359,7 +359,7 @@
       if (change) this.applyToJob(job, change, r);
     }
     this.lastSequence = Math.max(this.lastSequence, job.compactedTo);
-    // After a loss the records may be gone that these were started by.
+    // After a loss the log entries may be gone that these were started by.
     for (const p of job.placed.values()) this.lastAt = Math.max(this.lastAt, p.since) as Micros;
     this.jobs.set(id, job);
     this.indexJob(job);
@@ -381,7 +381,7 @@
     this.appendLogEntry(decodeLogEntry(seq, value, stamp));
   }
 
-  /** The accounts: the checkpoint, and the records after it. Folded when asked for: followers are not. */
+  /** The accounts: the checkpoint, and the log entries after it. Folded when asked for: followers are not. */
   get accounts(): Accounts {
     if (this.accountsSoFar.upTo < this.lastSequence) {
       const { upTo } = this.accountsSoFar;
@@ -407,7 +407,7 @@
     this.lastAt = Math.max(this.lastAt, read.at) as Micros;
   }
 
-  /** Also called by the leader as soon as its own record is committed. */
+  /** Also called by the leader as soon as its own log entry is committed. */
   appendLogEntry(record: LogEntry): void {
     if (this.logTail.has(record.sequence)) return;
     this.logTail.set(record.sequence, record);
@@ -429,7 +429,7 @@
   private applyToJob(job: Job, change: JobChange, r: LogEntry): void {
     applyChange(job, change, r.sequence, r.head.at);
     if (change.done !== undefined && isComplete(job)) this.noteCompletion(job.spec.id, r.revision);
-    // It completed the job before the withdrawal in the job's key was committed: users may have been told `done`.
+    // It completed the job before the cancellation in the job's key was committed: users may have been told `done`.
     if (job.cancelled && !job.cancelledFirst && r.revision < job.revision && isComplete(job))
       job.cancelled = false;
   }
@@ -445,7 +445,7 @@
 
   /**
    * Placements by machine: key `job/task`. Made when first asked for and then kept up with every change, which costs about
-   * as much as all else that a record does here. Only a leader asks.
+   * as much as all else that a log entry does here. Only a leader asks.
    */
   get placementsByMachine(): ReadonlyMap<string, ReadonlyMap<string, Placement & { readonly job: Job }>> {
     if (this.placementIndex === null) {
--- a/packages/controller/src/jobs/keys.ts
+++ b/packages/controller/src/jobs/keys.ts
@@ -8,7 +8,7 @@
 export const LEADER = 's/leader';
 export const TERM = 's/term';
 export const MACHINE_TYPES = 's/types';
-/** The accounts as of one record; further values of the same state stand below `ACCOUNTS_PART` (docs/accounts.md). */
+/** The accounts as of one log entry; further values of the same state stand below `ACCOUNTS_PART` (docs/accounts.md). */
 export const ACCOUNTS = 's/a/now';
 export const ACCOUNTS_PART = 's/a/now/';
 /** Below the types, so that whoever reads those reads it too: which machines hold which services' images. */
@@ -48,13 +48,13 @@
 export const finalStateKey = (id: string): string => FINAL_STATES + id;
 export const logEntryKey = (seq: number): string => LOG_ENTRIES + String(seq).padStart(12, '0');
 export const orphanedJobKey = (id: string): string => ORPHANED_JOBS + id;
-/** The first page of a part after `afterOver(part, id)` is the one of that part that would hold `id`. */
+/** The first page of a part after `finalStatePageAfter(part, id)` is the one of that part that would hold `id`. */
 export const finalStatePageKey = (part: string, last: string): string =>
   `${FINAL_STATE_PAGES}${part}/${last}~`;
 export const finalStatePageAfter = (part: string, id: string): string => `${FINAL_STATE_PAGES}${part}/${id}`;
 
 /**
- * What a write of a job's own key is conditional on; `stamp`: the revision it is known at. A job that only a pack lists has
+ * What a write of a job's own key is conditional on; `stamp`: the revision it is known at. A job that only a bundle lists has
  * none yet (0), and neither has one that is over: a write that arrives late, or twice, must not bring that one back.
  */
 export const jobUnchanged = (id: string, stamp: number): Condition[] =>
--- a/packages/controller/src/jobs/model.ts
+++ b/packages/controller/src/jobs/model.ts
@@ -44,14 +44,14 @@
   readonly task: number;
   readonly attempt: number;
   readonly machine: string;
-  /** Time of day of the record that started it (`RecordHead.at`); 0: not known. */
+  /** Time of day of the log entry that started it (`LogEntryHeader.at`); 0: not known. */
   readonly since: Micros;
 }
 
 export interface Job {
   readonly spec: JobSpec;
   cancelled: boolean;
-  /** Its withdrawal was committed before any record that its own key does not include. */
+  /** Its cancellation was committed before any log entry that its own key does not include. */
   cancelledFirst?: boolean;
   /** Attempts are numbered per job and only grow; members of one gang start share a number. */
   attempt: number;
@@ -65,15 +65,15 @@
   preemptedForServices: number;
   /** Revision of the job's own key. */
   revision: number;
-  /** The last cycle record that the job's own key already includes. */
+  /** The last log entry that the job's own key already includes. */
   compactedTo: number;
-  /** The last cycle record that mentions the job. */
+  /** The last log entry that mentions the job. */
   lastSequence: number;
-  /** What has been said of its cutoff, as `JobChange.said`; absent: nothing. */
+  /** What has been said of its cutoff, as `JobChange.cutoffRisk`; absent: nothing. */
   cutoffRisk?: number;
 }
 
-/** What one job undergoes in one cycle record. Order inside: ends, then starts. */
+/** What one job undergoes in one log entry. Order inside: ends, then starts. */
 export interface JobChange {
   /** Tasks completed. A gang completes as a whole. */
   readonly done?: readonly number[];
@@ -83,7 +83,7 @@
   readonly failed?: readonly number[];
   /** Starts: the attempt's number and tasks by machine. */
   readonly start?: { readonly attempt: number; readonly on: ReadonlyMap<string, readonly number[]> };
-  /** It becomes at risk of missing its cutoff, misses it, or neither any more (calendar/model.ts, `SAID`). */
+  /** It becomes at risk of missing its cutoff, misses it, or neither any more (calendar/model.ts, `CUTOFF_RISK`). */
   readonly cutoffRisk?: number;
   /** What it borrows, and gives back, by lender. */
   readonly lend?: readonly LoanPart[];
@@ -92,16 +92,16 @@
   readonly preemptedForServices?: number;
 }
 
-/** What a cycle record says beside its jobs (docs/state.md). */
+/** What a log entry says beside its jobs (docs/state.md). */
 export interface LogEntryHeader {
-  /** Time of day by the leader that wrote it, at least one microsecond later than in the record before; 0: not known. */
+  /** Time of day by the leader that wrote it, at least one microsecond later than in the log entry before; 0: not known. */
   readonly at: Micros;
-  /** Version of the calendar by which the turn ordered; 0: none. */
+  /** Version of the calendar by which the cycle ordered; 0: none. */
   readonly calendar: number;
   /** For the accounts: the placements that end in it. */
   readonly spent: Spent;
 }
-/** Of records that were written before there were heads. */
+/** Of log entries that were written before there were heads. */
 export const NO_HEADER: LogEntryHeader = { at: 0 as Micros, calendar: 0, spent: NOTHING_SPENT };
 
 /** One cycle's durable decisions. */
@@ -118,7 +118,7 @@
 
 export type FinalState = { readonly status: 'done' | 'cancelled'; readonly tasks: number };
 
-/** `at`: time of day of the record. */
+/** `at`: time of day of the log entry. */
 export const applyChange = (job: Job, change: JobChange, seq: number, at: Micros): void => {
   for (const t of change.done ?? []) {
     job.done.add(t);
--- a/packages/controller/src/jobs/store-watcher.ts
+++ b/packages/controller/src/jobs/store-watcher.ts
@@ -222,7 +222,7 @@
   private readonly reload: Effect.Effect<void, StateFailure> = Effect.suspend(() => {
     const asked = this.clock();
     const { life } = this.lossDetector;
-    // The accounts last: a checkpoint read before the records could lack some that are deleted meanwhile.
+    // The accounts last: a checkpoint read before the log entries could lack some that are deleted meanwhile.
     const prefixes = [
       STORE_STATUS,
       CALENDAR,
--- a/packages/controller/src/lending/codec.ts
+++ b/packages/controller/src/lending/codec.ts
@@ -1,8 +1,8 @@
-/** Durable forms of loans, inside a job's key and inside a record's change of a job. */
+/** Durable forms of loans, inside a job's key and inside a log entry's change of a job. */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Loan, LoanPart } from './model.js';
 
-/** lender -> [thousandths of a GPU, tasks, microseconds from the taker's submission to the first record] */
+/** lender -> [thousandths of a GPU, tasks, microseconds from the taker's submission to the first log entry] */
 export type StoredLoans = Readonly<Record<string, readonly [number, number, number]>>;
 /** lender -> [thousandths of a GPU, tasks] */
 export type StoredLoanParts = Readonly<Record<string, readonly [number, number]>>;
--- a/packages/controller/src/lending/loan-changes.ts
+++ b/packages/controller/src/lending/loan-changes.ts
@@ -1,4 +1,4 @@
-/** What a turn's record says of loans: those it makes for its stops, and those it ends. */
+/** What a cycle's log entry says of loans: those it makes for its stops, and those it ends. */
 import type { Job } from '../jobs/model.js';
 import { repaymentsWithoutStart, repaymentsByStarts, type Repayments } from './repayment.js';
 import { loansOf } from './loans.js';
@@ -41,7 +41,7 @@
   });
 };
 
-/** One loan, or a part of it, that a record ends; for the log. `gpus`: whole GPUs. */
+/** One loan, or a part of it, that a log entry ends; for the log. `gpus`: whole GPUs. */
 export interface LoanEnd {
   readonly taker: string;
   readonly lender: string;
@@ -54,7 +54,7 @@
   readonly ends: readonly LoanEnd[];
 }
 
-/** `started`: tasks that the record starts, by job. `unsettled`: what becomes of the job's tasks is not known yet. */
+/** `started`: tasks that the log entry starts, by job. `unsettled`: what becomes of the job's tasks is not known yet. */
 export const loanRepayments = (
   jobs: ReadonlyMap<string, Job>,
   started: ReadonlyMap<string, number>,
@@ -63,7 +63,7 @@
   const loans = loansOf(jobs.values());
   if (loans.length === 0) return [];
   const over = repaymentsWithoutStart(loans, { jobs, unsettled });
-  // A loan of which a part is over is looked at again in the next turn.
+  // A loan of which a part is over is looked at again in the next cycle.
   const rest = loans.filter((l) => !over.get(l.taker)?.some((p) => p.lender === l.lender));
   const repaid = repaymentsByStarts(rest, started, (id) => jobs.get(id)?.spec.gpus ?? 0);
   const of = (from: Repayments, taker: string): readonly LoanPart[] => from.get(taker) ?? [];
--- a/packages/controller/src/lending/model.ts
+++ b/packages/controller/src/lending/model.ts
@@ -13,18 +13,18 @@
   readonly gpus: number;
   /** Tasks that were stopped for it. */
   readonly tasks: number;
-  /** Time of day of the first record that took some of it. */
+  /** Time of day of the first log entry that took some of it. */
   readonly since: Micros;
 }
 
-/** What one record adds to a loan, or takes off it. */
+/** What one log entry adds to a loan, or takes off it. */
 export interface LoanPart {
   readonly lender: string;
   readonly gpus: number;
   readonly tasks: number;
 }
 
-/** One record: what it lends, then what it gives back. Neither can make an amount less than nothing. */
+/** One log entry: what it lends, then what it gives back. Neither can make an amount less than nothing. */
 export const applyLoans = (
   loans: Map<string, Loan>,
   lend: readonly LoanPart[] | undefined,
--- a/packages/controller/src/lending/repayment.ts
+++ b/packages/controller/src/lending/repayment.ts
@@ -6,7 +6,7 @@
 import type { OpenLoan } from './loans.js';
 import { thousandths, type LoanPart } from './model.js';
 
-/** What a record gives back, by taker. */
+/** What a log entry gives back, by taker. */
 export type Repayments = Map<string, LoanPart[]>;
 
 const put = (out: Repayments, taker: string, part: LoanPart): void => {
@@ -15,7 +15,7 @@
   else out.set(taker, [part]);
 };
 
-/** `started`: tasks of lenders that a record starts. The oldest loans come first. `loans` as `loansOf` orders them. */
+/** `started`: tasks of lenders that a log entry starts. The oldest loans come first. `loans` as `loansOf` orders them. */
 export const repaymentsByStarts = (
   loans: readonly OpenLoan[],
   started: ReadonlyMap<string, number>,
@@ -35,14 +35,14 @@
 
 export interface LenderState {
   readonly jobs: ReadonlyMap<string, Job>;
-  /** Some task of this job is being stopped, has ended without a record, or may do either unseen. */
+  /** Some task of this job is being stopped, has ended without a log entry, or may do either unseen. */
   readonly unsettled: (job: Job) => boolean;
 }
 
 /** Tasks of a job that neither run nor are done. */
 const missing = (job: Job): number => job.spec.tasks - job.done.size - job.placed.size;
 
-/** Loans that are over without a start: the lender is over or withdrawn, or it lacks less than it lent. */
+/** Loans that are over without a start: the lender is over or cancelled, or it lacks less than it lent. */
 export const repaymentsWithoutStart = (loans: readonly OpenLoan[], s: LenderState): Repayments => {
   const out: Repayments = new Map();
   const owed = new Map<string, number>();
--- a/packages/controller/src/lending/replica-cost.ts
+++ b/packages/controller/src/lending/replica-cost.ts
@@ -9,7 +9,7 @@
 const LATENESS_WEIGHT = 1;
 /** A GPU-second of another's lost work, or of a GPU that is paid and idle, against a second of waiting. */
 const LOSS_WEIGHT = 0.2;
-/** From the decision to the order: the record that holds the loan; then the worker's report that the room is free. */
+/** From the decision to the order: the log entry that holds the loan; then the worker's report that the room is free. */
 export const STOP_DELAY = seconds(1.5);
 /** Part of a gang's unsaved progress that counts as lost though it is told to save: a member may fail meanwhile. */
 const UNSAVED_RISK = 0.1;
--- a/packages/controller/src/scheduler/cluster-capacity.ts
+++ b/packages/controller/src/scheduler/cluster-capacity.ts
@@ -21,7 +21,7 @@
   readonly evictedResources: Resources[];
   /** Beyond need, see idle.ts. */
   readonly idle: boolean;
-  /** Gathered for a gang that was passed over, see reserve.ts. */
+  /** Gathered for a gang that is starving, see reserve.ts. */
   reservation: NodeReservation | null;
 }
 export interface NodeReservation {
@@ -129,7 +129,7 @@
 };
 
 /**
- * Companions that wait, or will soon be waited for, before whom `job` must leave a GPU machine its room; once it is
+ * Co-located demand that waits, or may soon wait, for which `job` must leave a GPU machine its room; once it is
  * `overdue` only those that wait.
  */
 export const protectedDemand = (
--- a/packages/controller/src/scheduler/commit.ts
+++ b/packages/controller/src/scheduler/commit.ts
@@ -1,4 +1,4 @@
-/** Makes a turn's ends and starts durable, in records that one transaction commits. Conditional on the term. */
+/** Makes a cycle's ends and starts durable, in log entries that one transaction commits. Conditional on the term. */
 import { Effect } from 'effect';
 import { debug, info } from '@lilacvalve/runtime/log';
 import { type Micros, plus } from '@lilacvalve/runtime/micros';
@@ -32,12 +32,12 @@
 export interface CommitResult {
   /** Stops whose loans are durable now: only these may be sent. */
   readonly lendingPreemptions: readonly Preemption[];
-  /** Something of what was to be recorded found no room, and waits for the next turn. */
+  /** Something of what was to be recorded found no room, and waits for the next cycle. */
   readonly hasBacklog: boolean;
 }
 const NOTHING: CommitResult = { lendingPreemptions: NO_STOPS, hasBacklog: false };
 
-/** The draft's records as they follow the last one; the accounts' rows stand in the first one's head. */
+/** The draft's log entries as they follow the last one; the accounts' rows stand in the first one's head. */
 const logEntriesOf = (t: CycleContext, draft: Draft, head: LogEntryHeader): Omit<LogEntry, 'revision'>[] =>
   draft.entries.map((jobs, i) => ({
     sequence: t.jobState.lastSequence + 1 + i,
@@ -45,7 +45,7 @@
     jobs,
   }));
 
-/** Each record hangs on the one before it: one that a loss has taken is missed before another is written. */
+/** Each log entry hangs on the one before it: one that a loss has taken is missed before another is written. */
 const predecessorCondition = (t: CycleContext): Condition => {
   const before = t.jobState.logTail.get(t.jobState.lastSequence);
   return before
@@ -64,7 +64,7 @@
     yield* debug('record refused', { term: t.leaderTerm.number, failed: failed.join(',') });
   });
 
-/** The records are durable: they take effect here. `revision` null: at which revision is not known. */
+/** The log entries are durable: they take effect here. `revision` null: at which revision is not known. */
 const applyEntries = (
   t: CycleContext,
   records: readonly Omit<LogEntry, 'revision'>[],
@@ -73,7 +73,7 @@
   Effect.gen(function* () {
     for (const r of records) {
       recordSamples(t, r.jobs, r.head.at);
-      // Without its revision it comes from the watch: whether it or a withdrawal was first decides what a job is.
+      // Without its revision it comes from the watch: whether it or a cancellation was first decides what a job is.
       if (revision !== null) t.jobState.appendLogEntry({ ...r, revision });
       else
         while (!t.jobState.logTail.has(r.sequence) && t.isCurrentTerm())
@@ -94,7 +94,7 @@
   preemptions: readonly Preemption[] = NO_STOPS,
 ) =>
   Effect.gen(function* () {
-    // Never earlier than the record before, whoever wrote that: clocks differ, and what is weighed by them must not shrink.
+    // Never earlier than the log entry before, whoever wrote that: clocks differ, and what is weighed by them must not shrink.
     const at = Math.max(t.dayTime(), t.jobState.lastAt + 1) as Micros;
     const booking = new Booking(t, at);
     const draft = draftOf(t, starts, preemptions, booking, cutoffRisksOf(t, at));
--- a/packages/controller/src/scheduler/cycle-context.ts
+++ b/packages/controller/src/scheduler/cycle-context.ts
@@ -1,4 +1,4 @@
-/** What one reign's duties share: the ports, the book, and the questions a decision must ask. */
+/** What the supervised tasks of a leadership term share: the ports, the worker registry, and the questions a decision must ask. */
 import type { Ledger } from '../accounts/ledger.js';
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { ClassSamples } from '../calendar/cutoff-tracking.js';
@@ -20,7 +20,7 @@
   readonly watcher: StoreWatcher;
   readonly jobState: JobState;
   readonly registry: WorkerRegistry;
-  /** What this reign gathers for the accounts' pages. */
+  /** What this leadership term gathers for the accounts' pages. */
   readonly ledger: Ledger;
   readonly lossDetector: DataLossDetector;
   readonly leaderTerm: LeadershipTerm;
@@ -32,7 +32,7 @@
   readonly types: () => readonly MachineType[];
   /** false: this node has no memory for more running tasks. */
   readonly mayStart: () => boolean;
-  /** What the fleet's duty tells the followers, and whether it has read the cloud's list in this reign. */
+  /** What the fleet's duty tells the followers, and whether it has read the cloud's list in this term. */
   readonly fleet: { news: ProvisioningNews; listed: boolean };
   readonly clock: () => Micros;
   /** Time of day: deadlines count from a time of day. */
@@ -40,7 +40,7 @@
   readonly startWaits: StartWaits;
   /** The largest jobs of each class, as last seen. */
   readonly largestJobs: LargestJobs;
-  /** What its records have shown of classes, and is not written yet. */
+  /** What its log entries have shown of classes, and is not written yet. */
   readonly classSamples: ClassSamples;
   /** What GPU jobs take beside each GPU, by class, as last seen. */
   readonly coLocatedDemand: Map<string, Omit<CoLocatedDemand, 'waiting'> & { readonly seen: Micros }>;
@@ -48,11 +48,11 @@
 
 export interface CycleState {
   result: CycleResult | null;
-  /** Machines beyond need, see surplus.ts. */
+  /** Machines beyond need, see idle-nodes.ts. */
   idleNodes: ReadonlySet<string>;
   coLocatedDemand: readonly CoLocatedDemand[];
-  /** How long the last turn computed. */
+  /** How long the last cycle computed. */
   computeTime: number;
-  /** The last turn left something to be recorded for the next one. */
+  /** The last cycle left something to be recorded for the next one. */
   hasBacklog: boolean;
 }
--- a/packages/controller/src/scheduler/cycle-input.ts
+++ b/packages/controller/src/scheduler/cycle-input.ts
@@ -1,4 +1,4 @@
-/** What the cycle is given: holders, machines, queues, weights and companions as the book and the jobs have them now. */
+/** What the cycle is given: holders, machines, queues, weights and co-located demand as the worker registry and the jobs have them now. */
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { dayOf, paceOf } from '../calendar/cutoff-tracking.js';
 import { cutoffRank } from '../calendar/slack.js';
@@ -46,7 +46,7 @@
 export const placedTasksOf = (t: CycleContext, at: Micros): PlacedTask[] => {
   const out: PlacedTask[] = [];
   const { registry } = t;
-  // Thousands of tasks at each turn: what is the same for all of a machine or a job is asked once.
+  // Thousands of tasks at each cycle: what is the same for all of a machine or a job is asked once.
   interface OfJob {
     readonly leaves: boolean;
     readonly ends: Ends | undefined;
@@ -70,7 +70,7 @@
         last = job;
         known = of;
       }
-      // Seen to be over: the record that says so is the one that fills its room again.
+      // Seen to be over: the log entry that says so is the one that fills its room again.
       if (known.ends !== undefined && endsOf(known.ends, task)) return;
       const leaving = away || known.leaves || (preemptions && registry.stopping.has(key));
       out.push(new PlacedTaskView(job, task, machine, zone, leaving, key, at, registry));
@@ -131,7 +131,7 @@
  */
 const RETRY_OVERDUE = seconds(45);
 
-/** Jobs with tasks to start, once what the book has seen to end is recorded. */
+/** Jobs with tasks to start, once what the worker registry has seen to end is recorded. */
 export const queuedJobsOf = (t: CycleContext, at: Micros): QueuedJob[] => {
   const out: QueuedJob[] = [];
   const day = t.dayTime();
@@ -150,7 +150,7 @@
     const tasks: number[] = [];
     const broken = t.registry.looksBroken(job, at);
     const gang = job.spec.shape === 'gang';
-    // Something of it runs that no record knows of: it is taken up or seen to end before more of it is started.
+    // Something of it runs that no log entry knows of: it is taken up or seen to end before more of it is started.
     if (t.registry.orphanedTasks.has(job.spec.id)) continue;
     if (gang || broken ? on > 0 : on + job.done.size >= job.spec.tasks) continue;
     // Of what looks broken one task shows as much as all.
@@ -229,7 +229,7 @@
     },
     victim: ({ job: { spec, placed }, task, machine }) => {
       const run = registry.running.get(taskKey(spec.id, task));
-      // A new leader has seen it run for a moment only; the record of its start is older.
+      // A new leader has seen it run for a moment only; the log entry of its start is older.
       const since = placed.get(task)?.since ?? 0;
       const byRecord = since === 0 ? 0 : day - since - fetch(spec.imageGb, pull(machine));
       return {
--- a/packages/controller/src/scheduler/cycle.ts
+++ b/packages/controller/src/scheduler/cycle.ts
@@ -68,7 +68,7 @@
   private readonly overdue: Set<Job>;
   /** Teams whose evicted tasks the latest choice has displaced. */
   private readonly teamsDisplaced = new Set<QueueTeam>();
-  /** One gang that was passed over gathers room. */
+  /** One gang that is starving gathers room. */
   private madeReservation = false;
   /** Starts of a job on a machine so far. */
   private placements = 0;
--- a/packages/controller/src/scheduler/draft.ts
+++ b/packages/controller/src/scheduler/draft.ts
@@ -1,9 +1,9 @@
 /**
- * Drafts what a turn makes durable: the ends that were seen and the starts that fill their room, in one or more records
+ * Drafts what a cycle makes durable: the ends that were seen and the starts that fill their room, in one or more log entries
  * that one transaction commits together, within the state service's limits on values and transactions.
  *
- * At 80 teams the rows of the accounts alone fill most of a value, and a record that could not take all ends took no start
- * at all (`docs/CAPACITY.md`): so what does not fit into one record goes into the next one of the same transaction, and of
+ * At 80 teams the rows of the accounts alone fill most of a value, and a log entry that could not take all ends took no start
+ * at all (`docs/CAPACITY.md`): so what does not fit into one log entry goes into the next one of the same transaction, and of
  * an array as much is started as fits.
  */
 import type { Booking } from '../accounts/booking.js';
@@ -17,9 +17,9 @@
 import type { Start, Preemption } from './model.js';
 import type { CycleContext } from './cycle-context.js';
 
-/** Ends and starts of one turn, within the limits of one transaction. */
+/** Ends and starts of one cycle, within the limits of one transaction. */
 export interface Draft {
-  /** By record, in their order; none: there is nothing to record. */
+  /** By log entry, in their order; none: there is nothing to write. */
   readonly entries: readonly ReadonlyMap<string, JobChange>[];
   readonly conditions: readonly Condition[];
   /** Everything that was to be recorded is in it. */
@@ -29,7 +29,7 @@
   readonly endedLoans: readonly LoanEnd[];
 }
 
-/** A record's head, and room for what it may say. */
+/** A log entry's head, and room for what it may say. */
 const HEADER_BYTES = 120;
 /** A change's key, and the signs around both. */
 const CHANGE_BYTES = 6;
@@ -38,18 +38,18 @@
 /** Protocol: 64 KiB in total, a request's body included. */
 const TRANSACTION_BYTES = 64 * 1024;
 const TRANSACTION_PART = 0.92;
-/** What a condition, and a record's key with its own conditions, take of that. */
+/** What a condition, and a log entry's key with its own conditions, take of that. */
 const CONDITION_BYTES = 64;
 const LOG_ENTRY_BYTES = 200;
-/** Records of one turn: each is a change of the state service's rate. */
+/** Log entries of one cycle: each is a change of the state service's rate. */
 const MAX_ENTRIES = 4;
-/** Beside the jobs' conditions stand the term, the incarnation, the record before and one for each record. */
+/** Beside the jobs' conditions stand the term, the incarnation, the log entry before and one for each log entry. */
 const OTHER_CONDITIONS = 5 + MAX_ENTRIES;
 
 /** What a start on one machine takes at the least: `"vm-000001":"1",`. */
 const PLACEMENT_BYTES = 16;
 
-/** Starts of a job on a machine that one turn can record at the most: a cycle need not look for more. */
+/** Starts of a job on a machine that one cycle can write at the most: a cycle need not look for more. */
 export const maxPlacements = ({ valueBytes, txnOps }: Settings['state']): number => {
   const values = Math.min(MAX_ENTRIES, txnOps) * valueBytes * VALUE_PART;
   return Math.floor(Math.min(values, TRANSACTION_BYTES * TRANSACTION_PART) / PLACEMENT_BYTES);
@@ -76,7 +76,7 @@
   bytes = HEADER_BYTES;
   private readonly sizes = new Map<string, number>();
 
-  /** What the record would take with this change in place of what it says of the job. */
+  /** What the log entry would take with this change in place of what it says of the job. */
   with(id: string, change: JobChange): number {
     return this.bytes - (this.sizes.get(id) ?? 0) + sizeOf(id, change);
   }
@@ -96,7 +96,7 @@
   readonly lendingPreemptions: Preemption[] = [];
   readonly endedLoans: LoanEnd[] = [];
   complete = true;
-  /** Bytes of the first record that are kept for the accounts' rows: what else goes there must not crowd them out. */
+  /** Bytes of the first log entry that are kept for the accounts' rows: what else goes there must not crowd them out. */
   private reservedBytes = 0;
   private readonly valueLimit: number;
   private readonly mostConditions: number;
@@ -110,12 +110,12 @@
     this.mostConditions = txnOps * 4 - OTHER_CONDITIONS;
   }
 
-  /** The draft's last record: what belongs to one job in one turn comes in this order, ends before starts. */
+  /** The draft's last log entry: what belongs to one job in one cycle comes in this order, ends before starts. */
   private get last(): LogEntryDraft {
     return this.entries[this.entries.length - 1]!;
   }
 
-  /** Bytes that a record may take; the accounts' rows, and `booked` more of them, stand in the first one. */
+  /** Bytes that a log entry may take; the accounts' rows, and `booked` more of them, stand in the first one. */
   private limitOf(record: LogEntryDraft, booked: number): number {
     if (record !== this.entries[0]) return this.valueLimit;
     return this.valueLimit - Math.max(this.spending.bytes + booked, this.reservedBytes);
@@ -148,13 +148,13 @@
   }
 
   /**
-   * Adds to what the draft says of a job, in its last record or in a new one. `change` is given what the record says of the
+   * Adds to what the draft says of a job, in its last log entry or in a new one. `change` is given what the log entry says of the
    * job so far. `booked`: bytes of accounts' rows that come with it. false: it fits nowhere.
    */
   add(id: string, change: (sofar: JobChange | undefined) => JobChange, booked = 0): boolean {
     const { last } = this;
     const [first] = this.entries;
-    // Rows stand in the first record, whichever one the change goes to.
+    // Rows stand in the first log entry, whichever one the change goes to.
     const rowsFit = first!.bytes <= this.limitOf(first!, booked);
     const inLast = change(last.changes.get(id));
     const bytes = last.with(id, inLast);
@@ -183,7 +183,7 @@
     return this.conditions.length < this.mostConditions;
   }
 
-  /** Bytes that a start may take: of the last record's rest or of a record of its own, whichever is more. */
+  /** Bytes that a start may take: of the last log entry's rest or of a log entry of its own, whichever is more. */
   private roomForStart(): number {
     const { last } = this;
     const inTransaction = this.transactionLimit - this.transactionBytes();
@@ -211,7 +211,7 @@
       id,
       [...on.values()].reduce((n, tasks) => n + tasks.length, 0),
     );
-    // Conditional on the job's key: a job withdrawn in this moment, or over by the time, is not started.
+    // Conditional on the job's key: a job cancelled in this moment, or over by the time, is not started.
     this.conditions.push(...jobUnchanged(id, s.job.revision));
   }
 
@@ -256,7 +256,7 @@
     if (!d.hasConditionsLeft()) break;
     const { id } = taker.spec;
     if (!d.add(id, (c) => ({ ...c, lend }))) continue;
-    // A service that is withdrawn in this moment takes nothing.
+    // A service that is cancelled in this moment takes nothing.
     d.conditions.push(...jobUnchanged(id, taker.revision));
     let all = true;
     for (const [lender, n] of taken)
@@ -278,13 +278,13 @@
   d.reserveRows(ended);
   for (const e of ended) d.addEnds(e);
   for (const [id, say] of said) d.add(id, (c) => ({ ...c, cutoffRisk: say }));
-  // The starts count on the room of every end: with one of these left out, they wait for the next record.
+  // The starts count on the room of every end: with one of these left out, they wait for the next log entry.
   if (d.complete) {
     // What runs already from before a loss is recorded before anything is started anew.
     for (const s of [...t.registry.adoptions(), ...starts]) d.addStart(s);
     draftLoans(t, d, preemptions);
   }
-  // The accounts' rows stand in the first record, also where every change went to a later one.
+  // The accounts' rows stand in the first log entry, also where every change went to a later one.
   const records = d.entries.some((r) => r.changes.size > 0) ? d.entries.map((r) => r.changes) : [];
   return {
     entries: records,
--- a/packages/controller/src/scheduler/eviction.ts
+++ b/packages/controller/src/scheduler/eviction.ts
@@ -28,7 +28,7 @@
   nextTask: number;
   /** The machine that took the last one without displacing anybody, and whether on free room. */
   lastPlacement: { readonly n: NodeState; readonly free: boolean } | null;
-  /** See `Cycle.shapeOf`; null: not asked yet. */
+  /** See `Cycle.failureKey`; null: not asked yet. */
   shape: string | null;
   /** It had its turn before all others, on room that was being left for it. */
   finished: boolean;
@@ -120,7 +120,7 @@
   /** All room of reporting machines. */
   readonly total: Resources = [0, 0, 0];
   readonly teams = new Map<string, QueueTeam>();
-  /** See `Floor`. */
+  /** See `ClusterCapacity`. */
   readonly zonesHeld = new Map<Job, Map<string, number>>();
   readonly zoneUnknown = new Set<Job>();
   private readonly queueBuilders = new Map<QueueTeam, TeamQueueBuilder>();
--- a/packages/controller/src/scheduler/largest-jobs.ts
+++ b/packages/controller/src/scheduler/largest-jobs.ts
@@ -23,7 +23,7 @@
   /** The greatest of a class, largest first. */
   private readonly topByClass = new Map<string, Sized[]>();
 
-  /** `hint`: what `told` said to an earlier leader; whatever can't be read of it is left out. */
+  /** `hint`: as an earlier leader wrote it; whatever can't be read of it is left out. */
   constructor(hint: unknown = null) {
     if (typeof hint !== 'object' || hint === null) return;
     for (const [jobClass, list] of Object.entries(hint)) {
--- a/packages/controller/src/scheduler/model.ts
+++ b/packages/controller/src/scheduler/model.ts
@@ -114,13 +114,13 @@
   readonly tasks: readonly number[];
   /** Smaller goes first among the same urgency in the team's queue. */
   readonly rank: number;
-  /** A gang that has been passed over for long, see reserve.ts. */
+  /** A gang that is starving, see reserve.ts. */
   readonly starving: boolean;
   /** It failed wherever it ran: it gets room that is free and displaces nobody. */
   readonly cautious: boolean;
   /** Machines may be rented for it. */
   readonly mayRent: boolean;
-  /** Nothing of it has been started for long, see waits.ts: its next task need not leave GPUs what those to come might need. */
+  /** Nothing of it has been started for long, see start-waits.ts: its next task need not leave GPUs what those to come might need. */
   readonly overdue?: boolean;
 }
 
--- a/packages/controller/src/scheduler/placement-search.ts
+++ b/packages/controller/src/scheduler/placement-search.ts
@@ -1,11 +1,12 @@
 /**
- * Where a gang or a task goes: on free room if it can, then on room that is being left, then by displacing;
- * a gang whole, and in one zone if it must. The choice is that of the plain search in
- * `test/support/plain-place.ts`; this one passes over what can't matter, since a cycle over thousands of
- * machines has a few milliseconds.
+ * Where a gang or a task goes: on free capacity if it can, then on capacity that is being left, then by preempting; a gang
+ * whole, and in one zone if it must. The choice is that of the plain search in `test/support/plain-placement-search.ts`
+ * (a property test holds both alike); this one skips what can't matter, since a cycle over thousands of machines has a few
+ * milliseconds: lists of candidate machines are shared by all jobs that allow the same, machines are ranked once for all
+ * tasks of an array, and an upper bound on what fits ends most searches before any machine is weighed.
  */
 import type { Job } from '../jobs/model.js';
-import { add, EPSILON, fits, type Resources, resourcesOf } from './model.js';
+import { add, type CoLocatedDemand, EPSILON, fits, type Resources, resourcesOf } from './model.js';
 import { NodeRanking, type WeighedNode } from './node-ranking.js';
 import {
   type PlacementChoice,
@@ -31,7 +32,9 @@
 } from './cluster-capacity.js';
 
 const NONE: Resources = [0, 0, 0];
+const NO_VICTIMS: ReadonlySet<EvictedUnit> = new Set();
 
+/** A place for the next task: a machine, its score, and whom it would preempt there. */
 interface Option extends WeighedNode {
   readonly victims: readonly EvictedUnit[];
   readonly free: boolean;
@@ -51,212 +54,254 @@
   readonly asOf: number;
 }
 
-export const placementSearch = (capacity: ClusterCapacity): PlacementSearch => {
-  const { zones } = capacity;
+/** What is searched for: places for `count` tasks of a job at once. */
+interface SearchRequest {
+  readonly job: Job;
+  readonly team: TeamState;
+  readonly count: number;
+  /** Of one task. */
+  readonly need: Resources;
+  /** Evicted tasks of an urgency under this may be preempted, as far as an upper bound goes. */
+  readonly below: number;
+}
 
-  /** Shared by all jobs that allow the same. */
-  const lists = new Map<string, Candidates>();
-  const candidates = (job: Job, at: readonly string[]): Candidates => {
-    const { types, spot } = job.spec;
-    const key = `${types?.join(',') ?? ''}|${spot}|${at.join(',')}`;
-    let shared = lists.get(key);
-    if (!shared) {
-      const list = [...capacity.nodes.values()].filter(
-        (n) =>
-          n.view.open &&
-          at.includes(n.view.zone) &&
-          (types === null || types.includes(n.view.type)) &&
-          (!n.view.spot || spot),
-      );
-      const allowed = new Uint8Array(capacity.nodes.size);
-      for (const n of list) allowed[n.index] = 1;
-      lists.set(key, (shared = { list, allowed, withCpus: [] }));
-    }
-    const avoided = capacity.avoid(job);
-    return avoided === null
-      ? shared
-      : { ...shared, list: shared.list.filter((n) => !avoided.has(n.view.id)) };
-  };
+/** The places of one group of tasks, found one after the other: each takes what the ones before it left. */
+class GroupPlacement {
+  /** What the group's tasks placed so far take, by machine. */
+  private readonly used = new Map<NodeState, Resources>();
+  private readonly victims = new Set<EvictedUnit>();
+  private readonly overdue: boolean;
+  private readonly guards: readonly CoLocatedDemand[];
 
-  /** Machines with CPUs left at a level below displacing: free ones only become fewer, and others are touched. */
-  const roomyOf = (machinesOf: Candidates, level: SearchLevel): NodesWithCpus =>
-    (machinesOf.withCpus[level] ??= {
-      list: machinesOf.list.filter(
-        (n) => reachableAmount(n, 0, 0) > EPSILON && (level > 0 || n.free[0] > EPSILON),
-      ),
-      asOf: capacity.changedNodes.length,
-    });
+  constructor(
+    private readonly capacity: ClusterCapacity,
+    private readonly request: SearchRequest,
+    private readonly level: SearchLevel,
+  ) {
+    const { job } = request;
+    this.overdue = capacity.overdue.has(job);
+    this.guards = protectedDemand(capacity.coLocatedDemand, job, this.overdue);
+  }
 
-  /**
-   * What the machines are worth to a job's next task: of an array's tasks each takes one machine's room, and all the
-   * others are worth what they were. By job and level, for tasks that displace nobody.
-   */
-  const rankings = new Map<Job, NodeRanking<Option>[]>();
-  const rankingOf = (
-    job: Job,
-    level: SearchLevel,
-    machinesOf: Candidates,
-    weigh: (n: NodeState) => Option | null,
-  ): NodeRanking<Option> => {
-    let mine = rankings.get(job);
-    if (!mine) rankings.set(job, (mine = []));
-    if (mine[level] !== undefined) return mine[level];
-    const { list, asOf } =
-      job.spec.cpus > EPSILON
-        ? roomyOf(machinesOf, level)
-        : { list: machinesOf.list, asOf: capacity.changedNodes.length };
-    return (mine[level] = new NodeRanking({ list, asOf }, machinesOf.allowed, capacity.changedNodes, weigh));
-  };
-  /** Whether the machines that a job may use are the same for each of its tasks. */
-  const ranks = (job: Job): boolean =>
-    !job.spec.spread && !job.spec.oneZone && capacity.avoid(job) === null && !capacity.overdue.has(job);
+  /** The place on a machine as things stand; null: there is none at this level. */
+  weigh(n: NodeState): Option | null {
+    const { capacity, level, victims } = this;
+    const { job, need } = this.request;
+    if (isReservedAgainst(n, job) || !this.isReachable(n)) return null;
+    const mine = this.used.get(n) ?? NONE;
+    const left: Resources = [n.free[0] - mine[0], n.free[1] - mine[1], n.free[2] - mine[2]];
+    const after: Resources = [left[0] - need[0], left[1] - need[1], left[2] - need[2]];
+    if (strandsGpus(this.guards, job, n.view.total, n.idle, after, this.overdue)) return null;
+    const demand = capacity.coLocatedDemand;
+    if (fits(need, left)) return { n, score: score(demand, job, n, after), victims: [], free: true };
+    if (level === 0) return null;
+    add(left, n.leaving);
+    for (const v of victims)
+      for (const m of v.members) if (m.machine === n.view.id) add(left, resourcesOf(v.job.spec));
+    if (fits(need, left))
+      return { n, score: PROMISED_PENALTY + score(demand, job, n, left), victims: [], free: false };
+    if (level === 1) return null;
+    const more = this.victimsOn(n, left);
+    if (more === null) return null;
+    return { n, score: preemptionPenalty(more) + score(demand, job, n, left), victims: more, free: false };
+  }
+
+  /** All of the group's places among `list`; null: not all of them fit. */
+  placeAll(list: readonly NodeState[]): PlacementChoice | null {
+    const { count, job, need } = this.request;
+    const options: Option[] = [];
+    for (const n of list) {
+      const option = this.weigh(n);
+      if (option !== null) options.push(option);
+    }
+    const current: (Option | null)[] = options;
+    const indexOf = count > 1 ? new Map(options.map((o, i) => [o.n, i])) : null;
+    const byZone = new Map(this.capacity.zonesHeld.get(job) ?? []);
+    const machines: NodeState[] = [];
+    let free = true;
+    for (let i = 0; i < count; i++) {
+      const best = this.best(current, byZone);
+      if (best === null) return null;
+      machines.push(best.n);
+      free &&= best.free;
+      for (const v of best.victims) this.victims.add(v);
+      if (i + 1 === count) break;
+      const mine = this.used.get(best.n);
+      if (mine) add(mine, need);
+      else this.used.set(best.n, [...need]);
+      byZone.set(best.n.view.zone, (byZone.get(best.n.view.zone) ?? 0) + 1);
+      this.weighAgain(best, current, indexOf);
+    }
+    return { machines, victims: this.victims, free };
+  }
+
+  /** Whether the machine could hold one task, were all gone that may go at this level: most machines end here. */
+  private isReachable(n: NodeState): boolean {
+    const { need, below } = this.request;
+    const { level } = this;
+    for (let i = 0; i < 3; i++) {
+      const most = level === 0 ? n.free[i]! : reachableAmount(n, level === 1 ? 0 : below, i);
+      if (need[i]! > most + EPSILON) return false;
+    }
+    return true;
+  }
 
-  const victimsOn = (
-    job: Job,
-    team: TeamState,
-    need: Resources,
-    n: NodeState,
-    have: Resources,
-    taken: ReadonlySet<EvictedUnit>,
-  ): EvictedUnit[] | null => {
+  /** Units to preempt on a machine beside those preempted already, so that one task fits on top of `have`; null: it can't. */
+  private victimsOn(n: NodeState, have: Resources): EvictedUnit[] | null {
+    const { capacity, victims } = this;
+    const { job, team, need } = this.request;
     const options: EvictedUnit[] = [];
     for (const u of capacity.evictedOn(n))
-      if (!taken.has(u) && mayPreempt(capacity, job, team, need, u)) options.push(u);
+      if (!victims.has(u) && mayPreempt(capacity, job, team, need, u)) options.push(u);
     options.sort(
       (a, b) =>
         a.job.spec.urgency - b.job.spec.urgency ||
         (a.team === b.team ? 0 : capacity.share(b.team) - capacity.share(a.team)) ||
         a.loss - b.loss,
     );
-    const got: Resources = [...have];
-    const out: EvictedUnit[] = [];
+    const sum: Resources = [...have];
+    const chosen: EvictedUnit[] = [];
     for (const u of options) {
-      if (fits(need, got)) break;
-      for (const m of u.members) if (m.machine === n.view.id) add(got, resourcesOf(u.job.spec));
-      out.push(u);
+      if (fits(need, sum)) break;
+      for (const m of u.members) if (m.machine === n.view.id) add(sum, resourcesOf(u.job.spec));
+      chosen.push(u);
     }
-    return fits(need, got) ? out : null;
-  };
-
-  const choose = (
-    job: Job,
-    team: TeamState,
-    count: number,
-    below: number,
-    machinesOf: Candidates,
-    level: SearchLevel,
-    ranked: boolean,
-  ): PlacementChoice | null => {
-    const need = resourcesOf(job.spec);
-    const overdue = capacity.overdue.has(job);
-    const guards = protectedDemand(capacity.coLocatedDemand, job, overdue);
-    const used = new Map<NodeState, Resources>();
-    const victims = new Set<EvictedUnit>();
-    /** The place on a machine as things stand, or null. */
-    const weigh = (n: NodeState): Option | null => {
-      if (isReservedAgainst(n, job)) return null;
-      for (let i = 0; i < 3; i++) {
-        const most = level === 0 ? n.free[i]! : reachableAmount(n, level === 1 ? 0 : below, i);
-        if (need[i]! > most + EPSILON) return null;
-      }
-      const mine = used.get(n) ?? NONE;
-      const left: Resources = [n.free[0] - mine[0], n.free[1] - mine[1], n.free[2] - mine[2]];
-      const after: Resources = [left[0] - need[0], left[1] - need[1], left[2] - need[2]];
-      if (strandsGpus(guards, job, n.view.total, n.idle, after, overdue)) return null;
-      if (fits(need, left))
-        return { n, score: score(capacity.coLocatedDemand, job, n, after), victims: [], free: true };
-      if (level === 0) return null;
-      add(left, n.leaving);
-      for (const v of victims)
-        for (const m of v.members) if (m.machine === n.view.id) add(left, resourcesOf(v.job.spec));
-      if (fits(need, left))
-        return {
-          n,
-          score: PROMISED_PENALTY + score(capacity.coLocatedDemand, job, n, left),
-          victims: [],
-          free: false,
-        };
-      if (level === 1) return null;
-      const v = victimsOn(job, team, need, n, left, victims);
-      if (v === null) return null;
-      return {
-        n,
-        score: preemptionPenalty(v) + score(capacity.coLocatedDemand, job, n, left),
-        victims: v,
-        free: false,
-      };
-    };
+    return fits(need, sum) ? chosen : null;
+  }
 
-    const byZone = new Map(capacity.zonesHeld.get(job) ?? []);
-    const zoneCap = job.spec.spread ? Math.ceil(job.spec.tasks / 2) : Number.POSITIVE_INFINITY;
-    const full = (zone: string): boolean => (byZone.get(zone) ?? 0) >= zoneCap;
-    const best = (options: readonly (Option | null)[]): Option | null => {
-      let b: Option | null = null;
-      for (const o of options)
-        if (o !== null && (b === null || o.score < b.score) && !full(o.n.view.zone)) b = o;
-      return b;
-    };
-
-    if (ranked) {
-      const b = rankingOf(job, level, machinesOf, weigh).best();
-      return b === null ? null : { machines: [b.n], victims, free: b.free };
-    }
-    const options: Option[] = [];
-    for (const n of machinesOf.list) {
-      const o = weigh(n);
-      if (o !== null) options.push(o);
+  /** The first of the options with the lowest score whose zone may take one more of the job's tasks. */
+  private best(options: readonly (Option | null)[], byZone: ReadonlyMap<string, number>): Option | null {
+    const { spread, tasks } = this.request.job.spec;
+    const zoneCap = spread ? Math.ceil(tasks / 2) : Number.POSITIVE_INFINITY;
+    let best: Option | null = null;
+    for (const option of options) {
+      if (option === null || (best !== null && option.score >= best.score)) continue;
+      if ((byZone.get(option.n.view.zone) ?? 0) < zoneCap) best = option;
     }
-    // Only the machine taken, and those that its victims leave, need weighing again.
-    const current: (Option | null)[] = options;
-    const index = count > 1 ? new Map(options.map((o, i) => [o.n, i])) : null;
+    return best;
+  }
+
+  /** Only the machine taken, and those that its victims leave, need weighing again. */
+  private weighAgain(
+    taken: Option,
+    current: (Option | null)[],
+    indexOf: ReadonlyMap<NodeState, number> | null,
+  ): void {
     const again = (n: NodeState): void => {
-      const i = index?.get(n);
-      if (i !== undefined) current[i] = weigh(n);
+      const i = indexOf?.get(n);
+      if (i !== undefined) current[i] = this.weigh(n);
     };
-    const machines: NodeState[] = [];
-    let free = true;
-    for (let i = 0; i < count; i++) {
-      const b = best(current);
-      if (b === null) return null;
-      machines.push(b.n);
-      free &&= b.free;
-      for (const v of b.victims) victims.add(v);
-      if (i + 1 === count) break;
-      const mine = used.get(b.n);
-      if (mine) add(mine, need);
-      else used.set(b.n, [...need]);
-      byZone.set(b.n.view.zone, (byZone.get(b.n.view.zone) ?? 0) + 1);
-      again(b.n);
-      for (const v of b.victims)
-        for (const m of v.members) {
-          const n = capacity.nodes.get(m.machine);
-          if (n && n !== b.n) again(n);
-        }
-    }
-    return { machines, victims, free };
-  };
+    again(taken.n);
+    for (const v of taken.victims)
+      for (const m of v.members) {
+        const n = this.capacity.nodes.get(m.machine);
+        if (n && n !== taken.n) again(n);
+      }
+  }
+}
 
-  return (job, team, count, levels) => {
-    const at = allowedZones(capacity, zones, job);
-    if (at.length === 0) return null;
+/** The searches of one cycle, with what they share. */
+class CycleSearch {
+  /** Shared by all jobs that allow the same. */
+  private readonly candidateLists = new Map<string, Candidates>();
+  /**
+   * What the machines are worth to a job's next task: of an array's tasks each takes one machine's capacity, and all the
+   * others are worth what they were. By job and level, for tasks that preempt nobody.
+   */
+  private readonly rankings = new Map<Job, NodeRanking<Option>[]>();
+
+  constructor(private readonly capacity: ClusterCapacity) {}
+
+  search(job: Job, team: TeamState, count: number, levels: readonly SearchLevel[]): PlacementChoice | null {
+    const zones = allowedZones(this.capacity, this.capacity.zones, job);
+    if (zones.length === 0) return null;
     const need = resourcesOf(job.spec);
-    const below = preemptibleBelow(capacity, job, team, need);
+    const below = preemptibleBelow(this.capacity, job, team, need);
+    const request: SearchRequest = { job, team, count, need, below };
     const one = job.spec.oneZone;
-    const groups = (one ? at.map((z) => [z]) : [at]).map((g) => {
-      const machinesOf = candidates(job, g);
+    const groups = (one ? zones.map((z) => [z]) : [zones]).map((group) => {
+      const nodes = this.candidates(job, group);
       let known: readonly [number, number, number] | null = null;
-      return { machinesOf, slots: () => (known ??= slotBounds(need, below, machinesOf.list)) };
+      return { nodes, slots: () => (known ??= slotBounds(need, below, nodes.list)) };
     });
     for (const level of levels) {
       const found: ZoneChoice[] = [];
-      for (const { machinesOf, slots } of groups) {
-        const ranked = count === 1 && level < 2 && ranks(job);
+      for (const { nodes, slots } of groups) {
+        const ranked = count === 1 && level < 2 && this.hasStableCandidates(job);
         if (!ranked && (slots()[2] < count || slots()[level] < count)) continue;
-        const choice = choose(job, team, count, below, machinesOf, level, ranked);
+        const choice = ranked
+          ? this.bestRanked(request, level, nodes)
+          : new GroupPlacement(this.capacity, request, level).placeAll(nodes.list);
         if (choice !== null) found.push({ choice, slots: one ? slots()[2] : 0 });
       }
       if (found.length > 0) return tightestZone(found);
     }
     return null;
-  };
+  }
+
+  private candidates(job: Job, zones: readonly string[]): Candidates {
+    const { types, spot } = job.spec;
+    const key = `${types?.join(',') ?? ''}|${spot}|${zones.join(',')}`;
+    let shared = this.candidateLists.get(key);
+    if (!shared) {
+      const list = [...this.capacity.nodes.values()].filter(
+        (n) =>
+          n.view.open &&
+          zones.includes(n.view.zone) &&
+          (types === null || types.includes(n.view.type)) &&
+          (!n.view.spot || spot),
+      );
+      const allowed = new Uint8Array(this.capacity.nodes.size);
+      for (const n of list) allowed[n.index] = 1;
+      this.candidateLists.set(key, (shared = { list, allowed, withCpus: [] }));
+    }
+    const avoided = this.capacity.avoid(job);
+    return avoided === null
+      ? shared
+      : { ...shared, list: shared.list.filter((n) => !avoided.has(n.view.id)) };
+  }
+
+  /** Whether the machines that a job may use are the same for each of its tasks. */
+  private hasStableCandidates(job: Job): boolean {
+    const { spec } = job;
+    const { capacity } = this;
+    return !spec.spread && !spec.oneZone && capacity.avoid(job) === null && !capacity.overdue.has(job);
+  }
+
+  private bestRanked(request: SearchRequest, level: SearchLevel, nodes: Candidates): PlacementChoice | null {
+    const best = this.rankingOf(request, level, nodes).best();
+    return best === null ? null : { machines: [best.n], victims: NO_VICTIMS, free: best.free };
+  }
+
+  private rankingOf(request: SearchRequest, level: SearchLevel, nodes: Candidates): NodeRanking<Option> {
+    const { job } = request;
+    let byLevel = this.rankings.get(job);
+    if (!byLevel) this.rankings.set(job, (byLevel = []));
+    const known = byLevel[level];
+    if (known !== undefined) return known;
+    const first =
+      job.spec.cpus > EPSILON
+        ? this.withCpus(nodes, level)
+        : { list: nodes.list, asOf: this.capacity.changedNodes.length };
+    const placement = new GroupPlacement(this.capacity, request, level);
+    return (byLevel[level] = new NodeRanking(first, nodes.allowed, this.capacity.changedNodes, (n) =>
+      placement.weigh(n),
+    ));
+  }
+
+  /** Machines with CPUs left at a level below preempting: free ones only become fewer, and others are marked as changed. */
+  private withCpus(nodes: Candidates, level: SearchLevel): NodesWithCpus {
+    return (nodes.withCpus[level] ??= {
+      list: nodes.list.filter(
+        (n) => reachableAmount(n, 0, 0) > EPSILON && (level > 0 || n.free[0] > EPSILON),
+      ),
+      asOf: this.capacity.changedNodes.length,
+    });
+  }
+}
+
+/** The search of one cycle over `capacity`. */
+export const placementSearch = (capacity: ClusterCapacity): PlacementSearch => {
+  const cycle = new CycleSearch(capacity);
+  return (job, team, count, levels) => cycle.search(job, team, count, levels);
 };
--- a/packages/controller/src/scheduler/rank.ts
+++ b/packages/controller/src/scheduler/rank.ts
@@ -1,7 +1,7 @@
 /**
  * The order within a team's queue, among jobs of the same urgency: smaller goes first. Its levels, one after the other:
  *
- * 1. Passed over: one of the largest jobs of its class that has waited for two thirds of the time in which it should begin,
+ * 1. Starving: one of the largest jobs of its class that has waited for two thirds of the time in which it should begin,
  *    and can still begin in time. In the order of submission; classes that go by that anyhow need no such rule.
  * 2. In time: jobs that can still meet their deadline, by the work they have left, least first: when there is not room
  *    for all, that lets the most of them be in time. Behind them those without a deadline, in the order of submission.
@@ -36,7 +36,7 @@
  * which leaves as much again for troubles; sooner costs the others their deadlines (docs/results.md).
  */
 const STARVATION_BOUND = seconds(165);
-/** A gang that has been passed over for so long gathers room: most find some without, and others wait for it. */
+/** A gang that is starving gathers room: most find some without, and others wait for it. */
 export const RESERVES_AFTER = seconds(15);
 
 /** Tasks that must be there at once before a job counts as begun: all of a gang or service, of an array what the limit lets. */
@@ -50,7 +50,7 @@
 };
 
 /**
- * The time of day from which one of its class's largest jobs is passed over, or null: it has begun, or can't begin in
+ * The time of day from which one of its class's largest jobs is starving, or null: it has begun, or can't begin in
  * time any more. Least work first makes the largest wait for all others. They are few, so that letting them go first
  * costs the others little; for jobs of all sizes it would undo that order just when there is not room for all. Whether a
  * job has begun, and since when it waits, follows from what is durable, so a new leader goes on with it. `atOnce`: so many
@@ -68,7 +68,7 @@
   return (submitted + STARVATION_BOUND) as Micros;
 };
 
-/** `from`: see `passedOverFrom`. */
+/** `from`: see `starvingFrom`. */
 export const rankOf = (
   job: Job,
   day: Micros,
--- a/packages/controller/src/scheduler/replica-search.ts
+++ b/packages/controller/src/scheduler/replica-search.ts
@@ -1,6 +1,6 @@
 /**
  * Where a missing replica of a GPU service goes: every machine that may take it is weighed, on free room, on room that is
- * being left, or by stopping others, as src/lending says. Everything else goes as place.ts has it. An exception to the
+ * being left, or by stopping others, as src/lending says. Everything else goes as placement-search.ts has it. An exception to the
  * cycle's levels (docs/design.md): free room without the weights can be the worse place by a minute.
  */
 import type { Micros } from '@lilacvalve/runtime/micros';
--- a/packages/controller/src/scheduler/reserve.ts
+++ b/packages/controller/src/scheduler/reserve.ts
@@ -2,7 +2,7 @@
  * Room gathered for a gang that has been passed over and finds none: the zone that has the most places for it now keeps
  * them from work that is no more urgent, instead of letting smaller gangs fill them one by one, and less urgent work that
  * would soon be stopped again. What ends before the gang could begin, though its estimate be wrong by half, may use them.
- * Made anew at each turn from what is there, for one gang at a time; nothing of it is durable.
+ * Made anew at each cycle from what is there, for one gang at a time; nothing of it is durable.
  */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Job } from '../jobs/model.js';
--- a/packages/controller/src/scheduler/run-cycle.ts
+++ b/packages/controller/src/scheduler/run-cycle.ts
@@ -1,6 +1,6 @@
 /**
- * The leader's cycle: looks at the book, runs the pure cycle, makes starts and ends durable in one record,
- * then lets them take effect. A start is never sent before its record is committed.
+ * The leader's cycle: looks at the worker registry, runs the pure cycle, makes starts and ends durable in one log entry,
+ * then lets them take effect. A start is never sent before its log entry is committed.
  */
 import { Effect } from 'effect';
 import { info } from '@lilacvalve/runtime/log';
@@ -81,7 +81,7 @@
   return out;
 };
 
-/** For the accounts: who waits after this turn, and what they have of what they are entitled to. */
+/** For the accounts: who waits after this cycle, and what they have of what they are entitled to. */
 const noteShares = (t: CycleContext, input: CycleInput, result: CycleResult, at: Micros): void => {
   const all: Resources = [0, 0, 0];
   for (const n of input.nodes) add(all, n.total);
@@ -101,7 +101,7 @@
     t.settings.teams.map((x) => x.name),
   ) ?? weights;
 
-/** One turn: the cycle on what is left once the ends seen so far are recorded, and one record for both. */
+/** One cycle: the cycle on what is left once the ends seen so far are recorded, and one log entry for both. */
 export const runCycle = (t: CycleContext, view: CycleState) =>
   Effect.gen(function* () {
     const at = t.clock();
--- a/packages/controller/src/scheduler/transact-until-known.ts
+++ b/packages/controller/src/scheduler/transact-until-known.ts
@@ -10,8 +10,8 @@
   Exclude<Outcome, { ok: true }> | { readonly ok: true; readonly revision: number | null };
 
 /**
- * Sends one transaction until its outcome is known or the reign is over. Without right it waits: giving up
- * in between would leave a record that may be applied and that nobody here counts with.
+ * Sends one transaction until its outcome is known or the leadership term is over. Without right it waits: giving up
+ * in between would leave a log entry that may be applied and that nobody here counts with.
  */
 export const transactUntilKnown = (
   t: CycleContext,
--- a/packages/controller/src/scheduler/upkeep.ts
+++ b/packages/controller/src/scheduler/upkeep.ts
@@ -1,4 +1,4 @@
-/** Tidies up what older records and jobs that are over leave behind. Every write is conditional on the term. */
+/** Tidies up what older log entries and jobs that are over leave behind. Every write is conditional on the term. */
 import { Effect } from 'effect';
 import { info } from '@lilacvalve/runtime/log';
 import { checkpointWrites, joinOld, writePage } from '../accounts/upkeep.js';
@@ -12,20 +12,20 @@
 import type { CycleContext } from './cycle-context.js';
 
 /**
- * Records to keep before their jobs are folded. Most jobs are over before their first record is the oldest
- * of so many: then only the record is to be deleted, and the job's key is never written again on its account.
+ * Log entries to keep before their jobs are folded. Most jobs are over before their first log entry is the oldest
+ * of so many: then only the log entry is to be deleted, and the job's key is never written again on its account.
  */
 const LOG_TAIL_KEPT = 160;
 /** Changes in one transaction of upkeep: larger ones would have to wait longer for their part of the budget. */
 const UPKEEP_OPS = 8;
 
-/** Moves jobs that are over to their final keys. Whoever writes a job's key first, withdrawal or this, wins. */
+/** Moves jobs that are over to their final keys. Whoever writes a job's key first, cancellation or this, wins. */
 const closeFinishedJobs = (t: CycleContext) =>
   Effect.gen(function* () {
     const over: Job[] = [];
     for (const job of t.jobState.jobs.values()) {
       if (finalState(job) !== null && !t.registry.ends.has(job.spec.id)) over.push(job);
-      // Two changes each, and a third where a pack lists it.
+      // Two changes each, and a third where a bundle lists it.
       const each = t.jobState.bundleOf.size > 0 ? 3 : 2;
       // A tied job's occurrence has a count, which changes too.
       const tied = over.reduce((n, j) => n + (j.spec.tie === null ? 0 : 1), 0);
@@ -69,14 +69,14 @@
     return true;
   });
 
-/** Shortens the tail: writes the jobs of the oldest records into their own keys, then deletes the records. */
+/** Shortens the tail: writes the jobs of the oldest log entries into their own keys, then deletes the log entries. */
 const compactLog = (t: CycleContext) =>
   Effect.gen(function* () {
     if (t.jobState.logTail.size <= (t.settings.state.tail ?? LOG_TAIL_KEPT)) return;
     const upTo = t.jobState.lastSequence;
     const ops = t.settings.state.txnOps;
     const { checkpoint, accounts } = t.jobState;
-    // No record goes whose rows the checkpoint lacks. It is written once in so many records: the next ones can go by it.
+    // No log entry goes whose rows the checkpoint lacks. It is written once in so many log entries: the next ones can go by it.
     const checked: Condition = { key: ACCOUNTS, stamp: checkpoint.stamp };
     const when: Condition[] = [{ key: TERM, stamp: t.leaderTerm.stamp }, checked];
     const then: Write[] = [];
@@ -98,14 +98,14 @@
       if (then.length + more.length + 1 > Math.min(ops, UPKEEP_OPS) && then.length > 0) break;
       const writes: Write[] = more.map((job) => ({
         set: activeJobKey(job.spec.id),
-        // This view has every record up to the withdrawal. One that completes the job while this write is on its way must not
+        // This view has every log entry up to the cancellation. One that completes the job while this write is on its way must not
         // look as if it had come first, by the key's new revision: what users were told is cancelled would be done.
         value: encodeJob({ ...job, cancelledFirst: job.cancelled }, upTo),
       }));
       const size = JSON.stringify(writes).length;
       if (bytes + size > 48 * 1024 && then.length > 0) break;
       if (then.length + writes.length + 1 > ops) {
-        // More jobs than one transaction takes: fold some, the record goes later.
+        // More jobs than one transaction takes: fold some, the log entry goes later.
         const some = writes.slice(0, ops);
         then.push(...some);
         for (const job of more.slice(0, ops)) when.push(...jobUnchanged(job.spec.id, job.revision));
@@ -131,7 +131,7 @@
       t.lossDetector.suspect('key lost', `${ACCOUNTS} is not as it was`);
   });
 
-/** Closes jobs that are over and shortens the tail, beside the turns: these must not wait for its writes. */
+/** Closes jobs that are over and shortens the tail, beside the cycles: these must not wait for its writes. */
 export const upkeep = (t: CycleContext): Effect.Effect<void> =>
   Effect.gen(function* () {
     if (!t.mayAct()) return;
--- a/packages/controller/test/support/plain-cycle.ts
+++ b/packages/controller/test/support/plain-cycle.ts
@@ -329,7 +329,7 @@
     return { machines: [n], victims: NOBODY, free };
   };
 
-  /** One gang that was passed over gathers room. */
+  /** One gang that is starving gathers room. */
   let reserved = false;
 
   /** Places the next of what `item` wants; false: there is nothing more to be had for it now. */
--- a/packages/controller/test/support/plain-placement-search.ts
+++ b/packages/controller/test/support/plain-placement-search.ts
@@ -1,5 +1,5 @@
 /**
- * The choice of machines in its plainest form: every machine is looked at for every task. `place.ts` must
+ * The choice of machines in its plainest form: every machine is looked at for every task. `placement-search.ts` must
  * choose the same; this one is only there to compare it with.
  */
 import type { Job } from '../../src/jobs/model.js';
