--- a/packages/controller/src/calendar/cutoff-tracking.ts
+++ b/packages/controller/src/calendar/cutoff-tracking.ts
@@ -21,13 +21,6 @@
 const WRITE_EVERY = seconds(30);
 const NOTICE_EVERY = seconds(86_400);
 
-/** What a leadership term has seen and not written yet. */
-export class ClassSamples {
-  readonly ratios = new Map<string, number[]>();
-  writtenAt: Micros | null = null;
-  noticedAt: Micros | null = null;
-}
-
 /** Never earlier than the latest log entry: a clock that was set back does not give a cutoff its time back. */
 export const dayOf = (t: Pick<CycleContext, 'dayTime' | 'jobState'>): Micros =>
   Math.max(t.dayTime(), t.jobState.lastAt) as Micros;
--- a/packages/controller/src/jobs/store-watcher.ts
+++ b/packages/controller/src/jobs/store-watcher.ts
@@ -250,7 +250,7 @@
             for (const e of ended) this.jobState.apply(e);
             this.jobState.advance(c.changes, c.revision);
             this.loaded = true;
-            return info('store read', { revision: c.revision, jobs: this.jobState.jobs.size }).pipe(
+            return info('store listed', { revision: c.revision, jobs: this.jobState.jobs.size }).pipe(
               Effect.zipRight(this.verifyView(asked, true)),
             );
           }),
--- a/packages/controller/src/leadership/leader-session.ts
+++ b/packages/controller/src/leadership/leader-session.ts
@@ -5,7 +5,7 @@
 import { type Micros, millis, seconds, toMillis } from '@lilacvalve/runtime/micros';
 import { tick } from '@lilacvalve/runtime/tick';
 import { Effect, Queue } from 'effect';
-import { ClassSamples } from '../calendar/cutoff-tracking.js';
+import { ClassSamples } from '../calendar/class-samples.js';
 import type { DataLossDetector } from '../recovery/data-loss-detector.js';
 import type { CloudPort } from '../provisioning/cloud.js';
 import { autoscaler } from '../provisioning/autoscaler.js';
--- a/packages/controller/src/scheduler/commit.ts
+++ b/packages/controller/src/scheduler/commit.ts
@@ -61,7 +61,7 @@
     // Without that read the view is as old as the condition, and a key that somebody has changed looks like a lost one.
     const lost = read ? failed.find((k) => isUnchanged(t, k, when)) : undefined;
     if (lost !== undefined) t.lossDetector.suspect('key lost', `${lost} is not as it was`);
-    yield* debug('record refused', { term: t.leaderTerm.number, failed: failed.join(',') });
+    yield* debug('commit rejected', { term: t.leaderTerm.number, failed: failed.join(',') });
   });
 
 /** The log entries are durable: they take effect here. `revision` null: at which revision is not known. */
@@ -84,7 +84,12 @@
         for (const on of c.start?.on.values() ?? []) started += on.length;
       }
       yield* logCutoffRisks(t, r.jobs, r.head.at);
-      yield* debug('record', { term: t.leaderTerm.number, sequence: r.sequence, jobs: r.jobs.size, started });
+      yield* debug('log entry committed', {
+        term: t.leaderTerm.number,
+        sequence: r.sequence,
+        jobs: r.jobs.size,
+        started,
+      });
     }
   });
 
--- a/packages/controller/src/scheduler/cycle-context.ts
+++ b/packages/controller/src/scheduler/cycle-context.ts
@@ -1,7 +1,7 @@
 /** What the supervised tasks of a leadership term share: the ports, the worker registry, and the questions a decision must ask. */
 import type { Ledger } from '../accounts/ledger.js';
 import type { Micros } from '@lilacvalve/runtime/micros';
-import type { ClassSamples } from '../calendar/cutoff-tracking.js';
+import type { ClassSamples } from '../calendar/class-samples.js';
 import type { ProvisioningNews, MachineType } from '../provisioning/model.js';
 import type { DataLossDetector } from '../recovery/data-loss-detector.js';
 import type { JobState } from '../jobs/job-state.js';
--- a/packages/controller/src/scheduler/run-cycle.ts
+++ b/packages/controller/src/scheduler/run-cycle.ts
@@ -1,6 +1,6 @@
 /**
- * The leader's cycle: looks at the worker registry, runs the pure cycle, makes starts and ends durable in one log entry,
- * then lets them take effect. A start is never sent before its log entry is committed.
+ * The leader's scheduling cycle: reads the worker registry and the job state, decides (`cycle.ts`, pure), commits starts and
+ * ends in log entries, then lets them take effect. A start is never sent before its log entry is committed.
  */
 import { Effect } from 'effect';
 import { info } from '@lilacvalve/runtime/log';
@@ -32,7 +32,7 @@
 } from './cycle-input.js';
 
 /** The state of the cluster in one line, however many machines there are. */
-export const summary = (t: CycleContext, view: CycleState): Record<string, string | number> => {
+export const summary = (t: CycleContext, state: CycleState): Record<string, string | number> => {
   const rows = new Map<string, { up: number; coming: number; empty: number }>();
   for (const m of t.registry.machines.values()) {
     const kind = `${m.type}${m.spot ? '-spot' : ''}`;
@@ -57,22 +57,23 @@
     machines: [...rows].map(([k, r]) => `${k}:${r.up}+${r.coming}/${r.empty}`).join(','),
     tasks: [...classes].map(([k, c]) => `${k}:${c.on}+${c.waiting}/${c.jobs}`).join(','),
     stopping: t.registry.stopping.size,
-    turnMs: Math.round(view.computeTime / 1000),
+    cycleMs: Math.round(state.computeTime / 1000),
   };
 };
 
-const stop = (t: CycleContext, { job, task }: Preemption, at: Micros): void => {
+/** Orders a task to stop; one that saves has the time for that. */
+const preempt = (t: CycleContext, { job, task }: Preemption, at: Micros): void => {
   const { checkpoint, save } = job.spec;
   t.registry.stop(job, task, checkpoint > 0 ? plus(save, seconds(2)) : (0 as Micros), at);
 };
 
-/** Those whose room is being left for them, then lenders that are owed some. */
+/** Jobs that others are making way for, then lenders with an open loan: by id, how many tasks go before all others. */
 const reservationsOf = (
   t: CycleContext,
-  view: CycleState,
+  state: CycleState,
   queued: readonly QueuedJob[],
 ): ReadonlyMap<string, number> => {
-  const reservations = view.result?.reservations ?? new Map<string, number>();
+  const reservations = state.result?.reservations ?? new Map<string, number>();
   const loans = loansOf(t.jobState.jobs.values());
   if (loans.length === 0) return reservations;
   const waiting = queued.filter((q) => !q.cautious).map((q) => ({ job: q.job, tasks: q.tasks.length }));
@@ -101,79 +102,69 @@
     t.settings.teams.map((x) => x.name),
   ) ?? weights;
 
-/** One cycle: the cycle on what is left once the ends seen so far are recorded, and one log entry for both. */
-export const runCycle = (t: CycleContext, view: CycleState) =>
+/** Takes in what time has brought since the last cycle: expired leases, faulty jobs and machines, recalls, lost orders. */
+const updateRegistry = (t: CycleContext, at: Micros) =>
   Effect.gen(function* () {
-    const at = t.clock();
-    for (const machine of t.registry.lapse(at, t.acknowledged()))
-      yield* info('lease lapsed', { term: t.leaderTerm.number, machine });
-    for (const job of t.registry.suspects(at))
-      yield* info('job looks broken', { term: t.leaderTerm.number, job });
-    for (const { machine, faulty } of t.registry.judge(at))
-      yield* info(faulty ? 'machine blamed' : 'blame taken back', { term: t.leaderTerm.number, machine });
-    for (const job of t.registry.abandon(at))
-      yield* info('tasks of before a loss stopped', { term: t.leaderTerm.number, job });
-    t.registry.dirty = false;
-    t.registry.recalls(at);
-    for (const job of t.registry.complete((t.dayTime() - (at - t.leaderTerm.began)) as Micros)) {
+    const { registry } = t;
+    const term = t.leaderTerm.number;
+    for (const machine of registry.lapse(at, t.acknowledged()))
+      yield* info('worker lease expired', { term, machine });
+    for (const job of registry.suspects(at)) yield* info('job suspected faulty', { term, job });
+    for (const { machine, faulty } of registry.judge(at))
+      yield* info(faulty ? 'machine quarantined' : 'quarantine lifted', { term, machine });
+    for (const job of registry.abandon(at)) yield* info('pre-loss tasks stopped', { term, job });
+    registry.dirty = false;
+    registry.recalls(at);
+    for (const job of registry.complete((t.dayTime() - (at - t.leaderTerm.began)) as Micros)) {
       const { id, tasks, imageGb, submitted } = job.spec;
       const afterS = Math.round((t.dayTime() - submitted) / 1e6);
-      yield* info('service complete', {
-        term: t.leaderTerm.number,
-        job: id,
-        replicas: tasks,
-        afterS,
-        imageGb,
-      });
-    }
-    for (const job of t.registry.halfTold(at))
-      yield* info('gang half told to stop', { term: t.leaderTerm.number, job });
-    for (const job of t.jobState.jobs.values()) {
-      if (job.placed.size > 0 && (job.cancelled || t.registry.isBroken(job))) t.registry.clearAway(job);
-    }
-    if (!t.jobState.quiescent && !t.registry.allLapsed(at)) {
-      // After a loss somebody may be running what nobody here knows of: until all have shown themselves or their
-      // leases have lapsed, only what ends and what is found running is recorded.
-      yield* commit(t, []);
-      return;
+      yield* info('service fully running', { term, job: id, replicas: tasks, afterS, imageGb });
     }
-    const began = t.clock();
-    const queued = t.mayStart() ? queuedJobsOf(t, at) : [];
-    const nodes = nodesOf(t, at);
-    const placedTasks = placedTasksOf(t, at);
-    view.idleNodes = idleNodesOf(nodes, placedTasks, queued);
-    view.coLocatedDemand = coLocatedDemandOf(t, at);
-    const input: CycleInput = {
-      now: at,
-      teams: t.settings.teams,
-      weights: balancedWeights(t, teamWeightsOf(t)),
-      reservations: reservationsOf(t, view, queued),
-      nodes,
-      placedTasks,
-      queued,
-      coLocatedDemand: view.coLocatedDemand,
-      idleNodes: view.idleNodes,
-      avoid: (job) => t.registry.avoid(job),
-      attemptFloor: Math.max(t.jobState.attemptFloor, t.jobState.attemptBase),
-      maxPlacements: maxPlacements(t.settings.state),
-      lending: lendingViewOf(t, at, queued),
-    };
-    const result = schedule(input);
-    view.result = result;
-    noteShares(t, input, result, at);
-    view.computeTime = t.clock() - began;
-    for (const s of result.preemptions) if (s.taker === undefined) stop(t, s, at);
-    if (result.preemptions.length > 0)
-      yield* info('preemptions for others', { term: t.leaderTerm.number, tasks: result.preemptions.length });
-    const { lendingPreemptions: lent, hasBacklog: behind } = yield* commit(
-      t,
-      result.starts,
-      result.preemptions,
-    );
-    view.hasBacklog = behind;
-    // Whoever reads the store knows of these loans before anybody is told to stop.
-    for (const s of lent) stop(t, s, t.clock());
-    for (const { taker, lend } of newLoans(lent))
+    for (const job of registry.halfTold(at)) yield* info('gang partially preempted', { term, job });
+    for (const job of t.jobState.jobs.values())
+      if (job.placed.size > 0 && (job.cancelled || registry.isBroken(job))) registry.clearAway(job);
+  });
+
+/** All that the pure cycle decides by, as it stands at `at`. Keeps in `state` what others ask of the latest cycle. */
+const gatherInput = (t: CycleContext, state: CycleState, at: Micros): CycleInput => {
+  const queued = t.mayStart() ? queuedJobsOf(t, at) : [];
+  const nodes = nodesOf(t, at);
+  const placedTasks = placedTasksOf(t, at);
+  state.idleNodes = idleNodesOf(nodes, placedTasks, queued);
+  state.coLocatedDemand = coLocatedDemandOf(t, at);
+  return {
+    now: at,
+    teams: t.settings.teams,
+    weights: balancedWeights(t, teamWeightsOf(t)),
+    reservations: reservationsOf(t, state, queued),
+    nodes,
+    placedTasks,
+    queued,
+    coLocatedDemand: state.coLocatedDemand,
+    idleNodes: state.idleNodes,
+    avoid: (job) => t.registry.avoid(job),
+    attemptFloor: Math.max(t.jobState.attemptFloor, t.jobState.attemptBase),
+    maxPlacements: maxPlacements(t.settings.state),
+    lending: lendingViewOf(t, at, queued),
+  };
+};
+
+/** Runs the pure cycle, and notes its result, shares and the time that it took. */
+const decide = (t: CycleContext, state: CycleState, at: Micros): CycleResult => {
+  const began = t.clock();
+  const input = gatherInput(t, state, at);
+  const result = schedule(input);
+  state.result = result;
+  noteShares(t, input, result, at);
+  state.computeTime = t.clock() - began;
+  return result;
+};
+
+/** Stops that a service's loan waits on: whoever reads the store knows of the loan before anybody is told to stop. */
+const preemptForLoans = (t: CycleContext, preemptions: readonly Preemption[]) =>
+  Effect.gen(function* () {
+    for (const p of preemptions) preempt(t, p, t.clock());
+    for (const { taker, lend } of newLoans(preemptions))
       for (const { lender, gpus, tasks } of lend)
         yield* info('loan made', {
           term: t.leaderTerm.number,
@@ -183,3 +174,26 @@
           tasks,
         });
   });
+
+/**
+ * One scheduling cycle: takes in what has happened, decides on what is left once the ends seen so far are committed, tells
+ * preempted tasks to stop, and commits ends and starts together.
+ */
+export const runCycle = (t: CycleContext, state: CycleState) =>
+  Effect.gen(function* () {
+    const at = t.clock();
+    yield* updateRegistry(t, at);
+    if (!t.jobState.quiescent && !t.registry.allLapsed(at)) {
+      // After a loss somebody may be running what nobody here knows of: until all have shown themselves or their
+      // leases have expired, only what ends and what is found running is committed.
+      yield* commit(t, []);
+      return;
+    }
+    const { starts, preemptions } = decide(t, state, at);
+    for (const p of preemptions) if (p.taker === undefined) preempt(t, p, at);
+    if (preemptions.length > 0)
+      yield* info('tasks preempted', { term: t.leaderTerm.number, tasks: preemptions.length });
+    const committed = yield* commit(t, starts, preemptions);
+    state.hasBacklog = committed.hasBacklog;
+    yield* preemptForLoans(t, committed.lendingPreemptions);
+  });
--- a/packages/controller/src/scheduler/upkeep.ts
+++ b/packages/controller/src/scheduler/upkeep.ts
@@ -60,7 +60,7 @@
     yield* Effect.ignore(t.watcher.refresh);
     if (outcome.ok)
       for (const f of finals) {
-        yield* info('job over', { job: f.id, status: f.final.status });
+        yield* info('job finished', { job: f.id, status: f.final.status });
         for (const [lender, l] of f.job.loans) {
           const ended = { taker: f.id, lender, gpus: l.gpus / 1000, reason: 'taker over' };
           yield* info('loan ended', { term: t.leaderTerm.number, ...ended });
--- a/packages/controller/test/support/late-store.ts
+++ b/packages/controller/test/support/late-store.ts
@@ -5,7 +5,7 @@
 import { Cause, Clock, Duration, Effect, Logger, Random, Scheduler } from 'effect';
 import { Ledger } from '../../src/accounts/ledger.js';
 import { userHandlers } from '../../src/api/handlers.js';
-import { ClassSamples } from '../../src/calendar/cutoff-tracking.js';
+import { ClassSamples } from '../../src/calendar/class-samples.js';
 import { DataLossDetector } from '../../src/recovery/data-loss-detector.js';
 import { GuardedStore } from '../../src/recovery/guarded-store.js';
 import { JobState } from '../../src/jobs/job-state.js';
