--- a/packages/controller/src/leadership/campaign.ts
+++ b/packages/controller/src/leadership/campaign.ts
@@ -94,9 +94,9 @@
   /** As far as was read, the campaign of this term and lease was committed: both keys were written by one change. */
   private isCommitted(term: number, lease: number): boolean {
     const { jobState, settings } = this.parts;
-    const { leader, leaderStamp, termStamp } = jobState;
+    const { leader, leaderRevision, termRevision } = jobState;
     const mine = leader?.node === settings.label && leader.term === term && leader.lease === lease;
-    return mine && leaderStamp === termStamp;
+    return mine && leaderRevision === termRevision;
   }
 
   private readonly takeTerm = Effect.gen(this, function* () {
@@ -108,14 +108,14 @@
     const term = Math.max(jobState.term, incarnation.termFloor) + 1;
     const attempts = attemptFloor(
       incarnation,
-      jobState.term > 0 ? jobState.attempts : null,
+      jobState.term > 0 ? jobState.attemptBase : null,
       (yield* Clock.currentTimeMillis) / 1000,
     );
     const sent = yield* Effect.either(
       store.transact(
         [
           { key: LEADER, stamp: 0 },
-          { key: TERM, stamp: jobState.termStamp },
+          { key: TERM, stamp: jobState.termRevision },
         ],
         [
           { set: LEADER, value: { node: settings.label, term, lease }, lease },
@@ -131,7 +131,7 @@
       // before it was asked for, as always.
       yield* watcher.refreshNow;
       return this.isCommitted(term, lease) && clock() < this.lease.expiryOf(asked)
-        ? { term, revision: jobState.termStamp, lease, asked }
+        ? { term, revision: jobState.termRevision, lease, asked }
         : null;
     }
     const outcome = sent.right;
--- a/packages/controller/src/listeners.ts
+++ b/packages/controller/src/listeners.ts
@@ -108,7 +108,11 @@
 };
 
 /** Other controllers: beats, reports that they pass on, and what a rebuild asks. */
-export const peerListener = (peers: Peers, receive: ReceiveHeartbeats, views: (r: Incoming) => Answer | null) => {
+export const peerListener = (
+  peers: Peers,
+  receive: ReceiveHeartbeats,
+  views: (r: Incoming) => Answer | null,
+) => {
   const relayed = relayHandler(receive, new HeartbeatReader());
   const answer = (r: Incoming): Answer => {
     if (r.method !== 'POST') return json(405, {}, { Allow: 'POST' });
--- a/packages/controller/src/workers/order-queue.ts
+++ b/packages/controller/src/workers/order-queue.ts
@@ -55,9 +55,9 @@
     const key = taskKey(placement.job.spec.id, placement.task);
     return (
       machine.recallAt === null &&
-      !placement.job.withdrawn &&
+      !placement.job.cancelled &&
       // Of a generation before: it may have exited and been forgotten, and is never started again.
-      placement.attempt > this.jobState.floor &&
+      placement.attempt > this.jobState.attemptFloor &&
       this.stopping.get(key)?.attempt !== placement.attempt &&
       !this.exits.isBrokenGang(placement.job)
     );
@@ -68,7 +68,7 @@
    * one.
    */
   ordersFor(machine: Machine, starts: boolean): Order[] {
-    const placed = this.jobState.byMachine.get(machine.id);
+    const placed = this.jobState.placementsByMachine.get(machine.id);
     const orders: Order[] = [];
     this.addStops(machine, placed, orders);
     if (starts && machine.authoritative) this.addStarts(machine, placed, orders);
@@ -99,7 +99,7 @@
       }
       if (status === 'exited') continue;
       const stop = this.stopping.get(key);
-      if (placement.job.withdrawn || this.exits.isBrokenGang(placement.job)) {
+      if (placement.job.cancelled || this.exits.isBrokenGang(placement.job)) {
         orders.push({ op: 'stop', key, attempt, grace: AT_ONCE });
       } else if (stop && stop.attempt === attempt && status !== 'saving') {
         orders.push({ op: 'stop', key, attempt, grace: stop.grace });
@@ -162,8 +162,8 @@
     for (const machine of this.machines.values()) {
       for (const reported of machine.tasks.values()) {
         if (reported.status !== 'saving' || this.stopping.has(reported.key)) continue;
-        const placement = this.jobState.byMachine.get(machine.id)?.get(reported.key);
-        if (placement?.attempt !== reported.attempt || placement.job.withdrawn) continue;
+        const placement = this.jobState.placementsByMachine.get(machine.id)?.get(reported.key);
+        if (placement?.attempt !== reported.attempt || placement.job.cancelled) continue;
         const { job } = placement;
         if (job.spec.shape !== 'gang') continue;
         for (const task of job.placed.keys()) this.stop(job, task, plus(job.spec.save, GANG_SAVE_MARGIN), at);
@@ -178,7 +178,7 @@
     for (const machine of this.machines.values()) {
       if (machine.recallAt === null) continue;
       const left = machine.recallAt - at;
-      for (const { job, task } of this.jobState.byMachine.get(machine.id)?.values() ?? []) {
+      for (const { job, task } of this.jobState.placementsByMachine.get(machine.id)?.values() ?? []) {
         const { id, checkpoint, save, shape, estimate } = job.spec;
         const run = this.exits.running.get(taskKey(id, task));
         if (checkpoint > 0) {
--- a/packages/controller/src/workers/orphaned-tasks.ts
+++ b/packages/controller/src/workers/orphaned-tasks.ts
@@ -34,13 +34,13 @@
     const job = this.jobState.jobs.get(id);
     if (job === undefined) {
       const isOver = reported.status === 'exited' && reported.cause !== 'done';
-      if (isOver || this.jobState.finals.has(id)) return;
+      if (isOver || this.jobState.finalStates.has(id)) return;
       const known = this.unknownJobs.get(id);
       if (known) known.add(`${task}@${machine.id}`);
       else this.unknownJobs.set(id, new Set([`${task}@${machine.id}`]));
       return;
     }
-    if (job.withdrawn || job.done.has(task) || task >= job.spec.tasks) return;
+    if (job.cancelled || job.done.has(task) || task >= job.spec.tasks) return;
     // Its result is kept there: it completed, whichever attempt that was.
     if (reported.status === 'exited') {
       if (reported.cause === 'done' && !this.exits.has(id, task)) this.exits.recordDone(job, task);
@@ -67,7 +67,7 @@
 
   /** Whether a reported task that no record knows of is left alone for now: neither stopped nor forgotten. */
   isRetained(machine: Machine, reported: ReportedTask): boolean {
-    if (reported.attempt > this.jobState.floor) return false;
+    if (reported.attempt > this.jobState.attemptFloor) return false;
     const slash = reported.key.indexOf('/');
     const id = reported.key.slice(0, slash);
     if (this.unknownJobs.get(id)?.has(`${reported.key.slice(slash + 1)}@${machine.id}`) === true)
--- a/packages/controller/src/workers/worker-registry.ts
+++ b/packages/controller/src/workers/worker-registry.ts
@@ -200,7 +200,7 @@
     }
     const elapsed = at - machine.lastAnswered;
     this.updateMachine(machine, heartbeat, authoritative, at);
-    const placed = this.jobState.byMachine.get(machine.id);
+    const placed = this.jobState.placementsByMachine.get(machine.id);
     this.observeTasks(machine, heartbeat.tasks, placed, at);
     const startsFailed =
       machine.dispatched !== NONE_DISPATCHED && this.startConfirmation.failed(machine, elapsed, at);
@@ -273,7 +273,7 @@
       if (placement && placement.attempt === reported.attempt)
         this.observeTask(machine, placement, reported, at);
       else {
-        if (reported.attempt <= this.jobState.floor) this.orphaned.note(machine, reported);
+        if (reported.attempt <= this.jobState.attemptFloor) this.orphaned.note(machine, reported);
         if (reported.status !== 'exited') machine.hasUnknownTasks = true;
       }
     }
@@ -357,7 +357,7 @@
   /** Records all that is placed on the machine as gone; false: there was nothing. */
   private loseTasksOn(id: string): boolean {
     let any = false;
-    for (const placement of this.jobState.byMachine.get(id)?.values() ?? []) {
+    for (const placement of this.jobState.placementsByMachine.get(id)?.values() ?? []) {
       if (this.hasObservedExit(placement.job.spec.id, placement.task)) continue;
       this.observed.recordGone(placement.job, placement.task);
       any = true;
@@ -366,7 +366,7 @@
   }
 
   private loseAttempt(machine: Machine, key: string, attempt: number): void {
-    const placement = this.jobState.byMachine.get(machine.id)?.get(key);
+    const placement = this.jobState.placementsByMachine.get(machine.id)?.get(key);
     if (placement?.attempt !== attempt) return;
     const { job, task } = placement;
     if (!this.hasObservedExit(job.spec.id, task)) this.observed.recordGone(job, task);
@@ -391,7 +391,7 @@
   expireLeases(at: Micros, acknowledged: boolean): string[] {
     const expired: string[] = [];
     if (acknowledged) this.leases.termAcknowledged(at);
-    for (const id of this.jobState.byMachine.keys()) {
+    for (const id of this.jobState.placementsByMachine.keys()) {
       // Also for machines this leader has never heard of: an older one that holds on may still renew them.
       if (at <= this.leases.expiryOf(this.byId.get(id))) continue;
       if (this.loseTasksOn(id)) expired.push(id);
@@ -447,7 +447,7 @@
 
   /** Whether the job's user has cancelled it. */
   isCancelled(job: string): boolean {
-    return this.jobState.jobs.get(job)?.withdrawn === true;
+    return this.jobState.jobs.get(job)?.cancelled === true;
   }
 
   /** Services with GPUs that have become complete since last asked, with a replica that started since `day`. */
--- a/packages/controller/test/support/late-store.ts
+++ b/packages/controller/test/support/late-store.ts
@@ -5,18 +5,18 @@
 import { Cause, Clock, Duration, Effect, Logger, Random, Scheduler } from 'effect';
 import { Ledger } from '../../src/accounts/ledger.js';
 import { userHandlers } from '../../src/api/handlers.js';
-import { Learned } from '../../src/calendar/duty.js';
+import { ClassSamples } from '../../src/calendar/class-samples.js';
 import { DataLossDetector } from '../../src/recovery/data-loss-detector.js';
 import { GuardedStore } from '../../src/recovery/guarded-store.js';
 import { JobState } from '../../src/jobs/job-state.js';
 import { encodeJob } from '../../src/jobs/codec.js';
 import { StoreWatcher } from '../../src/jobs/store-watcher.js';
-import { activeKey, INCARNATION, REBUILD, RECOVERED, TERM } from '../../src/jobs/keys.js';
+import { activeJobKey, INCARNATION, REBUILD, RECOVERED, TERM } from '../../src/jobs/keys.js';
 import type { Job } from '../../src/jobs/model.js';
 import { type RebuildContext } from '../../src/recovery/rebuild.js';
 import type { JobEvidence } from '../../src/recovery/evidence-store.js';
-import { Largest } from '../../src/scheduler/largest.js';
-import { Waits } from '../../src/scheduler/waits.js';
+import { LargestJobs } from '../../src/scheduler/largest-jobs.js';
+import { StartWaits } from '../../src/scheduler/start-waits.js';
 import type { CycleContext } from '../../src/scheduler/cycle-context.js';
 import { WorkerRegistry } from '../../src/workers/worker-registry.js';
 import { type Condition, Refused, type StateFailure, type Write } from '../../src/state-store/client.js';
@@ -269,10 +269,10 @@
       types: () => TYPES,
       mayStart: () => true,
       fleet: { news: null as never, listed: true },
-      largest: new Largest(),
-      learned: new Learned(),
-      companions: new Map(),
-      waits: new Waits(),
+      largestJobs: new LargestJobs(),
+      classSamples: new ClassSamples(),
+      coLocatedDemand: new Map(),
+      startWaits: new StartWaits(),
     };
   };
   return { jobState, lossDetector, store, watcher, users, leaderTerm };
@@ -298,10 +298,13 @@
 };
 export const fresh = (id: string, over: Partial<Job> = {}): Job => ({
   ...job(id, { tasks: 3 }),
-  stamp: 0,
+  revision: 0,
   ...over,
 });
-export const kept = (j: Job): Write => ({ set: activeKey(j.spec.id), value: encodeJob(j, j.touched) });
+export const kept = (j: Job): Write => ({
+  set: activeJobKey(j.spec.id),
+  value: encodeJob(j, j.lastSequence),
+});
 
 export const rebuilding = (more: readonly Write[] = []) => {
   const c = calm([{ set: REBUILD, value: { phase: 'gather', heard: [] } }, ...more]);
