--- a/packages/simulation/test/checks.test.ts
+++ b/packages/simulation/test/checks.test.ts
@@ -5,7 +5,7 @@
 import { activeKey, recordKey } from '@lilacvalve/controller/jobs/keys';
 import { type JobChange, type JobSpec, NO_HEAD } from '@lilacvalve/controller/jobs/model';
 import { job } from '@lilacvalve/controller/support/job';
-import { Luck } from '@lilacvalve/controller/support/luck';
+import { Luck } from '@lilacvalve/controller/support/random-source';
 import { type DayResult, faultsOf } from '../src/play.js';
 import { Begun } from '../src/world/begun.js';
 import { LENDING_TEAMS, Loans } from '../src/world/lending.js';
@@ -14,10 +14,10 @@
 import { ODD, wrongly } from '../src/world/meetings/oddRequests.js';
 import { Memory } from '../src/world/memory.js';
 import { Rules, type Spec } from '../src/world/rules.js';
-import { StateService } from '../src/world/state.js';
+import { StateService } from '../src/world/state-service/state-service.js';
 import { Time } from '../src/world/time.js';
 import { type Amounts, amounts, fitsNow, type RoomOn, Waiting, type Wanted } from '../src/world/waiting.js';
-import type { JobTruth } from '../src/world/worker.js';
+import type { JobTruth } from '../src/world/job-truth.js';
 import { World } from '../src/world/world.js';
 
 const spec: Spec = {
@@ -461,7 +461,7 @@
   w.time.run(15e6);
   w.meetings!.kinds.farEnds();
   w.time.run(w.time.now + 1e6);
-  const id = [...w.jobs.keys()][0]!;
+  const id = [...w.users.jobs.keys()][0]!;
   assert.ok(w.state.keys.has(activeKey(id)), 'accepted');
   const early = (): string[] => w.rules.broken.filter((b) => b.startsWith('reaped_early: '));
   w.meetings!.reaped(`${id}/0`, false);
@@ -488,7 +488,7 @@
   assert.deepEqual(twice(), []);
   put(1001, '{"@":{"t":3}}');
   assert.equal(twice().length, 1);
-  w.lossAt.push(w.time.now);
+  w.dataLoss.at.push(w.time.now);
   put(1002, '{"@":{"t":4}}');
   assert.equal(twice().length, 1);
   w.stop();
