--- a/packages/operator-cli/src/accounts/desks.ts
+++ b/packages/operator-cli/src/accounts/desks.ts
@@ -13,36 +13,36 @@
     }),
   ),
 });
-const read = checkedToml(File, { exact: true });
+const readToml = checkedToml(File, { exact: true });
 
 /** The desk of a team's class. */
 export type DeskOf = (team: string, jobClass: string) => string;
 /** Without a file: each class of each team. */
-export const EACH: DeskOf = (team, jobClass) => `${team}/${jobClass}`;
+export const EACH_CLASS: DeskOf = (team, jobClass) => `${team}/${jobClass}`;
 
 /** The desks of a file, or one line that names the field and what to do. Work that no desk names stays `team/class`. */
 export const readDesks = (text: string): Either.Either<DeskOf, string> =>
-  Either.flatMap(read(text), ({ desk }): Either.Either<DeskOf, string> => {
+  Either.flatMap(readToml(text), ({ desk }): Either.Either<DeskOf, string> => {
     const names = new Set<string>();
-    for (const [i, d] of desk.entries()) {
-      if (names.has(d.name)) return Either.left(`desk[${i}].name: ${d.name} is there twice: give it another`);
-      names.add(d.name);
+    for (const [i, { name, teams, classes }] of desk.entries()) {
+      if (names.has(name)) return Either.left(`desk[${i}].name: ${name} is there twice: give it another`);
+      names.add(name);
       for (const other of desk.slice(0, i)) {
-        const team = d.teams.find((t) => other.teams.includes(t));
+        const team = teams.find((candidate) => other.teams.includes(candidate));
         const both =
-          d.classes.length === 0 ||
+          classes.length === 0 ||
           other.classes.length === 0 ||
-          d.classes.some((c) => other.classes.includes(c));
+          classes.some((jobClass) => other.classes.includes(jobClass));
         if (team !== undefined && both)
           return Either.left(
-            `desk[${i}]: ${d.name} and ${other.name} both have work of ${team}: name its classes apart`,
+            `desk[${i}]: ${name} and ${other.name} both have work of ${team}: name its classes apart`,
           );
       }
     }
     return Either.right((team, jobClass) => {
-      const d = desk.find(
-        (x) => x.teams.includes(team) && (x.classes.length === 0 || x.classes.includes(jobClass)),
+      const found = desk.find(
+        ({ teams, classes }) => teams.includes(team) && (classes.length === 0 || classes.includes(jobClass)),
       );
-      return d?.name ?? EACH(team, jobClass);
+      return found?.name ?? EACH_CLASS(team, jobClass);
     });
   });
--- a/packages/operator-cli/src/accounts/report.ts
+++ b/packages/operator-cli/src/accounts/report.ts
@@ -12,10 +12,12 @@
 } from '@lilacvalve/controller/accounts/model';
 import { addShare, type ShareSum, type Shares, WHYS } from '@lilacvalve/controller/accounts/share';
 import type { DeskOf } from './desks.js';
-import type { Read } from './read.js';
+import type { AccountsView } from './read.js';
 
-export const BY = ['team', 'desk', 'class', 'kind', 'day'] as const;
-export type By = (typeof BY)[number];
+/** What a report has a line for each of. */
+export const GROUPINGS = ['team', 'desk', 'class', 'kind', 'day'] as const;
+/** One of them. */
+export type Grouping = (typeof GROUPINGS)[number];
 
 /** A stretch of time at whose both ends it is known what stood open. */
 export interface Stretch {
@@ -29,125 +31,164 @@
 
 const NOTHING: Rows = new Map();
 
-/** All of the accounts as stretches, the last one until the last record. */
-export const stretches = (r: Read): Stretch[] => {
-  const periods = [
-    ...r.pages,
-    ...r.accounts.pending.map((p) => ({ ...p, booked: p.rows, open: null, shares: new Map() as Shares })),
-    { from: r.accounts.closed, to: r.accounts.at, booked: r.accounts.current, open: r.open, shares: new Map() as Shares }, // prettier-ignore
+/** A period of the accounts; `open` null: it is not known what stood open at its end. */
+interface Period {
+  readonly from: number;
+  readonly to: number;
+  readonly booked: Rows;
+  readonly open: Rows | null;
+  readonly shares: Shares;
+}
+
+const periodsOf = ({ pages, accounts, open }: AccountsView): Period[] => {
+  const noShares: Shares = new Map();
+  const { pending, closed, at, current } = accounts;
+  return [
+    ...pages,
+    ...pending.map(({ from, to, rows }) => ({ from, to, booked: rows, open: null, shares: noShares })),
+    { from: closed, to: at, booked: current, open, shares: noShares },
   ];
+};
+
+/** All of the accounts as stretches, the last one until the last record. */
+export const stretches = (view: AccountsView): Stretch[] => {
   const out: Stretch[] = [];
-  let before: Rows = NOTHING;
-  let waits: (typeof periods)[number][] = [];
-  for (const p of periods) {
-    waits.push(p);
-    if (p.open === null) continue;
+  let openBefore: Rows = NOTHING;
+  let periods: Period[] = [];
+  for (const period of periodsOf(view)) {
+    periods.push(period);
+    if (period.open === null) continue;
     out.push({
-      from: waits[0]!.from,
-      to: p.to,
-      booked: joinRows(NOTHING, ...waits.map((w) => w.booked)),
-      carried: lessRows(p.open, before),
-      shares: waits.map((w) => w.shares),
+      from: periods[0]!.from,
+      to: period.to,
+      booked: joinRows(NOTHING, ...periods.map(({ booked }) => booked)),
+      carried: lessRows(period.open, openBefore),
+      shares: periods.map(({ shares }) => shares),
     });
-    before = p.open;
-    waits = [];
+    openBefore = period.open;
+    periods = [];
   }
   return out;
 };
 
-export interface Line {
+/** What one name had. */
+export interface ReportLine {
   readonly name: string;
   readonly amounts: Amounts;
   /** Placed and not yet booked, less what had been so before. */
   readonly carried: Amounts;
   readonly share: ShareSum | null;
 }
+/** Lines by name; times are microseconds, 0 where no stretch is in it. */
 export interface Report {
   readonly from: number;
   readonly to: number;
-  readonly lines: readonly Line[];
+  readonly lines: readonly ReportLine[];
 }
 
 const dayOf = (to: number): string => new Date((to - 1) / 1000).toISOString().slice(0, 10);
 
-/** Stretches that end after `from` and not after `to`, summed. */
-export const reportOf = (r: Read, by: By, from: number, to: number, deskOf: DeskOf): Report => {
-  const chosen = stretches(r).filter((s) => s.to > from && s.to <= to);
-  const lines = new Map<string, { amounts: Amounts; carried: Amounts; share: ShareSum | null }>();
-  const at = (name: string) => {
-    let l = lines.get(name);
-    if (!l) lines.set(name, (l = { amounts: NONE, carried: NONE, share: null }));
-    return l;
+type Sums = { -readonly [Key in keyof Omit<ReportLine, 'name'>]: ReportLine[Key] };
+
+/** Stretches that end after `from` and not after `to`, summed by `grouping`. */
+export const reportOf = (
+  view: AccountsView,
+  grouping: Grouping,
+  from: number,
+  to: number,
+  deskOf: DeskOf,
+): Report => {
+  const chosen = stretches(view).filter((stretch) => stretch.to > from && stretch.to <= to);
+  const lines = new Map<string, Sums>();
+  const sumsOf = (name: string): Sums => {
+    let sums = lines.get(name);
+    if (sums === undefined) lines.set(name, (sums = { amounts: NONE, carried: NONE, share: null }));
+    return sums;
   };
-  for (const s of chosen) {
+  for (const stretch of chosen) {
     const nameOf = (team: string, jobClass: string, kind: string): string =>
-      ({ team, desk: deskOf(team, jobClass), class: jobClass, kind, day: dayOf(s.to) })[by];
-    for (const [key, a] of s.booked) {
-      const l = at(nameOf(...groupOf(key)));
-      l.amounts = addAmounts(l.amounts, a);
+      ({ team, desk: deskOf(team, jobClass), class: jobClass, kind, day: dayOf(stretch.to) })[grouping];
+    for (const [key, amounts] of stretch.booked) {
+      const sums = sumsOf(nameOf(...groupOf(key)));
+      sums.amounts = addAmounts(sums.amounts, amounts);
+    }
+    for (const [key, amounts] of stretch.carried) {
+      const sums = sumsOf(nameOf(...groupOf(key)));
+      sums.carried = addAmounts(sums.carried, amounts);
     }
-    for (const [key, a] of s.carried) {
-      const l = at(nameOf(...groupOf(key)));
-      l.carried = addAmounts(l.carried, a);
+    // Shares are of a team's class: they have no kind of machines.
+    if (grouping === 'kind') continue;
+    for (const [key, share] of stretch.shares.flatMap((shares) => [...shares])) {
+      const [team, jobClass] = JSON.parse(key) as [string, string];
+      const sums = sumsOf(nameOf(team, jobClass, ''));
+      sums.share = sums.share === null ? share : addShare(sums.share, share);
     }
-    for (const shares of s.shares)
-      for (const [key, sum] of shares) {
-        const [team, jobClass] = JSON.parse(key) as [string, string];
-        if (by === 'kind') continue;
-        const l = at(nameOf(team, jobClass, ''));
-        l.share = l.share === null ? sum : addShare(l.share, sum);
-      }
   }
   return {
     from: chosen[0]?.from ?? 0,
-    to: chosen[chosen.length - 1]?.to ?? 0,
-    lines: [...lines].sort(([a], [b]) => (a < b ? -1 : 1)).map(([name, l]) => ({ name, ...l })),
+    to: chosen.at(-1)?.to ?? 0,
+    lines: [...lines].sort(([a], [b]) => (a < b ? -1 : 1)).map(([name, sums]) => ({ name, ...sums })),
   };
 };
 
 /** Of one unit: all splits that are time, and what is carried. */
-export const placed = (l: Line, unit: Unit): bigint => {
-  let n = 0n;
-  for (const s of SPLITS)
-    if (s !== 'unsure') n += l.amounts[indexOf(s, unit)]! + l.carried[indexOf(s, unit)]!;
-  return n;
+export const placed = ({ amounts, carried }: ReportLine, unit: Unit): bigint => {
+  let sum = 0n;
+  for (const split of SPLITS)
+    if (split !== 'unsure') sum += amounts[indexOf(split, unit)]! + carried[indexOf(split, unit)]!;
+  return sum;
 };
 
-/** `n` / 10^`digits` as decimal text, exact. */
-export const decimal = (n: bigint, digits: number): string => {
-  const sign = n < 0n ? '-' : '';
-  const text = (n < 0n ? -n : n).toString().padStart(digits + 1, '0');
+/** `amount` / 10^`digits` as decimal text, exact. */
+export const decimal = (amount: bigint, digits: number): string => {
+  const sign = amount < 0n ? '-' : '';
+  const text = (amount < 0n ? -amount : amount).toString().padStart(digits + 1, '0');
   return `${sign}${text.slice(0, -digits)}.${text.slice(-digits)}`;
 };
 
 /** Seconds, or seconds of a whole unit, exact: amounts are microseconds, of thousandths but for tasks. */
-const secondsOf = (n: bigint, unit: Unit): string => decimal(n, unit === 'tasks' ? 6 : 9);
+const secondsOf = (amount: bigint, unit: Unit): string => decimal(amount, unit === 'tasks' ? 6 : 9);
 
 const SHOWN: readonly Split[] = ['useful', 'repeated', 'gathering', 'fetching', 'lent', 'unknown'];
 
-/** One line as flat fields: exact decimal text for amounts. */
-export const fieldsOf = (l: Line, all: readonly Line[]): Record<string, string> => {
-  const out: Record<string, string> = { name: l.name };
-  for (const unit of ['tasks', 'cpus', 'gpus', 'mem'] as const) {
-    out[`${unit}_s`] = secondsOf(placed(l, unit), unit);
-    for (const s of SHOWN) out[`${unit}_${s}_s`] = secondsOf(l.amounts[indexOf(s, unit)]!, unit);
-    out[`${unit}_carried_s`] = secondsOf(l.carried[indexOf('unknown', unit)]!, unit);
-    out[`${unit}_unsure_s`] = secondsOf(l.amounts[indexOf('unsure', unit)]!, unit);
-  }
+/** The largest part that the line has of any unit of all lines. */
+const dominantShare = (line: ReportLine, all: readonly ReportLine[]): number => {
   let dominant = 0;
   for (const unit of ['cpus', 'gpus', 'mem'] as const) {
-    const sum = all.reduce((n, x) => n + placed(x, unit), 0n);
-    if (sum > 0n) dominant = Math.max(dominant, Number((placed(l, unit) * 1_000_000n) / sum) / 1e6);
+    const sum = all.reduce((before, other) => before + placed(other, unit), 0n);
+    if (sum > 0n) dominant = Math.max(dominant, Number((placed(line, unit) * 1_000_000n) / sum) / 1e6);
   }
-  out['dominant_share'] = dominant.toFixed(6);
+  return dominant;
+};
+
+/** The fields of a report's line, in their order; their names are the columns of CSV, JSON and Parquet. */
+export type LineFields = Record<string, string>;
+
+const timeFields = ({ amounts, carried }: ReportLine, unit: Unit): LineFields => {
+  const fields: LineFields = {};
+  for (const split of SHOWN) fields[`${unit}_${split}_s`] = secondsOf(amounts[indexOf(split, unit)]!, unit);
+  fields[`${unit}_carried_s`] = secondsOf(carried[indexOf('unknown', unit)]!, unit);
+  fields[`${unit}_unsure_s`] = secondsOf(amounts[indexOf('unsure', unit)]!, unit);
+  return fields;
+};
+
+const shareFields = ({ share }: ReportLine): LineFields => {
+  const part = (sum: bigint): string =>
+    share === null || share.waited === 0n ? '' : (Number(sum / share.waited) / 1e6).toFixed(6);
+  return {
+    waited_s: share === null ? '0.000' : decimal(share.waited, 3),
+    entitled: share === null ? '' : part(share.entitled),
+    had: share === null ? '' : part(share.had),
+    ...Object.fromEntries(WHYS.map((why, i) => [`owed_${why}`, share === null ? '' : part(share.owed[i]!)])),
+  };
+};
+
+/** One line as flat fields: exact decimal text for amounts. */
+export const fieldsOf = (line: ReportLine, all: readonly ReportLine[]): LineFields => {
+  const fields: LineFields = { name: line.name };
+  for (const unit of ['tasks', 'cpus', 'gpus', 'mem'] as const)
+    Object.assign(fields, { [`${unit}_s`]: secondsOf(placed(line, unit), unit) }, timeFields(line, unit));
   // Millionths of a price unit an hour, times microseconds: cut to millionths of a price unit.
-  out['money'] = decimal((l.amounts[MONEY]! + l.carried[MONEY]!) / 3_600_000_000n, 6);
-  const s = l.share;
-  const part = (n: bigint): string =>
-    s === null || s.waited === 0n ? '' : (Number(n / s.waited) / 1e6).toFixed(6);
-  out['waited_s'] = s === null ? '0.000' : decimal(s.waited, 3);
-  out['entitled'] = s === null ? '' : part(s.entitled);
-  out['had'] = s === null ? '' : part(s.had);
-  WHYS.forEach((w, i) => (out[`owed_${w}`] = s === null ? '' : part(s.owed[i]!)));
-  return out;
+  const money = decimal((line.amounts[MONEY]! + line.carried[MONEY]!) / 3_600_000_000n, 6);
+  return { ...fields, dominant_share: dominantShare(line, all).toFixed(6), money, ...shareFields(line) };
 };
--- a/packages/operator-cli/src/calendar/compile.ts
+++ b/packages/operator-cli/src/calendar/compile.ts
@@ -18,7 +18,7 @@
 import type { CalendarFile } from './file.js';
 
 /** What the clocks' change makes of one occurrence; said by `check`, `next` and `apply`. */
-export interface Oddity {
+export interface ClockChange {
   readonly id: string;
   /** `gap`: the local time does not exist on that day. `repeat`: it comes twice. */
   readonly kind: 'gap' | 'repeat';
@@ -26,9 +26,10 @@
   /** The instant that counts, in the zone. */
   readonly chosen: string;
 }
-export interface Compiled {
+/** What a calendar file stands for. */
+export interface CompiledCalendar {
   readonly calendar: Calendar;
-  readonly oddities: readonly Oddity[];
+  readonly clockChanges: readonly ClockChange[];
   /** By cutoff, dates that fell on a day off and were skipped. */
   readonly skipped: ReadonlyMap<string, readonly string[]>;
   readonly zones: ReadonlyMap<string, string>;
@@ -36,21 +37,21 @@
 
 const SHAPES: Readonly<Record<string, Shape>> = { array: 'array', ensemble: 'gang' };
 const FREQ = /(^|;)FREQ=(DAILY|WEEKLY|MONTHLY|YEARLY)(;|$)/;
+const DATE_DIGITS = 'YYYY-MM-DD'.length;
 const WEEKDAYS = ['MO', 'TU', 'WE', 'TH', 'FR', 'SA', 'SU'] as const;
 /** A moved occurrence looks for a day that is not off within so many days. */
-const FARTHEST = 31;
+const FARTHEST_DAYS = 31;
 
 type FileCutoff = CalendarFile['cutoff'][number];
 
 /** Dates that the recurrence names from `from` to `until`. Throws what the library says of a bad one. */
 const recurring = (rule: string, from: string, until: string): string[] => {
   const compact = from.replaceAll('-', '');
-  const r = new RRuleTemporal({ rruleString: `DTSTART;TZID=UTC:${compact}T000000\nRRULE:${rule}` });
-  const day = (d: string): Temporal.ZonedDateTime => Temporal.PlainDate.from(d).toZonedDateTime('UTC');
+  const recurrence = new RRuleTemporal({ rruleString: `DTSTART;TZID=UTC:${compact}T000000\nRRULE:${rule}` });
+  const day = (date: string): Temporal.ZonedDateTime => Temporal.PlainDate.from(date).toZonedDateTime('UTC');
   // The library types its times by its own copy of the specification.
-  return (r.between(day(from) as never, day(until) as never, true) as { toString(): string }[]).map((d) =>
-    d.toString().slice(0, 10),
-  );
+  const times = recurrence.between(day(from), day(until), true) as { toString(): string }[];
+  return times.map((time) => time.toString().slice(0, DATE_DIGITS));
 };
 
 const microsOf = (z: Temporal.ZonedDateTime): Micros => (z.epochMilliseconds * 1000) as Micros;
@@ -60,7 +61,7 @@
   local: Temporal.PlainDateTime,
   zone: string,
   choice: 'earlier' | 'later',
-): { readonly at: Temporal.ZonedDateTime; readonly kind: Oddity['kind'] | null } => {
+): { readonly at: Temporal.ZonedDateTime; readonly kind: ClockChange['kind'] | null } => {
   const earlier = local.toZonedDateTime(zone, { disambiguation: 'earlier' });
   const later = local.toZonedDateTime(zone, { disambiguation: 'later' });
   const at = choice === 'earlier' ? earlier : later;
@@ -68,98 +69,129 @@
   return { at, kind: at.toPlainDateTime().equals(local) ? 'repeat' : 'gap' };
 };
 
-/** Either the table, or one line that names the field and the remedy. */
-export const compile = (file: CalendarFile): Either.Either<Compiled, string> => {
-  const cutoffs: Cutoff[] = [];
-  const occurrences: Occurrence[] = [];
-  const oddities: Oddity[] = [];
-  const skipped = new Map<string, string[]>();
-  const zones = new Map<string, string>();
-  for (const [i, c] of file.cutoff.entries()) {
-    const zone = c.zone ?? file.zone;
-    zones.set(c.name, zone);
-    cutoffs.push({
-      name: c.name,
-      lead: seconds(c.lead_min * 60),
-      match: {
-        teams: c.teams,
-        classes: c.classes,
-        shapes: c.shapes?.map((s) => SHAPES[s]!) ?? null,
-        urgencies: c.urgencies?.map((u) => URGENCY[u]) ?? null,
-      },
-    });
-    let dates: string[] = [...c.dates].filter((d) => d >= file.from && d <= file.until);
-    if (c.every !== null) {
-      if (!FREQ.test(c.every))
-        return Either.left(
-          `cutoff.${i}.every: must say FREQ=DAILY, WEEKLY, MONTHLY or YEARLY: for several times a day write several cutoffs`,
-        );
-      try {
-        dates.push(...recurring(c.every, file.from, file.until));
-      } catch (e) {
-        return Either.left(
-          `cutoff.${i}.every: ${(e as Error).message}: write a recurrence by RFC 5545, like FREQ=WEEKLY;BYDAY=SU,MO`,
-        );
-      }
+type Checked<A> = Either.Either<A, string>;
+
+const matchOf = ({ teams, classes, shapes, urgencies }: FileCutoff): Cutoff['match'] => ({
+  teams,
+  classes,
+  shapes: shapes?.map((shape) => SHAPES[shape]!) ?? null,
+  urgencies: urgencies?.map((urgency) => URGENCY[urgency]) ?? null,
+});
+
+/** Dates of a cutoff, sorted, each once; those that are moved must be among them. */
+const datesOf = (file: CalendarFile, cutoff: FileCutoff, field: string): Checked<string[]> => {
+  const dates = cutoff.dates.filter((date) => date >= file.from && date <= file.until);
+  if (cutoff.every !== null) {
+    if (!FREQ.test(cutoff.every))
+      return Either.left(
+        `${field}.every: must say FREQ=DAILY, WEEKLY, MONTHLY or YEARLY: for several times a day write several cutoffs`,
+      );
+    try {
+      dates.push(...recurring(cutoff.every, file.from, file.until));
+    } catch (error) {
+      return Either.left(
+        `${field}.every: ${(error as Error).message}: write a recurrence by RFC 5545, like FREQ=WEEKLY;BYDAY=SU,MO`,
+      );
     }
-    dates = [...new Set(dates)].sort();
-    const moved = new Map(c.moved.map((m) => [m.date, m.to]));
-    for (const d of moved.keys())
-      if (!dates.includes(d))
-        return Either.left(
-          `cutoff.${i}.moved: ${d} is no date of it: name the date that the recurrence gives`,
-        );
-    const isOff = offDays(file, c);
+  }
+  const stray = cutoff.moved.find(({ date }) => !dates.includes(date));
+  return stray === undefined
+    ? Either.right([...new Set(dates)].sort())
+    : Either.left(`${field}.moved: ${stray.date} is no date of it: name the date that the recurrence gives`);
+};
+
+const parseLocal = (local: string, field: string): Checked<Temporal.PlainDateTime> => {
+  try {
+    return Either.right(Temporal.PlainDateTime.from(local, { overflow: 'reject' }));
+  } catch {
+    return Either.left(`${field}: ${local} is no local time: correct "at" or "moved"`);
+  }
+};
+
+interface CutoffTable {
+  readonly occurrences: readonly Occurrence[];
+  readonly clockChanges: readonly ClockChange[];
+  /** Dates that fell on a day off and were skipped. */
+  readonly skipped: readonly string[];
+}
+
+const compileCutoff = (
+  file: CalendarFile,
+  cutoff: FileCutoff,
+  index: number,
+  zone: string,
+): Checked<CutoffTable> =>
+  Either.gen(function* () {
+    const field = `cutoff.${index}`;
+    const occurrences: Occurrence[] = [];
+    const clockChanges: ClockChange[] = [];
+    const skipped: string[] = [];
+    const moved = new Map(cutoff.moved.map(({ date, to }) => [date, to]));
+    const dates = yield* datesOf(file, cutoff, field);
+    const isOff = offDays(file, cutoff);
     for (const date of dates) {
-      const local = placeOf(c, date, moved.get(date), isOff);
+      const local = localTimeOf(cutoff, date, moved.get(date), isOff);
       if (local === null) {
-        const list = skipped.get(c.name);
-        if (list) list.push(date);
-        else skipped.set(c.name, [date]);
+        skipped.push(date);
         continue;
       }
-      let plain: Temporal.PlainDateTime;
-      try {
-        plain = Temporal.PlainDateTime.from(local, { overflow: 'reject' });
-      } catch {
-        return Either.left(`cutoff.${i}: ${local} is no local time: correct "at" or "moved"`);
-      }
-      const { at, kind } = instantOf(plain, zone, c.clock_change);
-      const id = `${c.name}@${date}`;
-      occurrences.push({ id, cutoff: i, at: microsOf(at) });
-      if (kind !== null) oddities.push({ id, kind, local: plain.toString(), chosen: at.toString() });
+      const plain = yield* parseLocal(local, field);
+      const { at, kind } = instantOf(plain, zone, cutoff.clock_change);
+      const id = `${cutoff.name}@${date}`;
+      occurrences.push({ id, cutoff: index, at: microsOf(at) });
+      if (kind !== null) clockChanges.push({ id, kind, local: plain.toString(), chosen: at.toString() });
     }
-    if (occurrences.length > MOST_OCCURRENCES)
-      return Either.left(
-        `until: the table would hold more than ${MOST_OCCURRENCES} occurrences: choose an earlier date`,
-      );
-  }
-  const until = Temporal.PlainDate.from(file.until).add({ days: 1 }).toZonedDateTime(file.zone);
-  const calendar = makeCalendar(
-    {
-      version: file.version,
-      until: microsOf(until),
-      notice: seconds(file.notice_days * 86_400),
-      cutoffs,
-    },
-    occurrences,
-  );
-  return Either.right({ calendar, oddities, skipped, zones });
-};
+    return { occurrences, clockChanges, skipped };
+  });
+
+/** Either the table, or one line that names the field and the remedy. */
+export const compile = (file: CalendarFile): Checked<CompiledCalendar> =>
+  Either.gen(function* () {
+    const cutoffs: Cutoff[] = [];
+    const occurrences: Occurrence[] = [];
+    const clockChanges: ClockChange[] = [];
+    const skipped = new Map<string, readonly string[]>();
+    const zones = new Map<string, string>();
+    for (const [index, cutoff] of file.cutoff.entries()) {
+      const { name } = cutoff;
+      const zone = cutoff.zone ?? file.zone;
+      zones.set(name, zone);
+      cutoffs.push({ name, lead: seconds(cutoff.lead_min * 60), match: matchOf(cutoff) });
+      const compiled = yield* compileCutoff(file, cutoff, index, zone);
+      occurrences.push(...compiled.occurrences);
+      clockChanges.push(...compiled.clockChanges);
+      if (compiled.skipped.length > 0) skipped.set(name, compiled.skipped);
+      if (occurrences.length > MOST_OCCURRENCES)
+        return yield* Either.left(
+          `until: the table would hold more than ${MOST_OCCURRENCES} occurrences: choose an earlier date`,
+        );
+    }
+    const until = Temporal.PlainDate.from(file.until).add({ days: 1 }).toZonedDateTime(file.zone);
+    const calendar = makeCalendar(
+      {
+        version: file.version,
+        until: microsOf(until),
+        notice: seconds(file.notice_days * 86_400),
+        cutoffs,
+      },
+      occurrences,
+    );
+    return { calendar, clockChanges, skipped, zones };
+  });
 
-const offDays = (file: CalendarFile, c: FileCutoff): ((date: string) => boolean) => {
-  const dates = new Set<string>(c.not_on);
+const offDays = (file: CalendarFile, cutoff: FileCutoff): ((date: string) => boolean) => {
+  const dates = new Set<string>(cutoff.not_on);
   const weekdays = new Set<string>();
-  for (const name of c.off) {
-    for (const d of file.off[name]!.dates) dates.add(d);
-    for (const w of file.off[name]!.weekdays) weekdays.add(w);
+  for (const name of cutoff.off) {
+    for (const date of file.off[name]!.dates) dates.add(date);
+    for (const weekday of file.off[name]!.weekdays) weekdays.add(weekday);
   }
   return (date) => dates.has(date) || weekdays.has(WEEKDAYS[Temporal.PlainDate.from(date).dayOfWeek - 1]!);
 };
 
 /** The local date and time of the occurrence of `date`; null: it is skipped. */
-const placeOf = (
-  c: FileCutoff,
+const localTimeOf = (
+  cutoff: FileCutoff,
   date: string,
   moved: string | undefined,
   isOff: (date: string) => boolean,
@@ -167,18 +199,18 @@
   if (moved !== undefined) return moved;
   let day = Temporal.PlainDate.from(date);
   if (isOff(date)) {
-    if (c.on_day_off === 'skip') return null;
-    const step = c.on_day_off === 'before' ? -1 : 1;
-    for (let n = 0; isOff(day.toString()); n++) {
-      if (n >= FARTHEST) return null;
+    if (cutoff.on_day_off === 'skip') return null;
+    const step = cutoff.on_day_off === 'before' ? -1 : 1;
+    for (let days = 0; isOff(day.toString()); days++) {
+      if (days >= FARTHEST_DAYS) return null;
       day = day.add({ days: step });
     }
   }
-  return `${day.toString()}T${c.at}`;
+  return `${day.toString()}T${cutoff.at}`;
 };
 
 /** An instant as people of a zone write it. */
 export const localOf = (at: Micros, zone: string): string => {
-  const z = Temporal.Instant.fromEpochMilliseconds(Math.floor(at / 1000)).toZonedDateTimeISO(zone);
-  return `${z.toPlainDateTime().toString({ smallestUnit: 'second' })}${z.offset}`;
+  const zoned = Temporal.Instant.fromEpochMilliseconds(Math.floor(at / 1000)).toZonedDateTimeISO(zone);
+  return `${zoned.toPlainDateTime().toString({ smallestUnit: 'second' })}${zoned.offset}`;
 };
--- a/packages/operator-cli/src/calendar/file.ts
+++ b/packages/operator-cli/src/calendar/file.ts
@@ -3,9 +3,10 @@
 import { checkedToml } from '@lilacvalve/runtime/toml';
 import { MOST_CUTOFFS } from '@lilacvalve/controller/calendar/model';
 
-const or = <A, I>(s: Schema.Schema<A, I>, value: A) => Schema.optionalWith(s, { default: () => value });
-const NoneOr = <A, I>(s: Schema.Schema<A, I>) =>
-  Schema.optionalWith(Schema.NullOr(s), { default: () => null });
+const or = <A, I>(schema: Schema.Schema<A, I>, value: A) =>
+  Schema.optionalWith(schema, { default: () => value });
+const NoneOr = <A, I>(schema: Schema.Schema<A, I>) =>
+  Schema.optionalWith(Schema.NullOr(schema), { default: () => null });
 
 /** TOML's own dates and times are taken as well as strings. */
 const written = (pattern: RegExp, what: string) =>
@@ -93,9 +94,10 @@
     ),
   ),
 });
+/** A checked calendar file. */
 export type CalendarFile = typeof File.Type;
 
-const read = checkedToml(File, { exact: true });
+const readToml = checkedToml(File, { exact: true });
 
 /** TOML's own dates are read leniently: 30 February would become 2 March without a word. */
 const noDay = (text: string): string | undefined =>
@@ -108,25 +110,30 @@
 export const readCalendarFile = (text: string): Either.Either<CalendarFile, string> => {
   const wrong = noDay(text);
   if (wrong !== undefined) return Either.left(`file: ${wrong} is no day: correct the date`);
-  return read(text).pipe(
-    Either.flatMap((f): Either.Either<CalendarFile, string> => {
-      if (f.until < f.from) return Either.left('until: is before from: give a later date');
+  return readToml(text).pipe(
+    Either.flatMap((file): Either.Either<CalendarFile, string> => {
+      if (file.until < file.from) return Either.left('until: is before from: give a later date');
       const names = new Set<string>();
-      for (const [i, c] of f.cutoff.entries()) {
-        if (names.has(c.name))
-          return Either.left(`cutoff.${i}.name: ${c.name} is there twice: names are unique`);
-        names.add(c.name);
-        for (const [j, o] of c.off.entries())
-          if (f.off[o] === undefined)
-            return Either.left(`cutoff.${i}.off.${j}: there is no [off.${o}]: add it or correct the name`);
-        if (c.every === null && c.dates.length === 0)
+      for (const [i, cutoff] of file.cutoff.entries()) {
+        if (names.has(cutoff.name))
+          return Either.left(`cutoff.${i}.name: ${cutoff.name} is there twice: names are unique`);
+        names.add(cutoff.name);
+        for (const [j, set] of cutoff.off.entries())
+          if (file.off[set] === undefined)
+            return Either.left(`cutoff.${i}.off.${j}: there is no [off.${set}]: add it or correct the name`);
+        if (cutoff.every === null && cutoff.dates.length === 0)
           return Either.left(`cutoff.${i}.every: neither a recurrence nor dates: give one of them`);
-        if (c.teams === null && c.classes === null && c.shapes === null && c.urgencies === null)
+        if (
+          cutoff.teams === null &&
+          cutoff.classes === null &&
+          cutoff.shapes === null &&
+          cutoff.urgencies === null
+        )
           return Either.left(
             `cutoff.${i}.teams: the cutoff would tie every job: name teams, classes, shapes or urgencies`,
           );
       }
-      return Either.right(f);
+      return Either.right(file);
     }),
   );
 };
--- a/packages/operator-cli/src/command.ts
+++ b/packages/operator-cli/src/command.ts
@@ -6,7 +6,8 @@
 import type { Io } from './io.js';
 import { registerLoans } from './loans.js';
 
-export const register = (cli: Command, io: Io): void => {
+/** Registers every subcommand. */
+export const registerCommands = (cli: Command, io: Io): void => {
   registerCalendar(cli, io);
   registerCutoffs(cli, io);
   registerAccounts(cli, io);
--- a/packages/operator-cli/src/loans.ts
+++ b/packages/operator-cli/src/loans.ts
@@ -5,11 +5,17 @@
 import { JobState } from '@lilacvalve/controller/jobs/job-state';
 import { ACTIVE, PACK, RECORD } from '@lilacvalve/controller/jobs/keys';
 import { loansOf } from '@lilacvalve/controller/lending/loans';
-import type { Entry } from '@lilacvalve/controller/state-store/client';
-import { type Io, type StateOptions, stateOptions, type Store } from './io.js';
-import { type Form, outputOption, table } from './output.js';
+import type { Entry, StateFailure } from '@lilacvalve/controller/state-store/client';
+import { type CommandFailure, type Io, type StateOptions, stateOptions, type Store } from './io.js';
+import { isoTime, type OutputForm, outputOption, printTable } from './output.js';
 
-export interface Row {
+interface LoanOptions extends StateOptions {
+  readonly output: OutputForm;
+  readonly team?: string;
+}
+
+/** One loan; printed as it is by `--output json`. */
+export interface LoanRow {
   readonly taker: string;
   readonly takerTeam: string;
   readonly lender: string;
@@ -22,21 +28,21 @@
 }
 
 /** Oldest first. `team`: only loans from or to that team. */
-export const rowsOf = (jobState: JobState, team?: string): Row[] =>
+export const loanRows = (jobState: JobState, team?: string): LoanRow[] =>
   loansOf(jobState.jobs.values())
-    .map((l) => ({
-      taker: l.taker,
-      takerTeam: jobState.jobs.get(l.taker)!.spec.team,
-      lender: l.lender,
-      lenderTeam: jobState.jobs.get(l.lender)?.spec.team ?? null,
-      gpus: l.gpus / 1000,
-      tasks: l.tasks,
-      since: new Date(l.since / 1000).toISOString(),
+    .map((loan) => ({
+      taker: loan.taker,
+      takerTeam: jobState.jobs.get(loan.taker)!.spec.team,
+      lender: loan.lender,
+      lenderTeam: jobState.jobs.get(loan.lender)?.spec.team ?? null,
+      gpus: loan.gpus / 1000,
+      tasks: loan.tasks,
+      since: isoTime(loan.since),
     }))
-    .filter((r) => team === undefined || r.takerTeam === team || r.lenderTeam === team);
+    .filter((row) => team === undefined || row.takerTeam === team || row.lenderTeam === team);
 
 /** Records first: a job's key that is read later includes what has been folded into it meanwhile. */
-export const readJobs = (store: Store) =>
+export const readPlacedJobs = (store: Store): Effect.Effect<JobState, StateFailure> =>
   Effect.gen(function* () {
     const entries: Entry[] = [];
     for (const prefix of [RECORD, PACK, ACTIVE]) entries.push(...(yield* listAll(store, prefix)));
@@ -45,27 +51,30 @@
     return jobState;
   });
 
+/** Registers `loans`. */
 export const registerLoans = (cli: Command, io: Io): void => {
   outputOption(stateOptions(cli.command('loans')))
     .description('open loans of GPUs, by taker and lender')
     .option('--team <name>', 'only loans from or to this team')
-    .action((o: StateOptions & { output: Form; team?: string }) =>
-      io.run(() =>
-        Effect.gen(function* () {
-          const rows = rowsOf(yield* readJobs(io.open(o).store), o.team);
-          if (o.output === 'json') return io.print(JSON.stringify(rows));
-          const cells = rows.map((r) => [
-            r.taker,
-            r.takerTeam,
-            r.lender,
-            r.lenderTeam,
-            r.gpus,
-            r.tasks,
-            r.since,
-          ]);
-          for (const l of table(['taker', 'team', 'lender', 'team', 'gpus', 'tasks', 'since'], cells))
-            io.print(l);
-        }),
-      ),
-    );
+    .action((options: LoanOptions) => io.run(printLoans(io, options)));
 };
+
+const printLoans = (io: Io, options: LoanOptions): Effect.Effect<void, StateFailure | CommandFailure> =>
+  Effect.gen(function* () {
+    const { store } = yield* io.open(options);
+    const rows = loanRows(yield* readPlacedJobs(store), options.team);
+    if (options.output === 'json') return io.print(JSON.stringify(rows));
+    printTable(
+      io,
+      ['taker', 'team', 'lender', 'team', 'gpus', 'tasks', 'since'],
+      rows.map((row) => [
+        row.taker,
+        row.takerTeam,
+        row.lender,
+        row.lenderTeam,
+        row.gpus,
+        row.tasks,
+        row.since,
+      ]),
+    );
+  });
--- a/tools/eslint/short-names.mjs
+++ b/tools/eslint/short-names.mjs
@@ -1,12 +1,16 @@
 /**
  * ESLint rule: names of one letter stand only in scopes of one line. Indices and coordinates may be short anywhere; type
- * parameters too.
+ * parameters and the sides of a comparison too.
  */
 
 const SHORT_ANYWHERE = new Set(['i', 'j', 'k', 'x', 'y', 'z', '_']);
 
 const isOneLine = ({ loc }) => loc.start.line === loc.end.line;
 
+/** `a` and `b` of a function of just these two: the sides of a comparison. */
+const isComparison = ({ block }) =>
+  block.params?.length === 2 && block.params[0].name === 'a' && block.params[1].name === 'b';
+
 const isTypeParameter = ({ defs }) => defs.some(({ node }) => node.type === 'TSTypeParameter');
 
 /** The rule. Reports the declaration of the name. */
@@ -19,7 +23,7 @@
   create: (context) => ({
     'Program:exit': () => {
       for (const scope of context.sourceCode.scopeManager.scopes) {
-        if (isOneLine(scope.block)) continue;
+        if (isOneLine(scope.block) || isComparison(scope)) continue;
         for (const variable of scope.variables) {
           const [definition] = variable.defs;
           if (definition === undefined || variable.name.length > 1) continue;
