--- a/packages/controller/test/late-answers.test.ts
+++ b/packages/controller/test/late-answers.test.ts
@@ -12,10 +12,10 @@
 import { encodeJob } from '../src/jobs/codec.js';
 import { activeKey } from '../src/jobs/keys.js';
 import { Contacts } from '../src/leadership/contacts.js';
-import type { Leadership } from '../src/leadership/leadership.js';
 import { WorkerRegistry } from '../src/workers/worker-registry.js';
-import { type Answers, readReport, type Heartbeat } from '../src/workers/codec.js';
-import { receiver, sendUrgent, Workers } from '../src/workers/heartbeat-handler.js';
+import { type HeartbeatResponses, readHeartbeat, type Heartbeat } from '../src/workers/codec.js';
+import { heartbeatReceiver } from '../src/workers/heartbeat-handler.js';
+import { sendUrgentOrders, WorkerClient } from '../src/workers/worker-client.js';
 import { job } from './support/job.js';
 import { worldSettings } from './support/settings.js';
 
@@ -50,28 +50,29 @@
 /** A leader whose reports wait for a turn until `turn` is called. */
 const leader = (
   b: WorkerRegistry,
-  lossDetector: Pick<DataLossDetector, 'heardToken' | 'suspected'> | null = null,
+  lossDetector: Pick<DataLossDetector, 'noteToken' | 'suspected'> | null = null,
 ) => {
   const waiting: (() => void)[] = [];
   const deposedBy: number[] = [];
   const state = { term: TERM as number | null, at: 10 };
-  const leaderTerm = () => (state.term === null ? null : { term: state.term, stamp: 1, began: 0 as Micros });
+  const leaderTerm = () =>
+    state.term === null ? null : { number: state.term, stamp: 1, began: 0 as Micros };
   const leadership = {
-    answering: leaderTerm,
-    mayAct: leaderTerm,
+    answeringTerm: leaderTerm,
+    currentTerm: leaderTerm,
     mayStart: () => true,
     depose: (t: number) => void deposedBy.push(t),
   };
-  const receive = receiver(
-    leadership as unknown as Leadership,
-    () => ({ registry: b, nextTurn: (then) => void waiting.push(then) }),
+  const receive = heartbeatReceiver(
+    leadership,
+    () => ({ registry: b, afterNextCycle: (then) => void waiting.push(then) }),
     () => seconds(state.at),
     new Contacts(settings),
-    lossDetector ?? { suspected: false, heardToken: () => undefined },
+    lossDetector ?? { suspected: false, noteToken: () => undefined },
   );
-  const take = (r: Heartbeat): { answers: Answers | null; given: boolean } => {
-    const out = { answers: null as Answers | null, given: false };
-    b.dirty = true;
+  const take = (r: Heartbeat): { answers: HeartbeatResponses | null; given: boolean } => {
+    const out = { answers: null as HeartbeatResponses | null, given: false };
+    b.needsCycle = true;
     receive([r], (a) => Object.assign(out, { answers: a, given: true }));
     return out;
   };
@@ -113,7 +114,7 @@
 test('a copy of an old report proves a higher token all the same, also while the store is doubted', () => {
   for (const active of [false, true]) {
     const heard: number[] = [];
-    const l = leader(registry(), { suspected: active, heardToken: (t) => void heard.push(t) });
+    const l = leader(registry(), { suspected: active, noteToken: (t) => void heard.push(t) });
     l.take(report(2, 9));
     // Sent long before: its tasks, its session and what it lacks say nothing. That the token was given does.
     l.take(report(1, 3, 99));
@@ -130,7 +131,7 @@
     () => 0 as Micros,
     () => TERM,
   );
-  lossDetector.readIncarnation({ id: 'i', generation: 0, stamp: 1, base: 50, born: 0 });
+  lossDetector.readIncarnation({ id: 'i', generation: 0, stamp: 1, termFloor: 50, bornAt: 0 });
   const l = leader(registry(), lossDetector);
   l.take(report(2, 9, 51));
   assert.equal(lossDetector.suspected, false, 'given in this life');
@@ -142,7 +143,7 @@
   const jobState = new JobState();
   const b = registry(jobState);
   // The leader answers a report with the start; it is on its way when the job is cancelled.
-  assert.equal(b.orders(b.applyHeartbeat(report(1, 1), seconds(10))!)[0]?.op, 'start');
+  assert.equal(b.ordersFor(b.applyHeartbeat(report(1, 1), seconds(10))!)[0]?.op, 'start');
   setJob(jobState, 2, true);
   const answer = {
     host: 'm',
@@ -169,18 +170,21 @@
   const m = b.machines.get('m')!;
   m.addr = `127.0.0.1:${(server.address() as AddressInfo).port}`;
   const { sequence: tick } = m;
-  b.urgent.push({ machine: m, order: { op: 'stop', key: 'job-1/0', attempt: 1, grace: 0 as Micros } });
+  b.urgentOrders.push({
+    machine: m,
+    order: { op: 'stop', key: 'job-1/0', attempt: 1, grace: 0 as Micros },
+  });
   const admission = { enter: () => null, leave: () => undefined };
-  await Effect.runPromise(sendUrgent(b, new Workers(settings), admission));
+  await Effect.runPromise(sendUrgentOrders(b, new WorkerClient(settings), admission));
   for (let i = 0; i < 100 && got.length === 0; i++) await new Promise((r) => setTimeout(r, 10));
   await new Promise((r) => setTimeout(r, 50));
   server.close();
   assert.equal(got.length, 1);
   assert.match(got[0]!, /"stop"/);
-  assert.deepEqual([m.sequence, b.ends.size], [tick, 0], 'nothing is concluded from it');
+  assert.deepEqual([m.sequence, b.exits.size], [tick, 0], 'nothing is concluded from it');
   // Taken for a report, it would free the room of a task that begins when the answer arrives.
-  b.applyHeartbeat(readReport(Buffer.from(JSON.stringify(answer)))!, seconds(11));
-  assert.deepEqual([...(b.ends.get('job-1')?.gone ?? [])], [0]);
+  b.applyHeartbeat(readHeartbeat(Buffer.from(JSON.stringify(answer)))!, seconds(11));
+  assert.deepEqual([...(b.exits.get('job-1')?.gone ?? [])], [0]);
 });
 
 test('a machine that reports and never shows the token counts as room on its way for 40 s, not for ever', () => {
@@ -189,7 +193,7 @@
   const counts: number[] = [];
   for (let at = 10; at <= 80; at += 2) {
     const m = b.applyHeartbeat(report(1, at, TERM - 1), seconds(at))!;
-    b.lapse(seconds(at), true);
+    b.expireLeases(seconds(at), true);
     counts.push(countsFor(awaitedOf(m, boot, seconds(at))));
   }
   assert.equal(counts[0], 1);
--- a/packages/controller/test/late-writes.test.ts
+++ b/packages/controller/test/late-writes.test.ts
@@ -21,9 +21,9 @@
   RECORD,
   recordKey,
   TERM,
-  wardKey,
+  orphanedJobKey,
 } from '../src/jobs/keys.js';
-import { Gathered, rebuild, writeBack } from '../src/recovery/rebuild.js';
+import { GatheredViews, rebuild, writeBack } from '../src/recovery/rebuild.js';
 import { commit } from '../src/scheduler/commit.js';
 import { upkeep } from '../src/scheduler/upkeep.js';
 import type { Start } from '../src/scheduler/model.js';
@@ -183,10 +183,10 @@
         for (const j of t.jobState.jobs.values()) {
           const ends = { done: new Set<number>(), gone: new Set<number>(), failed: new Set<number>() };
           for (const n of j.placed.keys())
-            if (!t.registry.isEnding(j.spec.id, n) && luck.chance(0.25))
+            if (!t.registry.hasObservedExit(j.spec.id, n) && luck.chance(0.25))
               ends[luck.chance(j.withdrawn ? 0.6 : 0.3) ? 'gone' : 'done'].add(n);
-          if (ends.done.size + ends.gone.size > 0 && !t.registry.ends.has(j.spec.id))
-            t.registry.ends.set(j.spec.id, ends);
+          if (ends.done.size + ends.gone.size > 0 && !t.registry.exits.has(j.spec.id))
+            t.registry.exits.set(j.spec.id, ends);
           const free = Array.from({ length: j.spec.tasks }, (_, n) => n).filter(
             (n) => !j.done.has(n) && !j.placed.has(n) && luck.chance(0.7),
           );
@@ -273,7 +273,7 @@
 test('copies of the first record and of the first folding change nothing once others have followed', () => {
   const { service, node, go, turn } = calm([kept(fresh('job-1')), kept(fresh('job-2'))]);
   for (const id of ['job-1', 'job-2']) {
-    const gone = Effect.sync(() => turn.registry.ends.set(id, { done: new Set(), gone: new Set([0]), failed: new Set() })); // prettier-ignore
+    const gone = Effect.sync(() => turn.registry.exits.set(id, { done: new Set(), gone: new Set([0]), failed: new Set() })); // prettier-ignore
     for (let n = 0; n < 6; n++) go(Effect.zipRight(gone, commit(turn, [])));
     service.transact([], [{ delete: activeKey(id) }]);
     go(node.watcher.refresh);
@@ -292,7 +292,7 @@
   const one = [...Array(3).keys()];
   go(commit(turn, [{ job: node.jobState.jobs.get('job-1')!, attempt: 1, on: new Map([['m', one]]) }]));
   const ends = (id: string, done: number[], gone: number[]): void =>
-    void turn.registry.ends.set(id, { done: new Set(done), gone: new Set(gone), failed: new Set() });
+    void turn.registry.exits.set(id, { done: new Set(done), gone: new Set(gone), failed: new Set() });
   go(node.users.withdraw('job-1'));
   assert.ok(node.jobState.jobs.get('job-1')!.withdrawn);
   ends('job-1', [0], []);
@@ -346,7 +346,7 @@
         service.transact([], [{ set: `${INCARNATION}y`, value: { g: 1, t: 0, s: 0 } }, ...HEAD.slice(1)]);
         jobState.clear();
         watcher.loaded = false;
-        lossDetector.leave();
+        lossDetector.leaveIncarnation();
         last = -1;
       }
       if (jobState.revision < last)
@@ -401,7 +401,7 @@
           : Effect.succeed(o),
       ),
   };
-  go(rebuild({ ...r, store }, new Gathered()), 20);
+  go(rebuild({ ...r, store }, new GatheredViews()), 20);
   assert.ok(lost > 0 && !service.keys.has(REBUILD));
   service.transact([], [{ set: 's/a/now', value: 'newer' }]);
   service.again();
@@ -409,18 +409,18 @@
 });
 
 test('a job that users may be cancelling by its ward comes back by a key of its own', () => {
-  const { service, go, r } = rebuilding([{ set: wardKey('job-1'), value: { since: 0, tasks: 3 } }]);
-  const g = new Gathered();
+  const { service, go, r } = rebuilding([{ set: orphanedJobKey('job-1'), value: { since: 0, tasks: 3 } }]);
+  const g = new GatheredViews();
   const job = fresh('job-1', { attempt: 4, done: new Set([0]), touched: 7 });
-  g.take('n1', {
-    heads: [],
+  g.add('n1', {
+    headers: [],
     finals: [],
     calendar: null,
     next: null,
-    claims: [{ generation: 0, revision: 9, job }],
+    versions: [{ generation: 0, revision: 9, job }],
   });
   go(writeBack(r, g, false));
-  assert.ok(service.keys.has(activeKey('job-1')) && !service.keys.has(wardKey('job-1')));
+  assert.ok(service.keys.has(activeKey('job-1')) && !service.keys.has(orphanedJobKey('job-1')));
 });
 
 test('who waited in a period stands in one page, also if nothing was heard of its writing', () => {
