--- a/packages/controller/src/main.ts
+++ b/packages/controller/src/main.ts
@@ -7,7 +7,7 @@
 import { serveLinks } from '@lilacvalve/runtime/link';
 import { error, info, logLayer } from '@lilacvalve/runtime/log';
 import { micros, now, seconds } from '@lilacvalve/runtime/micros';
-import { Cloud } from './provisioning/cloud.js';
+import { CloudClient } from './provisioning/cloud.js';
 import { Links } from './links.js';
 import { makeNode } from './node.js';
 import { heapFigures, memoryPart } from './overload/memory.js';
@@ -23,7 +23,7 @@
       const links = new Links();
       const node = makeNode(settings, {
         store: new StateStore(settings),
-        cloud: new Cloud(settings),
+        cloud: new CloudClient(settings),
         workers: new WorkerClient(settings),
         peers: links,
         views: links,
--- a/packages/controller/src/provisioning/autoscaler.ts
+++ b/packages/controller/src/provisioning/autoscaler.ts
@@ -1,4 +1,4 @@
-/** The leader's dealings with the cloud: listing, renting, returning. */
+/** The leader's dealings with the cloud: it lists machines, rents what the demand needs, and returns what is of no use. */
 import { Effect } from 'effect';
 import { supervise } from '@lilacvalve/runtime/supervise';
 import { info } from '@lilacvalve/runtime/log';
@@ -6,345 +6,487 @@
 import { dayOf } from '../calendar/duty.js';
 import { pressing } from '../calendar/slack.js';
 import type { CycleState, CycleContext } from '../scheduler/cycle-context.js';
-import type { Settings } from '../settings/settings.js';
 import type { Machine } from '../workers/machine.js';
-import { type Awaited, BootTracker, countsFor, isOverdue, roomOnTheWay } from './boot-tracker.js';
-import type { CloudPort } from './cloud.js';
+import {
+  BootTracker,
+  expectedShare,
+  isOverdue,
+  pendingCapacity,
+  type PendingMachine,
+} from './boot-tracker.js';
+import type { CloudFailure, CloudPort } from './cloud.js';
+import { isSilent, isUnreachable, pendingMachine, SILENT } from './machine-health.js';
+import { type MachineType, offerKey } from './model.js';
 import { RentalRequests } from './rental-requests.js';
-import { offerKey } from './model.js';
-import { type Bin, type Demand, type Idle, rentals, returns, typesWanted } from './scaling-plan.js';
+import {
+  type Bin,
+  type Demand,
+  type IdleMachine,
+  planRentals,
+  planReturns,
+  type Rental,
+  wantedTypes,
+} from './scaling-plan.js';
 
-/** A refusal for want of capacity is believed for this long. */
+/** An offer refused for want of capacity is not asked for again for so long. */
 const REFUSED_FOR = seconds(12);
+/** An empty machine is returned after so long; sooner, if the cycle calls it surplus or it came late. */
 const IDLE = seconds(45);
 const IDLE_SURPLUS = seconds(12);
-/** A new leader hears of machines by and by: it gives none up before this. */
-const SETTLED = seconds(30);
+/** A new leader hears of machines one after the other: it gives up no booting machine before this. */
+const NEW_TERM = seconds(30);
+/** A new leader rents nothing while machines called running have not reported, up to here. */
+const REPORTS_AWAITED = seconds(10);
 /** An overdue machine that nothing has counted on for this long is returned. */
 const UNNEEDED = seconds(15);
-const ANY_BOOT = seconds(30);
+/** For types of machine that the cloud does not describe. */
+const UNKNOWN_TYPE_BOOT = seconds(30);
 /** The list may be twice its lag old, and older than the one before. */
 const LIST_MARGIN = seconds(10);
+/** Between two lists: at least so long, and so much of the cloud's rate at the most. */
+const MIN_LIST_INTERVAL = 3e6;
+const LIST_RATE = 0.2;
+/** Machines returned in one step, of a type rented in one step, and in one request. */
+const MAX_RETURNED = 100;
+const MAX_RENTED_PER_TYPE = 40;
+const MAX_PER_REQUEST = 50;
+/** A start decided before a machine was cordoned may be on its way into the record for so long. */
+const START_IN_FLIGHT_MS = 400;
+const STEP_INTERVAL_MS = 800;
+const FAILURE_WAIT_MS = 1500;
 
-/** A worker whose lease has lapsed is given up after so much longer. */
-const SILENT = seconds(40);
+/** Boot times are learnt by type and zone, whatever the price. */
+const bootKey = (o: { readonly type: string; readonly zone: string }): string => `${o.type}|${o.zone}`;
+const roomOf = (type: MachineType): [number, number, number] => [type.cpus, type.gpus, type.memGb];
 
-/**
- * It reports and has not shown this term's token, though what an older leader's hold and a lease after it last is over:
- * it serves nobody, is charged, and might go on like that for ever. An answered delete settles what was on it.
- */
-export const isDeaf = (m: Machine, { lease, cancel }: Settings['workers'], at: Micros): boolean =>
-  m.reported && !m.confirmed && at - m.unconfirmedSince > Math.max(lease, cancel) + SILENT;
+/** Machines to return, by reason. */
+interface Returnable {
+  readonly failed: string[];
+  readonly leaseExpired: string[];
+  readonly unreachable: string[];
+  readonly silent: string[];
+  readonly neverBooted: string[];
+  readonly unneeded: string[];
+  readonly idle: IdleMachine[];
+}
 
-/**
- * The cloud has called it running for as long, and no report of it has come: it is charged and can't be used. What it might
- * hold from an earlier leader an answered delete settles.
- */
-export const isMute = (m: Machine, { lease, cancel }: Settings['workers'], at: Micros): boolean =>
-  !m.reported && m.runningSince !== null && at - m.runningSince > Math.max(lease, cancel) + SILENT;
-
-/** How long a machine that serves nobody yet has been waited for, as what counts as room on its way is told by. */
-export const awaitedOf = (m: Machine, boot: Micros, at: Micros): Awaited => ({
-  age: (at - m.since) as Micros,
-  boot,
-  runningFor: m.reported
-    ? // Its reports may come and answers not reach it: counted from the latest, it was room on its way for ever.
-      ((at - m.unconfirmedSince) as Micros)
-    : m.runningSince === null
-      ? null
-      : ((at - m.runningSince) as Micros),
-});
-
-export const autoscaler = (t: CycleContext, view: CycleState, cloud: CloudPort) => {
-  const refusedUntil = new Map<string, Micros>();
-  /** Boot times are learnt by type and zone, whatever the price. */
-  const bootKey = (o: { readonly type: string; readonly zone: string }): string => `${o.type}|${o.zone}`;
-  const boots = new BootTracker();
+class Autoscaler {
+  private readonly refusedUntil = new Map<string, Micros>();
+  private readonly boots = new BootTracker();
   /** Machines seen before they reported, in this term: when they come, their boot time is known. */
-  const awaited = new Set<string>();
-  const overdue = new Set<string>();
+  private readonly awaited = new Set<string>();
+  private readonly overdue = new Set<string>();
   /** Overdue machines that no work counts on, and since when. */
-  const unneeded = new Map<string, Micros>();
+  private readonly unneeded = new Map<string, Micros>();
   /** Rented or removed, and not shown so by the list yet. */
-  const rented = new Map<string, Micros>();
-  const removed = new Map<string, Micros>();
-  const bootOf = (type: string): Micros => t.types().find((k) => k.name === type)?.boot ?? ANY_BOOT;
-  const shown = plus(0 as Micros, 2 * t.settings.cloud.listLag + LIST_MARGIN);
-  const hires = new RentalRequests(shown, t.fleet.news, t.leaderTerm.began);
-  let named = 0;
-  let needed: ReadonlySet<string> = new Set();
+  private readonly rented = new Map<string, Micros>();
+  private readonly removed = new Map<string, Micros>();
+  private readonly requests: RentalRequests;
+  private requestsNamed = 0;
+  /** Machines that the demand counts on. */
+  private needed: ReadonlySet<string> = new Set();
   /** Types of machine that some waiting work could use. */
-  let wanted: ReadonlySet<string> = new Set();
-  let listedOnce = false;
-  let lastList = Number.NEGATIVE_INFINITY;
-  const listEvery = Math.max(3e6, 1e6 / (t.settings.cloud.rps * 0.2));
+  private wanted: ReadonlySet<string> = new Set();
+  private hasListed = false;
+  private lastListed = Number.NEGATIVE_INFINITY;
+  private readonly listInterval: number;
 
-  const list = Effect.gen(function* () {
-    lastList = t.clock();
-    const machines = yield* cloud.list();
-    listedOnce = true;
-    t.fleet.listed = true;
-    t.registry.applyListing(machines, t.clock());
-    for (const l of machines) rented.delete(l.id);
-  });
+  constructor(
+    private readonly context: CycleContext,
+    private readonly cycle: CycleState,
+    private readonly cloud: CloudPort,
+  ) {
+    const { settings, fleet, leaderTerm } = context;
+    const shownAfter = plus(0 as Micros, 2 * settings.cloud.listLag + LIST_MARGIN);
+    this.requests = new RentalRequests(shownAfter, fleet.news, leaderTerm.began);
+    this.listInterval = Math.max(MIN_LIST_INTERVAL, 1e6 / (settings.cloud.rps * LIST_RATE));
+  }
 
-  const waitedFor = (m: Machine, at: Micros): Awaited => awaitedOf(m, bootOf(m.type), at);
+  readonly run = Effect.suspend(() => this.step()).pipe(
+    Effect.catchAll((e) =>
+      info('cloud unavailable', { reason: e.reason }).pipe(Effect.zipRight(Effect.sleep(FAILURE_WAIT_MS))),
+    ),
+    Effect.zipRight(Effect.sleep(STEP_INTERVAL_MS)),
+    Effect.forever,
+  );
 
-  /** Follows machines from their rental to their first report. */
-  const watch = Effect.gen(function* () {
-    const at = t.clock();
-    for (const m of t.registry.machines.values()) {
-      if (m.reported) {
-        if (!awaited.delete(m.id)) continue;
-        // One that the list has called running may have been up for long, under an earlier leader.
-        if (m.runningSince === null) boots.came(bootKey(m), (at - m.since) as Micros, at);
-        if (overdue.has(m.id))
-          yield* info('overdue machine came', { machine: m.id, afterS: Math.round((at - m.since) / 1e6) });
-      } else {
-        awaited.add(m.id);
-        if (!overdue.has(m.id) && isOverdue(waitedFor(m, at))) {
-          overdue.add(m.id);
+  private step(): Effect.Effect<void, CloudFailure> {
+    return Effect.gen(this, function* () {
+      if (!this.context.mayAct()) return;
+      if (this.context.clock() - this.lastListed >= this.listInterval) yield* this.list();
+      yield* this.trackBoots();
+      yield* this.reportUnreachableWorkers();
+      this.publishNews();
+      yield* this.returnMachines();
+      yield* this.rentMachines();
+    });
+  }
+
+  /** Takes the cloud's list in. */
+  private list(): Effect.Effect<void, CloudFailure> {
+    return Effect.gen(this, function* () {
+      const { clock, fleet, registry } = this.context;
+      this.lastListed = clock();
+      const machines = yield* this.cloud.list();
+      this.hasListed = true;
+      fleet.listed = true;
+      registry.applyListing(machines, clock());
+      for (const { id } of machines) this.rented.delete(id);
+    });
+  }
+
+  private bootOf(type: string): Micros {
+    return this.context.types().find((k) => k.name === type)?.boot ?? UNKNOWN_TYPE_BOOT;
+  }
+
+  private pending(machine: Machine, at: Micros): PendingMachine {
+    return pendingMachine(machine, this.bootOf(machine.type), at);
+  }
+
+  /** Follows machines from their rental to their first heartbeat. */
+  private trackBoots(): Effect.Effect<void> {
+    return Effect.gen(this, function* () {
+      const { clock, registry, leaderTerm } = this.context;
+      const at = clock();
+      for (const machine of registry.machines.values()) {
+        const { id, type, zone } = machine;
+        const age = (at - machine.since) as Micros;
+        if (machine.reported) {
+          if (!this.awaited.delete(id)) continue;
+          // One that the list has called running may have been up for long, under an earlier leader.
+          if (machine.runningSince === null) this.boots.recordBoot(bootKey(machine), age, at);
+          if (this.overdue.has(id))
+            yield* info('overdue machine reported', { machine: id, afterS: Math.round(age / 1e6) });
+        } else {
+          this.awaited.add(id);
+          if (this.overdue.has(id) || !isOverdue(this.pending(machine, at))) continue;
+          this.overdue.add(id);
           yield* info('machine overdue', {
-            term: t.leaderTerm.number,
-            machine: m.id,
-            type: m.type,
-            zone: m.zone,
-            ageS: Math.round((at - m.since) / 1e6),
-            listed: m.cloudStatus,
+            term: leaderTerm.number,
+            machine: id,
+            type,
+            zone,
+            ageS: Math.round(age / 1e6),
+            cloudStatus: machine.cloudStatus,
           });
         }
       }
-    }
-    for (const machine of t.registry.unreachableWorkers.splice(0))
-      yield* info('answers do not reach machine', { term: t.leaderTerm.number, machine });
-    const old = at - 3 * t.settings.cloud.listLag - LIST_MARGIN;
-    for (const known of [rented, removed]) for (const [id, since] of known) if (since < old) known.delete(id);
-    t.fleet.news = {
-      rented: [...rented].flatMap(([id, since]) => {
-        const m = t.registry.machines.get(id);
-        return m ? [{ id, type: m.type, zone: m.zone, spot: m.spot, age: at - since }] : [];
+    });
+  }
+
+  private reportUnreachableWorkers(): Effect.Effect<void> {
+    return Effect.gen(this, function* () {
+      const { registry, leaderTerm } = this.context;
+      for (const machine of registry.unreachableWorkers.splice(0))
+        yield* info('responses not reaching worker', { term: leaderTerm.number, machine });
+    });
+  }
+
+  /** Publishes, for a next leader, what this one knows of the cloud and the list does not show yet. */
+  private publishNews(): void {
+    const { clock, fleet, registry, settings } = this.context;
+    const at = clock();
+    const limit = at - 3 * settings.cloud.listLag - LIST_MARGIN;
+    for (const known of [this.rented, this.removed])
+      for (const [id, since] of known) if (since < limit) known.delete(id);
+    fleet.news = {
+      rented: [...this.rented].flatMap(([id, since]) => {
+        const machine = registry.machines.get(id);
+        if (!machine) return [];
+        const { type, zone, spot } = machine;
+        return [{ id, type, zone, spot, age: at - since }];
       }),
-      removed: [...removed.keys()],
-      asked: hires.asked(at),
+      removed: [...this.removed.keys()],
+      asked: this.requests.unanswered(at),
     };
-  });
+  }
+
+  private isUsed(id: string): boolean {
+    return (this.context.jobState.byMachine.get(id)?.size ?? 0) > 0;
+  }
 
-  const remove = (candidates: readonly string[], reason: string, onlyEmpty = false) =>
-    Effect.gen(function* () {
-      if (candidates.length === 0 || !t.mayAct()) return;
-      const holds = (id: string): boolean => (t.jobState.byMachine.get(id)?.size ?? 0) > 0;
-      const closed = candidates.slice(0, 100).filter((id) => !(onlyEmpty && holds(id)));
-      for (const id of closed) {
-        const m = t.registry.machines.get(id);
-        if (m) m.cordonReason = reason;
+  /** Lifts the cordon of `reason` on a machine. */
+  private uncordon(id: string, reason: string): void {
+    const machine = this.context.registry.machines.get(id);
+    if (machine?.cordonReason === reason) machine.cordonReason = null;
+  }
+
+  /** Cordons machines and deletes them. With `onlyEmpty`, those with work on them are kept. */
+  private remove(
+    candidates: readonly string[],
+    reason: string,
+    onlyEmpty = false,
+  ): Effect.Effect<void, CloudFailure> {
+    return Effect.gen(this, function* () {
+      const { clock, leaderTerm, mayAct, registry } = this.context;
+      if (candidates.length === 0 || !mayAct()) return;
+      const mustStay = (id: string): boolean => onlyEmpty && this.isUsed(id);
+      const cordoned = candidates.slice(0, MAX_RETURNED).filter((id) => !mustStay(id));
+      for (const id of cordoned) {
+        const machine = registry.machines.get(id);
+        if (machine) machine.cordonReason = reason;
       }
       if (onlyEmpty) {
-        // A start decided just before the machine was closed may still be on its way into the record.
-        yield* Effect.sleep(400);
-        for (const id of closed) {
-          const m = t.registry.machines.get(id);
-          if (m && holds(id) && m.cordonReason === reason) m.cordonReason = null;
-        }
+        // A start decided just before the machine was cordoned may still be on its way into the record.
+        yield* Effect.sleep(START_IN_FLIGHT_MS);
+        for (const id of cordoned) if (this.isUsed(id)) this.uncordon(id, reason);
       }
-      const ids = closed.filter((id) => !(onlyEmpty && holds(id)));
-      if (ids.length === 0 || !t.mayAct()) return;
+      const ids = cordoned.filter((id) => !mustStay(id));
+      if (ids.length === 0 || !mayAct()) return;
       let sent = false;
-      const still = (): boolean => (sent ||= t.mayAct() && !(onlyEmpty && ids.some(holds)));
-      yield* cloud.remove(ids, still).pipe(
-        // Not sent, since one of them has work: it stayed closed, with room on it, for as long as that ran.
+      const isEntitled = (): boolean => (sent ||= mayAct() && !ids.some(mustStay));
+      yield* this.cloud.remove(ids, isEntitled).pipe(
+        // Not sent, since one of them has work: it stayed cordoned, with room on it, for as long as that ran.
         Effect.tapError(() =>
           Effect.sync(() => {
-            if (sent) return;
-            for (const id of ids) {
-              const m = t.registry.machines.get(id);
-              if (m?.cordonReason === reason) m.cordonReason = null;
-            }
+            if (!sent) for (const id of ids) this.uncordon(id, reason);
           }),
         ),
       );
       for (const id of ids) {
-        t.registry.removeMachine(id);
-        removed.set(id, t.clock());
-        for (const known of [awaited, overdue, unneeded, rented]) known.delete(id);
+        registry.removeMachine(id);
+        this.removed.set(id, clock());
+        for (const known of [this.awaited, this.overdue, this.unneeded, this.rented]) known.delete(id);
       }
       yield* info('machines returned', {
-        term: t.leaderTerm.number,
+        term: leaderTerm.number,
         count: ids.length,
         reason,
         machine: ids[0]!,
       });
     });
+  }
 
-  const clean = Effect.gen(function* () {
-    const at = t.clock();
-    const failed: string[] = [];
-    const dead: string[] = [];
-    const deaf: string[] = [];
-    const mute: string[] = [];
-    const stuck: string[] = [];
-    const idle: Idle[] = [];
-    const surplus: string[] = [];
-    for (const m of t.registry.machines.values()) {
-      const on = t.jobState.byMachine.get(m.id)?.size ?? 0;
-      if (m.cloudStatus === 'failed') failed.push(m.id);
-      else if (m.reported && at > t.registry.leaseExpiry(m) + SILENT) dead.push(m.id);
-      else if (isDeaf(m, t.settings.workers, at)) deaf.push(m.id);
-      else if (isMute(m, t.settings.workers, at)) mute.push(m.id);
-      else if (!m.reported) {
-        if (
-          at - m.since > boots.givenUpAfter(bootKey(m), bootOf(m.type), at) &&
-          at - t.leaderTerm.began > SETTLED
-        )
-          stuck.push(m.id);
-        // While work waits that could use it, a late machine may still come before its replacement.
-        else if (!overdue.has(m.id) || needed.has(m.id) || wanted.has(m.type) || on > 0)
-          unneeded.delete(m.id);
-        else if (!unneeded.has(m.id)) unneeded.set(m.id, at);
-        else if (at - unneeded.get(m.id)! > UNNEEDED) surplus.push(m.id);
+  /** Returns machines that failed, can't be used, or are not needed. */
+  private returnMachines(): Effect.Effect<void, CloudFailure> {
+    return Effect.gen(this, function* () {
+      const found = this.findReturnable(this.context.clock());
+      yield* this.remove(found.failed, 'failed');
+      yield* this.remove(found.leaseExpired, 'lease expired');
+      yield* this.remove(found.unreachable, 'unreachable');
+      yield* this.remove(found.silent, 'never reported');
+      yield* this.remove(found.neverBooted, 'never booted');
+      yield* this.remove(found.unneeded, 'overdue and not needed', true);
+      // Only with a view of the demand from a recent cycle, and never while a start may be on its way.
+      const idle = planReturns(found.idle, ({ id }) => this.idleLimit(id));
+      yield* this.remove(idle, 'idle', true);
+    });
+  }
+
+  /** For how long an empty machine is kept. */
+  private idleLimit(id: string): Micros {
+    if (this.context.registry.machines.get(id)?.cordonReason) return 0 as Micros;
+    return this.cycle.surplus.has(id) || this.overdue.has(id) ? IDLE_SURPLUS : IDLE;
+  }
+
+  private findReturnable(at: Micros): Returnable {
+    const { registry, settings } = this.context;
+    const found: Returnable = {
+      failed: [],
+      leaseExpired: [],
+      unreachable: [],
+      silent: [],
+      neverBooted: [],
+      unneeded: [],
+      idle: [],
+    };
+    for (const machine of registry.machines.values()) {
+      const { id, type, zone, spot, emptySince } = machine;
+      if (machine.cloudStatus === 'failed') found.failed.push(id);
+      else if (machine.reported && at > registry.leaseExpiry(machine) + SILENT) found.leaseExpired.push(id);
+      else if (isUnreachable(machine, settings.workers, at)) found.unreachable.push(id);
+      else if (isSilent(machine, settings.workers, at)) found.silent.push(id);
+      else if (!machine.reported) {
+        if (this.hasNotBooted(machine, at)) found.neverBooted.push(id);
+        else if (this.isUnneeded(machine, at)) found.unneeded.push(id);
       } else if (
-        m.emptySince !== null &&
-        on === 0 &&
-        m.recallAt === null &&
-        !(m.cordonReason === null && needed.has(m.id))
+        emptySince !== null &&
+        !this.isUsed(id) &&
+        machine.recallAt === null &&
+        !(machine.cordonReason === null && this.needed.has(id))
       ) {
-        idle.push({
-          id: m.id,
-          type: m.type,
-          zone: m.zone,
-          spot: m.spot,
-          idleFor: (at - m.emptySince) as Micros,
-          age: (at - m.since) as Micros,
-        });
+        const idleFor = (at - emptySince) as Micros;
+        found.idle.push({ id, type, zone, spot, idleFor, age: (at - machine.since) as Micros });
       }
     }
-    yield* remove(failed, 'failed');
-    yield* remove(dead, 'silent');
-    yield* remove(deaf, 'deaf');
-    yield* remove(mute, 'mute');
-    yield* remove(stuck, 'never booted');
-    yield* remove(surplus, 'overdue and not needed', true);
-    // Only with a view of the demand from a recent cycle, and never while a start may be on its way.
-    const back = returns(idle, (m) =>
-      t.registry.machines.get(m.id)?.cordonReason
-        ? (0 as Micros)
-        : view.surplus.has(m.id) || overdue.has(m.id)
-          ? IDLE_SURPLUS
-          : IDLE,
-    );
-    yield* remove(back, 'idle', true);
-  });
+    return found;
+  }
+
+  private hasNotBooted(machine: Machine, at: Micros): boolean {
+    const limit = this.boots.giveUpAfter(bootKey(machine), this.bootOf(machine.type), at);
+    return at - machine.since > limit && at - this.context.leaderTerm.began > NEW_TERM;
+  }
 
-  const rent = Effect.gen(function* () {
-    const at = t.clock();
-    const result = view.result;
-    if (result === null || !listedOnce) return;
+  /** An overdue machine that nothing has counted on for long; while work waits that could use it, it may still come. */
+  private isUnneeded({ id, type }: Machine, at: Micros): boolean {
+    if (!this.overdue.has(id) || this.needed.has(id) || this.wanted.has(type) || this.isUsed(id)) {
+      this.unneeded.delete(id);
+      return false;
+    }
+    const since = this.unneeded.get(id);
+    if (since === undefined) this.unneeded.set(id, at);
+    return since !== undefined && at - since > UNNEEDED;
+  }
+
+  /** Rents what the last cycle's demand needs beyond the capacity that is there or pending. */
+  private rentMachines(): Effect.Effect<void, CloudFailure> {
+    return Effect.gen(this, function* () {
+      const { clock, mayAct } = this.context;
+      const plan = this.decide(clock());
+      if (plan === null) return;
+      for (const rental of plan) {
+        if (!mayAct()) return;
+        yield* this.rent(rental);
+      }
+    });
+  }
+
+  /** Rentals to ask for; null: not enough is known yet. */
+  private decide(at: Micros): readonly Rental[] | null {
+    const { jobState, leaderTerm, registry, settings, types } = this.context;
+    const { result } = this.cycle;
+    if (result === null || !this.hasListed) return null;
+    const termAge = at - leaderTerm.began;
     // Machines that are up report within a round or two of a new term.
-    if (t.jobState.byMachine.size > 0 && at - t.leaderTerm.began < t.settings.workers.report * 1.5 + 2e6)
-      return;
+    if (jobState.byMachine.size > 0 && termAge < settings.workers.report * 1.5 + 2e6) return null;
+    const known = new Map(types().map((k) => [k.name, k]));
+    const { bins, pending, anySilent } = this.capacity(result.free, known, at);
+    const overdue = this.addPending(pending, known, bins);
+    if (anySilent && termAge < REPORTS_AWAITED) return null;
+    for (const { type, zone, spot } of this.requests.possibleArrivals(registry.machines.values(), at)) {
+      const k = known.get(type);
+      if (k) bins.push({ type, zone, spot, free: roomOf(k) });
+    }
+    const demand = this.demand(result.unplaced);
+    const plan = planRentals({
+      types: types(),
+      bins,
+      demand,
+      companions: this.cycle.companions,
+      surplus: this.cycle.surplus,
+      avoidedMachines: (job) => registry.avoidedMachines(job),
+      isRefused: (o) => at < (this.refusedUntil.get(offerKey(o)) ?? 0),
+      bootsSlowly: (o) =>
+        this.boots.bootsSlowly(bootKey(o), this.bootOf(o.type), overdue.get(bootKey(o)) ?? 0, at),
+      maxPerType: MAX_RENTED_PER_TYPE,
+    });
+    this.needed = plan.needed;
+    this.wanted = wantedTypes(types(), demand);
+    return plan.rent;
+  }
+
+  /** Free room on machines that can be used, and the machines that are pending, by offer. */
+  private capacity(
+    free: ReadonlyMap<string, Bin['free']>,
+    types: ReadonlyMap<string, MachineType>,
+    at: Micros,
+  ): { bins: Bin[]; pending: Map<string, Pending[]>; anySilent: boolean } {
+    const { registry } = this.context;
     const bins: Bin[] = [];
-    const types = new Map(t.types().map((k) => [k.name, k]));
-    let silent = false;
-    /** On their way, by what makes them alike. */
-    const coming = new Map<string, { m: Machine; a: Awaited }[]>();
-    for (const m of t.registry.machines.values()) {
-      const k = types.get(m.type);
-      if (!k || m.cordonReason !== null || m.cloudStatus === 'failed' || m.recallAt !== null) continue;
-      const free = result.free.get(m.id);
-      if (t.registry.isSchedulable(m, at) && free)
-        bins.push({ id: m.id, type: m.type, zone: m.zone, spot: m.spot, free });
-      else if (!m.reported || !m.confirmed) {
-        if (m.cloudStatus === 'running') silent = true;
-        const alike = coming.get(offerKey(m));
-        const one = { m, a: waitedFor(m, at) };
+    const pending = new Map<string, Pending[]>();
+    let anySilent = false;
+    for (const machine of registry.machines.values()) {
+      if (!types.has(machine.type) || machine.cordonReason !== null) continue;
+      if (machine.cloudStatus === 'failed' || machine.recallAt !== null) continue;
+      const { id, type, zone, spot } = machine;
+      const room = free.get(id);
+      if (registry.isSchedulable(machine, at) && room) bins.push({ id, type, zone, spot, free: room });
+      else if (!machine.reported || !machine.confirmed) {
+        if (machine.cloudStatus === 'running') anySilent = true;
+        const alike = pending.get(offerKey(machine));
+        const one = { machine, state: this.pending(machine, at) };
         if (alike) alike.push(one);
-        else coming.set(offerKey(m), [one]);
+        else pending.set(offerKey(machine), [one]);
       }
     }
-    const overdueOf = new Map<string, number>();
-    for (const list of coming.values()) {
-      list.sort((x, y) => countsFor(y.a) - countsFor(x.a));
-      const { type, zone, spot } = list[0]!.m;
-      const k = types.get(type)!;
-      for (const { m } of list.slice(0, roomOnTheWay(list.map((x) => x.a))))
-        bins.push({ id: m.id, type, zone, spot, free: [k.cpus, k.gpus, k.memGb] });
-      const late = list.filter((x) => isOverdue(x.a)).length;
-      overdueOf.set(bootKey({ type, zone }), (overdueOf.get(bootKey({ type, zone })) ?? 0) + late);
-    }
-    if (silent && at - t.leaderTerm.began < 10e6) return;
-    for (const { type, zone, spot } of hires.mayCome(t.registry.machines.values(), at)) {
-      const k = types.get(type);
-      if (k) bins.push({ type, zone, spot, free: [k.cpus, k.gpus, k.memGb] });
+    return { bins, pending, anySilent };
+  }
+
+  /** Adds what counts of the pending machines to `bins`; returns how many are overdue, by type and zone. */
+  private addPending(
+    pending: ReadonlyMap<string, Pending[]>,
+    types: ReadonlyMap<string, MachineType>,
+    bins: Bin[],
+  ): Map<string, number> {
+    const overdue = new Map<string, number>();
+    for (const alike of pending.values()) {
+      alike.sort((x, y) => expectedShare(y.state) - expectedShare(x.state));
+      const { type, zone, spot } = alike[0]!.machine;
+      const known = types.get(type)!;
+      for (const { machine } of alike.slice(0, pendingCapacity(alike.map((x) => x.state))))
+        bins.push({ id: machine.id, type, zone, spot, free: roomOf(known) });
+      const late = alike.filter((x) => isOverdue(x.state)).length;
+      const key = bootKey({ type, zone });
+      overdue.set(key, (overdue.get(key) ?? 0) + late);
     }
-    const { current, shown } = t.jobState.calendars;
-    const day = dayOf(t);
+    return overdue;
+  }
+
+  /** What the cycle could not place, in the order in which it is worth a machine. */
+  private demand(unplaced: readonly Demand[]): Demand[] {
+    const { current, shown } = this.context.jobState.calendars;
+    const day = dayOf(this.context);
     const classes = shown?.value ?? new Map<string, readonly number[]>();
-    const demand: Demand[] = result.unplaced
-      .filter((u) => !u.job.withdrawn)
-      .map((u) => ({ u, by: pressing(u.job, current, day, classes) ?? Number.POSITIVE_INFINITY }))
-      // What would miss its cutoff is worth a machine sooner, by cutoff; the rest in the order of submission.
-      .sort(
-        (a, b) =>
-          b.u.job.spec.urgency - a.u.job.spec.urgency ||
-          (a.by === b.by ? 0 : a.by - b.by) ||
-          a.u.job.spec.submitted - b.u.job.spec.submitted,
-      )
-      .map(({ u }) => u);
-    const plan = rentals({
-      types: t.types(),
-      bins,
-      demand,
-      companions: view.companions,
-      surplus: view.surplus,
-      avoid: (job) => t.registry.avoidedMachines(job),
-      refused: (o) => at < (refusedUntil.get(offerKey(o)) ?? 0),
-      late: (o) => boots.late(bootKey(o), bootOf(o.type), overdueOf.get(bootKey(o)) ?? 0, at),
-      most: 40,
+    return (
+      unplaced
+        .filter((u) => !u.job.withdrawn)
+        .map((u) => ({ u, by: pressing(u.job, current, day, classes) ?? Number.POSITIVE_INFINITY }))
+        // What would miss its cutoff is worth a machine sooner, by cutoff; the rest in the order of submission.
+        .sort(
+          (a, b) =>
+            b.u.job.spec.urgency - a.u.job.spec.urgency ||
+            (a.by === b.by ? 0 : a.by - b.by) ||
+            a.u.job.spec.submitted - b.u.job.spec.submitted,
+        )
+        .map(({ u }) => u)
+    );
+  }
+
+  /**
+   * A name is never used again: it carries the term, which only one controller ever holds, and the store's incarnation. A term
+   * that a loss has taken and nobody remembers may come again, the time that its attempts begin at does not.
+   */
+  private readonly nextName = (): string => {
+    const { jobState, leaderTerm, lossDetector } = this.context;
+    const incarnation = lossDetector.incarnation?.id ?? '';
+    return `h-${incarnation}-${leaderTerm.number}.${jobState.attempts}-${++this.requestsNamed}`;
+  };
+
+  private rent(rental: Rental): Effect.Effect<void, CloudFailure> {
+    return Effect.gen(this, function* () {
+      const { clock, fleet, leaderTerm, mayAct, registry } = this.context;
+      const { type, zone, spot } = rental;
+      const count = Math.min(MAX_PER_REQUEST, rental.count);
+      const request = this.requests.requestFor({ ...rental, count }, this.nextName, clock());
+      fleet.news = { ...fleet.news, asked: this.requests.unanswered(clock()) };
+      const machines = yield* this.cloud.rent(request, mayAct);
+      this.requests.confirm(request);
+      if (machines === null || machines.length < request.count)
+        this.refusedUntil.set(offerKey(rental), plus(clock(), REFUSED_FOR));
+      if (machines === null) return;
+      const since = clock();
+      for (const id of machines)
+        if (registry.addRentedMachine(id, since, { type, zone, spot })) this.rented.set(id, since);
+      yield* info('machines rented', {
+        term: leaderTerm.number,
+        type,
+        zone,
+        spot,
+        count: machines.length,
+        asked: request.count,
+      });
     });
-    needed = plan.needed;
-    wanted = typesWanted(t.types(), demand);
-    for (const w of plan.rent) {
-      if (!t.mayAct()) return;
-      // A name is never used again: it carries the term, which only one node ever holds, and the store's incarnation.
-      // A term that a loss has taken and nobody remembers may come again, the time that its attempts begin at does not.
-      const name = (): string =>
-        `h-${t.lossDetector.incarnation?.id ?? ''}-${t.leaderTerm.number}.${t.jobState.attempts}-${++named}`;
-      const hire = hires.ask({ ...w, count: Math.min(50, w.count) }, name, t.clock());
-      t.fleet.news = { ...t.fleet.news, asked: hires.asked(t.clock()) };
-      const got = yield* cloud.hire(hire, t.mayAct);
-      hires.answered(hire);
-      if (got === null || got.length < hire.count)
-        refusedUntil.set(offerKey(w), (t.clock() + REFUSED_FOR) as Micros);
-      if (got !== null) {
-        const since = t.clock();
-        for (const id of got)
-          if (t.registry.addRentedMachine(id, since, { type: w.type, zone: w.zone, spot: w.spot }))
-            rented.set(id, since);
-        yield* info('machines rented', {
-          term: t.leaderTerm.number,
-          type: w.type,
-          zone: w.zone,
-          spot: w.spot,
-          count: got.length,
-          asked: hire.count,
-        });
-      }
-    }
-  });
+  }
+}
 
-  return supervise(
-    'fleet',
-    Effect.gen(function* () {
-      if (!t.mayAct()) return;
-      if (t.clock() - lastList >= listEvery) yield* list;
-      yield* watch;
-      yield* clean;
-      yield* rent;
-    }).pipe(
-      Effect.catchAll((e) =>
-        info('cloud unavailable', { reason: e.reason }).pipe(Effect.zipRight(Effect.sleep(1500))),
-      ),
-      Effect.zipRight(Effect.sleep(800)),
-      Effect.forever,
-    ),
-  );
-};
+interface Pending {
+  readonly machine: Machine;
+  readonly state: PendingMachine;
+}
+
+/** Runs for as long as the leader's session; failures of the cloud are logged and retried. */
+export const autoscaler = (
+  context: CycleContext,
+  cycle: CycleState,
+  cloud: CloudPort,
+): Effect.Effect<never> => supervise('autoscaler', new Autoscaler(context, cycle, cloud).run);
--- a/packages/controller/src/provisioning/cloud.ts
+++ b/packages/controller/src/provisioning/cloud.ts
@@ -1,4 +1,4 @@
-/** Client of the cloud's interface; its wire names stay here. */
+/** Client of the cloud's interface. The protocol's names stand only here. */
 import { Data, Effect, Schema } from 'effect';
 import { HttpClient, keptOpen, type NoAnswer, type Reply } from '@lilacvalve/runtime/http-client';
 import { seconds } from '@lilacvalve/runtime/micros';
@@ -6,12 +6,20 @@
 import { Budget, Priority } from '../state-store/budget.js';
 import type { ListedMachine, MachineType } from './model.js';
 
+/** The cloud answered with another status than 200, or the caller was not entitled to send (status 0). */
 export class CloudRefused extends Data.TaggedError('CloudRefused')<{
   readonly status: number;
   readonly reason: string;
 }> {}
-export type CloudFailure = CloudRefused | NoAnswer;
+/** The cloud has no machine of the offer now. */
+export class OutOfCapacity extends Data.TaggedError('OutOfCapacity')<{ readonly reason: string }> {}
+/** The cloud's answer is not what its interface promises. */
+export class CloudAnswerMalformed extends Data.TaggedError('CloudAnswerMalformed')<{
+  readonly reason: string;
+}> {}
+export type CloudFailure = CloudRefused | OutOfCapacity | CloudAnswerMalformed | NoAnswer;
 
+/** One rental. Repeated under the same name, it is carried out only once. */
 export interface RentalRequest {
   readonly name: string;
   readonly type: string;
@@ -20,16 +28,21 @@
   readonly count: number;
 }
 
+/** The cloud, as the controller uses it. */
 export interface CloudPort {
   types(): Effect.Effect<readonly MachineType[], CloudFailure>;
   list(): Effect.Effect<readonly ListedMachine[], CloudFailure>;
-  /** The machines rented; null: no capacity. */
-  hire(h: RentalRequest, still: Still): Effect.Effect<readonly string[] | null, CloudFailure>;
-  remove(ids: readonly string[], still: Still): Effect.Effect<void, CloudFailure>;
+  /** The ids of the machines rented, perhaps fewer than asked for; null: no capacity. */
+  rent(
+    request: RentalRequest,
+    isEntitled: StillEntitled,
+  ): Effect.Effect<readonly string[] | null, CloudFailure>;
+  /** Deletes the machines; once this succeeds, they and everything on them are gone. */
+  remove(ids: readonly string[], isEntitled: StillEntitled): Effect.Effect<void, CloudFailure>;
 }
-/** Whether the caller may still act; asked when the call has waited for its part of the rate and is about to be sent. */
-export type Still = () => boolean;
-const ALWAYS: Still = () => true;
+/** Whether the caller may still act; asked when the call has waited for its share of the rate and is about to be sent. */
+export type StillEntitled = () => boolean;
+const ALWAYS: StillEntitled = () => true;
 
 const Types = Schema.Struct({
   hostsKinds: Schema.Array(
@@ -100,16 +113,28 @@
   });
   return { machines, more: more === true };
 };
-const decodeHired = Schema.decodeUnknownSync(Schema.Struct({ hosts: Schema.Array(Schema.String) }));
+const decodeRented = Schema.decodeUnknownSync(Schema.Struct({ hosts: Schema.Array(Schema.String) }));
 
-/** An answer that can't be read is a failure like any other: no duty ends of it. */
-const read = <A>(r: Reply, decode: (value: unknown) => A): Effect.Effect<A, CloudRefused> =>
+/** An answer that can't be decoded is a failure like any other: no supervised task ends of it. */
+const read = <A>(reply: Reply, decode: (value: unknown) => A): Effect.Effect<A, CloudAnswerMalformed> =>
   Effect.try({
-    try: () => decode(JSON.parse(r.body.toString())),
-    catch: (e) => new CloudRefused({ status: r.status, reason: `unreadable: ${String(e).slice(0, 200)}` }),
+    try: () => decode(JSON.parse(reply.body.toString())),
+    catch: (e) => new CloudAnswerMalformed({ reason: `unreadable: ${String(e).slice(0, 200)}` }),
   });
 
-export class Cloud implements CloudPort {
+/** How the cloud says, with status 503, that it has no machine of the offer. */
+const NO_CAPACITY = 'no capacity';
+const REASON_BYTES = 200;
+
+const failureOf = ({ status, body }: Reply): CloudRefused | OutOfCapacity => {
+  const reason = body.toString('utf8', 0, REASON_BYTES);
+  return status === 503 && reason.includes(NO_CAPACITY)
+    ? new OutOfCapacity({ reason })
+    : new CloudRefused({ status, reason });
+};
+
+/** The cloud's HTTP interface, within the rate that the settings allow. */
+export class CloudClient implements CloudPort {
   private readonly client: HttpClient;
   private readonly budget: Budget;
 
@@ -144,26 +169,31 @@
     return page(null, []);
   }
 
-  hire(h: RentalRequest, still: Still): Effect.Effect<readonly string[] | null, CloudFailure> {
+  rent(
+    request: RentalRequest,
+    isEntitled: StillEntitled,
+  ): Effect.Effect<readonly string[] | null, CloudFailure> {
     const body = JSON.stringify({
-      hire: h.name,
-      hostKind: h.type,
-      room: h.zone,
-      borrowed: h.spot,
-      howMany: h.count,
+      hire: request.name,
+      hostKind: request.type,
+      room: request.zone,
+      borrowed: request.spot,
+      howMany: request.count,
     });
-    return this.call('POST', '/hosts', body, Priority.Commit, still).pipe(
-      Effect.flatMap((r) => read(r, (v) => decodeHired(v).hosts as readonly string[] | null)),
-      Effect.catchTag('CloudRefused', (e) =>
-        e.status === 503 && e.reason.includes('no capacity') ? Effect.succeed(null) : Effect.fail(e),
-      ),
+    return this.call('POST', '/hosts', body, Priority.Commit, isEntitled).pipe(
+      Effect.flatMap((r) => read(r, (v) => decodeRented(v).hosts as readonly string[] | null)),
+      Effect.catchTag('OutOfCapacity', () => Effect.succeed(null)),
     );
   }
 
-  remove(ids: readonly string[], still: Still): Effect.Effect<void, CloudFailure> {
-    return this.call('POST', '/hosts/delete', JSON.stringify({ hosts: ids }), Priority.Commit, still).pipe(
-      Effect.asVoid,
-    );
+  remove(ids: readonly string[], isEntitled: StillEntitled): Effect.Effect<void, CloudFailure> {
+    return this.call(
+      'POST',
+      '/hosts/delete',
+      JSON.stringify({ hosts: ids }),
+      Priority.Commit,
+      isEntitled,
+    ).pipe(Effect.asVoid);
   }
 
   private call(
@@ -171,12 +201,12 @@
     path: string,
     body: string | null,
     priority: Priority,
-    still: Still = ALWAYS,
+    isEntitled: StillEntitled = ALWAYS,
   ): Effect.Effect<Reply, CloudFailure> {
     return this.budget.take(priority, 1).pipe(
       Effect.zipRight(
         Effect.suspend((): Effect.Effect<Reply, CloudFailure> =>
-          still()
+          isEntitled()
             ? this.client.request(method, path, body, 4000)
             : new CloudRefused({ status: 0, reason: 'no longer entitled' }),
         ),
@@ -186,11 +216,7 @@
           ? Effect.succeed(r)
           : Effect.sync(() => {
               if (r.status === 429) this.budget.drain();
-            }).pipe(
-              Effect.zipRight(
-                new CloudRefused({ status: r.status, reason: r.body.toString('utf8', 0, 200) }),
-              ),
-            ),
+            }).pipe(Effect.zipRight(Effect.fail(failureOf(r)))),
       ),
     );
   }
--- a/packages/controller/src/provisioning/rental-requests.ts
+++ b/packages/controller/src/provisioning/rental-requests.ts
@@ -1,55 +1,57 @@
 /**
- * Rentals that were asked for and not answered: carried out already, or later, or never. One that was carried out gets the
- * same answer under its name again and rents nothing, so whoever wants the same again asks by that name: under a new one it
- * was rented twice for the same want.
+ * Rentals that were asked for and not answered: carried out already, or later, or never. A request that was carried out gets
+ * the same answer when it is repeated under its name and rents nothing more, so whoever wants the same again repeats it: under
+ * a new name the same demand was rented for twice.
  */
 import { type Micros, plus } from '@lilacvalve/runtime/micros';
 import type { RentalRequest } from './cloud.js';
 import { type ProvisioningNews, type Offer, offerKey } from './model.js';
 
-interface Asked {
-  readonly hire: RentalRequest;
+interface OpenRequest {
+  readonly request: RentalRequest;
   readonly at: Micros;
 }
 /** What an earlier leader had asked for when it was last heard. */
-interface Inherited extends Offer {
+interface InheritedRequest extends Offer {
   readonly count: number;
   readonly at: Micros;
 }
 
 export class RentalRequests {
-  private readonly open = new Map<string, Asked>();
-  private readonly inherited: readonly Inherited[];
+  /** By offer. */
+  private readonly open = new Map<string, OpenRequest>();
+  private readonly inherited: readonly InheritedRequest[];
 
-  /** `shown`: after so long the list shows what was rented, or it was not; `news` as of `at`. */
+  /** `shownAfter`: after so long the list shows what was rented, or it was not; `news` as of `at`. */
   constructor(
-    private readonly shown: Micros,
+    private readonly shownAfter: Micros,
     news: ProvisioningNews,
     at: Micros,
   ) {
     this.inherited = (news.asked ?? []).map((a) => ({ ...a, at: plus(at, -a.age) }));
   }
 
-  /** What to ask the cloud for: the same again, if it was not answered, or a new rental. */
-  ask(wanted: Offer & { readonly count: number }, name: () => string, at: Micros): RentalRequest {
+  /** What to ask the cloud for: the same again, if it was not answered, or a new rental by the next name. */
+  requestFor(wanted: Offer & { readonly count: number }, nextName: () => string, at: Micros): RentalRequest {
     const key = offerKey(wanted);
     const before = this.open.get(key);
-    if (before !== undefined && at - before.at < this.shown) return before.hire;
+    if (before !== undefined && at - before.at < this.shownAfter) return before.request;
     const { type, zone, spot, count } = wanted;
-    const hire = { name: name(), type, zone, spot, count };
-    this.open.set(key, { hire, at });
-    return hire;
+    const request = { name: nextName(), type, zone, spot, count };
+    this.open.set(key, { request, at });
+    return request;
   }
 
-  answered(hire: RentalRequest): void {
-    this.open.delete(offerKey(hire));
+  /** The cloud has answered the request. */
+  confirm(request: RentalRequest): void {
+    this.open.delete(offerKey(request));
   }
 
-  /** For the next leader, which can't ask by these names. */
-  asked(at: Micros): NonNullable<ProvisioningNews['asked']> {
+  /** Requests without an answer, for the next leader, which can't repeat them by their names. */
+  unanswered(at: Micros): NonNullable<ProvisioningNews['asked']> {
     return [...this.open.values()]
-      .filter((a) => at - a.at < this.shown)
-      .map(({ hire: { type, zone, spot, count }, at: since }) => ({
+      .filter((open) => at - open.at < this.shownAfter)
+      .map(({ request: { type, zone, spot, count }, at: since }) => ({
         type,
         zone,
         spot,
@@ -58,15 +60,15 @@
       }));
   }
 
-  /** Machines that an earlier leader may have rented and that nobody has seen yet, of each offer. */
-  mayCome(known: Iterable<Offer & { readonly since: Micros }>, at: Micros): Offer[] {
-    const fresh = this.inherited.filter((a) => at - a.at < this.shown);
+  /** Machines that an earlier leader may have rented and that nobody has seen yet, one entry each. */
+  possibleArrivals(known: Iterable<Offer & { readonly since: Micros }>, at: Micros): Offer[] {
+    const fresh = this.inherited.filter((request) => at - request.at < this.shownAfter);
     if (fresh.length === 0) return [];
     const machines = [...known];
-    return fresh.flatMap((a) => {
-      const key = offerKey(a);
-      const seen = machines.filter((m) => m.since >= a.at && offerKey(m) === key).length;
-      return Array.from({ length: Math.max(0, a.count - seen) }, () => a);
+    return fresh.flatMap((request) => {
+      const key = offerKey(request);
+      const seen = machines.filter((m) => m.since >= request.at && offerKey(m) === key).length;
+      return Array.from({ length: Math.max(0, request.count - seen) }, () => request);
     });
   }
 }
--- a/packages/controller/src/provisioning/scaling-plan.ts
+++ b/packages/controller/src/provisioning/scaling-plan.ts
@@ -1,23 +1,26 @@
-/** What to rent and what to return: a pure function of demand, machines and time. */
+/** The scaling plan, what to rent and what to return: a pure function of demand, machines and time. */
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import type { Job } from '../jobs/model.js';
 import { add, type Companion, fits, type Room, room, times } from '../scheduler/model.js';
 import { guardsOf, strands } from '../scheduler/state.js';
 import { type MachineType, type Offer, offerKey } from './model.js';
 
+/** A machine with free room, as in bin packing. */
 export interface Bin {
-  /** A machine that is there; absent for those only planned. */
+  /** Absent for a machine that is only planned, or that nobody has seen yet. */
   readonly id?: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
   readonly free: Room;
 }
+/** Tasks of one job that found no place. */
 export interface Demand {
   readonly job: Job;
   readonly count: number;
 }
-export interface Idle {
+/** An empty machine that may be returned. */
+export interface IdleMachine {
   readonly id: string;
   readonly type: string;
   readonly zone: string;
@@ -25,25 +28,27 @@
   readonly idleFor: Micros;
   readonly age: Micros;
 }
-export interface PlanInput {
+/** What the plan is made from. */
+export interface ScalingInput {
   readonly types: readonly MachineType[];
-  /** Room that is there or on its way: free room after the cycle, and machines still booting. */
+  /** Capacity that is there or pending: free room after the cycle, and machines still booting. */
   readonly bins: readonly Bin[];
   readonly demand: readonly Demand[];
   /** As the cycle saw them: room on a GPU machine that it keeps for GPU jobs is no room for the others. */
   readonly companions: readonly Companion[];
   readonly surplus: ReadonlySet<string>;
-  readonly refused: (o: Offer) => boolean;
+  readonly isRefused: (o: Offer) => boolean;
   /** Machines of this offer come up late at present: the last choice. */
-  readonly late: (o: Offer) => boolean;
+  readonly bootsSlowly: (o: Offer) => boolean;
   /**
    * Machines a job should avoid, because it failed there; null: none. Counted as its room, such a machine kept a gang
    * that had to spread waiting for ever: nothing was rented for it, and the machine was not returned.
    */
-  readonly avoid: (job: Job) => ReadonlySet<string> | null;
+  readonly avoidedMachines: (job: Job) => ReadonlySet<string> | null;
   /** Machines of each type that may be rented in one step. */
-  readonly most: number;
+  readonly maxPerType: number;
 }
+/** Machines to rent of one offer. */
 export interface Rental extends Offer {
   count: number;
 }
@@ -52,127 +57,172 @@
 const perMachine = (t: MachineType, need: Room): number =>
   Math.min(1000, times(need, [t.cpus, t.gpus, t.memGb]));
 
-/** What a lost hour costs more on spot for a task that saves nothing. */
-const spotWorth = (job: Job): number => (job.spec.checkpoint > 0 ? 1.1 : 1.3);
+/** How much more spot capacity costs by lost work: more for a task that saves nothing. */
+const spotLossFactor = (job: Job): number => (job.spec.checkpoint > 0 ? 1.1 : 1.3);
 
+/** Offers that a task of the job could run on, the cheapest for `count` of them first. */
 export const offersFor = (job: Job, types: readonly MachineType[], count: number): Offer[] => {
   const need = room(job.spec);
-  const out: { offer: Offer; cost: number }[] = [];
-  for (const t of types) {
-    if (job.spec.types !== null && !job.spec.types.includes(t.name)) continue;
-    const n = Math.min(count, perMachine(t, need));
-    if (n < 1) continue;
+  const found: { offer: Offer; cost: number }[] = [];
+  for (const type of types) {
+    if (job.spec.types !== null && !job.spec.types.includes(type.name)) continue;
+    const fitting = Math.min(count, perMachine(type, need));
+    if (fitting < 1) continue;
     // GPU machines cost many times as much: not rented for low work that has no use for GPUs.
-    if (job.spec.gpus === 0 && t.gpus > 0 && job.spec.urgency === 0 && job.spec.types === null) continue;
-    for (const zone of t.zones) {
+    if (job.spec.gpus === 0 && type.gpus > 0 && job.spec.urgency === 0 && job.spec.types === null) continue;
+    for (const zone of type.zones) {
       if (job.spec.zone !== null && job.spec.zone !== zone) continue;
-      out.push({ offer: { type: t.name, zone, spot: false }, cost: t.price / n });
-      if (job.spec.spot && t.spotPrice > 0) {
-        out.push({ offer: { type: t.name, zone, spot: true }, cost: (t.spotPrice * spotWorth(job)) / n });
+      found.push({ offer: { type: type.name, zone, spot: false }, cost: type.price / fitting });
+      if (job.spec.spot && type.spotPrice > 0) {
+        found.push({
+          offer: { type: type.name, zone, spot: true },
+          cost: (type.spotPrice * spotLossFactor(job)) / fitting,
+        });
       }
     }
   }
-  out.sort((a, b) => a.cost - b.cost);
-  return out.map((o) => o.offer);
+  found.sort((a, b) => a.cost - b.cost);
+  return found.map((o) => o.offer);
 };
 
-export interface Plan {
+/** What to rent, and for which demand. */
+export interface ScalingPlan {
   readonly rent: Rental[];
   /** Machines that the demand counts on, though it can't use them yet: a gang waits for all of its machines. */
   readonly needed: Set<string>;
 }
 
-export const rentals = (input: PlanInput): Plan => {
-  const types = new Map(input.types.map((t) => [t.name, t]));
-  const bins: Bin[] = input.bins.map((b) => ({ ...b, free: [...b.free] }));
-  const out = new Map<string, Rental>();
-  const needed = new Set<string>();
-  /** By type: work that asks in vain for what is sold out must not keep others from what is not. */
-  const asked = new Map<string, number>();
-  const totalOf = (type: string): Room => {
-    const t = types.get(type);
+/** Packs the demand into the capacity that is there or pending, and into rented machines where that does not suffice. */
+class RentalPlanner {
+  private readonly types: ReadonlyMap<string, MachineType>;
+  private readonly bins: Bin[];
+  private readonly rentals = new Map<string, Rental>();
+  private readonly needed = new Set<string>();
+  /** By type: work that can only use a type that is sold out must not keep others from what is not. */
+  private readonly rentedOfType = new Map<string, number>();
+
+  constructor(private readonly input: ScalingInput) {
+    this.types = new Map(input.types.map((t) => [t.name, t]));
+    this.bins = input.bins.map((b) => ({ ...b, free: [...b.free] }));
+  }
+
+  plan(): ScalingPlan {
+    for (const demand of this.input.demand) this.pack(demand);
+    return { rent: [...this.rentals.values()], needed: this.needed };
+  }
+
+  private wholeRoom(type: string): Room {
+    const t = this.types.get(type);
     return t ? [t.cpus, t.gpus, t.memGb] : [0, 0, 0];
-  };
-  /** A task of this job can go there as the cycle sees it. */
-  const takes = (job: Job, guards: readonly Companion[], need: Room, b: Bin): boolean =>
-    fits(need, b.free) &&
-    (job.spec.zone === null || job.spec.zone === b.zone) &&
-    (job.spec.types === null || job.spec.types.includes(b.type)) &&
-    (!b.spot || job.spec.spot) &&
-    !(b.id !== undefined && input.avoid(job)?.has(b.id)) &&
-    !strands(guards, job, totalOf(b.type), b.id !== undefined && input.surplus.has(b.id), [
-      b.free[0] - need[0],
-      b.free[1] - need[1],
-      b.free[2] - need[2],
-    ]);
-
-  const open = (o: Offer): Bin | null => {
-    const n = asked.get(o.type) ?? 0;
-    if (n >= input.most) return null;
-    asked.set(o.type, n + 1);
-    const bin: Bin = { ...o, free: totalOf(o.type) };
-    bins.push(bin);
-    const r = out.get(offerKey(o));
-    if (r) r.count++;
-    else out.set(offerKey(o), { ...o, count: 1 });
+  }
+
+  /** Whether a task of this job can go there as the cycle sees it. */
+  private takes(job: Job, guards: readonly Companion[], need: Room, bin: Bin): boolean {
+    const { spec } = job;
+    return (
+      fits(need, bin.free) &&
+      (spec.zone === null || spec.zone === bin.zone) &&
+      (spec.types === null || spec.types.includes(bin.type)) &&
+      (!bin.spot || spec.spot) &&
+      !(bin.id !== undefined && this.input.avoidedMachines(job)?.has(bin.id)) &&
+      !strands(
+        guards,
+        job,
+        this.wholeRoom(bin.type),
+        bin.id !== undefined && this.input.surplus.has(bin.id),
+        [bin.free[0] - need[0], bin.free[1] - need[1], bin.free[2] - need[2]],
+      )
+    );
+  }
+
+  /** Plans one more machine of the offer; null: there are enough of its type for one step. */
+  private addMachine(offer: Offer): Bin | null {
+    const sameType = this.rentedOfType.get(offer.type) ?? 0;
+    if (sameType >= this.input.maxPerType) return null;
+    this.rentedOfType.set(offer.type, sameType + 1);
+    const bin: Bin = { ...offer, free: this.wholeRoom(offer.type) };
+    this.bins.push(bin);
+    const rental = this.rentals.get(offerKey(offer));
+    if (rental) rental.count++;
+    else this.rentals.set(offerKey(offer), { ...offer, count: 1 });
     return bin;
-  };
-
-  for (const d of input.demand) {
-    const need = room(d.job.spec);
-    const guards = guardsOf(input.companions, d.job);
-    const offers = (count: number): Offer[] =>
-      offersFor(d.job, input.types, count)
-        .filter((o) => !input.refused(o) && takes(d.job, guards, need, { ...o, free: totalOf(o.type) }))
-        .sort((a, b) => Number(input.late(a)) - Number(input.late(b)));
-    let zone: string | null = null;
-    if (d.job.spec.oneZone && d.count > 1) {
-      // The zone that already has the most room for it, or could get it.
-      const rooms = new Map<string, number>();
-      for (const b of bins) {
-        if (!takes(d.job, guards, need, b)) continue;
-        rooms.set(b.zone, Math.min(d.count, (rooms.get(b.zone) ?? 0) + times(need, b.free)));
-      }
-      const offered = new Set(offers(d.count).map((o) => o.zone));
-      let best = -1;
-      for (const z of [...new Set([...rooms.keys(), ...offered])].sort()) {
-        const n = rooms.get(z) ?? 0;
-        if ((n === d.count || offered.has(z)) && n > best) {
-          best = n;
-          zone = z;
-        }
-      }
-      if (best < 0) continue;
+  }
+
+  private pack({ job, count }: Demand): void {
+    const { input, bins } = this;
+    const need = room(job.spec);
+    const guards = guardsOf(input.companions, job);
+    const takes = (bin: Bin): boolean => this.takes(job, guards, need, bin);
+    const offers = (left: number): Offer[] =>
+      offersFor(job, input.types, left)
+        .filter((o) => !input.isRefused(o) && takes({ ...o, free: this.wholeRoom(o.type) }))
+        .sort((a, b) => Number(input.bootsSlowly(a)) - Number(input.bootsSlowly(b)));
+    let onlyZone: string | null = null;
+    if (job.spec.oneZone && count > 1) {
+      onlyZone = this.bestZone(count, need, takes, offers(count));
+      if (onlyZone === null) return;
     }
     // A job that must spread needs room in more than one zone, however much one of them has.
-    const cap = d.job.spec.spread ? Math.ceil(d.job.spec.tasks / 2) : Number.POSITIVE_INFINITY;
+    const maxInZone = job.spec.spread ? Math.ceil(job.spec.tasks / 2) : Number.POSITIVE_INFINITY;
     const inZone = new Map<string, number>();
-    const zoneOk = (z: string): boolean => (zone === null || z === zone) && (inZone.get(z) ?? 0) < cap;
+    const isZoneOpen = (zone: string): boolean =>
+      (onlyZone === null || zone === onlyZone) && (inZone.get(zone) ?? 0) < maxInZone;
     // A bin that can't take one of these tasks can't take a later one either.
     let at = 0;
-    for (let i = 0; i < d.count; i++) {
-      while (at < bins.length && !(zoneOk(bins[at]!.zone) && takes(d.job, guards, need, bins[at]!))) at++;
+    for (let task = 0; task < count; task++) {
+      while (at < bins.length && !(isZoneOpen(bins[at]!.zone) && takes(bins[at]!))) at++;
       let bin = bins[at];
       if (!bin) {
-        const offer = offers(d.count - i).find((o) => zoneOk(o.zone));
-        if (!offer) break;
-        bin = open(offer) ?? undefined;
+        const offer = offers(count - task).find((o) => isZoneOpen(o.zone));
+        bin = (offer && this.addMachine(offer)) ?? undefined;
         if (!bin) break;
       }
       add(bin.free, need, -1);
-      if (bin.id !== undefined) needed.add(bin.id);
+      if (bin.id !== undefined) this.needed.add(bin.id);
       inZone.set(bin.zone, (inZone.get(bin.zone) ?? 0) + 1);
     }
   }
-  return { rent: [...out.values()], needed };
-};
 
-/** Empty machines to give back: idle long enough, past what is charged anyway, and wanted by nobody. */
-export const returns = (idle: readonly Idle[], patience: (o: Idle) => Micros): string[] =>
-  idle.filter((m) => m.idleFor >= patience(m) && m.age >= seconds(55)).map((m) => m.id);
+  /** The zone that already has the most room for a job that needs one zone, or could get it; null: there is none. */
+  private bestZone(
+    count: number,
+    need: Room,
+    takes: (bin: Bin) => boolean,
+    offers: readonly Offer[],
+  ): string | null {
+    const rooms = new Map<string, number>();
+    for (const bin of this.bins) {
+      if (!takes(bin)) continue;
+      rooms.set(bin.zone, Math.min(count, (rooms.get(bin.zone) ?? 0) + times(need, bin.free)));
+    }
+    const offered = new Set(offers.map((o) => o.zone));
+    let best: string | null = null;
+    let most = -1;
+    for (const zone of [...new Set([...rooms.keys(), ...offered])].sort()) {
+      const fitting = rooms.get(zone) ?? 0;
+      if ((fitting === count || offered.has(zone)) && fitting > most) {
+        most = fitting;
+        best = zone;
+      }
+    }
+    return best;
+  }
+}
+
+/** What to rent for the demand, and which machines it counts on. */
+export const planRentals = (input: ScalingInput): ScalingPlan => new RentalPlanner(input).plan();
+
+/** A machine is charged for its first minute anyway, so it is not returned long before. */
+const MIN_AGE = seconds(55);
+
+/** Empty machines to return: idle for as long as `limit` says, and past what is charged anyway. */
+export const planReturns = (
+  idle: readonly IdleMachine[],
+  limit: (machine: IdleMachine) => Micros,
+): string[] => idle.filter((m) => m.idleFor >= limit(m) && m.age >= MIN_AGE).map((m) => m.id);
 
 /** Types of machine that some waiting work could use, were more of them there. */
-export const typesWanted = (types: readonly MachineType[], demand: readonly Demand[]): Set<string> =>
+export const wantedTypes = (types: readonly MachineType[], demand: readonly Demand[]): Set<string> =>
   new Set(
     types
       .filter((k) =>
--- a/packages/controller/test/late-answers.test.ts
+++ b/packages/controller/test/late-answers.test.ts
@@ -6,8 +6,8 @@
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { Effect } from 'effect';
 import { DataLossDetector } from '../src/recovery/data-loss-detector.js';
-import { countsFor } from '../src/provisioning/boot-tracker.js';
-import { awaitedOf } from '../src/provisioning/autoscaler.js';
+import { expectedShare } from '../src/provisioning/boot-tracker.js';
+import { pendingMachine } from '../src/provisioning/machine-health.js';
 import { JobState } from '../src/jobs/job-state.js';
 import { encodeJob } from '../src/jobs/codec.js';
 import { activeKey } from '../src/jobs/keys.js';
@@ -194,7 +194,7 @@
   for (let at = 10; at <= 80; at += 2) {
     const m = b.applyHeartbeat(report(1, at, TERM - 1), seconds(at))!;
     b.expireLeases(seconds(at), true);
-    counts.push(countsFor(awaitedOf(m, boot, seconds(at))));
+    counts.push(expectedShare(pendingMachine(m, boot, seconds(at))));
   }
   assert.equal(counts[0], 1);
   assert.ok(
--- a/packages/controller/test/meetings.test.ts
+++ b/packages/controller/test/meetings.test.ts
@@ -6,7 +6,7 @@
 import { test } from 'node:test';
 import { pack, unpack } from 'msgpackr';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
-import { isDeaf } from '../src/provisioning/autoscaler.js';
+import { isUnreachable } from '../src/provisioning/machine-health.js';
 import { JobState } from '../src/jobs/job-state.js';
 import { encodeJob } from '../src/jobs/codec.js';
 import { activeKey } from '../src/jobs/keys.js';
@@ -135,7 +135,7 @@
     this.commit(this.decide(at));
     for (const { machine, order } of registry.urgentOrders.splice(0)) this.w.order(this.term, machine, order);
     for (const m of registry.machines.values())
-      if (m.reported && (at > registry.leaseExpiry(m) + 40e6 || isDeaf(m, settings.workers, at)))
+      if (m.reported && (at > registry.leaseExpiry(m) + 40e6 || isUnreachable(m, settings.workers, at)))
         this.w.remove(m.id);
   }
 
--- a/packages/controller/test/provisioning.test.ts
+++ b/packages/controller/test/provisioning.test.ts
@@ -4,24 +4,24 @@
 import { readList } from '../src/provisioning/cloud.js';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import {
-  type Awaited,
+  type PendingMachine,
   BootTracker,
-  countsFor,
+  expectedShare,
   isOverdue,
-  roomOnTheWay,
+  pendingCapacity,
 } from '../src/provisioning/boot-tracker.js';
 import type { Offer } from '../src/provisioning/model.js';
 import {
-  type PlanInput,
+  type ScalingInput,
   type Rental,
-  rentals,
-  returns,
-  typesWanted,
+  planRentals,
+  planReturns,
+  wantedTypes,
 } from '../src/provisioning/scaling-plan.js';
 import type { Job, JobSpec } from '../src/jobs/model.js';
 import { job as anyJob } from './support/job.js';
 import { TYPES, worldSettings } from './support/settings.js';
-import { isMute } from '../src/provisioning/autoscaler.js';
+import { isSilent } from '../src/provisioning/machine-health.js';
 import { RentalRequests } from '../src/provisioning/rental-requests.js';
 import { JobState } from '../src/jobs/job-state.js';
 import type { Machine } from '../src/workers/machine.js';
@@ -29,18 +29,18 @@
 
 const job = (over: Partial<JobSpec> = {}): Job =>
   anyJob('job-1', { urgency: 1, cpus: 4, spot: false, ...over });
-const plan = (over: Partial<PlanInput>): Rental[] => full(over).rent;
-const full = (over: Partial<PlanInput>) =>
-  rentals({
+const plan = (over: Partial<ScalingInput>): Rental[] => full(over).rent;
+const full = (over: Partial<ScalingInput>) =>
+  planRentals({
     types: TYPES,
     bins: [],
     demand: [],
     companions: [],
     surplus: new Set(),
-    avoid: () => null,
-    refused: () => false,
-    late: () => false,
-    most: 40,
+    avoidedMachines: () => null,
+    isRefused: () => false,
+    bootsSlowly: () => false,
+    maxPerType: 40,
     ...over,
   });
 
@@ -49,7 +49,7 @@
     { type: 'c8', zone: 'a', spot: false, count: 3 },
   ]);
   const refused = (o: Offer) => o.zone === 'a';
-  assert.deepEqual(plan({ demand: [{ job: job(), count: 5 }], refused }), [
+  assert.deepEqual(plan({ demand: [{ job: job(), count: 5 }], isRefused: refused }), [
     { type: 'c8', zone: 'b', spot: false, count: 3 },
   ]);
   assert.deepEqual(plan({ demand: [{ job: job({ spot: true }), count: 1 }] })[0]?.spot, true);
@@ -95,7 +95,7 @@
 test('a gang of one zone gets its machines in one zone', () => {
   const got = plan({
     demand: [{ job: job({ oneZone: true, tasks: 5 }), count: 5 }],
-    refused: (o) => o.zone === 'a',
+    isRefused: (o) => o.zone === 'a',
   });
   assert.deepEqual(
     got.map((r) => [r.zone, r.count]),
@@ -122,7 +122,7 @@
   const demand = [{ job: job({ shape: 'gang', tasks: 2, cpus: 8, spread: true }), count: 2 }];
   const there = full({ demand, bins });
   assert.deepEqual([there.rent, [...there.needed]], [[], ['vm-1', 'vm-2']]);
-  const shunned = full({ demand, bins, avoid: () => new Set(['vm-2']) });
+  const shunned = full({ demand, bins, avoidedMachines: () => new Set(['vm-2']) });
   assert.deepEqual(
     [shunned.rent, [...shunned.needed]],
     [[{ type: 'c8', zone: 'b', spot: false, count: 1 }], ['vm-1']],
@@ -157,12 +157,12 @@
   });
   const list = [idle('m1', 50, 100), idle('m2', 10, 100), idle('m3', 50, 51)];
   assert.deepEqual(
-    returns(list, () => seconds(45) as Micros),
+    planReturns(list, () => seconds(45) as Micros),
     ['m1'],
   );
 });
 
-const on = (ageS: number, runningForS: number | null = null): Awaited => ({
+const on = (ageS: number, runningForS: number | null = null): PendingMachine => ({
   age: seconds(ageS),
   boot: seconds(30),
   runningFor: runningForS === null ? null : seconds(runningForS),
@@ -170,17 +170,17 @@
 
 // Work that "had" a machine on its way waited for it until it was given up after 150 s.
 test('a machine counts for less the longer it is overdue, and never is a second fleet rented for late ones', () => {
-  assert.deepEqual([on(0), on(45), on(75), on(105), on(400)].map(countsFor), [1, 1, 0.5, 0, 0]);
+  assert.deepEqual([on(0), on(45), on(75), on(105), on(400)].map(expectedShare), [1, 1, 0.5, 0, 0]);
   // Up early, as the cloud has it, and its worker silent; a new leader counts from when it first saw it so.
-  assert.deepEqual([on(200, 5), on(200, 25), on(200, 60)].map(countsFor), [1, 0.5, 0]);
+  assert.deepEqual([on(200, 5), on(200, 25), on(200, 60)].map(expectedShare), [1, 0.5, 0]);
   assert.deepEqual([on(45), on(46)].map(isOverdue), [false, true]);
   const all = (n: number, ageS: number) => Array.from({ length: n }, () => on(ageS));
   assert.deepEqual(
-    [20, 60, 75, 200].map((age) => roomOnTheWay(all(10, age))),
+    [20, 60, 75, 200].map((age) => pendingCapacity(all(10, age))),
     [10, 8, 5, 5],
   );
   assert.deepEqual(
-    [20, 74, 90].map((age) => roomOnTheWay(all(1, age))),
+    [20, 74, 90].map((age) => pendingCapacity(all(1, age))),
     [1, 1, 0],
   );
 });
@@ -189,17 +189,17 @@
   const boots = new BootTracker();
   const boot = seconds(30);
   const at = (s: number) => seconds(s) as Micros;
-  assert.equal(boots.late('c8|a', boot, 1, at(60)), false);
-  assert.equal(boots.late('c8|a', boot, 2, at(60)), true, 'none has come, and two should have');
-  for (const s of [40, 100, 110]) boots.came('c8|a', at(s), at(120));
-  assert.equal(boots.late('c8|a', boot, 0, at(130)), true);
-  assert.equal(boots.late('c8|b', boot, 0, at(130)), false);
-  assert.equal(boots.late('c8|a', boot, 0, at(500)), false, 'forgotten by and by');
-  assert.equal(boots.givenUpAfter('c8|b', boot, at(130)), at(150));
-  for (let i = 0; i < 3; i++) boots.came('c8|a', at(140), at(200));
-  assert.equal(boots.givenUpAfter('c8|a', boot, at(210)), at(210));
+  assert.equal(boots.bootsSlowly('c8|a', boot, 1, at(60)), false);
+  assert.equal(boots.bootsSlowly('c8|a', boot, 2, at(60)), true, 'none has come, and two should have');
+  for (const s of [40, 100, 110]) boots.recordBoot('c8|a', at(s), at(120));
+  assert.equal(boots.bootsSlowly('c8|a', boot, 0, at(130)), true);
+  assert.equal(boots.bootsSlowly('c8|b', boot, 0, at(130)), false);
+  assert.equal(boots.bootsSlowly('c8|a', boot, 0, at(500)), false, 'forgotten by and by');
+  assert.equal(boots.giveUpAfter('c8|b', boot, at(130)), at(150));
+  for (let i = 0; i < 3; i++) boots.recordBoot('c8|a', at(140), at(200));
+  assert.equal(boots.giveUpAfter('c8|a', boot, at(210)), at(210));
   const late = (o: Offer) => o.zone === 'a';
-  assert.deepEqual(plan({ demand: [{ job: job(), count: 3 }], late }), [
+  assert.deepEqual(plan({ demand: [{ job: job(), count: 3 }], bootsSlowly: late }), [
     { type: 'c8', zone: 'b', spot: false, count: 2 },
   ]);
   const only = { demand: [{ job: job({ zone: 'a' }), count: 3 }], late };
@@ -210,7 +210,7 @@
 // their way, and these were as late: on such a day next to nothing ever ran.
 test('a late machine is wanted while any waiting work could use its type', () => {
   const wanted = (...jobs: Job[]) => [
-    ...typesWanted(
+    ...wantedTypes(
       TYPES,
       jobs.map((j) => ({ job: j, count: 1 })),
     ),
@@ -258,23 +258,23 @@
   let n = 0;
   const name = () => `h-${++n}`;
   const hires = new RentalRequests(seconds(18), { rented: [], removed: [] }, 0 as Micros);
-  const first = hires.ask({ ...offer, count: 3 }, name, seconds(1));
+  const first = hires.requestFor({ ...offer, count: 3 }, name, seconds(1));
   assert.deepEqual(first, { ...offer, name: 'h-1', count: 3 });
-  assert.equal(hires.ask({ ...other, count: 1 }, name, seconds(2)).name, 'h-2');
-  assert.deepEqual(hires.ask({ ...offer, count: 2 }, name, seconds(5)), first, 'the very same');
-  const asked = hires.asked(seconds(6));
+  assert.equal(hires.requestFor({ ...other, count: 1 }, name, seconds(2)).name, 'h-2');
+  assert.deepEqual(hires.requestFor({ ...offer, count: 2 }, name, seconds(5)), first, 'the very same');
+  const asked = hires.unanswered(seconds(6));
   assert.deepEqual(asked.map((a) => [a.zone, a.count, a.age]), [['a', 3, 5e6], ['b', 1, 4e6]]); // prettier-ignore
-  hires.answered(first);
-  assert.equal(hires.ask({ ...offer, count: 2 }, name, seconds(7)).name, 'h-3');
+  hires.confirm(first);
+  assert.equal(hires.requestFor({ ...offer, count: 2 }, name, seconds(7)).name, 'h-3');
   assert.equal(
-    hires.ask({ ...other, count: 2 }, name, seconds(21)).name,
+    hires.requestFor({ ...other, count: 2 }, name, seconds(21)).name,
     'h-4',
     'the list would show it by now',
   );
   // It can't ask by these names: what may come is room on its way until the list would show it.
   const next = new RentalRequests(seconds(18), { rented: [], removed: [], asked }, seconds(100));
   const known = { ...offer, since: seconds(97) };
-  const zones = (at: Micros): string[] => next.mayCome([known], at).map((o) => o.zone);
+  const zones = (at: Micros): string[] => next.possibleArrivals([known], at).map((o) => o.zone);
   assert.deepEqual(zones(seconds(101)), ['a', 'a', 'b']);
   assert.deepEqual(zones(seconds(113.5)), ['b']);
   assert.deepEqual(zones(seconds(115)), []);
@@ -285,10 +285,10 @@
   const at = seconds(200);
   const up = (runningSince: Micros | null, over = {}): Machine =>
     ({ reported: false, confirmed: false, runningSince, unconfirmedSince: at, ...over }) as Machine;
-  assert.equal(isMute(up(seconds(120)), workers, at), true);
-  assert.equal(isMute(up(seconds(130)), workers, at), false, 'not before 40 s after `cancel_s`');
-  assert.equal(isMute(up(null), workers, at), false, 'it may boot still');
-  assert.equal(isMute(up(seconds(120), { reported: true }), workers, at), false);
+  assert.equal(isSilent(up(seconds(120)), workers, at), true);
+  assert.equal(isSilent(up(seconds(130)), workers, at), false, 'not before 40 s after `cancel_s`');
+  assert.equal(isSilent(up(null), workers, at), false, 'it may boot still');
+  assert.equal(isSilent(up(seconds(120), { reported: true }), workers, at), false);
 });
 
 test('a late answer to a rental does not bring back what is gone', () => {
--- a/packages/controller/test/wire-format.test.ts
+++ b/packages/controller/test/wire-format.test.ts
@@ -9,7 +9,7 @@
 import { Effect, Either } from 'effect';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { route, workOf } from '../src/api/handlers.js';
-import { Cloud } from '../src/provisioning/cloud.js';
+import { CloudClient } from '../src/provisioning/cloud.js';
 import { encodeJob, readSubmission } from '../src/jobs/codec.js';
 import { activeKey, finalKey } from '../src/jobs/keys.js';
 import { StateStore } from '../src/state-store/client.js';
@@ -140,7 +140,7 @@
     [200, '{}'],
   ] as const;
   const asked = await stub(answers, async (address) => {
-    const cloud = new Cloud(worldSettings('n0', { cloudAddress: address, cloud: { rps: 1e4, listLag: seconds(1) } })); // prettier-ignore
+    const cloud = new CloudClient(worldSettings('n0', { cloudAddress: address, cloud: { rps: 1e4, listLag: seconds(1) } })); // prettier-ignore
     const [kind] = await run(cloud.types());
     assert.deepEqual(Object.values(kind!), ['g8', 96, 8, 768, 200, 1.5, 12, 4.5, 45e6, ['a', 'b']]);
     assert.deepEqual(
@@ -152,8 +152,8 @@
       ],
     );
     const wanted = { name: 'r-17', type: 'g8', zone: 'a', spot: true, count: 12 };
-    assert.deepEqual(await run(cloud.hire(wanted, () => true)), ['vm-3']);
-    assert.equal(await run(cloud.hire(wanted, () => true)), null);
+    assert.deepEqual(await run(cloud.rent(wanted, () => true)), ['vm-3']);
+    assert.equal(await run(cloud.rent(wanted, () => true)), null);
     await run(cloud.remove(['vm-1', 'vm-2'], () => true));
   });
   const rent = 'POST /hosts {"hire":"r-17","hostKind":"g8","room":"a","borrowed":true,"howMany":12}';
--- a/packages/controller/test/worker-registry.test.ts
+++ b/packages/controller/test/worker-registry.test.ts
@@ -6,7 +6,7 @@
 import { encodeJob } from '../src/jobs/codec.js';
 import { activeKey } from '../src/jobs/keys.js';
 import { Contacts } from '../src/leadership/contacts.js';
-import { isDeaf } from '../src/provisioning/autoscaler.js';
+import { isUnreachable } from '../src/provisioning/machine-health.js';
 import { WorkerRegistry } from '../src/workers/worker-registry.js';
 import type { Heartbeat, ReportedTask } from '../src/workers/codec.js';
 import { heartbeatReceiver } from '../src/workers/heartbeat-handler.js';
@@ -180,7 +180,7 @@
   const { workers } = worldSettings('n0');
   const m = registry.machines.get('m')!;
   assert.deepEqual(
-    [70, 80].map((at) => isDeaf(m, workers, seconds(at))),
+    [70, 80].map((at) => isUnreachable(m, workers, seconds(at))),
     [false, true],
   );
 });
--- a/packages/simulation/src/world/cloud.ts
+++ b/packages/simulation/src/world/cloud.ts
@@ -32,7 +32,7 @@
   deleted: boolean;
 }
 
-type RentRequest = Parameters<CloudPort['hire']>[0];
+type RentRequest = Parameters<CloudPort['rent']>[0];
 
 /** What the cloud needs of the simulation around it. */
 export interface CloudOptions {
@@ -87,7 +87,7 @@
     return {
       types: () => this.call(() => TYPES as readonly MachineType[]),
       list: () => this.call(() => this.list()),
-      hire: (request, still) => this.hire(request, still),
+      rent: (request, still) => this.hire(request, still),
       remove: (ids, still) =>
         this.call(() => {
           if (!still()) return new CloudRefused({ status: 0, reason: 'no longer entitled' });
@@ -144,7 +144,7 @@
     }));
   }
 
-  private hire(request: RentRequest, still: () => boolean): ReturnType<CloudPort['hire']> {
+  private hire(request: RentRequest, still: () => boolean): ReturnType<CloudPort['rent']> {
     const { random, scenarios, time } = this.options;
     const way = scenarios()?.hires() ?? null;
     const rent = (): readonly string[] | null => this.rent(request, way);
--- a/packages/simulation/src/world/controllers.ts
+++ b/packages/simulation/src/world/controllers.ts
@@ -216,7 +216,7 @@
     return {
       types: () => host.gate(cloud.types()),
       list: () => host.gate(cloud.list()),
-      hire: (request, still) => host.gate(cloud.hire(request, still)),
+      rent: (request, still) => host.gate(cloud.rent(request, still)),
       remove: (ids, still) => host.gate(cloud.remove(ids, still)),
     };
   }
