--- a/packages/controller/test/answer-lost.test.ts
+++ b/packages/controller/test/answer-lost.test.ts
@@ -42,10 +42,10 @@
 import type { StateFailure, Write } from '../src/state-store/client.js';
 import { hintWriter } from '../src/state-store/hint.js';
 import type { StatePort } from '../src/state-store/port.js';
-import { body, calm, controller, fresh, HEAD, kept, S, Service, SETTINGS, Time } from './support/late-store.js'; // prettier-ignore
+import { body, faultFreeController, newController, newJob, HEAD, storedJob, S, Service, SETTINGS, VirtualTime } from './support/late-store.js'; // prettier-ignore
 import { Luck } from './support/random-source.js';
 
-type Calm = ReturnType<typeof calm>;
+type Calm = ReturnType<typeof faultFreeController>;
 const sets =
   (prefix: string) =>
   (then: readonly Write[]): boolean =>
@@ -85,8 +85,8 @@
     c.turn.registry.exits.set(JOB, ends);
     return commit(c.turn, []);
   });
-const one = { ...fresh(JOB).spec, tasks: 1 };
-const waiting = kept(fresh(JOB, { spec: one }));
+const one = { ...newJob(JOB).spec, tasks: 1 };
+const waiting = storedJob(newJob(JOB, { spec: one }));
 const times = (n: number, what: Effect.Effect<unknown, unknown>) =>
   Effect.repeat(what, { times: n - 1 }) as Effect.Effect<unknown, unknown>;
 const at = (n: number): Micros => micros(n * MINUTE);
@@ -153,7 +153,7 @@
   },
   {
     ...{ kind: 'closing of a tied job', match: sets(OCCURRENCE), key: OCCURRENCE },
-    more: [...calendarKeys, kept(fresh(JOB, { spec: { ...one, tie: 'c@1' }, withdrawn: true }))],
+    more: [...calendarKeys, storedJob(newJob(JOB, { spec: { ...one, tie: 'c@1' }, withdrawn: true }))],
     act: (c) => times(3, upkeep(c.turn)),
   },
   {
@@ -208,9 +208,9 @@
 /** Plays a row; `heard`: with no answer lost. */
 const play = (row: Row, heard: boolean) => {
   const told: JobEvidence[] = [];
-  const c = calm(row.more, (f) => Effect.sync(() => void told.push(f)));
+  const c = faultFreeController(row.more, (f) => Effect.sync(() => void told.push(f)));
   const { service, time, node } = c;
-  const other = controller(time, service, 1);
+  const other = newController(time, service, 1);
   c.go(other.watcher.refresh);
   let applied = 0;
   const transact = service.transact.bind(service);
@@ -222,7 +222,7 @@
   /** What the other one and then the sender say of the job while the sender waits for its answer. */
   const asked: unknown[] = [];
   let lost = 0;
-  service.unheard = (then) => {
+  service.losesAnswerTo = (then) => {
     if (heard || lost > 0 || !row.match(then)) return false;
     lost++;
     const ask = Effect.gen(function* () {
@@ -260,11 +260,11 @@
 
 test('a restore of which a part is carried out unheard goes on and ends', () => {
   const played = [0, 1, 2].map((n) => {
-    const time = new Time(1);
+    const time = new VirtualTime(1);
     const service = new Service(time, new Luck(1));
-    service.trouble = false;
+    service.isFaulty = false;
     let sent = 0;
-    service.unheard = () => ++sent === n;
+    service.losesAnswerTo = () => ++sent === n;
     let done: unknown;
     const limits = { txnOps: 3, valueBytes: 9000 };
     time.fork(
@@ -282,9 +282,9 @@
 
 /** Controllers that try for the lead, over a service with leases. */
 const elections = (keys: readonly Write[], labels: readonly string[], seed = 3) => {
-  const time = new Time(seed);
+  const time = new VirtualTime(seed);
   const service = new Service(time, new Luck(seed));
-  service.trouble = false;
+  service.isFaulty = false;
   service.transact([], keys);
   const leases = new Map<number, () => void>();
   let last = 0;
@@ -311,7 +311,7 @@
     return Effect.zipRight(Effect.sleep(900), Effect.fail(new NoAnswer({ reason: 'timeout' })));
   };
   const nodes = labels.map((label, who) => {
-    const { jobState, lossDetector, store, watcher } = controller(time, service, who);
+    const { jobState, lossDetector, store, watcher } = newController(time, service, who);
     const raw: StatePort = {
       ...service.port(who),
       grant: (ttl) => Effect.suspend(() => (ttls.set(++last, ttl), arm(last, ttl), reply('grant', last))),
@@ -353,7 +353,7 @@
     const { time, service, nodes, run } = elections(HEAD, ['n0', 'n1'], seed);
     const [first, second] = nodes as [(typeof nodes)[0], (typeof nodes)[0]];
     let lost = 0;
-    service.unheard = (then) => lost === 0 && sets(LEADER)(then) && ++lost === 1;
+    service.losesAnswerTo = (then) => lost === 0 && sets(LEADER)(then) && ++lost === 1;
     run(5);
     time.fork(first.leadership.run);
     for (let n = 0; n < 60 && second.jobState.leader === null; n++) run(0.05);
@@ -407,7 +407,7 @@
 test('the first incarnation, and one after a loss, carried out unheard are begun once', () => {
   const first = elections([], ['n0', 'n1']);
   let lost = 0;
-  first.service.unheard = (then) => lost === 0 && sets(FOUNDED)(then) && ++lost === 1;
+  first.service.losesAnswerTo = (then) => lost === 0 && sets(FOUNDED)(then) && ++lost === 1;
   for (const { leadership } of first.nodes)
     first.time.fork(Effect.ignore(leadership.foundStore).pipe(Effect.delay(500), Effect.forever));
   first.run(10);
@@ -418,7 +418,7 @@
   const [node] = again.nodes;
   again.run(5);
   lost = 0;
-  again.service.unheard = (then) => lost === 0 && sets(INCARNATION)(then) && ++lost === 1;
+  again.service.losesAnswerTo = (then) => lost === 0 && sets(INCARNATION)(then) && ++lost === 1;
   const outcomes: string[] = [];
   const refound = Effect.either(node!.leadership.refoundStore);
   again.time.fork(
@@ -437,9 +437,9 @@
 
 test('an acceptance or withdrawal whose answer was lost is told to the others before its user', () => {
   const told: JobEvidence[] = [];
-  const c = calm([], (f) => Effect.sync(() => void told.push(f)));
+  const c = faultFreeController([], (f) => Effect.sync(() => void told.push(f)));
   let lost = 0;
-  c.service.unheard = () => ++lost % 2 === 1;
+  c.service.losesAnswerTo = () => ++lost % 2 === 1;
   c.go(Effect.map(said(c.node.users.submit(submitted)), (s) => assert.deepEqual(s, [true, 'pending'])));
   c.go(Effect.map(said(c.node.users.withdraw(JOB)), (s) => assert.deepEqual(s, [true, 'aborted'])));
   const stamp = c.service.keys.get(ACTIVE + JOB)!.stamp;
--- a/packages/controller/test/draft.test.ts
+++ b/packages/controller/test/draft.test.ts
@@ -10,7 +10,7 @@
 import type { Start } from '../src/scheduler/model.js';
 import type { CycleContext } from '../src/scheduler/cycle-context.js';
 import type { Condition, Write } from '../src/state-store/client.js';
-import { calm, fresh, kept, SETTINGS } from './support/late-store.js';
+import { faultFreeController, newJob, storedJob, SETTINGS } from './support/late-store.js';
 import { Luck } from './support/random-source.js';
 
 type StateLimits = (typeof SETTINGS)['state'];
@@ -35,8 +35,8 @@
 }
 const jobOf = (id: number, most: number, luck: Luck): Job => {
   const gang = luck.int(4) === 0;
-  const spec = fresh(`job-${id}`).spec;
-  const job = fresh(`job-${id}`, {
+  const spec = newJob(`job-${id}`).spec;
+  const job = newJob(`job-${id}`, {
     spec: {
       ...spec,
       team: `team-${id % 80}`,
@@ -64,7 +64,7 @@
 
 /** The turn of a controller that leads, and every transaction that it sends. */
 const leading = (jobs: readonly Job[], state: StateLimits) => {
-  const c = calm(jobs.map(kept));
+  const c = faultFreeController(jobs.map(storedJob));
   const sent: Sent[] = [];
   const { store } = c.turn;
   const spy = Object.create(store) as typeof store;
@@ -160,7 +160,7 @@
 test('ends leave the accounts of their turn room in its first record, and starts go out in the same turn', () => {
   const state = { ...SETTINGS.state, valueBytes: 32_768, txnOps: 24 };
   const jobs = Array.from({ length: 150 }, (_, i) => {
-    const base = fresh(`job-${i + 1}`);
+    const base = newJob(`job-${i + 1}`);
     const job = {
       ...base,
       spec: { ...base.spec, team: `team-${i % 75}`, jobClass: `class-${i % 2}`, tasks: 200 },
@@ -188,7 +188,7 @@
 test('the first record holds the rows also where the first ends are too many to stand beside them', () => {
   const state = { ...SETTINGS.state, valueBytes: 32_768, txnOps: 24 };
   const jobs = Array.from({ length: 200 }, (_, i) => {
-    const base = fresh(`job-${i + 1}`);
+    const base = newJob(`job-${i + 1}`);
     const tasks = i === 0 ? 10_000 : 2;
     const job = { ...base, spec: { ...base.spec, team: `team-${i}`, jobClass: `class-${i}`, tasks } };
     const placed = i === 0 ? 4500 : 1;
--- a/packages/controller/test/fault-attribution.test.ts
+++ b/packages/controller/test/fault-attribution.test.ts
@@ -1,4 +1,4 @@
-/** Blame: a seeded fleet with faulty machines and jobs submitted with a mistake, tried as the scheduler would. */
+/** Fault attribution: a seeded cluster with faulty machines and jobs submitted with a mistake, retried as the scheduler would. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type Micros, plus, seconds } from '@lilacvalve/runtime/micros';
@@ -19,7 +19,7 @@
   readonly wrongly: Set<string>;
 }
 
-/** Every two seconds each job that may be tried runs one task somewhere; faulty machines are closed as blamed. */
+/** Every two seconds each job that may be tried runs one task somewhere; faulty machines are quarantined as found. */
 const play = (seed: number, faulty: number, broken: readonly Job[], good: readonly Job[]): Day => {
   const luck = new Luck(seed);
   const blame = new FaultAttribution(ZERO);
@@ -46,7 +46,7 @@
 };
 const jobs = (name: string, n: number): Job[] => Array.from({ length: n }, (_, i) => job(`${name}-${i}`));
 
-// Two broken jobs' first tries once closed a good machine for ever.
+// Two broken jobs' first tries once quarantined a good machine for ever.
 test('broken jobs and faulty machines together: each is found, none by mistake for long, good jobs get done', () => {
   let found = 0;
   for (let seed = 1; seed <= 40; seed++) {
@@ -63,7 +63,7 @@
   assert.ok(found > 40, `faulty machines blamed ${found} times of 120`);
 });
 
-test('blame is taken back when the jobs it rests on fail elsewhere too', () => {
+test('a quarantine is lifted when the jobs that failed there fail elsewhere too', () => {
   const blame = new FaultAttribution(ZERO);
   const [a, b] = [job('job-1'), job('job-2')];
   const suspect = (j: Job): boolean => blame.isSuspect(j, 0);
@@ -74,7 +74,7 @@
   assert.deepEqual([...blame.faultyMachines(seconds(9), suspect)], []);
 });
 
-test('a new leader knows from the records what looks broken, and does not begin with trying it', () => {
+test('a new leader knows suspects from the records, and does not begin with retrying them', () => {
   const known = job('job-1', { shape: 'gang' });
   known.failedOn.add('m1').add('m2');
   const blame = new FaultAttribution(seconds(100));
@@ -86,8 +86,8 @@
   assert.equal(blame.isSuspect(known, 0), false);
 });
 
-// No job is left waiting for 90 s beside room that it could use: one that looks broken may be sound.
-test('a job that looks broken is tried again within 75 s', () => {
+// No job is left waiting for 90 s beside room that it could use: a suspect may be sound.
+test('a suspect job is retried within 75 s', () => {
   const blame = new FaultAttribution(ZERO);
   const gang = job('job-2', { shape: 'gang' });
   blame.recordFailure(gang, 'm', 0, ZERO);
--- a/packages/controller/test/heartbeat-codec.test.ts
+++ b/packages/controller/test/heartbeat-codec.test.ts
@@ -1,4 +1,4 @@
-/** Reports as the leader reads them: one that repeats what its machine said is read less, and means the same. */
+/** Heartbeats as the leader decodes them: tasks that a machine repeats are not decoded again, and mean the same. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Micros } from '@lilacvalve/runtime/micros';
@@ -52,7 +52,7 @@
   return JSON.stringify({ ...head, pieces });
 };
 
-test('a report is read as if it were the first, whatever its machine and others have sent before', () => {
+test('a heartbeat is decoded as if it were the first, whatever its machine and others have sent before', () => {
   let again = 0;
   for (let seed = 1; seed <= 60; seed++) {
     const luck = new Luck(seed);
@@ -69,7 +69,7 @@
   assert.ok(again > 300, `only ${again} lists were known`);
 });
 
-test("odd reports get the protocol's answer, end nothing, and leave a count and a line", () => {
+test("malformed, stale and unknown heartbeats get the protocol's response, end nothing, and are counted and logged", () => {
   const running = job('job-1', { spot: false });
   running.placed.set(0, { task: 0, attempt: 2, machine: 'vm-1', since: 0 as Micros });
   const jobState = new JobState();
--- a/packages/controller/test/late-answers.test.ts
+++ b/packages/controller/test/late-answers.test.ts
@@ -1,4 +1,4 @@
-/** Guards on the way of a report and its answer: what is late, or was asked for before something else became known. */
+/** Guards on the way of a heartbeat and its response: what is late, or was asked for before something else became known. */
 import assert from 'node:assert/strict';
 import * as http from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -29,7 +29,7 @@
   j.placed.set(0, { task: 0, attempt: 1, machine: 'm', since: 0 as Micros });
   jobState.apply({ key: activeKey('job-1'), value: JSON.parse(JSON.stringify(encodeJob(j, 0))), stamp });
 };
-/** The leader's book: `job-1/0` is to be started on `m`. */
+/** The leader's registry: `job-1/0` is to be started on `m`. */
 const registry = (jobState = new JobState()): WorkerRegistry => {
   setJob(jobState, 1, false);
   return new WorkerRegistry(settings, jobState, TERM, 0 as Micros);
@@ -47,7 +47,7 @@
   tasks: [],
 });
 
-/** A leader whose reports wait for a turn until `turn` is called. */
+/** A leader whose responses wait for a scheduling cycle until `turn` is called. */
 const leader = (
   b: WorkerRegistry,
   lossDetector: Pick<DataLossDetector, 'heardToken' | 'suspected'> | null = null,
@@ -81,10 +81,10 @@
 };
 const STARTS = /"run".*"job-1\/0"/;
 
-test('a report that waited for a turn gets no start once a newer one is known, of its session or the next', () => {
+test('a heartbeat that waited for a cycle gets no start once a newer one is known, of its incarnation or the next', () => {
   for (const [first, second] of [
     [report(1, 1), report(1, 2)],
-    // The next session may count its reports as it likes: the same number says nothing.
+    // The next incarnation may number its heartbeats as it likes: the same number says nothing.
     [report(1, 7), report(2, 7)],
   ] as const) {
     const l = leader(registry());
@@ -97,7 +97,7 @@
   }
 });
 
-test('a report that waited for a turn is not answered once the reign is over, or another one', () => {
+test('a heartbeat that waited for a cycle is not answered once the term is over, or another one has begun', () => {
   for (const then of [null, TERM + 1]) {
     const l = leader(registry());
     const waits = l.take(report(1, 1));
@@ -111,22 +111,22 @@
   assert.match(waits.answers!.bodies[0]!, STARTS);
 });
 
-test('a copy of an old report proves a higher token all the same, also while the store is doubted', () => {
+test('a copy of an old heartbeat proves a higher fencing token, also while a loss is suspected', () => {
   for (const active of [false, true]) {
-    const heard: number[] = [];
-    const l = leader(registry(), { suspected: active, heardToken: (t) => void heard.push(t) });
+    const heardTokens: number[] = [];
+    const l = leader(registry(), { suspected: active, heardToken: (t) => void heardTokens.push(t) });
     l.take(report(2, 9));
     // Sent long before: its tasks, its session and what it lacks say nothing. That the token was given does.
     l.take(report(1, 3, 99));
     assert.deepEqual(
-      [l.deposedBy, heard],
+      [l.deposedBy, heardTokens],
       [
         [TERM, 99],
         [TERM, 99],
       ],
     );
   }
-  // A token of an earlier life of the store, in the first one that anybody knows of: it had data before.
+  // A token of an earlier incarnation of the store, in the first one that anybody knows of: it had data before.
   const lossDetector = new DataLossDetector(
     () => 0 as Micros,
     () => TERM,
@@ -139,10 +139,10 @@
   assert.equal(lossDetector.suspected, true);
 });
 
-test("the answer to a direct order is no report: a start in flight is not in it, and hasn't failed", async () => {
+test("the response to a direct order is no heartbeat: a start in flight is not in it, and hasn't failed", async () => {
   const jobState = new JobState();
   const b = registry(jobState);
-  // The leader answers a report with the start; it is on its way when the job is cancelled.
+  // The leader answers a heartbeat with the start; it is on its way when the job is cancelled.
   assert.equal(b.ordersFor(b.applyHeartbeat(report(1, 1), seconds(10))!)[0]?.op, 'start');
   setJob(jobState, 2, true);
   const answer = {
@@ -182,12 +182,12 @@
   assert.equal(got.length, 1);
   assert.match(got[0]!, /"stop"/);
   assert.deepEqual([m.sequence, b.exits.size], [tick, 0], 'nothing is concluded from it');
-  // Taken for a report, it would free the room of a task that begins when the answer arrives.
+  // Taken for a heartbeat, it would free the room of a task that starts when the response arrives.
   b.applyHeartbeat(readHeartbeat(Buffer.from(JSON.stringify(answer)))!, seconds(11));
   assert.deepEqual([...(b.exits.get('job-1')?.gone ?? [])], [0]);
 });
 
-test('a machine that reports and never shows the token counts as room on its way for 40 s, not for ever', () => {
+test('a machine that never shows the fencing token counts as pending capacity for 40 s, not for ever', () => {
   const b = registry();
   const boot = seconds(10);
   const counts: number[] = [];
@@ -201,7 +201,7 @@
     counts.some((c) => c > 0 && c < 1),
     'it counts for less and less',
   );
-  // 10 s are the first report's.
+  // 10 s are the first heartbeat's.
   assert.deepEqual(
     counts.slice(21).filter((c) => c > 0),
     [],
--- a/packages/controller/test/late-writes.test.ts
+++ b/packages/controller/test/late-writes.test.ts
@@ -34,22 +34,22 @@
 import { Luck } from './support/random-source.js';
 import {
   body,
-  calm,
-  controller,
-  fresh,
+  faultFreeController,
+  newController,
+  newJob,
   HEAD,
-  kept,
+  storedJob,
   rebuilding,
   S,
   Service,
   SETTINGS,
-  Time,
+  VirtualTime,
   wire,
 } from './support/late-store.js';
 
 /** One day, by its seed: users, controllers that lead in turn, and rules that are looked at with every commit. */
 const day = (seed: number) => {
-  const time = new Time(seed);
+  const time = new VirtualTime(seed);
   const luck = new Luck(seed);
   const service = new Service(time, luck);
   const must = (holds: boolean, what: string): void => {
@@ -133,7 +133,7 @@
   for (const j of packed) truth.set(j.spec.id, { tasks: 3, done: new Set([0]), placed: new Set() });
   service.transact([], [...HEAD, { set: 's/p/1-000000', value: wire(encodePack(packed)) }]);
 
-  const nodes = [controller(time, service, 0), controller(time, service, 1)];
+  const nodes = [newController(time, service, 0), newController(time, service, 1)];
   const any = () => nodes[luck.int(2)]!;
   const nap = (a: number, b: number) => Effect.suspend(() => Effect.sleep(luck.between(a, b) * 1000));
 
@@ -236,7 +236,7 @@
   time.after(36 * S + SETTINGS.workers.cancel + 9 * S, () => service.refused.clear());
   time.run(1e12 + 110 * S);
   must(answered > 0, 'nobody asked in the outage');
-  service.trouble = false;
+  service.isFaulty = false;
   time.run(1e12 + 170 * S);
   look();
   for (const n of nodes) must(!n.lossDetector.suspected, 'the store is doubted');
@@ -246,7 +246,7 @@
       must((told.get(id) === 'done') === (over.get(id) === 'done'), `${id}: what was told`);
   }
   assert.deepEqual(time.faults, []);
-  return service.late;
+  return service.lateOutcomes;
 };
 
 test('what is carried out late takes nothing back, starts nothing again and is applied once', () => {
@@ -271,7 +271,10 @@
 // A record hangs on the one before it. The first one has none: a copy of it, minutes late, found it folded and gone, and
 // came back as a record with a gap behind it, which a controller that reads anew takes for a loss.
 test('copies of the first record and of the first folding change nothing once others have followed', () => {
-  const { service, node, go, turn } = calm([kept(fresh('job-1')), kept(fresh('job-2'))]);
+  const { service, node, go, turn } = faultFreeController([
+    storedJob(newJob('job-1')),
+    storedJob(newJob('job-2')),
+  ]);
   for (const id of ['job-1', 'job-2']) {
     const gone = Effect.sync(() => turn.registry.exits.set(id, { done: new Set(), gone: new Set([0]), failed: new Set() })); // prettier-ignore
     for (let n = 0; n < 6; n++) go(Effect.zipRight(gone, commit(turn, [])));
@@ -288,7 +291,10 @@
 
 // Folding waits for its part of the budget, and writes a job's key as it was: cancelled, its last task still running.
 test('a cancelled job whose last task completes while its key is folded stays cancelled', () => {
-  const { service, node, go, turn } = calm([kept(fresh('job-1')), kept(fresh('job-2'))]);
+  const { service, node, go, turn } = faultFreeController([
+    storedJob(newJob('job-1')),
+    storedJob(newJob('job-2')),
+  ]);
   const one = [...Array(3).keys()];
   go(commit(turn, [{ job: node.jobState.jobs.get('job-1')!, attempt: 1, on: new Map([['m', one]]) }]));
   const ends = (id: string, done: number[], gone: number[]): void =>
@@ -320,9 +326,9 @@
 });
 
 test('a key that somebody has changed is no lost key when the read that would show it fails', () => {
-  const { service, node, go, turn } = calm([kept(fresh('job-1'))]);
-  service.transact([], [kept(fresh('job-1', { withdrawn: true }))]);
-  service.deaf = true;
+  const { service, node, go, turn } = faultFreeController([storedJob(newJob('job-1'))]);
+  service.transact([], [storedJob(newJob('job-1', { withdrawn: true }))]);
+  service.ignoresReads = true;
   go(commit(turn, [{ job: node.jobState.jobs.get('job-1')!, attempt: 1, on: new Map([['m', [0]]]) }]));
   assert.ok(!node.lossDetector.suspected && service.entries(RECORD).length === 0);
 });
@@ -331,14 +337,14 @@
 // view back, and a follow that was on its way went on from where it had been before: what lay between was never seen.
 test('a view never goes back, however long its reads take', () => {
   for (let seed = 1; seed <= 20; seed++) {
-    const time = new Time(seed);
+    const time = new VirtualTime(seed);
     const service = new Service(time, new Luck(seed));
     service.transact([], HEAD);
-    const { jobState, watcher, lossDetector } = controller(time, service);
+    const { jobState, watcher, lossDetector } = newController(time, service);
     let n = 0;
     let last = -1;
     const write = (): void => {
-      service.transact([], [kept(fresh(`job-${++n}`))]);
+      service.transact([], [storedJob(newJob(`job-${++n}`))]);
       if (n % 40 === 0) service.oldest = service.revision;
       if (n === 210) {
         // Another incarnation, and this node leaves its view: what it was reading is of the old one.
@@ -366,18 +372,18 @@
 // A job that nobody heard of remembered may be submitted again before its holder is heard.
 test('an acceptance that arrives after a rebuild has found the job changes nothing of it', () => {
   const state = { attempt: 4, done: new Set([0]), touched: 7 };
-  const known = fresh('job-1', state);
-  const { service, node, go, turn } = calm([
-    { set: 's/p/1-0', value: encodePack([known, fresh('job-2', { ...state, withdrawn: true })]) },
+  const known = newJob('job-1', state);
+  const { service, node, go, turn } = faultFreeController([
+    { set: 's/p/1-0', value: encodePack([known, newJob('job-2', { ...state, withdrawn: true })]) },
   ]);
-  service.transact([], [kept(fresh('job-1'))]);
+  service.transact([], [storedJob(newJob('job-1'))]);
   go(node.watcher.refresh);
   // The other one is over, and the pack is written anew.
   go(upkeep(turn));
   go(upkeep(turn));
   assert.equal(service.keys.has('s/j/z/job-2'), true);
   // Nor does a cancellation of the packed one that comes after its end.
-  assert.ok(!service.transact(asKnown('job-2', 0), [kept(fresh('job-2'))]).ok);
+  assert.ok(!service.transact(asKnown('job-2', 0), [storedJob(newJob('job-2'))]).ok);
   for (const c of [node.jobState, service.view()]) {
     const j = c.jobs.get('job-1')!;
     assert.deepEqual(
@@ -404,14 +410,14 @@
   go(rebuild({ ...r, store }, new Gathered()), 20);
   assert.ok(lost > 0 && !service.keys.has(REBUILD));
   service.transact([], [{ set: 's/a/now', value: 'newer' }]);
-  service.again();
+  service.replayAll();
   assert.equal(service.keys.get('s/a/now')!.value, 'newer');
 });
 
 test('a job that users may be cancelling by its ward comes back by a key of its own', () => {
   const { service, go, r } = rebuilding([{ set: wardKey('job-1'), value: { since: 0, tasks: 3 } }]);
   const g = new Gathered();
-  const job = fresh('job-1', { attempt: 4, done: new Set([0]), touched: 7 });
+  const job = newJob('job-1', { attempt: 4, done: new Set([0]), touched: 7 });
   g.take('n1', {
     heads: [],
     finals: [],
@@ -427,7 +433,7 @@
   const at = (n: number): Micros => micros(n * MINUTE);
   const pending = [1, 2].map((n) => ({ from: at(n - 1), to: at(n), rows: new Map() }));
   const [value] = encodeAccounts({ ...NO_ACCOUNTS, upTo: 5, closed: at(2), pending }, 9000);
-  const { service, node, go, turn } = calm([{ set: 's/a/now', value }]);
+  const { service, node, go, turn } = faultFreeController([{ set: 's/a/now', value }]);
   const shares = joinShares([['red', 'x', 7, 1, 0, 1]]);
   for (const p of pending) turn.ledger.closing.set(p.to, { open: new Map(), shares });
   const unheard = Effect.fail(new NoAnswer({ reason: 'timeout' }));
@@ -439,9 +445,9 @@
 });
 
 test('a restore that is over does not begin again', () => {
-  const time = new Time(1);
+  const time = new VirtualTime(1);
   const service = new Service(time, new Luck(1));
-  service.trouble = false;
+  service.isFaulty = false;
   const entries = new Map(
     ['s/a/now', 's/j/a/job-1', 's/types'].map((key) => [key, { key, value: 1, stamp: 1 }]),
   );
@@ -451,5 +457,5 @@
   assert.equal(service.entries(INCARNATION).length, 1);
   service.transact([], [{ set: 's/a/now', value: 2 }]);
   const before = JSON.stringify(service.entries('s/').map((e) => [e.key, e.value]));
-  assert.equal(service.again(), before);
+  assert.equal(service.replayAll(), before);
 });
--- a/packages/controller/test/meetings.test.ts
+++ b/packages/controller/test/meetings.test.ts
@@ -1,6 +1,6 @@
 /**
- * Leaders that follow one another over machines whose messages are lost, held and come again: the leader's book, the way
- * reports take to it, and what holds room, against workers as the protocol has them.
+ * Compound faults: leaders that follow one another over machines whose messages are lost, delayed and duplicated. The worker
+ * registry, the way of heartbeats to it, and what holds room, against workers as the protocol has them.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -33,7 +33,7 @@
 import { responseAt, relayHandler } from '../src/workers/heartbeat-relay.js';
 import { job as anyJob } from './support/job.js';
 import { Luck } from './support/random-source.js';
-import { type Ground, meet, type Piece, Time, Worker } from './support/machines.js';
+import { type WorkerWorld, noteFault, type TaskSpec, VirtualTime, Worker } from './support/machines.js';
 import { worldSettings } from './support/settings.js';
 
 const settings = worldSettings('n0');
@@ -73,13 +73,13 @@
       currentTerm: () => (this.mayAct() ? leaderTerm : null),
       depose: (token: number) => void (token > term && (this.over = true)),
     };
-    const desk = {
+    const service = {
       registry: this.registry,
       afterNextCycle: (then: () => void) => void this.waiting.push(then),
     };
     const receive = heartbeatReceiver(
       leadership,
-      () => desk,
+      () => service,
       () => w.time.now as Micros,
       new Contacts(settings),
       {
@@ -129,7 +129,7 @@
     for (const job of jobState.jobs.values()) {
       if (job.placed.size > 0 && (job.withdrawn || registry.isBrokenGang(job)))
         registry.stopRemainingTasks(job);
-      if (this.w.troubled && this.w.luck.chance(0.01))
+      if (this.w.isFaulty && this.w.luck.chance(0.01))
         for (const task of job.placed.keys()) registry.stop(job, task, 0 as Micros, at);
     }
     this.commit(this.decide(at));
@@ -192,7 +192,7 @@
       this.open();
     };
     // No answer for a while: it may be the next leader that acts on it.
-    const wait = w.troubled && w.luck.chance(0.1) ? w.luck.between(1e6, 3e6) : w.luck.between(1e3, 5e4);
+    const wait = w.isFaulty && w.luck.chance(0.1) ? w.luck.between(1e6, 3e6) : w.luck.between(1e3, 5e4);
     this.busy = true;
     w.time.after(wait, known);
   }
@@ -207,19 +207,19 @@
   }
 }
 
-class Cluster implements Ground {
-  readonly time = new Time();
+class Cluster implements WorkerWorld {
+  readonly time = new VirtualTime();
   readonly luck: Luck;
   readonly workers = new Map<string, Worker>();
-  readonly on = new Map<string, { machine: string; attempt: number }>();
+  readonly running = new Map<string, { machine: string; attempt: number }>();
   readonly finished = new Set<string>();
-  readonly broken: string[] = [];
+  readonly violations: string[] = [];
   readonly log: Written[] = [];
   term = 0;
-  troubled = true;
+  isFaulty = true;
   private seq = 0;
   private leads: Lead[] = [];
-  private readonly pieces = new Map<string, Piece>();
+  private readonly pieces = new Map<string, TaskSpec>();
   private readonly talksTo = new Map<Worker, Lead>();
   private readonly removed = new Map<string, Lead>();
   private readonly withdrawn = new Map<string, number>();
@@ -229,7 +229,7 @@
 
   constructor(
     seed: number,
-    readonly met: Map<string, number>,
+    readonly seenFaults: Map<string, number>,
   ) {
     this.luck = new Luck(seed);
     const { luck, time } = this;
@@ -256,16 +256,16 @@
           w.die();
           // Listed as failed before long, and deleted.
           time.after(luck.between(2e6, 3e7), () => this.remove(w.id));
-        } else w.deafUntil = luck.chance(0.2) ? END : time.now + luck.between(5e6, 6e7);
+        } else w.unreachableUntil = luck.chance(0.2) ? END : time.now + luck.between(5e6, 6e7);
       });
     time.after(TROUBLED, () => {
-      this.troubled = false;
+      this.isFaulty = false;
       for (let i = 0; i < MACHINES; i++) this.boot(`vm-1${i}`);
     });
     this.look();
   }
 
-  piece(key: string): Piece {
+  specOf(key: string): TaskSpec {
     return this.pieces.get(key.slice(0, key.indexOf('/')))!;
   }
 
@@ -276,7 +276,7 @@
   /** The cloud's answered delete, as the present leader sees it. */
   remove(id: string): void {
     const w = this.workers.get(id);
-    if (w?.alive && w.deaf) meet(this, 'deaf and returned');
+    if (w?.alive && w.isUnreachable) noteFault(this, 'unreachable and returned');
     w?.die();
     const lead = this.leads[this.leads.length - 1]!;
     lead.registry.removeMachine(id);
@@ -296,11 +296,11 @@
     const last = this.leads[this.leads.length - 1]!;
     // It ends, or stays without the state service for a while.
     if (this.luck.chance(0.5)) last.end();
-    else meet(this, 'two leaders answer');
+    else noteFault(this, 'two leaders answer');
     // Long tasks that nobody can answer to.
     for (const w of this.workers.values())
       if (this.luck.chance(0.25))
-        w.deafUntil = Math.max(w.deafUntil, this.time.now + this.luck.between(3e6, 3e7));
+        w.unreachableUntil = Math.max(w.unreachableUntil, this.time.now + this.luck.between(3e6, 3e7));
     this.time.after(this.luck.between(0, 1e6), () => this.elect());
   }
 
@@ -311,10 +311,11 @@
     for (const [id, c] of jobs)
       for (const t of [...(c.done ?? []), ...(c.gone ?? [])]) {
         const key = taskKey(id, t);
-        if ((this.told.get(key) ?? lead.term) < lead.term) meet(this, 'told to one, recorded by another');
+        if ((this.told.get(key) ?? lead.term) < lead.term)
+          noteFault(this, 'told to one, recorded by another');
         this.told.delete(key);
         const by = this.recorded.get(id) ?? new Set();
-        if (by.size > 0 && !by.has(lead.term)) meet(this, 'ends of one job in two terms');
+        if (by.size > 0 && !by.has(lead.term)) noteFault(this, 'ends of one job in two terms');
         this.recorded.set(id, by.add(lead.term));
       }
     return record;
@@ -325,9 +326,9 @@
     m: { id: string; incarnation: number },
     order: Parameters<typeof encodeOrders>[1][number],
   ): void {
-    const held = this.troubled && this.luck.chance(0.3) ? this.luck.between(1e6, 2e7) : 2e4;
+    const held = this.isFaulty && this.luck.chance(0.3) ? this.luck.between(1e6, 2e7) : 2e4;
     const body = encodeOrders(term, [order], m.incarnation);
-    this.time.after(held, () => this.workers.get(m.id)?.direct(body, held));
+    this.time.after(held, () => this.workers.get(m.id)?.receiveOrders(body, held));
   }
 
   deliver(body: string, worker: Worker, again: boolean, reply: (a: string | null) => void): void {
@@ -338,7 +339,7 @@
     if (!again) {
       const mine = this.talksTo.get(worker);
       if (mine !== undefined && !mine.over && this.luck.chance(0.95)) lead = mine;
-      if (worker.token === this.term) lead = there[there.length - 1]!;
+      if (worker.fencingToken === this.term) lead = there[there.length - 1]!;
       this.talksTo.set(worker, lead);
     }
     const v = JSON.parse(body) as {
@@ -348,9 +349,12 @@
     for (const p of v.pieces)
       if (p.status === 'ended')
         this.told.set(p.piece, Math.min(lead.term, this.told.get(p.piece) ?? lead.term));
-    if (again && v.tick < worker.tick) {
+    if (again && v.tick < worker.sequence) {
       const known = lead.registry.machines.get(worker.id)?.reported === true;
-      meet(this, known ? 'a copy' : worker.alive ? 'a copy first' : 'a copy from a machine that is gone');
+      noteFault(
+        this,
+        known ? 'a copy' : worker.alive ? 'a copy first' : 'a copy from a machine that is gone',
+      );
     }
     const read = (a: { status: number; body: Buffer | string }): void =>
       reply(a.status === 200 ? a.body.toString() : null);
@@ -365,13 +369,13 @@
 
   /** Rules, ten times a second. */
   private look(): void {
-    if (this.on.size > LIMIT) this.broken.push(`${this.on.size} tasks at once`);
+    if (this.running.size > LIMIT) this.violations.push(`${this.running.size} tasks at once`);
     for (const [id, lead] of this.removed)
-      if (lead.registry.machines.has(id)) this.broken.push(`${id} is back from the dead`);
-    for (const [key, { machine }] of this.on) {
+      if (lead.registry.machines.has(id)) this.violations.push(`${id} is back from the dead`);
+    for (const [key, { machine }] of this.running) {
       const at = this.withdrawn.get(key.slice(0, key.indexOf('/')));
       if (at !== undefined && this.time.now > at + settings.workers.cancel)
-        this.broken.push(`${key} on ${machine}, cancelled`);
+        this.violations.push(`${key} on ${machine}, cancelled`);
     }
     if (this.time.now < END) this.time.after(1e5, () => this.look());
   }
@@ -381,9 +385,10 @@
     const { jobState } = this.leads[this.leads.length - 1]!;
     for (const job of jobState.jobs.values()) {
       if (job.withdrawn ? job.placed.size > 0 : !isComplete(job))
-        this.broken.push(`${job.spec.id} is not over`);
+        this.violations.push(`${job.spec.id} is not over`);
       for (const t of job.done)
-        if (!this.finished.has(taskKey(job.spec.id, t))) this.broken.push(`${job.spec.id}/${t} is not done`);
+        if (!this.finished.has(taskKey(job.spec.id, t)))
+          this.violations.push(`${job.spec.id}/${t} is not done`);
     }
   }
 }
@@ -392,22 +397,22 @@
   'told to one, recorded by another',
   'ends of one job in two terms',
   'two leaders answer',
-  'deaf and lapsed',
-  'deaf and returned',
+  'unreachable and expired',
+  'unreachable and returned',
   'a copy',
   'a copy first',
   'a copy from a machine that is gone',
-  'order held and carried out',
+  'order delayed and carried out',
   'order of an old leader',
-  'order after its session',
+  'order after its incarnation',
 ];
 
-test('no rule breaks where reports, orders and leaders come late, twice or not at all', () => {
+test('no rule breaks where heartbeats, orders and leaders come late, twice or not at all', () => {
   const met = new Map<string, number>();
   for (let seed = 1; seed <= 60; seed++) {
     const c = new Cluster(seed, met);
     c.play();
-    assert.deepEqual(c.broken, [], `seed ${seed}`);
+    assert.deepEqual(c.violations, [], `seed ${seed}`);
   }
   for (const m of MEETINGS) assert.ok((met.get(m) ?? 0) >= 10, `${m}: ${met.get(m) ?? 0} times`);
 });
--- a/packages/controller/test/provisioning.test.ts
+++ b/packages/controller/test/provisioning.test.ts
@@ -57,7 +57,7 @@
   assert.deepEqual(plan({ demand: [{ job: job({ cpus: 99 }), count: 1 }] }), []);
 });
 
-test('room that is there or on its way is not rented again', () => {
+test('capacity that is there or pending is not rented again', () => {
   const bins = [{ type: 'c8', zone: 'a', spot: false, free: [8, 0, 32] as [number, number, number] }];
   assert.deepEqual(plan({ bins, demand: [{ job: job(), count: 2 }] }), []);
   assert.equal(plan({ bins, demand: [{ job: job(), count: 3 }] })[0]?.count, 1);
@@ -76,7 +76,7 @@
   assert.deepEqual(plan({ bins, demand, companions }), [{ type: 'c8', zone: 'a', spot: false, count: 1 }]);
 });
 
-test('a long queue that one type of machine serves leaves others their turn to rent', () => {
+test('a long queue for one type of machine does not keep others from renting', () => {
   // Guards against GPU jobs for which nothing was rented for a minute: thousands of small tasks before them
   // asked in vain for all machines of a step.
   const demand = [
@@ -122,9 +122,9 @@
   const demand = [{ job: job({ shape: 'gang', tasks: 2, cpus: 8, spread: true }), count: 2 }];
   const there = full({ demand, bins });
   assert.deepEqual([there.rent, [...there.needed]], [[], ['vm-1', 'vm-2']]);
-  const shunned = full({ demand, bins, avoidedMachines: () => new Set(['vm-2']) });
+  const avoided = full({ demand, bins, avoidedMachines: () => new Set(['vm-2']) });
   assert.deepEqual(
-    [shunned.rent, [...shunned.needed]],
+    [avoided.rent, [...avoided.needed]],
     [[{ type: 'c8', zone: 'b', spot: false, count: 1 }], ['vm-1']],
   );
 });
@@ -168,8 +168,8 @@
   runningFor: runningForS === null ? null : seconds(runningForS),
 });
 
-// Work that "had" a machine on its way waited for it until it was given up after 150 s.
-test('a machine counts for less the longer it is overdue, and never is a second fleet rented for late ones', () => {
+// Work that counted on a pending machine waited for it until it was given up after 150 s.
+test('a machine counts for less the longer it is overdue, and at most half of the late ones are rented again', () => {
   assert.deepEqual([on(0), on(45), on(75), on(105), on(400)].map(expectedShare), [1, 1, 0.5, 0, 0]);
   // Up early, as the cloud has it, and its worker silent; a new leader counts from when it first saw it so.
   assert.deepEqual([on(200, 5), on(200, 25), on(200, 60)].map(expectedShare), [1, 0.5, 0]);
@@ -202,7 +202,7 @@
   assert.deepEqual(plan({ demand: [{ job: job(), count: 3 }], bootsSlowly: late }), [
     { type: 'c8', zone: 'b', spot: false, count: 2 },
   ]);
-  const only = { demand: [{ job: job({ zone: 'a' }), count: 3 }], late };
+  const only = { demand: [{ job: job({ zone: 'a' }), count: 3 }], bootsSlowly: late };
   assert.equal(plan(only)[0]?.count, 2, 'better late than never');
 });
 
@@ -257,21 +257,21 @@
   const other = { ...offer, zone: 'b' };
   let n = 0;
   const name = () => `h-${++n}`;
-  const hires = new RentalRequests(seconds(18), { rented: [], removed: [] }, 0 as Micros);
-  const first = hires.requestFor({ ...offer, count: 3 }, name, seconds(1));
+  const requests = new RentalRequests(seconds(18), { rented: [], removed: [] }, 0 as Micros);
+  const first = requests.requestFor({ ...offer, count: 3 }, name, seconds(1));
   assert.deepEqual(first, { ...offer, name: 'h-1', count: 3 });
-  assert.equal(hires.requestFor({ ...other, count: 1 }, name, seconds(2)).name, 'h-2');
-  assert.deepEqual(hires.requestFor({ ...offer, count: 2 }, name, seconds(5)), first, 'the very same');
-  const asked = hires.unanswered(seconds(6));
+  assert.equal(requests.requestFor({ ...other, count: 1 }, name, seconds(2)).name, 'h-2');
+  assert.deepEqual(requests.requestFor({ ...offer, count: 2 }, name, seconds(5)), first, 'the very same');
+  const asked = requests.unanswered(seconds(6));
   assert.deepEqual(asked.map((a) => [a.zone, a.count, a.age]), [['a', 3, 5e6], ['b', 1, 4e6]]); // prettier-ignore
-  hires.confirm(first);
-  assert.equal(hires.requestFor({ ...offer, count: 2 }, name, seconds(7)).name, 'h-3');
+  requests.confirm(first);
+  assert.equal(requests.requestFor({ ...offer, count: 2 }, name, seconds(7)).name, 'h-3');
   assert.equal(
-    hires.requestFor({ ...other, count: 2 }, name, seconds(21)).name,
+    requests.requestFor({ ...other, count: 2 }, name, seconds(21)).name,
     'h-4',
     'the list would show it by now',
   );
-  // It can't ask by these names: what may come is room on its way until the list would show it.
+  // It can't ask by these names: what may come is pending capacity until the list would show it.
   const next = new RentalRequests(seconds(18), { rented: [], removed: [], asked }, seconds(100));
   const known = { ...offer, since: seconds(97) };
   const zones = (at: Micros): string[] => next.possibleArrivals([known], at).map((o) => o.zone);
@@ -280,7 +280,7 @@
   assert.deepEqual(zones(seconds(115)), []);
 });
 
-test('a machine that is up by the list and never reports is returned, and so is one that answers do not reach', () => {
+test('a machine that the list calls running and that never reports is returned', () => {
   const { workers } = worldSettings('n0');
   const at = seconds(200);
   const up = (runningSince: Micros | null, over = {}): Machine =>
--- a/packages/controller/test/support/late-store.ts
+++ b/packages/controller/test/support/late-store.ts
@@ -29,7 +29,7 @@
 export const silent = Logger.remove(Logger.defaultLogger);
 
 /** Virtual time, and one event after another. */
-export class Time {
+export class VirtualTime {
   now = 1e12;
   private order = 0;
   private due: { at: number; order: number; go: () => void }[] = [];
@@ -90,26 +90,26 @@
   readonly keys = new Map<string, { value: unknown; stamp: number }>();
   private readonly log: { key: string; value: unknown; stamp: number }[] = [];
   /** Of the late ones, by kind: how many found their conditions true, and how many did not. */
-  readonly late = new Map<string, [number, number]>();
-  trouble = true;
+  readonly lateOutcomes = new Map<string, [number, number]>();
+  isFaulty = true;
   /** Reads get no answer; reads of changes before this revision are refused. */
-  deaf = false;
+  ignoresReads = false;
   oldest = 0;
   /** Controllers that get 503. */
   readonly refused = new Set<number>();
   /** Whether this change is carried out at once and nothing is heard of it. */
-  unheard: (then: readonly Write[]) => boolean = () => false;
+  losesAnswerTo: (then: readonly Write[]) => boolean = () => false;
   /** All that was ever sent. */
   readonly sent: [Condition[], Write[]][] = [];
   /** Carries out whatever was sent once more, the latest last; what the store has then. */
-  again(): string {
+  replayAll(): string {
     for (const [when, then] of this.sent) this.transact(when, then);
     return JSON.stringify(this.entries('s/').map((e) => [e.key, e.value]));
   }
   onCommit: (key: string, value: unknown, by: number) => void = () => undefined;
 
   constructor(
-    private readonly time: Time,
+    private readonly time: VirtualTime,
     private readonly luck: Luck,
   ) {}
 
@@ -135,8 +135,8 @@
       const lost = new NoAnswer({ reason: 'timeout' });
       if (this.refused.has(who))
         time.after(2e3, () => resume(Effect.fail(new Refused({ status: 503, reason: 'trouble' }))));
-      else if (share < 0.2 && this.deaf) resume(Effect.fail(lost));
-      else if (!this.trouble || !luck.chance(share))
+      else if (share < 0.2 && this.ignoresReads) resume(Effect.fail(lost));
+      else if (!this.isFaulty || !luck.chance(share))
         time.after(luck.between(1e3, luck.chance(0.1) ? 0.9 * S : 8e3), () => resume(Effect.sync(go)));
       else if (luck.chance(0.15)) resume(Effect.fail(new Refused({ status: 503, reason: 'trouble' })));
       else {
@@ -157,7 +157,7 @@
       // As bytes: what the sender goes on to change does not change the request.
       const [w, t] = JSON.parse(JSON.stringify([when, then])) as [Condition[], Write[]];
       this.sent.push([w, t]);
-      if (this.unheard(t)) {
+      if (this.losesAnswerTo(t)) {
         this.transact(w, t, by);
         const lost = Effect.fail(new NoAnswer({ reason: 'timeout' }));
         return Effect.zipRight(Effect.sleep(limitMs), lost);
@@ -165,7 +165,7 @@
       const key = (x: Write): string => ('set' in x ? x.set : x.delete);
       const kind = [...new Set(t.map((x) => `${'set' in x ? '+' : '-'}${key(x).slice(0, 6)}`))].sort().join();
       // Its sender may have sent it before, and that copy is still on its way.
-      const before = this.trouble && key(t[0]!) !== TERM && this.luck.chance(0.1);
+      const before = this.isFaulty && key(t[0]!) !== TERM && this.luck.chance(0.1);
       return this.ask(
         who,
         () => {
@@ -175,9 +175,9 @@
         0.3,
         () => {
           const o = this.transact(w, t, by);
-          const n = this.late.get(kind) ?? [0, 0];
+          const n = this.lateOutcomes.get(kind) ?? [0, 0];
           n[o.ok ? 0 : 1]++;
-          this.late.set(kind, n);
+          this.lateOutcomes.set(kind, n);
         },
       );
     },
@@ -238,8 +238,8 @@
   );
 
 /** One controller: its view, and what users reach of it. */
-export const controller = (
-  time: Time,
+export const newController = (
+  time: VirtualTime,
   service: Service,
   who = 0,
   tell: (f: JobEvidence) => Effect.Effect<void> = () => Effect.void,
@@ -279,12 +279,15 @@
 };
 
 /** One controller that leads, and a store in which nothing goes wrong but what the test does. */
-export const calm = (more: readonly Write[] = [], tell?: (f: JobEvidence) => Effect.Effect<void>) => {
-  const time = new Time(1);
+export const faultFreeController = (
+  more: readonly Write[] = [],
+  tell?: (f: JobEvidence) => Effect.Effect<void>,
+) => {
+  const time = new VirtualTime(1);
   const service = new Service(time, new Luck(1));
-  service.trouble = false;
+  service.isFaulty = false;
   service.transact([], wire([...HEAD, ...more]) as Write[]);
-  const node = controller(time, service, 0, tell);
+  const node = newController(time, service, 0, tell);
   const go = (what: Effect.Effect<unknown, unknown>, forS = 10): void => {
     time.fork(what);
     time.run(time.now + forS * S);
@@ -293,15 +296,15 @@
   go(node.watcher.refresh);
   return { time, service, node, go, turn: node.leaderTerm(1, 1) };
 };
-export const fresh = (id: string, over: Partial<Job> = {}): Job => ({
+export const newJob = (id: string, over: Partial<Job> = {}): Job => ({
   ...job(id, { tasks: 3 }),
   stamp: 0,
   ...over,
 });
-export const kept = (j: Job): Write => ({ set: activeKey(j.spec.id), value: encodeJob(j, j.touched) });
+export const storedJob = (j: Job): Write => ({ set: activeKey(j.spec.id), value: encodeJob(j, j.touched) });
 
 export const rebuilding = (more: readonly Write[] = []) => {
-  const c = calm([{ set: REBUILD, value: { phase: 'gather', heard: [] } }, ...more]);
+  const c = faultFreeController([{ set: REBUILD, value: { phase: 'gather', heard: [] } }, ...more]);
   const { node, turn, time } = c;
   const nothing = { all: [], claims: () => [], finals: () => [], drop: () => undefined };
   const r: Rebuild = {
--- a/packages/controller/test/support/machines.ts
+++ b/packages/controller/test/support/machines.ts
@@ -1,6 +1,6 @@
 /**
- * Machines and their workers by the protocol, small: sessions, tokens, leases, gangs, one report in flight. Messages are
- * lost, held, and come again; what runs where is written down.
+ * A small model of machines and their workers by the protocol: incarnations, fencing tokens, leases, gangs, one heartbeat in
+ * flight. Messages are lost, delayed and duplicated; what runs where is recorded, and rules that don't hold.
  */
 import { seconds } from '@lilacvalve/runtime/micros';
 import type { Luck } from './random-source.js';
@@ -9,7 +9,7 @@
 const { report, lease, gangWait, gangPeer } = worldSettings('n0').workers;
 const TIMEOUT = seconds(4);
 
-export class Time {
+export class VirtualTime {
   now = 0;
   private readonly queue: { readonly at: number; readonly run: () => void }[] = [];
 
@@ -30,7 +30,7 @@
   }
 }
 
-export interface Piece {
+export interface TaskSpec {
   readonly id: string;
   readonly gang: number;
   readonly runs: number;
@@ -46,54 +46,56 @@
   readonly piece: string;
   readonly try: number;
 }
-export interface Ground {
-  readonly time: Time;
+export interface WorkerWorld {
+  readonly time: VirtualTime;
   readonly luck: Luck;
   readonly workers: Map<string, Worker>;
   /** Tasks on machines, by key. */
-  readonly on: Map<string, { readonly machine: string; readonly attempt: number }>;
+  readonly running: Map<string, { readonly machine: string; readonly attempt: number }>;
   readonly finished: Set<string>;
-  readonly broken: string[];
-  /** Meetings that have happened, by name. */
-  readonly met: Map<string, number>;
-  /** For how long messages are troubled; 0: not any more. */
-  troubled: boolean;
-  piece(key: string): Piece;
-  /** Puts a report before some controller that answers now; null: there is none. */
+  readonly violations: string[];
+  /** Combinations of faults that have happened, by name. */
+  readonly seenFaults: Map<string, number>;
+  /** Whether messages are lost, delayed and duplicated now. */
+  isFaulty: boolean;
+  specOf(key: string): TaskSpec;
+  /** Delivers a heartbeat to some controller that answers now; `reply` gets null if there is none. */
   deliver(body: string, worker: Worker, again: boolean, reply: (a: string | null) => void): void;
 }
-export const meet = (g: Ground, what: string): void => void g.met.set(what, (g.met.get(what) ?? 0) + 1);
+export const noteFault = (g: WorkerWorld, what: string): void =>
+  void g.seenFaults.set(what, (g.seenFaults.get(what) ?? 0) + 1);
 
 export class Worker {
-  tenure = 1;
-  tick = 0;
-  token = 0;
+  incarnation = 1;
+  sequence = 0;
+  fencingToken = 0;
   alive = true;
-  deafUntil = 0;
+  unreachableUntil = 0;
   private tasks: Task[] = [];
   private readonly reaped = new Set<string>();
   private leaseFrom: number;
-  private flying = false;
+  private inFlight = false;
 
   constructor(
     readonly id: string,
-    private readonly g: Ground,
+    private readonly g: WorkerWorld,
   ) {
     this.leaseFrom = g.time.now;
-    this.g.time.after(g.luck.between(0, report), () => this.send());
+    this.g.time.after(g.luck.between(0, report), () => this.sendHeartbeat());
     this.watchLease();
   }
 
-  get deaf(): boolean {
-    return this.g.time.now < this.deafUntil;
+  get isUnreachable(): boolean {
+    return this.g.time.now < this.unreachableUntil;
   }
 
   private watchLease(): void {
     if (!this.alive) return;
     if (this.g.time.now - this.leaseFrom > lease) {
-      if (this.deaf && this.tasks.some((t) => t.status === 'running')) meet(this.g, 'deaf and lapsed');
+      if (this.isUnreachable && this.tasks.some((t) => t.status === 'running'))
+        noteFault(this.g, 'unreachable and expired');
       this.clear();
-      this.tenure++;
+      this.incarnation++;
       this.leaseFrom = this.g.time.now;
     }
     this.g.time.after(100_000, () => this.watchLease());
@@ -114,8 +116,8 @@
     const was = t.status;
     t.status = 'ended';
     t.cause = cause;
-    if (this.g.on.get(t.key)?.machine === this.id) this.g.on.delete(t.key);
-    if (was === 'running' && cause !== 'done' && cause !== 'peers' && this.g.piece(t.key).gang > 0)
+    if (this.g.running.get(t.key)?.machine === this.id) this.g.running.delete(t.key);
+    if (was === 'running' && cause !== 'done' && cause !== 'peers' && this.g.specOf(t.key).gang > 0)
       for (const [w, x] of this.members(t))
         if (x.status === 'running') this.g.time.after(gangPeer, () => w.end(x, 'peers'));
   }
@@ -129,20 +131,20 @@
     );
   }
 
-  private ready(t: Task): void {
+  private fetched(t: Task): void {
     if (t.status !== 'fetching' || !this.tasks.includes(t)) return;
-    const there = this.g.on.get(t.key);
+    const there = this.g.running.get(t.key);
     if (there)
-      this.g.broken.push(
+      this.g.violations.push(
         `${t.key} on ${this.id} as ${t.attempt}, and on ${there.machine} as ${there.attempt}`,
       );
-    this.g.on.set(t.key, { machine: this.id, attempt: t.attempt });
-    const { gang, runs } = this.g.piece(t.key);
+    this.g.running.set(t.key, { machine: this.id, attempt: t.attempt });
+    const { gang, runs } = this.g.specOf(t.key);
     if (this.g.finished.has(t.key)) return this.end(t, 'done');
     if (gang === 0) {
       t.status = 'running';
-      const cause = this.g.troubled && this.g.luck.chance(0.15) ? 'error' : 'done';
-      return this.g.time.after(runs, () => this.over([[this, t]], cause));
+      const cause = this.g.isFaulty && this.g.luck.chance(0.15) ? 'error' : 'done';
+      return this.g.time.after(runs, () => this.complete([[this, t]], cause));
     }
     t.status = 'gathering';
     this.g.time.after(gangWait, () => t.status === 'gathering' && this.end(t, 'alone'));
@@ -150,11 +152,11 @@
     if (all.length < gang || all.some(([, x]) => x.status !== 'gathering')) return;
     for (const [, x] of all) x.status = 'running';
     this.g.time.after(runs, () => {
-      if (all.every(([, x]) => x.status === 'running')) this.over(all, 'done');
+      if (all.every(([, x]) => x.status === 'running')) this.complete(all, 'done');
     });
   }
 
-  private over(all: [Worker, Task][], cause: string): void {
+  private complete(all: [Worker, Task][], cause: string): void {
     for (const [w, x] of all) {
       if (x.status === 'ended') continue;
       if (cause === 'done') this.g.finished.add(x.key);
@@ -173,29 +175,32 @@
         this.reaped.add(`${t.key} ${t.attempt}`);
       } else if (!t) {
         if (this.reaped.has(`${o.piece} ${o.try}`))
-          this.g.broken.push(`${o.piece} again as ${o.try} after its reap`);
+          this.g.violations.push(`${o.piece} again as ${o.try} after its reap`);
         const busy = this.tasks.some((x) => x.key === o.piece && x.status !== 'ended');
         const task: Task = { key: o.piece, attempt: o.try, status: 'fetching' };
         this.tasks.push(task);
-        if (busy || (this.g.troubled && this.g.luck.chance(0.05)))
+        if (busy || (this.g.isFaulty && this.g.luck.chance(0.05)))
           this.end(task, busy ? 'in_use' : 'unknown');
-        else this.g.time.after(this.g.luck.between(1e5, 2e6), () => this.ready(task));
+        else this.g.time.after(this.g.luck.between(1e5, 2e6), () => this.fetched(task));
       }
     }
   }
 
-  /** A command at its address, held for so long. */
-  direct(body: string, held: number): void {
-    const v = JSON.parse(body) as { warrant: number; tenure: number; orders: Order[] };
-    if (!this.alive || this.deaf) return;
-    if (v.warrant < this.token || v.tenure !== this.tenure) {
+  /** Orders at its address, delayed by `held`. */
+  receiveOrders(heartbeatBody: string, held: number): void {
+    const v = JSON.parse(heartbeatBody) as { warrant: number; tenure: number; orders: Order[] };
+    if (!this.alive || this.isUnreachable) return;
+    if (v.warrant < this.fencingToken || v.tenure !== this.incarnation) {
       if (held > 1e6)
-        meet(this.g, v.tenure === this.tenure ? 'order of an old leader' : 'order after its session');
+        noteFault(
+          this.g,
+          v.tenure === this.incarnation ? 'order of an old leader' : 'order after its incarnation',
+        );
       return;
     }
-    if (held > 1e6) meet(this.g, 'order held and carried out');
-    this.token = v.warrant;
-    this.tick++;
+    if (held > 1e6) noteFault(this.g, 'order delayed and carried out');
+    this.fencingToken = v.warrant;
+    this.sequence++;
     this.execute(v.orders);
   }
 
@@ -206,40 +211,41 @@
       hostKind: 'c8',
       room: 'a',
       borrowed: false,
-      tenure: this.tenure,
-      tick: ++this.tick,
-      warrant: this.token,
+      tenure: this.incarnation,
+      tick: ++this.sequence,
+      warrant: this.fencingToken,
       recallS: null,
       pieces: this.tasks.map((t) => ({ piece: t.key, try: t.attempt, status: t.status, cause: t.cause })),
     });
   }
 
-  private send(): void {
+  private sendHeartbeat(): void {
     const { time, luck } = this.g;
-    if (!this.alive || this.flying) return;
-    this.flying = true;
+    if (!this.alive || this.inFlight) return;
+    this.inFlight = true;
     const sent = time.now;
-    const { tenure } = this;
+    const { incarnation: tenure } = this;
     const body = this.body();
     let open = true;
     const done = (answer: string | null): void => {
       if (!open) return;
       open = false;
-      this.flying = false;
-      const before = this.token;
+      this.inFlight = false;
+      const before = this.fencingToken;
       if (answer !== null) {
         const v = JSON.parse(answer) as { warrant: number; orders: Order[] };
-        if (v.warrant >= this.token && tenure === this.tenure) {
-          this.token = v.warrant;
+        if (v.warrant >= this.fencingToken && tenure === this.incarnation) {
+          this.fencingToken = v.warrant;
           this.leaseFrom = sent;
           this.execute(v.orders);
         }
       }
-      const next = answer === null ? 1e6 : this.token > before ? 5e5 : report * luck.between(0.75, 1.25);
-      time.after(next, () => this.send());
+      const next =
+        answer === null ? 1e6 : this.fencingToken > before ? 5e5 : report * luck.between(0.75, 1.25);
+      time.after(next, () => this.sendHeartbeat());
     };
     time.after(TIMEOUT, () => done(null));
-    const rough = this.g.troubled;
+    const rough = this.g.isFaulty;
     // A copy: from 2 s to well over a lease late.
     if (rough && luck.chance(0.15))
       time.after(luck.between(2e6, 40e6), () => this.g.deliver(body, this, true, () => undefined));
@@ -248,7 +254,7 @@
     const back = rough && luck.chance(0.06) ? luck.between(1e6, 5e6) : luck.between(1e3, 5e4);
     time.after(way, () =>
       this.g.deliver(body, this, false, (a) => {
-        if (this.deaf) return;
+        if (this.isUnreachable) return;
         time.after(back, () => this.alive && done(a));
       }),
     );
--- a/packages/controller/test/worker-registry.test.ts
+++ b/packages/controller/test/worker-registry.test.ts
@@ -1,4 +1,4 @@
-/** The leader's book: when a placement counts as gone. */
+/** The worker registry: when a placement counts as gone, and where starts go. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
@@ -13,8 +13,8 @@
 import { job } from './support/job.js';
 import { worldSettings } from './support/settings.js';
 
-// A machine the new leader had never heard of once lapsed without waiting for enough nodes to know the term.
-test('leases of unheard machines run out only after the new term is acknowledged', () => {
+// The lease of a machine that the new leader had never heard of expired before enough controllers knew the term.
+test('leases of machines never heard of expire only after the new term is acknowledged', () => {
   const jobState = new JobState();
   const zero = 0 as Micros;
   const started = job('job-1', { spot: false });
@@ -28,12 +28,12 @@
   const registry = new WorkerRegistry(worldSettings('n0'), jobState, 2, zero);
   assert.deepEqual(registry.expireLeases(seconds(100), false), []);
   assert.deepEqual(registry.expireLeases(seconds(101), true), []);
-  // Acknowledged at 101 s; older words count 3 s more, then the lease of 12 s with drift and margin.
+  // Acknowledged at 101 s; older leaders' responses count 3 s more, then the lease of 12 s with drift and margin.
   assert.deepEqual(registry.expireLeases(seconds(116), true), []);
   assert.deepEqual(registry.expireLeases(seconds(118), true), ['unheard']);
 });
 
-/** The book of a term in which `job-1/0` is placed on `m`. */
+/** The registry of a term in which `job-1/0` is placed on `m`. */
 const placed = (term: number, began = 0, withdrawn = false): WorkerRegistry => {
   const started = job('job-1', { spot: false });
   started.withdrawn = withdrawn;
@@ -65,10 +65,10 @@
       : [{ key: 'job-1/0', attempt: 1, status: 'running', cause: null, saved: false, ...over }],
 });
 
-// A late report of the session before was taken in first. An older leader had repeated the start in the new one, where it
+// A late heartbeat of the incarnation before was applied first. An older leader had repeated the start in the new one, where it
 // ran on while this leader started it elsewhere.
-test('a new session ends what ran in the one before, but not what it holds itself', () => {
-  const told = (token: number, holds: boolean): boolean => {
+test('a new incarnation ends what ran in the one before, but not what it holds itself', () => {
+  const endsTask = (token: number, holds: boolean): boolean => {
     const registry = placed(5);
     const report = (tenure: number, known: number, there: boolean) =>
       registry.applyHeartbeat(said(known, tenure, tenure, there ? {} : null), seconds(tenure));
@@ -76,15 +76,15 @@
     report(4, token, holds);
     return registry.hasObservedExit('job-1', 0);
   };
-  assert.equal(told(5, false), true);
-  assert.equal(told(5, true), false);
-  assert.equal(told(4, true), false);
-  // It may still come, in the older leader's answer.
-  assert.equal(told(4, false), false);
+  assert.equal(endsTask(5, false), true);
+  assert.equal(endsTask(5, true), false);
+  assert.equal(endsTask(4, true), false);
+  // It may still come, in the older leader's response.
+  assert.equal(endsTask(4, false), false);
 });
 
 // The new leader heard of an exit that the old one, which held on, had not heard of: it started the same attempt again in
-// the machine's next session, while the new one started the task elsewhere.
+// the worker's next incarnation, while the new one started the task elsewhere.
 test('an exit counts once no older leader can start that attempt again', () => {
   const exit = { status: 'exited', cause: 'unknown' } as const;
   const older = placed(4);
@@ -99,15 +99,15 @@
   };
   assert.equal(heard(4, 11), false);
   assert.equal(heard(5, 11), true);
-  // 10 s, the word of older leaders for 3 s more, a lease of 12 s, drift and margin.
+  // 10 s, older leaders' responses for 3 s more, a lease of 12 s, drift and margin.
   assert.deepEqual([heard(4, 25.9), heard(4, 26.1), heard(4, 99, false)], [false, true, false]);
   const done = placed(5, 9);
   done.applyHeartbeat(said(4, 3, 20, { status: 'exited', cause: 'done' }), seconds(11));
   assert.equal(done.hasObservedExit('job-1', 0), true);
 });
 
-// A leader that doubted the store for longer than a lease went on answering; then it counted all leases from before.
-test('leases count from what was answered during a doubt, and what came then is not taken for older', () => {
+// A leader that suspected a loss for longer than a lease went on answering; then it counted all leases from before.
+test('leases count from heartbeats answered while a loss is suspected, and those are not taken for stale', () => {
   let registry = placed(5);
   let at = 0;
   let suspected = true;
@@ -143,28 +143,28 @@
   assert.equal(registry.hasObservedExit('job-1', 0), false, 'an old copy');
   answered(said(5, 1, 31, { status: 'running' }), 32);
   assert.deepEqual(registry.expireLeases(seconds(60), true), ['m']);
-  // What users cancelled went on under leases renewed in doubt where the first stop had been lost.
+  // What users cancelled went on under leases renewed while a loss was suspected, where the first stop had been lost.
   suspected = true;
   registry = placed(5, 0, true);
   receive([said(5, 1, 1, { status: 'running' })], (a) =>
-    assert.match(a!.bodies[0]!, /"stop".*"job-1\/0"/, 'stopped in doubt too'),
+    assert.match(a!.bodies[0]!, /"stop".*"job-1\/0"/, 'stopped while a loss is suspected too'),
   );
-  // A hold started what others had told users is cancelled, for as long as it lasted.
+  // A leader under its read lease started what others had told users is cancelled, for as long as that lasted.
   suspected = false;
   registry = placed(5);
-  const told = (tick: number): string => {
+  const responseBody = (tick: number): string => {
     let body = '';
     receive([said(5, 1, tick, null)], (a) => (body = a!.bodies[0]!));
     return body;
   };
   starts = false;
-  assert.equal(told(2), '');
+  assert.equal(responseBody(2), '');
   starts = true;
-  assert.match(told(3), /"run".*"job-1\/0"/);
+  assert.match(responseBody(3), /"run".*"job-1\/0"/);
 });
 
-// A machine that reported, and that answers did not reach, held its job's place for as long as it went on.
-test('a machine that never shows the new token keeps no job waiting, and is returned', () => {
+// A machine whose heartbeats came and that responses did not reach held its job's place for as long as it went on.
+test('a machine that never shows the new fencing token keeps no job waiting, and is returned', () => {
   const registry = placed(5);
   let tick = 0;
   let freed = 0;
@@ -185,8 +185,8 @@
   );
 });
 
-// What a member said before another told that the gang is done stayed, and was recorded once more after its end.
-test('the end of a gang settles what its members had said before', () => {
+// An exit of a member observed before the gang's completion stayed, and was recorded once more after its end.
+test('the completion of a gang drops the exits of its members observed before', () => {
   const jobState = new JobState();
   const gang = job('job-1', { spot: false, shape: 'gang', tasks: 2 });
   gang.placed.set(0, { task: 0, attempt: 1, machine: 'm', since: 0 as Micros });
@@ -201,15 +201,15 @@
   assert.equal(registry.exits.size, 0);
 });
 
-// It looked the best place for whatever waited: empty, with a current report, and every start sent to it was lost.
-test('what answers in vain start on a machine goes elsewhere, and the machine gets nothing for a while', () => {
+// It looked the best place for whatever waited: empty, with a current heartbeat, and every start sent to it was lost.
+test('starts that never reach a worker go elsewhere, and its machine gets nothing for a while', () => {
   const registry = placed(5);
   const miss = (tick: number, at: number, there = false): boolean => {
     const m = registry.applyHeartbeat(said(5, 1, tick, there ? {} : null), seconds(at))!;
     registry.ordersFor(m);
     return registry.hasObservedExit('job-1', 0);
   };
-  // Held up together, nobody waited for the answers between them.
+  // Held up together, nobody waited for the responses between them.
   for (let tick = 1; tick < 9; tick++) assert.equal(miss(tick, 1 + tick / 10), false);
   assert.deepEqual([miss(9, 7), miss(10, 12), miss(11, 17)], [false, false, true]);
   const m = registry.machines.get('m')!;
