--- a/packages/controller/src/provisioning/cloud.ts
+++ b/packages/controller/src/provisioning/cloud.ts
@@ -40,6 +40,9 @@
   /** Deletes the machines; once this succeeds, they and everything on them are gone. */
   remove(ids: readonly string[], isEntitled: StillEntitled): Effect.Effect<void, CloudFailure>;
 }
+/** A failure's reason is cut to this length. */
+const REASON_BYTES = 200;
+
 /** Whether the caller may still act; asked when the call has waited for its share of the rate and is about to be sent. */
 export type StillEntitled = () => boolean;
 const ALWAYS: StillEntitled = () => true;
@@ -93,22 +96,22 @@
 };
 const text = (v: unknown): v is string => typeof v === 'string';
 /**
- * A page of the list; throws on anything else. Checked by hand: it names every machine, again and again, and a schema's
+ * A page of the list; throws `CloudAnswerMalformed` on anything else. Checked by hand: it names every machine, again and again, and a schema's
  * decoder takes ten times as long.
  */
 export const readList = (value: unknown): { readonly machines: ListedMachine[]; readonly more: boolean } => {
   const { hosts, more } = value as { hosts: unknown; more?: unknown };
   if (!Array.isArray(hosts) || (more !== undefined && more !== null && typeof more !== 'boolean'))
-    throw new Error('not a list');
+    throw new CloudAnswerMalformed({ reason: 'not a list' });
   const machines = (hosts as WireHost[]).map((h): ListedMachine => {
     const { id, hostKind: type, room: zone, heldS } = h;
     const addr = h.addr ?? '';
     const spot = h.borrowed ?? false;
     const status = text(h.status) ? STATUSES[h.status] : undefined;
     if (!text(id) || !text(addr) || !text(type) || !text(zone) || typeof spot !== 'boolean')
-      throw new Error(`not a machine: ${String(id)}`);
+      throw new CloudAnswerMalformed({ reason: `not a machine: ${String(id)}` });
     if (status === undefined || typeof heldS !== 'number' || !Number.isFinite(heldS))
-      throw new Error(`${id}: status or age`);
+      throw new CloudAnswerMalformed({ reason: `${id}: status or age` });
     return { id, addr, type, zone, spot, status, age: seconds(heldS) };
   });
   return { machines, more: more === true };
@@ -119,12 +122,14 @@
 const read = <A>(reply: Reply, decode: (value: unknown) => A): Effect.Effect<A, CloudAnswerMalformed> =>
   Effect.try({
     try: () => decode(JSON.parse(reply.body.toString())),
-    catch: (e) => new CloudAnswerMalformed({ reason: `unreadable: ${String(e).slice(0, 200)}` }),
+    catch: (e) =>
+      e instanceof CloudAnswerMalformed
+        ? e
+        : new CloudAnswerMalformed({ reason: `unreadable: ${String(e).slice(0, REASON_BYTES)}` }),
   });
 
 /** How the cloud says, with status 503, that it has no machine of the offer. */
 const NO_CAPACITY = 'no capacity';
-const REASON_BYTES = 200;
 
 const failureOf = ({ status, body }: Reply): CloudRefused | OutOfCapacity => {
   const reason = body.toString('utf8', 0, REASON_BYTES);
--- a/packages/controller/src/workers/worker-registry.ts
+++ b/packages/controller/src/workers/worker-registry.ts
@@ -205,15 +205,7 @@
     const startsFailed =
       machine.dispatched !== NONE_DISPATCHED && this.startConfirmation.failed(machine, elapsed, at);
     machine.dispatched = NONE_DISPATCHED;
-    for (const [key, placement] of placed ?? []) {
-      if (machine.tasks.has(key) || this.hasObservedExit(placement.job.spec.id, placement.task)) continue;
-      // Seen before and not there any more, or: never arrived, and only our own next response could still bring it.
-      const isGone =
-        startsFailed ||
-        machine.seenAttempts.get(key) === placement.attempt ||
-        !this.orders.isWanted(placement, machine);
-      if (machine.authoritative && isGone) this.observed.recordGone(placement.job, placement.task);
-    }
+    if (authoritative) this.recordMissing(machine, placed, startsFailed);
     const isEmpty = heartbeat.tasks.every((t) => t.status === 'exited') && (placed?.size ?? 0) === 0;
     if (!isEmpty) machine.emptySince = null;
     else machine.emptySince ??= at;
@@ -259,6 +251,24 @@
     }
   }
 
+  /** Records placed tasks as gone that an authoritative heartbeat lacks and that will not be there. */
+  private recordMissing(
+    machine: Machine,
+    placed: ReadonlyMap<string, PlacedTask> | undefined,
+    startsFailed: boolean,
+  ): void {
+    for (const [key, placement] of placed ?? []) {
+      if (machine.tasks.has(key) || this.hasObservedExit(placement.job.spec.id, placement.task)) continue;
+      // Seen before and not there any more, or: never arrived, and only our own next response could still bring it.
+      if (
+        startsFailed ||
+        machine.seenAttempts.get(key) === placement.attempt ||
+        !this.orders.isWanted(placement, machine)
+      )
+        this.observed.recordGone(placement.job, placement.task);
+    }
+  }
+
   private observeTasks(
     machine: Machine,
     tasks: readonly ReportedTask[],
