--- a/packages/controller/src/provisioning/autoscaler.ts
+++ b/packages/controller/src/provisioning/autoscaler.ts
@@ -3,30 +3,15 @@
 import { supervise } from '@lilacvalve/runtime/supervise';
 import { info } from '@lilacvalve/runtime/log';
 import { type Micros, plus, seconds } from '@lilacvalve/runtime/micros';
-import { dayOf } from '../calendar/duty.js';
-import { pressing } from '../calendar/slack.js';
 import type { CycleState, CycleContext } from '../scheduler/cycle-context.js';
 import type { Machine } from '../workers/machine.js';
-import {
-  BootTracker,
-  expectedShare,
-  isOverdue,
-  pendingCapacity,
-  type PendingMachine,
-} from './boot-tracker.js';
+import { bootKey, BootTracker, isOverdue, type PendingMachine } from './boot-tracker.js';
 import type { CloudFailure, CloudPort } from './cloud.js';
 import { isSilent, isUnreachable, pendingMachine, SILENT } from './machine-health.js';
-import { type MachineType, offerKey } from './model.js';
+import { offerKey } from './model.js';
 import { RentalRequests } from './rental-requests.js';
-import {
-  type Bin,
-  type Demand,
-  type IdleMachine,
-  planRentals,
-  planReturns,
-  type Rental,
-  wantedTypes,
-} from './scaling-plan.js';
+import { capacityOf, orderDemand, wholeRoom } from './scaling-input.js';
+import { type IdleMachine, planRentals, planReturns, type Rental, wantedTypes } from './scaling-plan.js';
 
 /** An offer refused for want of capacity is not asked for again for so long. */
 const REFUSED_FOR = seconds(12);
@@ -55,10 +40,6 @@
 const STEP_INTERVAL_MS = 800;
 const FAILURE_WAIT_MS = 1500;
 
-/** Boot times are learnt by type and zone, whatever the price. */
-const bootKey = (o: { readonly type: string; readonly zone: string }): string => `${o.type}|${o.zone}`;
-const roomOf = (type: MachineType): [number, number, number] => [type.cpus, type.gpus, type.memGb];
-
 /** Machines to return, by reason. */
 interface Returnable {
   readonly failed: string[];
@@ -350,14 +331,13 @@
     // Machines that are up report within a round or two of a new term.
     if (jobState.byMachine.size > 0 && termAge < settings.workers.report * 1.5 + 2e6) return null;
     const known = new Map(types().map((k) => [k.name, k]));
-    const { bins, pending, anySilent } = this.capacity(result.free, known, at);
-    const overdue = this.addPending(pending, known, bins);
+    const { bins, overdue, anySilent } = capacityOf(registry, result.free, known, at);
     if (anySilent && termAge < REPORTS_AWAITED) return null;
     for (const { type, zone, spot } of this.requests.possibleArrivals(registry.machines.values(), at)) {
       const k = known.get(type);
-      if (k) bins.push({ type, zone, spot, free: roomOf(k) });
+      if (k) bins.push({ type, zone, spot, free: wholeRoom(k) });
     }
-    const demand = this.demand(result.unplaced);
+    const demand = orderDemand(this.context, result.unplaced);
     const plan = planRentals({
       types: types(),
       bins,
@@ -375,73 +355,6 @@
     return plan.rent;
   }
 
-  /** Free room on machines that can be used, and the machines that are pending, by offer. */
-  private capacity(
-    free: ReadonlyMap<string, Bin['free']>,
-    types: ReadonlyMap<string, MachineType>,
-    at: Micros,
-  ): { bins: Bin[]; pending: Map<string, Pending[]>; anySilent: boolean } {
-    const { registry } = this.context;
-    const bins: Bin[] = [];
-    const pending = new Map<string, Pending[]>();
-    let anySilent = false;
-    for (const machine of registry.machines.values()) {
-      if (!types.has(machine.type) || machine.cordonReason !== null) continue;
-      if (machine.cloudStatus === 'failed' || machine.recallAt !== null) continue;
-      const { id, type, zone, spot } = machine;
-      const room = free.get(id);
-      if (registry.isSchedulable(machine, at) && room) bins.push({ id, type, zone, spot, free: room });
-      else if (!machine.reported || !machine.confirmed) {
-        if (machine.cloudStatus === 'running') anySilent = true;
-        const alike = pending.get(offerKey(machine));
-        const one = { machine, state: this.pending(machine, at) };
-        if (alike) alike.push(one);
-        else pending.set(offerKey(machine), [one]);
-      }
-    }
-    return { bins, pending, anySilent };
-  }
-
-  /** Adds what counts of the pending machines to `bins`; returns how many are overdue, by type and zone. */
-  private addPending(
-    pending: ReadonlyMap<string, Pending[]>,
-    types: ReadonlyMap<string, MachineType>,
-    bins: Bin[],
-  ): Map<string, number> {
-    const overdue = new Map<string, number>();
-    for (const alike of pending.values()) {
-      alike.sort((x, y) => expectedShare(y.state) - expectedShare(x.state));
-      const { type, zone, spot } = alike[0]!.machine;
-      const known = types.get(type)!;
-      for (const { machine } of alike.slice(0, pendingCapacity(alike.map((x) => x.state))))
-        bins.push({ id: machine.id, type, zone, spot, free: roomOf(known) });
-      const late = alike.filter((x) => isOverdue(x.state)).length;
-      const key = bootKey({ type, zone });
-      overdue.set(key, (overdue.get(key) ?? 0) + late);
-    }
-    return overdue;
-  }
-
-  /** What the cycle could not place, in the order in which it is worth a machine. */
-  private demand(unplaced: readonly Demand[]): Demand[] {
-    const { current, shown } = this.context.jobState.calendars;
-    const day = dayOf(this.context);
-    const classes = shown?.value ?? new Map<string, readonly number[]>();
-    return (
-      unplaced
-        .filter((u) => !u.job.withdrawn)
-        .map((u) => ({ u, by: pressing(u.job, current, day, classes) ?? Number.POSITIVE_INFINITY }))
-        // What would miss its cutoff is worth a machine sooner, by cutoff; the rest in the order of submission.
-        .sort(
-          (a, b) =>
-            b.u.job.spec.urgency - a.u.job.spec.urgency ||
-            (a.by === b.by ? 0 : a.by - b.by) ||
-            a.u.job.spec.submitted - b.u.job.spec.submitted,
-        )
-        .map(({ u }) => u)
-    );
-  }
-
   /**
    * A name is never used again: it carries the term, which only one controller ever holds, and the store's incarnation. A term
    * that a loss has taken and nobody remembers may come again, the time that its attempts begin at does not.
@@ -479,11 +392,6 @@
   }
 }
 
-interface Pending {
-  readonly machine: Machine;
-  readonly state: PendingMachine;
-}
-
 /** Runs for as long as the leader's session; failures of the cloud are logged and retried. */
 export const autoscaler = (
   context: CycleContext,
--- a/packages/controller/src/provisioning/boot-tracker.ts
+++ b/packages/controller/src/provisioning/boot-tracker.ts
@@ -56,7 +56,11 @@
   return Math.min(pending.length, Math.max(least, Math.round(sum)));
 };
 
-/** Boot times of what came up lately, by offer's type and zone. */
+/** Boot times are learnt by type and zone, whatever the price. */
+export const bootKey = (offer: { readonly type: string; readonly zone: string }): string =>
+  `${offer.type}|${offer.zone}`;
+
+/** Boot times of what came up lately, by `bootKey`. */
 export class BootTracker {
   private readonly boots = new Map<string, { at: Micros; took: Micros }[]>();
 
