--- a/packages/controller/src/accounts/upkeep.ts
+++ b/packages/controller/src/accounts/upkeep.ts
@@ -51,7 +51,7 @@
     const o = yield* transact(
       t,
       // A checkpoint of before must be the one that this state goes on from.
-      [{ key: ACCOUNTS, stamp: checkpoint.stamp }],
+      [{ key: ACCOUNTS, stamp: checkpoint.revision }],
       [...pageWrites(t, 'm', page), ...checkpointWrites(t, { ...accounts, pending })],
     );
     if (!o.ok) return true;
--- a/packages/controller/src/jobs/job-state.ts
+++ b/packages/controller/src/jobs/job-state.ts
@@ -1,6 +1,7 @@
 /**
- * The watch-fed view of the store on every node: jobs that are not over, the tail of log entries, the
- * term, the leader. Pure: changes go in, in revision order; nothing here talks to anybody.
+ * What a controller knows of the state service: jobs that are not over, the tail of the log, the term, the leader. A pure
+ * fold: changes go in by revision, whoever reads them (`store-watcher.ts`); nothing here does I/O. Every controller's view
+ * at a revision is the same.
  */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { decodeAccounts } from '../accounts/codec.js';
@@ -37,20 +38,14 @@
   LOG_ENTRIES,
   logEntryKey,
   RECOVERED,
+  STORE_STATUS,
   TERM,
   MACHINE_TYPES,
   ORPHANED_JOBS,
   IMAGE_WEIGHTS,
 } from './keys.js';
-import {
-  applyChange,
-  type LogEntry,
-  isComplete,
-  type Job,
-  type JobChange,
-  type Placement,
-  taskKey,
-} from './model.js';
+import { PlacementIndex, type PlacementsByMachine } from './placement-index.js';
+import { applyChange, type LogEntry, isComplete, type Job, type JobChange } from './model.js';
 
 const COMPLETIONS_KEPT = 1000;
 /** As it was accepted: nothing has become of it. */
@@ -63,6 +58,14 @@
   readonly lease: number;
 }
 
+/** The accounts as the store has them. */
+export interface Checkpoint {
+  /** The last log entry in them; 0: there is no checkpoint, or it is not read yet. */
+  readonly upTo: number;
+  /** Revision of its first value; 0: there is none. */
+  readonly revision: number;
+}
+
 /** From a loss until every controller's view is durable again. */
 export interface RebuildStatus {
   /** `gather`: views are being asked for. `write`: they are being written. `wait`: some have not been heard. */
@@ -72,6 +75,7 @@
   readonly revision: number;
 }
 
+/** One incarnation's content of the store as read so far; see the file's comment. */
 export class JobState {
   revision = -1;
   readonly jobs = new Map<string, Job>();
@@ -79,22 +83,21 @@
   /** The calendar of cutoffs, and what has become of their jobs. */
   readonly calendars = new Calendars();
   readonly logTail = new Map<number, LogEntry>();
-  /** See `placementsByMachine`; null: nobody has asked for it since it was let go. */
-  private placementIndex: Map<string, Map<string, Placement & { readonly job: Job }>> | null = null;
+  /** See `placementsByMachine`; null: nobody has asked for it since it was dropped. */
+  private placementIndex: PlacementIndex | null = null;
   lastSequence = 0;
   /** Time of day of the latest log entry. */
   lastAt = 0 as Micros;
   /** The accounts as far as anybody has asked for them; see `accounts`. */
   private accountsSoFar: Accounts = NO_ACCOUNTS;
-  /** The checkpoint that the store has: up to which log entry, and the revision of its first value; 0: none. */
-  checkpoint = { upTo: 0, stamp: 0 };
+  checkpoint: Checkpoint = { upTo: 0, revision: 0 };
   /** Its values as read so far, by part. */
   private accountParts: unknown[] = [];
   leader: LeaderEntry | null = null;
   leaderRevision = 0;
   term = 0;
   termRevision = 0;
-  /** Bumped when a job appears, is cancelled or is over: the leader's cue to run a cycle. */
+  /** Incremented when a job appears, is cancelled or is over: the leader's cue to run a cycle. */
   version = 0;
   /** The machine types as last written by a leader: a node that restarts while the cloud is down knows them. */
   types: unknown = null;
@@ -114,14 +117,14 @@
   private quiescentIncarnation: string | null = null;
   private recoveredIncarnation: string | null = null;
   /** Bundles of rebuilt jobs, and the bundle that still lists a job. */
-  readonly bundles = new Map<string, { readonly stamp: number; readonly ids: readonly string[] }>();
+  readonly bundles = new Map<string, { readonly revision: number; readonly ids: readonly string[] }>();
   readonly bundleOf = new Map<string, string>();
   /** Jobs whose own key says less than their bundle; see `setJob`. */
   private readonly newerInBundle = new Set<string>();
   /** Parts of the final states' pages; see `finalStatePageKey`. */
   readonly finalStateParts = new Set<string>();
   /** Jobs that only workers name. */
-  readonly orphanedJobs = new Map<string, OrphanedJob & { readonly stamp: number }>();
+  readonly orphanedJobs = new Map<string, OrphanedJob & { readonly revision: number }>();
   /** Keys whose value can't be read, with their revisions. */
   readonly damaged = new Map<string, number>();
   /** Revisions at which jobs came to their end, the latest ones: whether others have read that already. */
@@ -170,7 +173,7 @@
     this.lastSequence = 0;
     this.lastAt = 0 as Micros;
     this.accountsSoFar = NO_ACCOUNTS;
-    this.checkpoint = { upTo: 0, stamp: 0 };
+    this.checkpoint = { upTo: 0, revision: 0 };
     this.accountParts = [];
     this.revision = -1;
   }
@@ -182,7 +185,7 @@
     return last;
   }
 
-  /** Nothing that is not in this view can be running any more from before a loss. */
+  /** After a loss: nothing that this view lacks can be running any more. */
   get quiescent(): boolean {
     const i = this.incarnation;
     return i !== null && (i.generation === 0 || this.quiescentIncarnation === i.id);
@@ -192,17 +195,17 @@
   isRestored(id: string): boolean {
     if (this.rebuild === null || this.rebuild.phase === 'wait') return true;
     const born = this.incarnation?.stamp ?? 0;
-    const pack = this.bundleOf.get(id);
-    const stamp = Math.max(
+    const bundle = this.bundleOf.get(id);
+    const revision = Math.max(
       this.jobs.get(id)?.revision ?? 0,
-      pack === undefined ? 0 : this.bundles.get(pack)!.stamp,
+      bundle === undefined ? 0 : this.bundles.get(bundle)!.revision,
     );
-    return this.rebuild.phase === 'write' && stamp > born;
+    return this.rebuild.phase === 'write' && revision > born;
   }
 
   /**
-   * A key that can't be read, or is missing, and without which this view is not whole; null: there is none. What is from
-   * before the incarnation has been made good by its rebuild.
+   * The key of a value that can't be read, or of a log entry that is missing, without which this view is incomplete; null:
+   * there is none. What is from before the incarnation has been made good by its rebuild.
    */
   missingRecord(): string | null {
     const born = this.incarnation?.stamp ?? 0;
@@ -228,7 +231,7 @@
     return false;
   }
 
-  /** What is not in the store was never accepted. */
+  /** After a loss: all views have been read back, so that a job which is not in the store was never accepted. */
   get recovered(): boolean {
     return this.incarnation !== null && this.recoveredIncarnation === this.incarnation.id;
   }
@@ -249,64 +252,75 @@
     }
   }
 
-  private applyValue(c: Change): void {
-    const { key, value } = c;
-    if (key.startsWith(ACTIVE_JOBS)) {
-      const id = key.slice(ACTIVE_JOBS.length);
-      if (value === undefined) this.removeJob(id);
-      else this.setJob(id, decodeJob(id, value, c.stamp));
-    } else if (key.startsWith(LOG_ENTRIES)) {
-      if (value === undefined) {
-        const seq = Number(key.slice(LOG_ENTRIES.length));
-        // It goes once a checkpoint has it. Should that not have been read, it is folded before.
-        if (seq > this.accountsSoFar.upTo) void this.accounts;
-        this.logTail.delete(seq);
-      }
-      if (value !== undefined) this.readLogEntry(key, value, c.stamp);
-    } else if (key === ACCOUNTS || key.startsWith(ACCOUNTS_PART)) this.setAccounts(key, value, c.stamp);
+  /** Throws on a value that can't be read. */
+  private applyValue({ key, value, stamp }: Change): void {
+    if (key.startsWith(ACTIVE_JOBS)) this.applyJob(key.slice(ACTIVE_JOBS.length), value, stamp);
+    else if (key.startsWith(LOG_ENTRIES)) this.applyLogEntry(key, value, stamp);
+    else if (key === ACCOUNTS || key.startsWith(ACCOUNTS_PART)) this.setAccounts(key, value, stamp);
     else if (key.startsWith(FINAL_STATES)) {
       if (value !== undefined)
         this.finalStates.remember(key.slice(FINAL_STATES.length), decodeFinalState(value));
-    } else if (key.startsWith(JOB_BUNDLES)) this.setBundle(key, value, c.stamp);
+    } else if (key.startsWith(JOB_BUNDLES)) this.setBundle(key, value, stamp);
     else if (key.startsWith(FINAL_STATE_PAGES)) {
       if (value !== undefined)
         for (const [id, f] of decodeFinalStates(value)) this.finalStates.remember(id, f);
-    } else if (key.startsWith(INCARNATION)) {
+    } else if (key.startsWith(STORE_STATUS)) this.applyStoreStatus(key, value, stamp);
+    else if (key.startsWith(CALENDAR)) this.calendars.apply(key, value, stamp);
+    else this.applyLeaderKey(key, value, stamp);
+  }
+
+  private applyJob(id: string, value: unknown, revision: number): void {
+    if (value === undefined) this.removeJob(id);
+    else this.setJob(id, decodeJob(id, value, revision));
+  }
+
+  private applyLogEntry(key: string, value: unknown, revision: number): void {
+    const sequence = Number(key.slice(LOG_ENTRIES.length));
+    if (value === undefined) {
+      // It goes once a checkpoint has it. Should that not have been read, its amounts are added before.
+      if (sequence > this.accountsSoFar.upTo) void this.accounts;
+      this.logTail.delete(sequence);
+    } else if (!this.logTail.has(sequence)) this.appendLogEntry(decodeLogEntry(sequence, value, revision));
+  }
+
+  /** What the store says of itself: incarnations, how far a rebuild has come, jobs that only workers name. */
+  private applyStoreStatus(key: string, value: unknown, revision: number): void {
+    if (key.startsWith(INCARNATION)) {
       const id = key.slice(INCARNATION.length);
       if (value === undefined) this.incarnations.delete(id);
-      else this.incarnations.set(id, incarnationOf(id, value, c.stamp));
+      else this.incarnations.set(id, incarnationOf(id, value, revision));
       this.attemptFloor = floorOf(this.incarnation?.generation ?? 0);
     } else if (key.startsWith(FINAL_STATE_PARTS))
       this.finalStateParts.add(key.slice(FINAL_STATE_PARTS.length));
     else if (key.startsWith(ORPHANED_JOBS)) {
       const id = key.slice(ORPHANED_JOBS.length);
       if (value === undefined) this.orphanedJobs.delete(id);
-      else this.orphanedJobs.set(id, { ...(value as OrphanedJob), stamp: c.stamp });
-    } else if (key.startsWith(CALENDAR)) this.calendars.apply(key, value, c.stamp);
-    else if (key === REBUILD)
-      this.rebuild = value === undefined ? null : { ...(value as RebuildStatus), revision: c.stamp };
+      else this.orphanedJobs.set(id, { ...(value as OrphanedJob), revision });
+    } else if (key === REBUILD)
+      this.rebuild = value === undefined ? null : { ...(value as RebuildStatus), revision };
     else if (key === QUIESCENT) this.quiescentIncarnation = value === undefined ? null : (value as string);
     else if (key === RECOVERED) this.recoveredIncarnation = value === undefined ? null : (value as string);
-    else if (key === LEADER) {
+  }
+
+  /** The leader's own key, its term, and the hints that leaders leave to the next one. */
+  private applyLeaderKey(key: string, value: unknown, revision: number): void {
+    if (key === LEADER) {
       this.leader = value === undefined ? null : (value as LeaderEntry);
-      this.leaderRevision = c.stamp;
+      this.leaderRevision = revision;
       if (this.leader === null) this.onLeaderKeyDeleted();
-    } else if (key === MACHINE_TYPES) {
-      this.types = value ?? null;
-    } else if (key === LARGEST_JOBS) {
-      this.largest = value ?? null;
-    } else if (key === IMAGE_WEIGHTS) {
-      this.weights = decodeImageWeights(value);
-    } else if (key === TERM && value !== undefined) {
+    } else if (key === MACHINE_TYPES) this.types = value ?? null;
+    else if (key === LARGEST_JOBS) this.largest = value ?? null;
+    else if (key === IMAGE_WEIGHTS) this.weights = decodeImageWeights(value);
+    else if (key === TERM && value !== undefined) {
       const { term, a } = value as { term: unknown; a?: unknown };
       if (!Number.isSafeInteger(term)) throw new Error('the term is damaged');
       this.term = term as number;
       this.attemptBase = Number.isSafeInteger(a) ? (a as number) : 0;
-      this.termRevision = c.stamp;
+      this.termRevision = revision;
     }
   }
 
-  private setBundle(key: string, value: unknown, stamp: number): void {
+  private setBundle(key: string, value: unknown, revision: number): void {
     const jobs = value === undefined ? [] : decodeBundle(value);
     const listed = new Set(jobs.map((j) => j.spec.id));
     for (const id of this.bundles.get(key)?.ids ?? []) {
@@ -316,7 +330,7 @@
       if (this.jobs.get(id)?.revision === 0) this.removeJob(id);
     }
     if (value === undefined) this.bundles.delete(key);
-    else this.bundles.set(key, { stamp, ids: [...listed] });
+    else this.bundles.set(key, { revision, ids: [...listed] });
     for (const job of jobs) {
       this.bundleOf.set(job.spec.id, key);
       // A job with a key of its own has gone on since.
@@ -330,9 +344,9 @@
     const then: Write[] = [];
     const gone = new Set(ids);
     for (const key of new Set(ids.flatMap((id) => this.bundleOf.get(id) ?? []))) {
-      const pack = this.bundles.get(key)!;
-      when.push({ key, stamp: pack.stamp });
-      const rest = pack.ids.flatMap((id) => {
+      const bundle = this.bundles.get(key)!;
+      when.push({ key, stamp: bundle.revision });
+      const rest = bundle.ids.flatMap((id) => {
         const job = this.jobs.get(id);
         return job && !gone.has(id) && (job.revision === 0 || this.newerInBundle.has(id)) ? [job] : [];
       });
@@ -351,7 +365,7 @@
       return;
     }
     this.newerInBundle.delete(id);
-    if (old) this.unindexJob(old);
+    if (old) this.placementIndex?.removeJob(old);
     // What the key does not include yet stands in the tail.
     for (const r of this.logTail.values()) {
       if (r.sequence <= job.compactedTo) continue;
@@ -362,7 +376,7 @@
     // After a loss the log entries may be gone that these were started by.
     for (const p of job.placed.values()) this.lastAt = Math.max(this.lastAt, p.since) as Micros;
     this.jobs.set(id, job);
-    this.indexJob(job);
+    this.placementIndex?.addJob(job);
     if (!old || old.cancelled !== job.cancelled) this.jobsChanged();
   }
 
@@ -370,18 +384,12 @@
     const old = this.jobs.get(id);
     if (!old) return;
     this.newerInBundle.delete(id);
-    this.unindexJob(old);
+    this.placementIndex?.removeJob(old);
     this.jobs.delete(id);
     this.jobsChanged();
   }
 
-  private readLogEntry(key: string, value: unknown, stamp: number): void {
-    const seq = Number(key.slice(LOG_ENTRIES.length));
-    if (this.logTail.has(seq)) return;
-    this.appendLogEntry(decodeLogEntry(seq, value, stamp));
-  }
-
-  /** The accounts: the checkpoint, and the log entries after it. Folded when asked for: followers are not. */
+  /** The accounts: the checkpoint, and the log entries after it. Computed when asked for: followers never are. */
   get accounts(): Accounts {
     if (this.accountsSoFar.upTo < this.lastSequence) {
       const { upTo } = this.accountsSoFar;
@@ -395,10 +403,10 @@
   }
 
   /** Every node takes the accounts from the checkpoint on, so that all have the same. */
-  private setAccounts(key: string, value: unknown, stamp: number): void {
+  private setAccounts(key: string, value: unknown, revision: number): void {
     const part = key === ACCOUNTS ? 0 : Number(key.slice(ACCOUNTS_PART.length));
     this.accountParts[part] = value;
-    if (part === 0) this.checkpoint = { upTo: 0, stamp: value === undefined ? 0 : stamp };
+    if (part === 0) this.checkpoint = { upTo: 0, revision: value === undefined ? 0 : revision };
     const read = decodeAccounts(this.accountParts);
     if (read === null) return;
     this.checkpoint = { ...this.checkpoint, upTo: read.upTo };
@@ -416,13 +424,12 @@
     for (const [id, change] of record.jobs) {
       const job = this.jobs.get(id);
       if (!job || job.compactedTo >= record.sequence) continue;
-      this.unindexTasks(job, change.done);
-      this.unindexTasks(job, change.gone);
+      this.placementIndex?.remove(job, change.done);
+      this.placementIndex?.remove(job, change.gone);
       this.applyToJob(job, change, record);
-      if (change.start && this.placementIndex !== null) {
+      if (change.start && this.placementIndex !== null)
         for (const tasks of change.start.on.values())
-          for (const t of tasks) this.indexPlacement(this.placementIndex, job, job.placed.get(t)!);
-      }
+          for (const t of tasks) this.placementIndex.add(job, job.placed.get(t)!);
     }
   }
 
@@ -434,8 +441,8 @@
       job.cancelled = false;
   }
 
-  private noteCompletion(id: string, stamp: number): void {
-    this.recentlyCompleted.set(id, stamp);
+  private noteCompletion(id: string, revision: number): void {
+    this.recentlyCompleted.set(id, revision);
     if (this.recentlyCompleted.size <= COMPLETIONS_KEPT) return;
     for (const old of this.recentlyCompleted.keys()) {
       this.recentlyCompleted.delete(old);
@@ -447,46 +454,19 @@
    * Placements by machine: key `job/task`. Made when first asked for and then kept up with every change, which costs about
    * as much as all else that a log entry does here. Only a leader asks.
    */
-  get placementsByMachine(): ReadonlyMap<string, ReadonlyMap<string, Placement & { readonly job: Job }>> {
+  get placementsByMachine(): PlacementsByMachine {
     if (this.placementIndex === null) {
-      this.placementIndex = new Map();
-      for (const job of this.jobs.values()) this.indexJob(job);
+      this.placementIndex = new PlacementIndex();
+      for (const job of this.jobs.values()) this.placementIndex.addJob(job);
     }
-    return this.placementIndex;
+    return this.placementIndex.byMachine;
   }
 
-  /** Nobody here asks which machine has what any more. */
+  /** Frees the placement index: a controller that no longer leads doesn't ask for it. */
   dropPlacementIndex(): void {
     this.placementIndex = null;
   }
 
-  private indexJob(job: Job): void {
-    if (this.placementIndex !== null)
-      for (const p of job.placed.values()) this.indexPlacement(this.placementIndex, job, p);
-  }
-
-  private indexPlacement(machines: NonNullable<typeof this.placementIndex>, job: Job, p: Placement): void {
-    let on = machines.get(p.machine);
-    if (!on) machines.set(p.machine, (on = new Map()));
-    on.set(taskKey(job.spec.id, p.task), { ...p, job });
-  }
-
-  private unindexJob(job: Job): void {
-    if (this.placementIndex !== null) this.unindexTasks(job, [...job.placed.keys()]);
-  }
-
-  private unindexTasks(job: Job, tasks: readonly number[] | undefined): void {
-    const { placementIndex: machines } = this;
-    if (machines === null) return;
-    for (const t of tasks ?? []) {
-      const p = job.placed.get(t);
-      if (!p) continue;
-      const on = machines.get(p.machine);
-      on?.delete(taskKey(job.spec.id, t));
-      if (on?.size === 0) machines.delete(p.machine);
-    }
-  }
-
   private jobsChanged(): void {
     this.version++;
     this.onJobsChanged();
--- a/packages/controller/src/recovery/audit.ts
+++ b/packages/controller/src/recovery/audit.ts
@@ -32,7 +32,7 @@
   } else if (prefix === STORE_STATUS) {
     for (const i of jobState.incarnations.values()) out.push([INCARNATION + i.id, i.stamp]);
   } else if (prefix === CALENDAR) out.push(...jobState.calendars.keys());
-  else if (prefix === JOB_BUNDLES) for (const [key, p] of jobState.bundles) out.push([key, p.stamp]);
+  else if (prefix === JOB_BUNDLES) for (const [key, p] of jobState.bundles) out.push([key, p.revision]);
   else for (const [seq, r] of jobState.logTail) out.push([logEntryKey(seq), r.revision]);
   return out.sort((a, b) => (a[0] < b[0] ? -1 : 1));
 };
--- a/packages/controller/src/recovery/detection-task.ts
+++ b/packages/controller/src/recovery/detection-task.ts
@@ -65,7 +65,7 @@
   const out = new Map<string, string>();
   for (const [id, j] of c.jobs) out.set(`job ${id}`, `${j.revision} ${contentOf(j)}`);
   for (const [seq, r] of c.logTail) out.set(`record ${seq}`, String(r.revision));
-  for (const [key, p] of c.bundles) out.set(`pack ${key}`, String(p.stamp));
+  for (const [key, p] of c.bundles) out.set(`pack ${key}`, String(p.revision));
   for (const key of c.damaged.keys()) out.set(`damaged ${key}`, '');
   out.set('term', `${c.term} ${c.termRevision}`);
   out.set('leader', JSON.stringify(c.leader));
--- a/packages/controller/src/recovery/orphaned-jobs.ts
+++ b/packages/controller/src/recovery/orphaned-jobs.ts
@@ -50,7 +50,7 @@
       if (!old && (registry.unknownJobs.has(id) || !registry.allLapsed(t.clock()))) continue;
       // Nobody has submitted it again, or nothing of it is left.
       if (old) registry.givenUp.add(id);
-      if (yield* write([{ key: orphanedJobKey(id), stamp: w.stamp }], { delete: orphanedJobKey(id) }))
+      if (yield* write([{ key: orphanedJobKey(id), stamp: w.revision }], { delete: orphanedJobKey(id) }))
         yield* info('ward given up', {
           term: t.leaderTerm.number,
           job: id,
--- a/packages/controller/src/scheduler/commit.ts
+++ b/packages/controller/src/scheduler/commit.ts
@@ -18,7 +18,7 @@
 const isUnchanged = (t: CycleContext, key: string, when: readonly Condition[]): boolean => {
   const wanted = when.find((c) => c.key === key)?.stamp;
   if (wanted === undefined || wanted === 0) return false;
-  if (key === ACCOUNTS) return t.jobState.checkpoint.stamp === wanted;
+  if (key === ACCOUNTS) return t.jobState.checkpoint.revision === wanted;
   if (key.startsWith(ACTIVE_JOBS))
     return t.jobState.jobs.get(key.slice(ACTIVE_JOBS.length))?.revision === wanted;
   return (
@@ -51,7 +51,7 @@
   return before
     ? { key: logEntryKey(t.jobState.lastSequence), stamp: before.revision }
     : // Without one it hangs on the checkpoint: it goes with that at the earliest, and a late copy must not bring it back.
-      { key: ACCOUNTS, stamp: t.jobState.checkpoint.stamp };
+      { key: ACCOUNTS, stamp: t.jobState.checkpoint.revision };
 };
 
 const handleConflict = (t: CycleContext, failed: readonly string[], when: readonly Condition[]) =>
--- a/packages/controller/src/scheduler/upkeep.ts
+++ b/packages/controller/src/scheduler/upkeep.ts
@@ -77,7 +77,7 @@
     const ops = t.settings.state.txnOps;
     const { checkpoint, accounts } = t.jobState;
     // No log entry goes whose rows the checkpoint lacks. It is written once in so many log entries: the next ones can go by it.
-    const checked: Condition = { key: ACCOUNTS, stamp: checkpoint.stamp };
+    const checked: Condition = { key: ACCOUNTS, stamp: checkpoint.revision };
     const when: Condition[] = [{ key: TERM, stamp: t.leaderTerm.stamp }, checked];
     const then: Write[] = [];
     const jobs = new Set<Job>();
@@ -126,7 +126,7 @@
       read &&
       !outcome.ok &&
       outcome.failed.includes(ACCOUNTS) &&
-      t.jobState.checkpoint.stamp === checked.stamp
+      t.jobState.checkpoint.revision === checked.stamp
     )
       t.lossDetector.suspect('key lost', `${ACCOUNTS} is not as it was`);
   });
