--- a/packages/controller/src/accounts/booking.ts
+++ b/packages/controller/src/accounts/booking.ts
@@ -3,16 +3,16 @@
 import type { Job } from '../jobs/model.js';
 import { borrowedBy } from '../lending/loans.js';
 import type { CycleContext } from '../scheduler/cycle-context.js';
-import { openAt } from './ledger.js';
-import { wantsBound } from './fold.js';
-import { MINUTE, type Rows, type Spent } from './model.js';
-import { type Books, roomOf, Spending } from './spent.js';
+import { openPlacementsAt } from './ledger.js';
+import { needsCapacityBound } from './fold.js';
+import { MINUTE, type Rows, type Usage } from './model.js';
+import { type UsageSources, totalCapacity, UsageRows } from './usage-rows.js';
 
 /**
  * Whether a replica ran on lent capacity: loans are of the job, so they are taken to be of the replicas that were started last,
  * as many as what is lent when it ends suffices for.
  */
-export const onLentRoom = (job: Job, task: number): boolean => {
+export const onLentCapacity = (job: Job, task: number): boolean => {
   const borrowed = borrowedBy(job);
   const p = job.placed.get(task);
   if (borrowed === 0 || p === undefined) return false;
@@ -23,48 +23,52 @@
 };
 
 export class Booking {
-  readonly spending: Spending;
+  readonly usageRows: UsageRows;
   /** What stands open where a period ends, before the log entry's own ends and starts. */
   private open: Rows = new Map();
 
   constructor(
-    private readonly t: CycleContext,
+    private readonly context: CycleContext,
     readonly at: Micros,
   ) {
-    const { registry, leaderTerm, clock, dayTime } = t;
+    const { registry, leaderTerm, clock, dayTime } = context;
     const [now, day] = [clock(), dayTime()];
     const dayOf = (c: Micros): Micros => (day - (now - c)) as Micros;
-    const books: Books = {
+    const books: UsageSources = {
       phases: registry.phases,
       kindOf: (id) => registry.kindOf(id),
-      types: new Map(t.types().map((k) => [k.name, k])),
-      lent: onLentRoom,
-      reignFrom: dayOf(leaderTerm.began),
-      day: dayOf,
+      types: new Map(context.types().map((k) => [k.name, k])),
+      onLentCapacity: onLentCapacity,
+      termFrom: dayOf(leaderTerm.began),
+      dayTimeOf: dayOf,
     };
-    this.spending = new Spending(books, at);
+    this.usageRows = new UsageRows(books, at);
   }
 
   /** The log entry that says so is committed. */
-  committed(spent: Spent): void {
-    const { t } = this;
-    if (spent.closes === null) return;
-    t.ledger.closing.set(spent.closes, { open: this.open, shares: t.ledger.share.take(t.clock()) });
+  committed(usage: Usage): void {
+    const { context } = this;
+    if (usage.closes === null) return;
+    context.ledger.closing.set(usage.closes, {
+      open: this.open,
+      shares: context.ledger.share.take(context.clock()),
+    });
   }
 
   /** What the head of the log entry says. */
-  spent(): Spent {
-    const { t, at } = this;
-    const { accounts } = t.jobState;
+  usage(): Usage {
+    const { context, at } = this;
+    const { accounts } = context.jobState;
     const minute = (at - (at % MINUTE)) as Micros;
-    const types = new Map(t.types().map((k) => [k.name, k]));
+    const types = new Map(context.types().map((k) => [k.name, k]));
     const closes = minute > accounts.closed ? minute : null;
-    if (closes !== null) this.open = openAt(t.jobState, closes, (id) => t.registry.kindOf(id), types);
+    if (closes !== null)
+      this.open = openPlacementsAt(context.jobState, closes, (id) => context.registry.kindOf(id), types);
     return {
-      rows: this.spending.all(),
+      rows: this.usageRows.all(),
       closes,
-      bound: wantsBound(accounts)
-        ? { room: roomOf(t.registry.machines.values(), types), shut: t.jobState.quiescent }
+      bound: needsCapacityBound(accounts)
+        ? { room: totalCapacity(context.registry.machines.values(), types), shut: context.jobState.quiescent }
         : null,
     };
   }
--- a/packages/controller/src/accounts/codec.ts
+++ b/packages/controller/src/accounts/codec.ts
@@ -9,12 +9,12 @@
   groupKey,
   groupOf,
   MONEY,
-  NOTHING_SPENT,
+  NO_USAGE,
   type Period,
-  type RoomBound,
+  type CapacityBound,
   type Rows,
-  type Spent,
-  type SpentRow,
+  type Usage,
+  type UsageRow,
   SPLITS,
   UNITS,
   WIDTH,
@@ -31,31 +31,31 @@
   ...us: number[],
 ];
 /** The members of a log entry's header that are the accounts'. */
-export interface StoredSpent {
+export interface StoredUsage {
   readonly s?: readonly WireSpent[];
   readonly p?: number;
   readonly b?: readonly [...room: [number, number, number], shut: 0 | 1];
 }
 
-const wireRow = (r: SpentRow): WireSpent => {
+const wireRow = (r: UsageRow): WireSpent => {
   const us = [...r.us];
   while (us.length > 0 && us[us.length - 1] === 0) us.pop();
   return [...r.group, ...r.shape, r.rate, ...us];
 };
 /** Bytes of a row in a log entry, with the sign after it. */
-export const bytesOfRow = (r: SpentRow): number => JSON.stringify(wireRow(r)).length + 1;
+export const bytesOfRow = (r: UsageRow): number => JSON.stringify(wireRow(r)).length + 1;
 /** Bytes of a row in a log entry, at the most. */
 export const rowBytes = (group: Group): number => JSON.stringify(group).length + 130;
 
-export const encodeSpent = (s: Spent): StoredSpent => ({
+export const encodeUsage = (s: Usage): StoredUsage => ({
   ...(s.rows.length > 0 ? { s: s.rows.map(wireRow) } : {}),
   ...(s.closes === null ? {} : { p: s.closes }),
   ...(s.bound === null ? {} : { b: [...s.bound.room, s.bound.shut ? 1 : 0] as const }),
 });
 
 /** Throws on what `encodeSpent` can't have written. */
-export const decodeSpent = (v: StoredSpent): Spent => {
-  if (v.s === undefined && v.p === undefined && v.b === undefined) return NOTHING_SPENT;
+export const decodeUsage = (v: StoredUsage): Usage => {
+  if (v.s === undefined && v.p === undefined && v.b === undefined) return NO_USAGE;
   return {
     rows: (v.s ?? []).map(([team, jobClass, kind, cpus, gpus, mem, rate, ...us]) => {
       if (![cpus, gpus, mem, rate, ...us].every(Number.isSafeInteger)) throw new Error('not an account row');
@@ -130,7 +130,7 @@
   first: number,
   last: number,
   open: 0 | 1,
-  room: RoomBound | null,
+  room: CapacityBound | null,
 ];
 const encodeGap = (g: Gap): StoredGap => [g.why, g.from, g.to, ...g.seqs, g.open ? 1 : 0, g.room];
 const decodeGap = ([why, from, to, first, last, open, room]: StoredGap): Gap => ({
--- a/packages/controller/src/accounts/fold.ts
+++ b/packages/controller/src/accounts/fold.ts
@@ -12,10 +12,10 @@
   OTHERS,
   PENDING_KEPT,
   type Period,
-  type RoomBound,
+  type CapacityBound,
   type Rows,
-  type Spent,
-  type SpentRow,
+  type Usage,
+  type UsageRow,
   SPLITS,
   UNITS,
   WIDTH,
@@ -29,7 +29,7 @@
 const isNone = (a: Amounts): boolean => a.every((x) => x === 0n);
 
 /** Microseconds times units pass 2^53 within days: they are multiplied and kept as big integers. */
-export const amountsOf = (r: SpentRow): Amounts => {
+export const amountsOf = (r: UsageRow): Amounts => {
   const out = [...NONE];
   const each = [1n, ...r.shape.map(BigInt)];
   let placed = 0n;
@@ -43,7 +43,7 @@
   return out;
 };
 
-const into = (rows: Map<string, Amounts>, key: string, a: Amounts): void => {
+const addTo = (rows: Map<string, Amounts>, key: string, a: Amounts): void => {
   const old = rows.get(key);
   rows.set(key, old === undefined ? a : addAmounts(old, a));
 };
@@ -51,11 +51,11 @@
 export const joinRows = (...all: readonly Rows[]): Rows => {
   const [first, ...rest] = all;
   const out = new Map(first);
-  for (const rows of rest) for (const [key, a] of rows) into(out, key, a);
+  for (const rows of rest) for (const [key, a] of rows) addTo(out, key, a);
   return out;
 };
 /** `a` without `b`; groups of which nothing is left are left out. */
-export const lessRows = (a: Rows, b: Rows): Rows => {
+export const subtractRows = (a: Rows, b: Rows): Rows => {
   const out = new Map(a);
   for (const [key, x] of b) out.set(key, subtract(out.get(key) ?? NONE, x));
   for (const [key, x] of out) if (isNone(x)) out.delete(key);
@@ -80,7 +80,7 @@
       const joined = groupKey(to(groupOf(key)));
       if (joined === key) continue;
       out.delete(key);
-      into(out, joined, a);
+      addTo(out, joined, a);
     }
     return out;
   };
@@ -95,7 +95,7 @@
   return out;
 };
 
-const wider = (a: RoomBound | null, b: RoomBound): RoomBound =>
+const maxBound = (a: CapacityBound | null, b: CapacityBound): CapacityBound =>
   a === null ? b : [Math.max(a[0], b[0]), Math.max(a[1], b[1]), Math.max(a[2], b[2])];
 
 export const addGap = (gaps: readonly Gap[], gap: Gap): readonly Gap[] => {
@@ -107,22 +107,22 @@
     from: Math.min(a.from, b.from) as Micros,
     to: Math.max(a.to, b.to) as Micros,
     seqs: [Math.min(a.seqs[0], b.seqs[0]), Math.max(a.seqs[1], b.seqs[1])],
-    room: a.room !== null && b.room !== null ? wider(a.room, b.room) : (a.room ?? b.room),
+    room: a.room !== null && b.room !== null ? maxBound(a.room, b.room) : (a.room ?? b.room),
     open: a.open || b.open,
   };
   return [joined, ...rest];
 };
 
 /** Whether a log entry should say how much room there is (`Spent.bound`). */
-export const wantsBound = (a: Accounts): boolean => a.gaps.some((g) => g.open || g.room === null);
+export const needsCapacityBound = (a: Accounts): boolean => a.gaps.some((g) => g.open || g.room === null);
 
-const bounded = (gaps: readonly Gap[], at: Micros, bound: Spent['bound']): readonly Gap[] =>
+const boundGaps = (gaps: readonly Gap[], at: Micros, bound: Usage['bound']): readonly Gap[] =>
   gaps.map((g) => {
     if (!g.open && (g.room !== null || bound === null)) return g;
     return {
       ...g,
       to: g.open ? (Math.max(g.to, at) as Micros) : g.to,
-      room: bound === null ? g.room : g.open || g.room === null ? wider(g.room, bound.room) : g.room,
+      room: bound === null ? g.room : g.open || g.room === null ? maxBound(g.room, bound.room) : g.room,
       open: g.open && bound?.shut !== true,
     };
   });
@@ -135,7 +135,7 @@
 };
 
 /** The accounts with one log entry more. `at`: its time of day; 0: it has none. Log entries already in them change nothing. */
-export const fold = (a: Accounts, seq: number, at: Micros, spent: Spent): Accounts => {
+export const foldLogEntry = (a: Accounts, seq: number, at: Micros, usage: Usage): Accounts => {
   if (seq <= a.upTo) return a;
   let { gaps, pending, current, closed } = a;
   const now = at === 0 ? a.at : at;
@@ -148,28 +148,28 @@
   else {
     // What can't be read ends where the next log entry begins to be.
     gaps = gaps.map((g) => (g.why === 'untimed' && g.open ? { ...g, to: at, open: false } : g));
-    gaps = bounded(gaps, at, spent.bound);
+    gaps = boundGaps(gaps, at, usage.bound);
   }
-  if (spent.closes !== null && spent.closes > closed) {
-    pending = addPending(pending, { from: closed, to: spent.closes, rows: current });
+  if (usage.closes !== null && usage.closes > closed) {
+    pending = addPending(pending, { from: closed, to: usage.closes, rows: current });
     current = new Map();
-    closed = spent.closes;
+    closed = usage.closes;
   }
-  const { rows: spentRows } = spent;
-  if (spentRows.length === 0) return { ...a, upTo: seq, at: now, gaps, pending, current, closed };
+  const { rows: usageRows } = usage;
+  if (usageRows.length === 0) return { ...a, upTo: seq, at: now, gaps, pending, current, closed };
   const rows = new Map(a.rows);
   const cur = new Map(current);
-  for (const r of spentRows) {
+  for (const r of usageRows) {
     const key = groupKey(r.group);
     const amounts = amountsOf(r);
-    into(rows, key, amounts);
-    into(cur, key, amounts);
+    addTo(rows, key, amounts);
+    addTo(cur, key, amounts);
   }
   return { ...a, upTo: seq, at: now, rows, current: cur, closed, pending, gaps };
 };
 
 /** The later of two views of the accounts: within a life each is the beginning of one history. */
-const later = (a: Accounts, b: Accounts): Accounts =>
+const laterOf = (a: Accounts, b: Accounts): Accounts =>
   b.life > a.life || (b.life === a.life && b.upTo > a.upTo) ? b : a;
 
 /**
@@ -182,7 +182,7 @@
   seq: number,
   whole: boolean,
 ): Accounts => {
-  const best = views.reduce(later);
+  const best = views.reduce(laterOf);
   const upTo = Math.max(best.upTo, seq);
   const why = 'loss';
   const gap: Gap = { why, from: best.at, to: best.at, seqs: [best.upTo + 1, upTo], room: null, open: true };
--- a/packages/controller/src/accounts/ledger.ts
+++ b/packages/controller/src/accounts/ledger.ts
@@ -3,12 +3,12 @@
 import type { JobState } from '../jobs/job-state.js';
 import { addAmounts, amountsOf } from './fold.js';
 import { type Amounts, groupKey, type Rows, SPLITS } from './model.js';
-import { Balance, ShareBook, type Shares } from './share.js';
-import { kindName, type KindOf, rateOf } from './spent.js';
+import { Balance, ShareRecorder, type Shares } from './share.js';
+import { kindName, type KindOf, rateOf } from './usage-rows.js';
 import type { MachineType } from '../provisioning/model.js';
 
 /** What is placed now, from its start until `at`, under the split `unknown`: what the time was is known at its end. */
-export const openAt = (
+export const openPlacementsAt = (
   jobState: JobState,
   at: Micros,
   kindOf: (machine: string) => KindOf | null,
@@ -40,7 +40,7 @@
 };
 
 export class Ledger {
-  readonly share = new ShareBook();
+  readonly share = new ShareRecorder();
   /** null: it is off, as always in `run`. */
   readonly balance: Balance | null;
   /** By the end of a period: what stood open then, and who waited in it as far as this leader saw. */
--- a/packages/controller/src/accounts/model.ts
+++ b/packages/controller/src/accounts/model.ts
@@ -33,7 +33,7 @@
 export const OTHERS = '*';
 
 /** Placements of one shape that ended in one log entry. */
-export interface SpentRow {
+export interface UsageRow {
   readonly group: Group;
   /** Thousandths of a CPU, a GPU and a GB that each of them took. */
   readonly shape: readonly [cpus: number, gpus: number, mem: number];
@@ -44,34 +44,34 @@
 }
 
 /** Room of all machines: thousandths of CPUs, GPUs, GB. */
-export type RoomBound = readonly [cpus: number, gpus: number, mem: number];
+export type CapacityBound = readonly [cpus: number, gpus: number, mem: number];
 
 /** What one log entry says for the accounts. */
-export interface Spent {
-  readonly rows: readonly SpentRow[];
+export interface Usage {
+  readonly rows: readonly UsageRow[];
   /** The log entry is the first one at or after this time of day: what was booked before it is a period of its own. */
   readonly closes: Micros | null;
   /** While a gap stands open: the room of all machines, and whether the gap ends with this log entry. */
-  readonly bound: { readonly room: RoomBound; readonly shut: boolean } | null;
+  readonly bound: { readonly room: CapacityBound; readonly shut: boolean } | null;
 }
-export const NOTHING_SPENT: Spent = { rows: [], closes: null, bound: null };
+export const NO_USAGE: Usage = { rows: [], closes: null, bound: null };
 
 /**
  * Why something is missing: `before`: there were log entries before there were accounts; `loss`: the state service lost
  * data, and nobody who knew all of it was left; `records`: log entries went without a trace; `untimed`: a log entry that can't
  * be read, or of an older version; `several`: older gaps, joined.
  */
-export type Why = 'before' | 'loss' | 'records' | 'untimed' | 'several';
+export type GapReason = 'before' | 'loss' | 'records' | 'untimed' | 'several';
 
 /** A stretch of time for which the sums may be wrong, at most by the room of all machines over it. */
 export interface Gap {
-  readonly why: Why;
+  readonly why: GapReason;
   readonly from: Micros;
   readonly to: Micros;
   /** Sequence numbers of the log entries in question. */
   readonly seqs: readonly [first: number, last: number];
   /** null: not known yet. */
-  readonly room: RoomBound | null;
+  readonly room: CapacityBound | null;
   /** It goes on: something from before the loss may still be running that no log entry knows of. */
   readonly open: boolean;
 }
--- a/packages/controller/src/accounts/share.ts
+++ b/packages/controller/src/accounts/share.ts
@@ -9,8 +9,8 @@
 import { add, fits, resourcesOf } from '../scheduler/model.js';
 
 /** Why a group that waited had less than it was entitled to. */
-export const WHYS = ['limit', 'room', 'gang', 'lost', 'lent'] as const;
-export type WhyLess = (typeof WHYS)[number];
+export const SHORTFALL_REASONS = ['limit', 'room', 'gang', 'lost', 'lent'] as const;
+export type ShortfallReason = (typeof SHORTFALL_REASONS)[number];
 
 /** Team, class, how long it waited, what it was entitled to then, what it had, and by why what it was owed. */
 export type ShareRow = readonly [
@@ -34,7 +34,7 @@
   waited: BigInt(waited),
   entitled: BigInt(entitled),
   had: BigInt(had),
-  owed: WHYS.map((_, i) => BigInt(owed[i] ?? 0)),
+  owed: SHORTFALL_REASONS.map((_, i) => BigInt(owed[i] ?? 0)),
 });
 export const addShare = (a: ShareSum, b: ShareSum): ShareSum => ({
   waited: a.waited + b.waited,
@@ -77,7 +77,7 @@
 };
 
 const PPM = 1e6;
-const largest = (r: Resources, of: Resources): number => {
+const dominantShare = (r: Resources, of: Resources): number => {
   let most = 0;
   for (let i = 0; i < 3; i++) if (of[i]! > 0) most = Math.max(most, r[i]! / of[i]!);
   return most;
@@ -90,7 +90,7 @@
   readonly entitled: number;
   readonly had: number;
   readonly owed: number;
-  readonly why: WhyLess;
+  readonly why: ShortfallReason;
 }
 
 /**
@@ -147,31 +147,31 @@
     const settings = input.teams.find((x) => x.name === g.team);
     const guarantee = settings?.guarantee ?? { cpus: 0, gpus: 0 };
     const limit = settings?.limit ?? { cpus: 0, gpus: 0 };
-    const least = largest([guarantee.cpus, guarantee.gpus, 0], all);
+    const least = dominantShare([guarantee.cpus, guarantee.gpus, 0], all);
     const most = Math.min(
       1,
       limit.cpus > 0 && all[0] > 0 ? limit.cpus / all[0] : 1,
       limit.gpus > 0 && all[1] > 0 ? Math.max(limit.gpus / all[1], 0) : 1,
     );
-    const had = largest(g.had, all);
-    const wants = largest(g.want, all);
-    const teamWants = largest(t.want, all);
+    const had = dominantShare(g.had, all);
+    const wants = dominantShare(g.want, all);
+    const teamWants = dominantShare(t.want, all);
     const entitled = Math.min(most, Math.max(weight(g.team) / weights, least));
-    const missing = Math.max(0, Math.min(entitled - largest(t.had, all), teamWants));
+    const missing = Math.max(0, Math.min(entitled - dominantShare(t.had, all), teamWants));
     const owed = teamWants > 0 ? Math.min(wants, (missing * wants) / teamWants) : 0;
-    out.push({ team: g.team, jobClass: g.jobClass, entitled: had + owed, had, owed, why: whyOf(g.jobs, t.had, limit, result.free, all, lately) }); // prettier-ignore
+    out.push({ team: g.team, jobClass: g.jobClass, entitled: had + owed, had, owed, why: reasonOf(g.jobs, t.had, limit, result.free, all, lately) }); // prettier-ignore
   }
   return out;
 };
 
-const whyOf = (
+const reasonOf = (
   jobs: readonly Job[],
   teamHad: Resources,
   limit: { readonly cpus: number; readonly gpus: number },
   free: ReadonlyMap<string, Resources>,
   all: Resources,
   lately: Resources,
-): WhyLess => {
+): ShortfallReason => {
   const beyond = (j: Job): boolean =>
     (limit.cpus > 0 && teamHad[0] + j.spec.cpus > limit.cpus) ||
     (limit.gpus > 0 && j.spec.gpus > 0 && teamHad[1] + j.spec.gpus > limit.gpus);
@@ -186,12 +186,12 @@
 };
 
 /** A group is spoken of when it was owed more than this part of what it was entitled to, over a whole minute. */
-export const SHORT = 0.25;
+export const SHORTFALL_PART = 0.25;
 
 /** The balance raises a team's weight by at most this part. */
-export const LEAN = 0.25;
+export const MAX_ADJUSTMENT = 0.25;
 /** A team that was owed so much of all room, on the average of the half-life, has the whole of it. */
-const FULL = 0.1;
+const FULL_ADJUSTMENT_AT = 0.1;
 
 /**
  * What teams were owed lately, decayed by half every `halfLife`: parts of all room. Leans on the order between teams, within
@@ -204,7 +204,7 @@
   constructor(private readonly halfLife: Micros) {}
 
   /** Until `at` the groups that waited were owed what `groups` say. */
-  pass(groups: readonly GroupShare[], at: Micros): void {
+  record(groups: readonly GroupShare[], at: Micros): void {
     const us = this.at === null ? 0 : Math.min(10e6, Math.max(0, at - this.at));
     this.at = at;
     const kept = 2 ** (-us / this.halfLife);
@@ -215,23 +215,27 @@
   }
 
   /** Weights with the balance leaning on them: never below what they are, never above `1 + LEAN` times that. */
-  lean(weights: ReadonlyMap<string, number>, teams: Iterable<string>): ReadonlyMap<string, number> {
+  adjust(weights: ReadonlyMap<string, number>, teams: Iterable<string>): ReadonlyMap<string, number> {
     const out = new Map(weights);
     for (const team of teams)
-      out.set(team, (weights.get(team) ?? 1) * (1 + LEAN * Math.min(1, (this.owed.get(team) ?? 0) / FULL)));
+      out.set(
+        team,
+        (weights.get(team) ?? 1) *
+          (1 + MAX_ADJUSTMENT * Math.min(1, (this.owed.get(team) ?? 0) / FULL_ADJUSTMENT_AT)),
+      );
     return out;
   }
 }
 
 /** Sums of the leader's cycles since the last page. */
-export class ShareBook {
+export class ShareRecorder {
   private rows = new Map<string, ShareSum>();
   private last: { readonly at: Micros; readonly groups: readonly GroupShare[] } | null = null;
   /** The most room lately: falls by a tenth a minute. */
   private peak: Resources = [0, 0, 0];
 
   /** What the room was at its most, a cycle's own included. */
-  lately(all: Resources, at: Micros): Resources {
+  recentCapacity(all: Resources, at: Micros): Resources {
     const passed = this.last === null ? 0 : at - this.last.at;
     const fall = Math.exp((-0.1 * passed) / 60e6);
     this.peak = [0, 1, 2].map((i) => Math.max(all[i]!, this.peak[i]! * fall)) as Resources;
@@ -239,7 +243,7 @@
   }
 
   /** A cycle ended so: until the next one this is how it stands, for at most 10 s. */
-  note(groups: readonly GroupShare[], at: Micros): void {
+  record(groups: readonly GroupShare[], at: Micros): void {
     this.advance(at);
     this.last = { at, groups };
   }
@@ -255,7 +259,7 @@
         ms,
         ppm(g.entitled),
         ppm(g.had),
-        ...WHYS.map((w) => (w === g.why ? ppm(g.owed) : 0)),
+        ...SHORTFALL_REASONS.map((w) => (w === g.why ? ppm(g.owed) : 0)),
       ];
       const key = JSON.stringify([g.team, g.jobClass]);
       const old = this.rows.get(key);
@@ -280,18 +284,18 @@
   /** Parts of all room, on the average of the time waited. */
   readonly entitled: number;
   readonly had: number;
-  readonly why: WhyLess;
+  readonly why: ShortfallReason;
 }
 /** Groups to speak of: owed more than `SHORT` of what they were entitled to, having waited for at least half a minute. */
 export const shortfalls = (shares: Shares): Shortfall[] => {
   const out: Shortfall[] = [];
   for (const [key, s] of shares) {
     const owed = s.owed.reduce((a, b) => a + b, 0n);
-    if (s.waited < 30_000n || Number(owed) <= SHORT * Number(s.entitled)) continue;
+    if (s.waited < 30_000n || Number(owed) <= SHORTFALL_PART * Number(s.entitled)) continue;
     const [team, jobClass] = JSON.parse(key) as [string, string];
     const most = s.owed.reduce((best, x, i) => (x > s.owed[best]! ? i : best), 0);
     const part = (x: bigint): number => Math.round((Number(x) / Number(s.waited) / PPM) * 1e4) / 1e4;
-    out.push({ team, jobClass, waited: Math.round(Number(s.waited) / 1e3), entitled: part(s.entitled), had: part(s.had), why: WHYS[most]! }); // prettier-ignore
+    out.push({ team, jobClass, waited: Math.round(Number(s.waited) / 1e3), entitled: part(s.entitled), had: part(s.had), why: SHORTFALL_REASONS[most]! }); // prettier-ignore
   }
   return out;
 };
--- a/packages/controller/src/accounts/upkeep.ts
+++ b/packages/controller/src/accounts/upkeep.ts
@@ -22,24 +22,27 @@
 import { compactShares, joinShares, shortfalls } from './share.js';
 
 /** The accounts as values of the store. */
-export const checkpointWrites = (t: CycleContext, a: Accounts): Write[] =>
-  encodeAccounts(a, t.settings.state.valueBytes * 0.9).map((value, n) => ({ set: accountsKey(n), value }));
+export const checkpointWrites = (context: CycleContext, a: Accounts): Write[] =>
+  encodeAccounts(a, context.settings.state.valueBytes * 0.9).map((value, n) => ({
+    set: accountsKey(n),
+    value,
+  }));
 
-const pageWrites = (t: CycleContext, level: Level, p: Page, to = p.to): Write[] =>
-  encodePage(p, t.settings.state.valueBytes).map((value, n) => ({ set: pageKey(level, to, n), value }));
+const pageWrites = (context: CycleContext, level: Level, p: Page, to = p.to): Write[] =>
+  encodePage(p, context.settings.state.valueBytes).map((value, n) => ({ set: pageKey(level, to, n), value }));
 
-const transact = (t: CycleContext, when: readonly Condition[], then: readonly Write[]) =>
-  t.store
-    .transact([{ key: TERM, stamp: t.leaderTerm.stamp }, ...when], then, Priority.Upkeep, 1500)
-    .pipe(Effect.zipLeft(Effect.ignore(t.watcher.refresh)));
+const transact = (context: CycleContext, when: readonly Condition[], then: readonly Write[]) =>
+  context.store
+    .transact([{ key: TERM, stamp: context.leaderTerm.stamp }, ...when], then, Priority.Upkeep, 1500)
+    .pipe(Effect.zipLeft(Effect.ignore(context.watcher.refresh)));
 
 /** Writes the page of the oldest period without one. true: there was one. */
-export const writePage = (t: CycleContext): Effect.Effect<boolean, StateFailure> =>
+export const writePage = (context: CycleContext): Effect.Effect<boolean, StateFailure> =>
   Effect.gen(function* () {
-    const { accounts, checkpoint } = t.jobState;
+    const { accounts, checkpoint } = context.jobState;
     const [period, ...pending] = accounts.pending;
-    if (period === undefined || t.jobState.rebuild !== null) return false;
-    const { closing } = t.ledger;
+    if (period === undefined || context.jobState.rebuild !== null) return false;
+    const { closing } = context.ledger;
     // A page of before it was written, though nothing was heard of it: who waited then stands there.
     for (const end of closing.keys()) if (end <= period.from) closing.delete(end);
     const ends = [...closing.keys()].filter((to) => to <= period.to);
@@ -49,16 +52,16 @@
     const { from, to } = period;
     const page: Page = { from, to, booked: period.rows, open: closing.get(to)?.open ?? null, shares };
     const o = yield* transact(
-      t,
+      context,
       // A checkpoint of before must be the one that this state goes on from.
       [{ key: ACCOUNTS, stamp: checkpoint.revision }],
-      [...pageWrites(t, 'm', page), ...checkpointWrites(t, { ...accounts, pending })],
+      [...pageWrites(context, 'm', page), ...checkpointWrites(context, { ...accounts, pending })],
     );
     if (!o.ok) return true;
     for (const end of ends) closing.delete(end);
     for (const s of shortfalls(shares))
       yield* info('share owed', {
-        term: t.leaderTerm.number,
+        term: context.leaderTerm.number,
         team: s.team,
         class: s.jobClass,
         waitedS: s.waited,
@@ -75,16 +78,16 @@
 const DELETED = 7;
 
 /** Joins the oldest pages of each level that are due: first the page that holds them all, then they go. */
-export const joinOld = (t: CycleContext): Effect.Effect<void, StateFailure> =>
+export const joinOldPages = (context: CycleContext): Effect.Effect<void, StateFailure> =>
   Effect.gen(function* () {
-    const now = t.clock();
-    if (now - t.ledger.joinedAt < JOIN_EVERY) return;
-    t.ledger.joinedAt = now;
+    const now = context.clock();
+    if (now - context.ledger.joinedAt < JOIN_EVERY) return;
+    context.ledger.joinedAt = now;
     // What has not come so far up yet: a page that is joined without it would be without it for good.
-    let below = t.jobState.accounts.pending[0]?.to ?? Number.POSITIVE_INFINITY;
+    let below = context.jobState.accounts.pending[0]?.to ?? Number.POSITIVE_INFINITY;
     for (const level of ['m', 'h', 'd'] as const) {
-      const first = yield* t.store.page(levelKey(level), null, LISTED, Priority.Upkeep);
-      const { closed } = t.jobState.accounts;
+      const first = yield* context.store.page(levelKey(level), null, LISTED, Priority.Upkeep);
+      const { closed } = context.jobState.accounts;
       const oldest = pagesOf(first.entries)[0];
       if (oldest === undefined) continue;
       const due = dueAt(level, oldest.page.to, closed);
@@ -96,7 +99,7 @@
       const entries: Entry[] = [...first.entries];
       // A store may give fewer at once than asked for.
       for (let more = first.more; more && inside(entries[entries.length - 1]!);) {
-        const next = yield* t.store.page(
+        const next = yield* context.store.page(
           levelKey(level),
           entries[entries.length - 1]!.key,
           LISTED,
@@ -105,21 +108,21 @@
         entries.push(...next.entries);
         more = next.more && next.entries.length > 0;
       }
-      const there = yield* t.store.get(pageKey(due.up, due.to));
+      const there = yield* context.store.get(pageKey(due.up, due.to));
       const members = pagesOf(entries.filter(inside)).filter((x) => endOf(due.up, x.page.to) === due.to);
       if (there.entry === null) {
         const when = [{ key: pageKey(due.up, due.to), stamp: 0 }];
         const o = yield* transact(
-          t,
+          context,
           when,
-          pageWrites(t, due.up, joinPages(members.map((m) => m.page)), due.to),
+          pageWrites(context, due.up, joinPages(members.map((m) => m.page)), due.to),
         );
         if (!o.ok) return;
       }
       const keys = members.flatMap((m) => m.keys);
-      for (let i = 0; i < keys.length && t.mayAct(); i += DELETED)
+      for (let i = 0; i < keys.length && context.mayAct(); i += DELETED)
         yield* transact(
-          t,
+          context,
           [],
           keys.slice(i, i + DELETED).map((key) => ({ delete: key })),
         );
--- a/packages/controller/src/accounts/spent.ts
+++ b/packages/controller/src/accounts/usage-rows.ts
@@ -4,7 +4,7 @@
 import type { Job } from '../jobs/model.js';
 import { taskKey } from '../jobs/model.js';
 import { bytesOfRow, rowBytes } from './codec.js';
-import { type Group, groupKey, NO_KIND, type RoomBound, type SpentRow, SPLITS } from './model.js';
+import { type Group, groupKey, NO_KIND, type CapacityBound, type UsageRow, SPLITS } from './model.js';
 import type { Course, Phases } from './phases.js';
 
 /** A machine as rows name it. */
@@ -15,16 +15,16 @@
 export const kindName = (k: KindOf | null): string =>
   k === null || k.type === '' ? NO_KIND : k.spot ? `${k.type}-spot` : k.type;
 
-export interface Books {
+export interface UsageSources {
   readonly phases: Phases;
   readonly kindOf: (machine: string) => KindOf | null;
   readonly types: ReadonlyMap<string, MachineType>;
   /** Room that was lent to the job: its time there counts as lent. */
-  readonly lent: (job: Job, task: number) => boolean;
+  readonly onLentCapacity: (job: Job, task: number) => boolean;
   /** Placements of this time of day or later were started by this leader. */
-  readonly reignFrom: Micros;
+  readonly termFrom: Micros;
   /** The worker registry's clock as time of day. */
-  readonly day: (clock: Micros) => Micros;
+  readonly dayTimeOf: (clock: Micros) => Micros;
 }
 
 const milli = (x: number): number => Math.round(x * 1000);
@@ -48,7 +48,7 @@
   since: Micros,
   at: Micros,
   c: Course,
-  how: 'done' | 'gone' | 'withdrawn',
+  how: 'done' | 'gone' | 'cancelled',
   lent: boolean,
   day: (clock: Micros) => Micros,
 ): number[] => {
@@ -86,17 +86,17 @@
 };
 
 /** Gathers the rows of one log entry. */
-export class Spending {
-  private readonly rows = new Map<string, SpentRow[]>();
+export class UsageRows {
+  private readonly rows = new Map<string, UsageRow[]>();
   /** Bytes of the rows as they stand. */
   bytes = 0;
 
   constructor(
-    private readonly books: Books,
+    private readonly books: UsageSources,
     private readonly at: Micros,
   ) {}
 
-  private rowOf(job: Job, machine: string): { key: string; group: Group; make: () => SpentRow } {
+  private rowOf(job: Job, machine: string): { key: string; group: Group; make: () => UsageRow } {
     const { cpus, gpus, memGb, team, jobClass } = job.spec;
     const kind = this.books.kindOf(machine);
     const group: Group = [team, jobClass, kindName(kind)];
@@ -107,7 +107,7 @@
   }
 
   /** Bytes that these ends would add. */
-  wouldAdd(job: Job, tasks: Iterable<number>): number {
+  bytesToAdd(job: Job, tasks: Iterable<number>): number {
     let bytes = 0;
     const seen = new Set<string>();
     for (const t of tasks) {
@@ -127,11 +127,11 @@
       const p = job.placed.get(t);
       if (!p) continue;
       const { key, make } = this.rowOf(job, p.machine);
-      const ended = how === 'gone' && job.cancelled ? 'withdrawn' : how;
+      const ended = how === 'gone' && job.cancelled ? 'cancelled' : how;
       let us: number[];
       if (p.since > 0 && p.since < at) {
-        const course = books.phases.courseOf(taskKey(job.spec.id, t), p.attempt, p.since >= books.reignFrom);
-        us = splitOf(job, p.since, at, course, ended, books.lent(job, t), books.day);
+        const course = books.phases.courseOf(taskKey(job.spec.id, t), p.attempt, p.since >= books.termFrom);
+        us = splitOf(job, p.since, at, course, ended, books.onLentCapacity(job, t), books.dayTimeOf);
       } else {
         // Since when is not known: at the longest since its job was submitted.
         us = SPLITS.map(() => 0);
@@ -150,13 +150,16 @@
     }
   }
 
-  all(): SpentRow[] {
+  all(): UsageRow[] {
     return [...this.rows.values()].flat();
   }
 }
 
 /** Room of all machines that are known. */
-export const roomOf = (machines: Iterable<KindOf>, types: ReadonlyMap<string, MachineType>): RoomBound => {
+export const totalCapacity = (
+  machines: Iterable<KindOf>,
+  types: ReadonlyMap<string, MachineType>,
+): CapacityBound => {
   const out: [number, number, number] = [0, 0, 0];
   for (const m of machines) {
     const k = types.get(m.type);
--- a/packages/controller/src/calendar/cutoff-tracking.ts
+++ b/packages/controller/src/calendar/cutoff-tracking.ts
@@ -22,38 +22,38 @@
 const NOTICE_EVERY = seconds(86_400);
 
 /** Never earlier than the latest log entry: a clock that was set back does not give a cutoff its time back. */
-export const dayOf = (t: Pick<CycleContext, 'dayTime' | 'jobState'>): Micros =>
-  Math.max(t.dayTime(), t.jobState.lastAt) as Micros;
+export const dayOf = (context: Pick<CycleContext, 'dayTime' | 'jobState'>): Micros =>
+  Math.max(context.dayTime(), context.jobState.lastAt) as Micros;
 
 /** The speed that jobs can get, made once when it is first asked for: most days no job has a tie. */
-export const paceOf = (t: CycleContext): (() => Pace) => {
+export const paceOf = (context: CycleContext): (() => Pace) => {
   let made: Pace | null = null;
   return () => {
     if (made !== null) return made;
-    const types = new Map(t.types().map((k) => [k.name, k]));
+    const types = new Map(context.types().map((k) => [k.name, k]));
     const total: [number, number, number] = [0, 0, 0];
-    for (const m of t.registry.machines.values()) {
+    for (const m of context.registry.machines.values()) {
       const k = types.get(m.type);
       if (!k) continue;
       total[0] += k.cpus;
       total[1] += k.gpus;
       total[2] += k.memGb;
     }
-    const limits = new Map(t.settings.teams.map((s) => [s.name, s.limit]));
+    const limits = new Map(context.settings.teams.map((s) => [s.name, s.limit]));
     return (made = {
-      classDurations: t.jobState.calendars.classDurations?.value ?? new Map(),
+      classDurations: context.jobState.calendars.classDurations?.value ?? new Map(),
       limit: (team) => limits.get(team),
       total,
     });
   };
 };
 
-const hindranceOf = (t: CycleContext, job: Job) => {
+const hindranceOf = (context: CycleContext, job: Job) => {
   const { spec } = job;
-  const limit = t.settings.teams.find((s) => s.name === spec.team)?.limit;
+  const limit = context.settings.teams.find((s) => s.name === spec.team)?.limit;
   let cpus = 0;
   let gpus = 0;
-  for (const j of t.jobState.jobs.values()) {
+  for (const j of context.jobState.jobs.values()) {
     if (j.spec.team !== spec.team) continue;
     cpus += j.spec.cpus * j.placed.size;
     gpus += j.spec.gpus * j.placed.size;
@@ -62,7 +62,7 @@
   const over = (most: number | undefined, held: number, need: number): boolean =>
     most !== undefined && most > 0 && held + need * more > most + 1e-6;
   let lost = false;
-  for (const r of t.jobState.logTail.values()) {
+  for (const r of context.jobState.logTail.values()) {
     const c = r.jobs.get(spec.id);
     if ((c?.gone?.length ?? 0) > (c?.failed?.length ?? 0)) lost = true;
   }
@@ -70,17 +70,17 @@
 };
 
 /** By job, what a log entry of this time says of its cutoff. */
-export const cutoffRisksOf = (t: CycleContext, day: Micros): Map<string, number> => {
+export const cutoffRisksOf = (context: CycleContext, day: Micros): Map<string, number> => {
   const out = new Map<string, number>();
-  const { calendars } = t.jobState;
+  const { calendars } = context.jobState;
   if (calendars.current === null || calendars.current.cutoffs.length === 0) return out;
-  const pace = paceOf(t);
-  for (const job of t.jobState.jobs.values()) {
+  const pace = paceOf(context);
+  for (const job of context.jobState.jobs.values()) {
     if (job.spec.tie === null || job.cancelled || isComplete(job)) continue;
     // What the same log entry completes is not at risk; it may have missed.
-    const ends = t.registry.ends.get(job.spec.id);
+    const ends = context.registry.ends.get(job.spec.id);
     const over = ends !== undefined && job.done.size + ends.done.size >= job.spec.tasks;
-    const say = newCutoffRisk(job, calendars.current, day, pace, () => hindranceOf(t, job));
+    const say = newCutoffRisk(job, calendars.current, day, pace, () => hindranceOf(context, job));
     if (say === null || (over && isRisk(say))) continue;
     out.set(job.spec.id, say);
     if (out.size >= MAX_RISKS) break;
@@ -90,16 +90,16 @@
 
 /** Once the log entry is durable. */
 export const logCutoffRisks = (
-  t: CycleContext,
+  context: CycleContext,
   jobs: ReadonlyMap<string, JobChange>,
   day: Micros,
 ): Effect.Effect<void> =>
   Effect.forEach(
     [...jobs].filter(([, c]) => c.cutoffRisk !== undefined && c.cutoffRisk !== CUTOFF_RISK.nothing),
     ([id, c]) => {
-      const spec = t.jobState.jobs.get(id)?.spec;
-      const o = spec === undefined ? null : occurrenceOf(t.jobState.calendars.current, spec);
-      const fields = { term: t.leaderTerm.number, job: id, cutoff: o?.id };
+      const spec = context.jobState.jobs.get(id)?.spec;
+      const o = spec === undefined ? null : occurrenceOf(context.jobState.calendars.current, spec);
+      const fields = { term: context.leaderTerm.number, job: id, cutoff: o?.id };
       return c.cutoffRisk === CUTOFF_RISK.missed
         ? info('cutoff missed', fields)
         : info('cutoff at risk', {
@@ -112,12 +112,16 @@
   );
 
 /** Takes what a log entry's ends show of their classes; called before the log entry is applied to the jobs. */
-export const recordSamples = (t: CycleContext, jobs: ReadonlyMap<string, JobChange>, at: Micros): void => {
-  if ((t.jobState.calendars.current?.cutoffs.length ?? 0) === 0) return;
+export const recordSamples = (
+  context: CycleContext,
+  jobs: ReadonlyMap<string, JobChange>,
+  at: Micros,
+): void => {
+  if ((context.jobState.calendars.current?.cutoffs.length ?? 0) === 0) return;
   for (const [id, c] of jobs) {
-    const job = t.jobState.jobs.get(id);
+    const job = context.jobState.jobs.get(id);
     if (job === undefined || !c.done?.length || job.spec.estimate <= 0) continue;
-    const { ratios } = t.classSamples;
+    const { ratios } = context.classSamples;
     let list = ratios.get(job.spec.jobClass);
     if (!list) ratios.set(job.spec.jobClass, (list = []));
     // Members of a gang end together: one of them tells as much as all.
@@ -160,21 +164,21 @@
 };
 
 /** Writes what classes have shown now and then, and says when the calendar's table is about to run out. */
-export const calendarUpkeep = (t: CycleContext): Effect.Effect<void> =>
+export const calendarUpkeep = (context: CycleContext): Effect.Effect<void> =>
   Effect.gen(function* () {
-    const { calendars } = t.jobState;
+    const { calendars } = context.jobState;
     const calendar = calendars.current;
     if (calendar === null || calendar.cutoffs.length === 0) return;
-    const at = t.clock();
-    const { classSamples: learned } = t;
-    const day = dayOf(t);
+    const at = context.clock();
+    const { classSamples: learned } = context;
+    const day = dayOf(context);
     if (
       day > calendar.until - calendar.notice &&
       (learned.noticedAt === null || at - learned.noticedAt > NOTICE_EVERY)
     ) {
       learned.noticedAt = at;
       yield* info('calendar runs out', {
-        term: t.leaderTerm.number,
+        term: context.leaderTerm.number,
         version: calendar.version,
         inDays: Math.round((calendar.until - day) / 86_400e6),
       });
@@ -186,9 +190,9 @@
     learned.ratios.clear();
     // Lost or refused: a few samples less.
     yield* Effect.ignore(
-      t.store.transact(
+      context.store.transact(
         [
-          { key: TERM, stamp: t.leaderTerm.stamp },
+          { key: TERM, stamp: context.leaderTerm.stamp },
           { key: CLASS_DURATIONS, stamp: calendars.classDurations?.revision ?? 0 },
         ],
         [
--- a/packages/controller/src/jobs/codec.ts
+++ b/packages/controller/src/jobs/codec.ts
@@ -1,7 +1,7 @@
 /** Wire and durable forms of jobs. Wire names stay in this file. */
 import { Either, ParseResult, Schema } from 'effect';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
-import { decodeSpent, encodeSpent, type StoredSpent } from '../accounts/codec.js';
+import { decodeUsage, encodeUsage, type StoredUsage } from '../accounts/codec.js';
 import {
   decodeLoans,
   decodeLoanParts,
@@ -10,7 +10,7 @@
   type StoredLoans,
   type StoredLoanParts,
 } from '../lending/codec.js';
-import { packFinalState, unpackFinalState } from './finals.js';
+import { packFinalState, unpackFinalState } from './final-states.js';
 import { decodeRanges, encodeRanges } from './ranges.js';
 import {
   type LogEntry,
@@ -302,7 +302,7 @@
 
 /** A log entry's member for its head; no job has such an id. */
 const HEADER = '@';
-interface StoredHeader extends StoredSpent {
+interface StoredHeader extends StoredUsage {
   /** Microseconds, time of day. */
   readonly t: number;
   /** Version of the calendar; absent: none. */
@@ -323,7 +323,7 @@
 
 const decodeHeader = (v: StoredHeader | undefined): LogEntryHeader =>
   v !== undefined && Number.isSafeInteger(v.t)
-    ? { at: v.t as Micros, calendar: v.c ?? 0, spent: decodeSpent(v) }
+    ? { at: v.t as Micros, calendar: v.c ?? 0, usage: decodeUsage(v) }
     : NO_HEADER;
 
 /** Throws if it is damaged. */
@@ -352,7 +352,7 @@
   [HEADER]: {
     t: head.at,
     ...(head.calendar > 0 ? { c: head.calendar } : {}),
-    ...encodeSpent(head.spent),
+    ...encodeUsage(head.usage),
   } satisfies StoredHeader,
 });
 
--- a/packages/controller/src/jobs/job-state.ts
+++ b/packages/controller/src/jobs/job-state.ts
@@ -5,7 +5,7 @@
  */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { decodeAccounts } from '../accounts/codec.js';
-import { fold } from '../accounts/fold.js';
+import { foldLogEntry } from '../accounts/fold.js';
 import { type Accounts, NO_ACCOUNTS } from '../accounts/model.js';
 import { Calendars } from '../calendar/calendars.js';
 import { floorOf, type Incarnation, incarnationOf } from '../recovery/model.js';
@@ -20,7 +20,7 @@
   encodeBundle,
   type OrphanedJob,
 } from './codec.js';
-import { FinalStates } from './finals.js';
+import { FinalStates } from './final-states.js';
 import {
   ACCOUNTS,
   ACCOUNTS_PART,
@@ -397,7 +397,7 @@
         .filter((r) => r.sequence > upTo)
         .sort((a, b) => a.sequence - b.sequence);
       for (const r of later)
-        this.accountsSoFar = fold(this.accountsSoFar, r.sequence, r.head.at, r.head.spent);
+        this.accountsSoFar = foldLogEntry(this.accountsSoFar, r.sequence, r.head.at, r.head.usage);
     }
     return this.accountsSoFar;
   }
--- a/packages/controller/src/jobs/model.ts
+++ b/packages/controller/src/jobs/model.ts
@@ -3,7 +3,7 @@
  * node applies the same events in the same order, so every node's view at a revision is the same.
  */
 import type { Micros } from '@lilacvalve/runtime/micros';
-import { NOTHING_SPENT, type Spent } from '../accounts/model.js';
+import { NO_USAGE, type Usage } from '../accounts/model.js';
 import { applyLoans, type Loan, type LoanPart } from '../lending/model.js';
 
 export type Shape = 'array' | 'gang' | 'service';
@@ -99,10 +99,10 @@
   /** Version of the calendar by which the cycle ordered; 0: none. */
   readonly calendar: number;
   /** For the accounts: the placements that end in it. */
-  readonly spent: Spent;
+  readonly usage: Usage;
 }
 /** Of log entries that were written before there were heads. */
-export const NO_HEADER: LogEntryHeader = { at: 0 as Micros, calendar: 0, spent: NOTHING_SPENT };
+export const NO_HEADER: LogEntryHeader = { at: 0 as Micros, calendar: 0, usage: NO_USAGE };
 
 /** One cycle's durable decisions. */
 export interface LogEntry {
--- a/packages/controller/src/recovery/codec.ts
+++ b/packages/controller/src/recovery/codec.ts
@@ -3,7 +3,7 @@
 import { decodeAccounts, encodeAccounts } from '../accounts/codec.js';
 import { type Accounts, NO_ACCOUNTS } from '../accounts/model.js';
 import { decodeJob, encodeJob } from '../jobs/codec.js';
-import { packFinalState, unpackFinalState } from '../jobs/finals.js';
+import { packFinalState, unpackFinalState } from '../jobs/final-states.js';
 import type { FinalState } from '../jobs/model.js';
 import type { Remembered } from '../calendar/calendars.js';
 import { decodeRemembered, encodeRemembered } from './calendar-recovery.js';
--- a/packages/controller/src/recovery/evidence-store.ts
+++ b/packages/controller/src/recovery/evidence-store.ts
@@ -6,7 +6,7 @@
 import { Effect } from 'effect';
 import { pack, unpack } from 'msgpackr';
 import { decodeJob } from '../jobs/codec.js';
-import { packFinalState, unpackFinalState } from '../jobs/finals.js';
+import { packFinalState, unpackFinalState } from '../jobs/final-states.js';
 import type { FinalState } from '../jobs/model.js';
 import type { Peer } from '../settings/settings.js';
 import type { ViewPort } from './view-exchange.js';
--- a/packages/controller/src/scheduler/commit.ts
+++ b/packages/controller/src/scheduler/commit.ts
@@ -3,7 +3,7 @@
 import { debug, info } from '@lilacvalve/runtime/log';
 import { type Micros, plus } from '@lilacvalve/runtime/micros';
 import { Booking } from '../accounts/booking.js';
-import { NOTHING_SPENT } from '../accounts/model.js';
+import { NO_USAGE } from '../accounts/model.js';
 import { recordSamples, logCutoffRisks, cutoffRisksOf } from '../calendar/cutoff-tracking.js';
 import { encodeLogEntry } from '../jobs/codec.js';
 import { ACCOUNTS, ACTIVE_JOBS, LOG_ENTRIES, logEntryKey, TERM } from '../jobs/keys.js';
@@ -15,15 +15,15 @@
 import type { CycleContext } from './cycle-context.js';
 
 /** A condition on this key failed, and yet a newer read shows it as it was when the condition was made. */
-const isUnchanged = (t: CycleContext, key: string, when: readonly Condition[]): boolean => {
+const isUnchanged = (context: CycleContext, key: string, when: readonly Condition[]): boolean => {
   const wanted = when.find((c) => c.key === key)?.stamp;
   if (wanted === undefined || wanted === 0) return false;
-  if (key === ACCOUNTS) return t.jobState.checkpoint.revision === wanted;
+  if (key === ACCOUNTS) return context.jobState.checkpoint.revision === wanted;
   if (key.startsWith(ACTIVE_JOBS))
-    return t.jobState.jobs.get(key.slice(ACTIVE_JOBS.length))?.revision === wanted;
+    return context.jobState.jobs.get(key.slice(ACTIVE_JOBS.length))?.revision === wanted;
   return (
     key.startsWith(LOG_ENTRIES) &&
-    t.jobState.logTail.get(Number(key.slice(LOG_ENTRIES.length)))?.revision === wanted
+    context.jobState.logTail.get(Number(key.slice(LOG_ENTRIES.length)))?.revision === wanted
   );
 };
 
@@ -38,54 +38,58 @@
 const NOTHING: CommitResult = { lendingPreemptions: NO_STOPS, hasBacklog: false };
 
 /** The draft's log entries as they follow the last one; the accounts' rows stand in the first one's head. */
-const logEntriesOf = (t: CycleContext, draft: Draft, head: LogEntryHeader): Omit<LogEntry, 'revision'>[] =>
+const logEntriesOf = (
+  context: CycleContext,
+  draft: Draft,
+  head: LogEntryHeader,
+): Omit<LogEntry, 'revision'>[] =>
   draft.entries.map((jobs, i) => ({
-    sequence: t.jobState.lastSequence + 1 + i,
-    head: i === 0 ? head : { ...head, at: plus(head.at, i), spent: NOTHING_SPENT },
+    sequence: context.jobState.lastSequence + 1 + i,
+    head: i === 0 ? head : { ...head, at: plus(head.at, i), usage: NO_USAGE },
     jobs,
   }));
 
 /** Each log entry hangs on the one before it: one that a loss has taken is missed before another is written. */
-const predecessorCondition = (t: CycleContext): Condition => {
-  const before = t.jobState.logTail.get(t.jobState.lastSequence);
+const predecessorCondition = (context: CycleContext): Condition => {
+  const before = context.jobState.logTail.get(context.jobState.lastSequence);
   return before
-    ? { key: logEntryKey(t.jobState.lastSequence), stamp: before.revision }
+    ? { key: logEntryKey(context.jobState.lastSequence), stamp: before.revision }
     : // Without one it hangs on the checkpoint: it goes with that at the earliest, and a late copy must not bring it back.
-      { key: ACCOUNTS, stamp: t.jobState.checkpoint.revision };
+      { key: ACCOUNTS, stamp: context.jobState.checkpoint.revision };
 };
 
-const handleConflict = (t: CycleContext, failed: readonly string[], when: readonly Condition[]) =>
+const handleConflict = (context: CycleContext, failed: readonly string[], when: readonly Condition[]) =>
   Effect.gen(function* () {
-    const read = yield* Effect.isSuccess(t.watcher.refresh);
-    t.registry.dirty = true;
+    const read = yield* Effect.isSuccess(context.watcher.refresh);
+    context.registry.dirty = true;
     // Without that read the view is as old as the condition, and a key that somebody has changed looks like a lost one.
-    const lost = read ? failed.find((k) => isUnchanged(t, k, when)) : undefined;
-    if (lost !== undefined) t.lossDetector.suspect('key lost', `${lost} is not as it was`);
-    yield* debug('commit rejected', { term: t.leaderTerm.number, failed: failed.join(',') });
+    const lost = read ? failed.find((k) => isUnchanged(context, k, when)) : undefined;
+    if (lost !== undefined) context.lossDetector.suspect('key lost', `${lost} is not as it was`);
+    yield* debug('commit rejected', { term: context.leaderTerm.number, failed: failed.join(',') });
   });
 
 /** The log entries are durable: they take effect here. `revision` null: at which revision is not known. */
 const applyEntries = (
-  t: CycleContext,
+  context: CycleContext,
   records: readonly Omit<LogEntry, 'revision'>[],
   revision: number | null,
 ) =>
   Effect.gen(function* () {
     for (const r of records) {
-      recordSamples(t, r.jobs, r.head.at);
+      recordSamples(context, r.jobs, r.head.at);
       // Without its revision it comes from the watch: whether it or a cancellation was first decides what a job is.
-      if (revision !== null) t.jobState.appendLogEntry({ ...r, revision });
+      if (revision !== null) context.jobState.appendLogEntry({ ...r, revision });
       else
-        while (!t.jobState.logTail.has(r.sequence) && t.isCurrentTerm())
-          yield* Effect.ignore(t.watcher.refresh);
+        while (!context.jobState.logTail.has(r.sequence) && context.isCurrentTerm())
+          yield* Effect.ignore(context.watcher.refresh);
       let started = 0;
       for (const [id, c] of r.jobs) {
-        t.registry.settled(id, c.done ?? [], c.gone ?? []);
+        context.registry.settled(id, c.done ?? [], c.gone ?? []);
         for (const on of c.start?.on.values() ?? []) started += on.length;
       }
-      yield* logCutoffRisks(t, r.jobs, r.head.at);
+      yield* logCutoffRisks(context, r.jobs, r.head.at);
       yield* debug('log entry committed', {
-        term: t.leaderTerm.number,
+        term: context.leaderTerm.number,
         sequence: r.sequence,
         jobs: r.jobs.size,
         started,
@@ -94,25 +98,25 @@
   });
 
 export const commit = (
-  t: CycleContext,
+  context: CycleContext,
   starts: readonly Start[],
   preemptions: readonly Preemption[] = NO_STOPS,
 ) =>
   Effect.gen(function* () {
     // Never earlier than the log entry before, whoever wrote that: clocks differ, and what is weighed by them must not shrink.
-    const at = Math.max(t.dayTime(), t.jobState.lastAt + 1) as Micros;
-    const booking = new Booking(t, at);
-    const draft = draftOf(t, starts, preemptions, booking, cutoffRisksOf(t, at));
+    const at = Math.max(context.dayTime(), context.jobState.lastAt + 1) as Micros;
+    const booking = new Booking(context, at);
+    const draft = draftOf(context, starts, preemptions, booking, cutoffRisksOf(context, at));
     if (draft.entries.length === 0) return NOTHING;
-    const spent = booking.spent();
-    const calendar = t.jobState.calendars.current?.version ?? 0;
-    const records = logEntriesOf(t, draft, { at, calendar, spent });
+    const usage = booking.usage();
+    const calendar = context.jobState.calendars.current?.version ?? 0;
+    const records = logEntriesOf(context, draft, { at, calendar, usage });
     const keys = records.map((r) => logEntryKey(r.sequence));
-    const chain = predecessorCondition(t);
+    const chain = predecessorCondition(context);
     const outcome = yield* transactUntilKnown(
-      t,
+      context,
       [
-        { key: TERM, stamp: t.leaderTerm.stamp },
+        { key: TERM, stamp: context.leaderTerm.stamp },
         ...keys.map((key) => ({ key, stamp: 0 })),
         chain,
         ...draft.conditions,
@@ -122,12 +126,12 @@
     );
     if (outcome === null) return NOTHING;
     if (!outcome.ok) {
-      yield* handleConflict(t, outcome.failed, [chain, ...draft.conditions]);
+      yield* handleConflict(context, outcome.failed, [chain, ...draft.conditions]);
       return NOTHING;
     }
-    booking.committed(spent);
-    yield* applyEntries(t, records, outcome.revision);
-    if (!draft.complete) t.registry.dirty = true;
-    for (const e of draft.endedLoans) yield* info('loan ended', { term: t.leaderTerm.number, ...e });
+    booking.committed(usage);
+    yield* applyEntries(context, records, outcome.revision);
+    if (!draft.complete) context.registry.dirty = true;
+    for (const e of draft.endedLoans) yield* info('loan ended', { term: context.leaderTerm.number, ...e });
     return { lendingPreemptions: draft.lendingPreemptions, hasBacklog: !draft.complete };
   });
--- a/packages/controller/src/scheduler/cycle-input.ts
+++ b/packages/controller/src/scheduler/cycle-input.ts
@@ -43,9 +43,9 @@
   }
 }
 
-export const placedTasksOf = (t: CycleContext, at: Micros): PlacedTask[] => {
+export const placedTasksOf = (context: CycleContext, at: Micros): PlacedTask[] => {
   const out: PlacedTask[] = [];
-  const { registry } = t;
+  const { registry } = context;
   // Thousands of tasks at each cycle: what is the same for all of a machine or a job is asked once.
   interface OfJob {
     readonly leaves: boolean;
@@ -55,7 +55,7 @@
   let last: Job | null = null;
   let known: OfJob = { leaves: false, ends: undefined };
   const preemptions = registry.stopping.size > 0;
-  for (const [machine, on] of t.jobState.placementsByMachine) {
+  for (const [machine, on] of context.jobState.placementsByMachine) {
     const m = registry.machines.get(machine);
     const zone = m?.zone ?? null;
     const away = m === undefined || !m.confirmed;
@@ -80,21 +80,21 @@
 };
 
 /** Machines on their way to serve. */
-const fetchingWeights = (t: CycleContext): Set<string> => {
+const fetchingWeights = (context: CycleContext): Set<string> => {
   const out = new Set<string>();
-  for (const job of t.jobState.jobs.values()) {
+  for (const job of context.jobState.jobs.values()) {
     if (!mayBorrow(job.spec) || job.cancelled) continue;
     for (const p of job.placed.values())
-      if (t.registry.machines.get(p.machine)?.images.has(job.spec.image) === false) out.add(p.machine);
+      if (context.registry.machines.get(p.machine)?.images.has(job.spec.image) === false) out.add(p.machine);
   }
   return out;
 };
 
-export const nodesOf = (t: CycleContext, at: Micros): NodeView[] => {
-  const types = new Map(t.types().map((k) => [k.name, k]));
+export const nodesOf = (context: CycleContext, at: Micros): NodeView[] => {
+  const types = new Map(context.types().map((k) => [k.name, k]));
   const out: NodeView[] = [];
-  const fetches = fetchingWeights(t);
-  for (const m of t.registry.machines.values()) {
+  const fetches = fetchingWeights(context);
+  for (const m of context.registry.machines.values()) {
     const k = types.get(m.type);
     if (!k || !m.reported) continue;
     out.push({
@@ -105,7 +105,7 @@
       total: [k.cpus, k.gpus, k.memGb],
       images: m.images,
       ...(fetches.has(m.id) ? { fetchingWeights: true } : {}),
-      open: t.registry.open(m, at),
+      open: context.registry.open(m, at),
     });
   }
   return out;
@@ -115,8 +115,8 @@
  * What is promised to a class's jobs. An aim on their end orders those that have none on their start: thousands of
  * tiny jobs need not wait behind one huge array of the same team. Where a start is promised, first come goes first.
  */
-const objectiveOf = (t: CycleContext, jobClass: string): ClassObjective => {
-  const aims = t.settings.objectives.filter((o) => o.jobClass === jobClass);
+const objectiveOf = (context: CycleContext, jobClass: string): ClassObjective => {
+  const aims = context.settings.objectives.filter((o) => o.jobClass === jobClass);
   const multiples = aims.filter((o) => o.kind === 'deadline').map((o) => o.times);
   const ends = aims.some((o) => o.kind === 'wait') ? [] : aims.filter((o) => o.kind === 'finished');
   return {
@@ -131,50 +131,58 @@
  */
 const RETRY_OVERDUE = seconds(45);
 
-/** Jobs with tasks to start, once what the worker registry has seen to end is recorded. */
-export const queuedJobsOf = (t: CycleContext, at: Micros): QueuedJob[] => {
+/** The next tasks of a job that neither run nor are done, at most `most` placed at once. None: it has nothing to start. */
+const tasksToStart = (job: Job, ends: Ends | undefined, broken: boolean, most: number): number[] => {
+  const tasks: number[] = [];
+  const gang = job.spec.shape === 'gang';
+  const on = job.placed.size - (ends ? [...job.placed.keys()].filter((i) => endsOf(ends, i)).length : 0);
+  if (gang || broken ? on > 0 : on + job.done.size >= job.spec.tasks) return tasks;
+  // Of what looks broken one task shows as much as all.
+  const count = gang ? job.spec.tasks : broken ? 1 : most - job.placed.size;
+  for (let i = 0; i < job.spec.tasks && tasks.length < count; i++) {
+    if (job.done.has(i) || ends?.done.has(i) || (job.placed.has(i) && !ends?.gone.has(i))) continue;
+    tasks.push(i);
+  }
+  return tasks;
+};
+
+/** Jobs with tasks to start, once what the worker registry has seen to end is committed. */
+export const queuedJobsOf = (context: CycleContext, at: Micros): QueuedJob[] => {
+  const { registry, jobState, largestJobs } = context;
   const out: QueuedJob[] = [];
-  const day = t.dayTime();
-  const promises = new Map<string, ClassObjective>();
-  for (const { spec } of t.jobState.jobs.values()) t.largestJobs.observe(spec);
-  const limits = new Map(t.settings.teams.map((s) => [s.name, s.limit]));
-  const calendar = t.jobState.calendars.current;
-  const cutoffDay = dayOf(t);
-  const pace = paceOf(t);
+  const day = context.dayTime();
+  const objectives = new Map<string, ClassObjective>();
+  for (const { spec } of jobState.jobs.values()) largestJobs.observe(spec);
+  const limits = new Map(context.settings.teams.map((s) => [s.name, s.limit]));
+  const calendar = jobState.calendars.current;
+  const cutoffDay = dayOf(context);
+  const pace = paceOf(context);
   // What one job's key must be able to hold.
-  const most = Math.max(50, Math.floor((t.settings.state.valueBytes * 0.5) / 12));
-  for (const job of t.jobState.jobs.values()) {
-    if (job.cancelled || isComplete(job) || at < t.registry.heldUntil(job, at)) continue;
-    const ends = t.registry.ends.get(job.spec.id);
-    const on = job.placed.size - (ends ? [...job.placed.keys()].filter((i) => endsOf(ends, i)).length : 0);
-    const tasks: number[] = [];
-    const broken = t.registry.looksBroken(job, at);
-    const gang = job.spec.shape === 'gang';
+  const most = Math.max(50, Math.floor((context.settings.state.valueBytes * 0.5) / 12));
+  for (const job of jobState.jobs.values()) {
+    const { spec } = job;
+    if (job.cancelled || isComplete(job) || at < registry.heldUntil(job, at)) continue;
+    const broken = registry.looksBroken(job, at);
     // Something of it runs that no log entry knows of: it is taken up or seen to end before more of it is started.
-    if (t.registry.orphanedTasks.has(job.spec.id)) continue;
-    if (gang || broken ? on > 0 : on + job.done.size >= job.spec.tasks) continue;
-    // Of what looks broken one task shows as much as all.
-    const room = gang ? job.spec.tasks : broken ? 1 : most - job.placed.size;
-    for (let i = 0; i < job.spec.tasks && tasks.length < room; i++) {
-      if (job.done.has(i) || ends?.done.has(i) || (job.placed.has(i) && !ends?.gone.has(i))) continue;
-      tasks.push(i);
-    }
+    if (registry.orphanedTasks.has(spec.id)) continue;
+    const tasks = tasksToStart(job, registry.ends.get(spec.id), broken, most);
     if (tasks.length === 0) continue;
-    let promise = promises.get(job.spec.jobClass);
-    if (!promise) promises.set(job.spec.jobClass, (promise = objectiveOf(t, job.spec.jobClass)));
-    const from = t.largestJobs.has(job.spec)
-      ? starvingFrom(job, day, limits.get(job.spec.team), gang ? Number.POSITIVE_INFINITY : most)
+    let objective = objectives.get(spec.jobClass);
+    if (!objective) objectives.set(spec.jobClass, (objective = objectiveOf(context, spec.jobClass)));
+    const gang = spec.shape === 'gang';
+    const from = largestJobs.has(spec)
+      ? starvingFrom(job, day, limits.get(spec.team), gang ? Number.POSITIVE_INFINITY : most)
       : null;
-    const tied = broken || job.spec.tie === null ? null : cutoffRank(job, calendar, cutoffDay, pace);
-    const passedOver = from !== null && day >= from;
-    const rank =
-      tied === null ? rankOf(job, day, promise, broken, from) : passedOver ? from : IN_TIME_RANK + tied;
-    const mayRent = !broken || at - t.registry.heldUntil(job, at) > RETRY_OVERDUE;
+    const tied = broken || spec.tie === null ? null : cutoffRank(job, calendar, cutoffDay, pace);
+    const rankOfTied = (cutoff: number): number =>
+      from !== null && day >= from ? from : IN_TIME_RANK + cutoff;
+    const rank = tied === null ? rankOf(job, day, objective, broken, from) : rankOfTied(tied);
+    const mayRent = !broken || at - registry.heldUntil(job, at) > RETRY_OVERDUE;
     const starving = gang && !broken && from !== null && day >= from + RESERVES_AFTER;
-    const overdue = t.startWaits.overdue(job, at) && !broken;
+    const overdue = context.startWaits.overdue(job, at) && !broken;
     out.push({ job, tasks, rank, starving, cautious: broken, mayRent, ...(overdue ? { overdue } : {}) });
   }
-  t.startWaits.retain(t.jobState.jobs);
+  context.startWaits.retain(jobState.jobs);
   return out;
 };
 
@@ -184,16 +192,16 @@
 
 /** What placing a replica asks of the world; undefined while none of a GPU service is missing. */
 export const lendingViewOf = (
-  t: CycleContext,
+  context: CycleContext,
   at: Micros,
   queued: readonly QueuedJob[],
 ): LendingView | undefined => {
   if (!queued.some((q) => mayBorrow(q.job.spec))) return undefined;
-  const { registry, jobState } = t;
-  const day = t.dayTime();
-  const types = new Map(t.types().map((k) => [k.name, k]));
+  const { registry, jobState } = context;
+  const day = context.dayTime();
+  const types = new Map(context.types().map((k) => [k.name, k]));
   const aims = new Map<string, number>();
-  for (const o of t.settings.objectives)
+  for (const o of context.settings.objectives)
     if (o.kind === 'wait') aims.set(o.jobClass, Math.min(o.within, aims.get(o.jobClass) ?? o.within));
   /** Images that machines fetch, and since when. */
   const fetching = new Map<string, Map<string, number>>();
@@ -241,7 +249,7 @@
     },
     reachable: (id) => {
       const m = registry.machines.get(id);
-      const late = t.settings.workers.report * 1.5 + 1e6;
+      const late = context.settings.workers.report * 1.5 + 1e6;
       return m !== undefined && m.confirmed && m.recallAt === null && at - m.lastAnswered < late;
     },
     due: ({ spec }) => {
@@ -273,17 +281,17 @@
 const PROMISED_END = 4;
 const PROMISED_NOTHING = 20;
 
-export const teamWeightsOf = (t: CycleContext): Map<string, number> => {
+export const teamWeightsOf = (context: CycleContext): Map<string, number> => {
   const weights = new Map<string, number>();
   const named = new Map<string, number>();
-  for (const o of t.settings.objectives) {
+  for (const o of context.settings.objectives) {
     const soon = o.kind === 'wait' || o.kind === 'deadline';
     named.set(o.jobClass, Math.max(named.get(o.jobClass) ?? 0, soon ? 1 : 1 / PROMISED_END));
   }
   if (named.size === 0) return weights;
-  for (const { guarantee, name } of t.settings.teams)
+  for (const { guarantee, name } of context.settings.teams)
     weights.set(name, guarantee.cpus > 0 || guarantee.gpus > 0 ? 1 : 1 / PROMISED_NOTHING);
-  for (const { spec } of t.jobState.jobs.values())
+  for (const { spec } of context.jobState.jobs.values())
     weights.set(spec.team, Math.max(weights.get(spec.team) ?? 0, named.get(spec.jobClass) ?? 0));
   return weights;
 };
@@ -291,15 +299,15 @@
 /** A class of GPU jobs counts for this long after its last job was there: the next one is likely to come. */
 const REMEMBERED = 300e6;
 
-export const coLocatedDemandOf = (t: CycleContext, at: Micros): CoLocatedDemand[] => {
+export const coLocatedDemandOf = (context: CycleContext, at: Micros): CoLocatedDemand[] => {
   const waiting = new Set<string>();
-  for (const job of t.jobState.jobs.values()) {
+  for (const job of context.jobState.jobs.values()) {
     const { spec } = job;
     if (spec.gpus === 0) continue;
     if (!job.cancelled && job.done.size + job.placed.size < spec.tasks) waiting.add(spec.jobClass);
     const slack = spec.deadline === null ? 0 : Math.max(0, spec.deadline - spec.estimate);
-    const known = t.coLocatedDemand.get(spec.jobClass);
-    t.coLocatedDemand.set(spec.jobClass, {
+    const known = context.coLocatedDemand.get(spec.jobClass);
+    context.coLocatedDemand.set(spec.jobClass, {
       urgency: spec.urgency,
       cpusPerGpu: spec.cpus / spec.gpus,
       memPerGpu: spec.memGb / spec.gpus,
@@ -307,7 +315,7 @@
       seen: at,
     });
   }
-  return [...t.coLocatedDemand]
+  return [...context.coLocatedDemand]
     .filter(([, c]) => at - c.seen < REMEMBERED)
     .map(([jobClass, c]) => ({ ...c, waiting: waiting.has(jobClass) }));
 };
--- a/packages/controller/src/scheduler/draft.ts
+++ b/packages/controller/src/scheduler/draft.ts
@@ -103,7 +103,7 @@
 
   constructor(
     private readonly context: CycleContext,
-    private readonly spending: Booking['spending'],
+    private readonly usageRows: Booking['usageRows'],
   ) {
     const { valueBytes, txnOps } = context.settings.state;
     this.valueLimit = valueBytes * VALUE_PART;
@@ -118,7 +118,7 @@
   /** Bytes that a log entry may take; the accounts' rows, and `booked` more of them, stand in the first one. */
   private limitOf(record: LogEntryDraft, booked: number): number {
     if (record !== this.entries[0]) return this.valueLimit;
-    return this.valueLimit - Math.max(this.spending.bytes + booked, this.reservedBytes);
+    return this.valueLimit - Math.max(this.usageRows.bytes + booked, this.reservedBytes);
   }
 
   /** Keeps room for the rows of all that has ended: jobs of one team and class mostly share theirs. */
@@ -126,7 +126,7 @@
     const ofGroup = new Map<string, number>();
     for (const { job, done, gone } of ended) {
       const group = `${job.spec.team} ${job.spec.jobClass}`;
-      const rows = this.spending.wouldAdd(job, [...done, ...gone]);
+      const rows = this.usageRows.bytesToAdd(job, [...done, ...gone]);
       ofGroup.set(group, Math.max(ofGroup.get(group) ?? 0, rows));
     }
     const bound = [...ofGroup.values()].reduce((a, b) => a + b, 0);
@@ -135,7 +135,7 @@
 
   private transactionBytes(): number {
     const values = this.entries.reduce((n, r) => n + r.bytes + LOG_ENTRY_BYTES, 0);
-    return values + this.spending.bytes + this.conditions.length * CONDITION_BYTES;
+    return values + this.usageRows.bytes + this.conditions.length * CONDITION_BYTES;
   }
 
   private get transactionLimit(): number {
@@ -216,10 +216,10 @@
   }
 
   addEnds({ job, done, gone, failed }: EndedJob): void {
-    const booked = this.spending.wouldAdd(job, [...done, ...gone]);
+    const booked = this.usageRows.bytesToAdd(job, [...done, ...gone]);
     if (!this.add(job.spec.id, (c) => ({ ...c, done, gone, failed }), booked)) return;
-    this.spending.add(job, done, 'done');
-    this.spending.add(job, gone, 'gone');
+    this.usageRows.add(job, done, 'done');
+    this.usageRows.add(job, gone, 'gone');
   }
 }
 
@@ -235,10 +235,10 @@
   return on;
 };
 
-const endedJobs = (t: CycleContext): EndedJob[] => {
+const endedJobs = (context: CycleContext): EndedJob[] => {
   const out: EndedJob[] = [];
-  for (const [id, e] of t.registry.ends) {
-    const job = t.jobState.jobs.get(id);
+  for (const [id, e] of context.registry.ends) {
+    const job = context.jobState.jobs.get(id);
     if (!job) continue;
     // A gang that completed is done as a whole, whatever else its members said.
     const gone = [...e.gone].filter((x) => !e.done.has(x));
@@ -247,9 +247,9 @@
   return out;
 };
 
-const draftLoans = (t: CycleContext, d: DraftBuilder, preemptions: readonly Preemption[]): void => {
-  for (const { taker, repay, ends } of loanRepayments(t.jobState.jobs, d.started, (job) =>
-    t.registry.unsettled(job),
+const draftLoans = (context: CycleContext, d: DraftBuilder, preemptions: readonly Preemption[]): void => {
+  for (const { taker, repay, ends } of loanRepayments(context.jobState.jobs, d.started, (job) =>
+    context.registry.unsettled(job),
   ))
     if (d.add(taker, (c) => ({ ...c, repay }))) d.endedLoans.push(...ends);
   for (const { taker, lend, taken, preemptions: of } of newLoans(preemptions)) {
@@ -267,22 +267,22 @@
 
 /** `said`: of cutoffs, by job. */
 export const draftOf = (
-  t: CycleContext,
+  context: CycleContext,
   starts: readonly Start[],
   preemptions: readonly Preemption[],
-  { spending }: Booking,
+  { usageRows }: Booking,
   said: ReadonlyMap<string, number>,
 ): Draft => {
-  const d = new DraftBuilder(t, spending);
-  const ended = endedJobs(t);
+  const d = new DraftBuilder(context, usageRows);
+  const ended = endedJobs(context);
   d.reserveRows(ended);
   for (const e of ended) d.addEnds(e);
   for (const [id, say] of said) d.add(id, (c) => ({ ...c, cutoffRisk: say }));
   // The starts count on the room of every end: with one of these left out, they wait for the next log entry.
   if (d.complete) {
     // What runs already from before a loss is recorded before anything is started anew.
-    for (const s of [...t.registry.adoptions(), ...starts]) d.addStart(s);
-    draftLoans(t, d, preemptions);
+    for (const s of [...context.registry.adoptions(), ...starts]) d.addStart(s);
+    draftLoans(context, d, preemptions);
   }
   // The accounts' rows stand in the first log entry, also where every change went to a later one.
   const records = d.entries.some((r) => r.changes.size > 0) ? d.entries.map((r) => r.changes) : [];
--- a/packages/controller/src/scheduler/transact-until-known.ts
+++ b/packages/controller/src/scheduler/transact-until-known.ts
@@ -14,7 +14,7 @@
  * in between would leave a log entry that may be applied and that nobody here counts with.
  */
 export const transactUntilKnown = (
-  t: CycleContext,
+  context: CycleContext,
   when: readonly Condition[],
   then: readonly Write[],
   probe: string,
@@ -23,18 +23,18 @@
   Effect.gen(function* () {
     let unsure = false;
     for (;;) {
-      if (!t.isCurrentTerm()) return null;
-      if (!t.mayAct()) {
+      if (!context.isCurrentTerm()) return null;
+      if (!context.mayAct()) {
         yield* Effect.sleep(100);
         continue;
       }
-      const r = yield* Effect.either(t.store.transact(when, then, priority, 1200));
+      const r = yield* Effect.either(context.store.transact(when, then, priority, 1200));
       if (r._tag === 'Right') {
         // Sent before without an answer, and now its own key stands in the way: the first copy was applied.
         if (!r.right.ok && unsure && r.right.failed.includes(probe) && !r.right.failed.includes(TERM)) {
           return { ok: true, revision: null } as const;
         }
-        if (r.right.ok) t.watcher.noteOwnCommit(r.right.revision);
+        if (r.right.ok) context.watcher.noteOwnCommit(r.right.revision);
         return r.right;
       }
       if (r.left._tag === 'NoAnswer') unsure = true;
--- a/packages/controller/src/scheduler/upkeep.ts
+++ b/packages/controller/src/scheduler/upkeep.ts
@@ -1,7 +1,7 @@
 /** Tidies up what older log entries and jobs that are over leave behind. Every write is conditional on the term. */
 import { Effect } from 'effect';
 import { info } from '@lilacvalve/runtime/log';
-import { checkpointWrites, joinOld, writePage } from '../accounts/upkeep.js';
+import { checkpointWrites, joinOldPages, writePage } from '../accounts/upkeep.js';
 import { tallyWrites, calendarUpkeep } from '../calendar/cutoff-tracking.js';
 import { encodeFinalState, encodeJob } from '../jobs/codec.js';
 import { ACCOUNTS, activeJobKey, jobUnchanged, finalStateKey, logEntryKey, TERM } from '../jobs/keys.js';
@@ -12,7 +12,7 @@
 import type { CycleContext } from './cycle-context.js';
 
 /**
- * Log entries to keep before their jobs are folded. Most jobs are over before their first log entry is the oldest
+ * Log entries to keep before their jobs are compacted. Most jobs are over before their first log entry is the oldest
  * of so many: then only the log entry is to be deleted, and the job's key is never written again on its account.
  */
 const LOG_TAIL_KEPT = 160;
@@ -20,16 +20,19 @@
 const UPKEEP_OPS = 8;
 
 /** Moves jobs that are over to their final keys. Whoever writes a job's key first, cancellation or this, wins. */
-const closeFinishedJobs = (t: CycleContext) =>
+const closeFinishedJobs = (context: CycleContext) =>
   Effect.gen(function* () {
     const over: Job[] = [];
-    for (const job of t.jobState.jobs.values()) {
-      if (finalState(job) !== null && !t.registry.ends.has(job.spec.id)) over.push(job);
+    for (const job of context.jobState.jobs.values()) {
+      if (finalState(job) !== null && !context.registry.ends.has(job.spec.id)) over.push(job);
       // Two changes each, and a third where a bundle lists it.
-      const each = t.jobState.bundleOf.size > 0 ? 3 : 2;
+      const each = context.jobState.bundleOf.size > 0 ? 3 : 2;
       // A tied job's occurrence has a count, which changes too.
       const tied = over.reduce((n, j) => n + (j.spec.tie === null ? 0 : 1), 0);
-      if ((over.length + 1) * each + tied > Math.min(t.settings.state.txnOps, each === 3 ? 12 : UPKEEP_OPS))
+      if (
+        (over.length + 1) * each + tied >
+        Math.min(context.settings.state.txnOps, each === 3 ? 12 : UPKEEP_OPS)
+      )
         break;
     }
     if (over.length === 0) return false;
@@ -39,7 +42,7 @@
       stamp: job.revision,
       final: finalState(job)!,
     }));
-    const when: Condition[] = [{ key: TERM, stamp: t.leaderTerm.stamp }];
+    const when: Condition[] = [{ key: TERM, stamp: context.leaderTerm.stamp }];
     const then: Write[] = [];
     for (const f of finals) {
       when.push({ key: activeJobKey(f.id), stamp: f.stamp });
@@ -48,95 +51,111 @@
         { set: finalStateKey(f.id), value: encodeFinalState(f.final) },
       );
     }
-    const packs = t.jobState.removalFromBundles(finals.map((f) => f.id));
-    const counts = tallyWrites(t.jobState, finals);
+    const packs = context.jobState.removalFromBundles(finals.map((f) => f.id));
+    const counts = tallyWrites(context.jobState, finals);
     when.push(...packs.when, ...counts.when);
     then.push(...packs.then, ...counts.then);
     const first = finals[0]!;
-    const probe = first.stamp > 0 ? activeJobKey(first.id) : (t.jobState.bundleOf.get(first.id) ?? '');
-    const outcome = yield* transactUntilKnown(t, when, then, probe, Priority.Upkeep);
+    const probe = first.stamp > 0 ? activeJobKey(first.id) : (context.jobState.bundleOf.get(first.id) ?? '');
+    const outcome = yield* transactUntilKnown(context, when, then, probe, Priority.Upkeep);
     if (outcome === null) return true;
     // Applied or not, the watch's view decides what became of each job.
-    yield* Effect.ignore(t.watcher.refresh);
+    yield* Effect.ignore(context.watcher.refresh);
     if (outcome.ok)
       for (const f of finals) {
         yield* info('job finished', { job: f.id, status: f.final.status });
         for (const [lender, l] of f.job.loans) {
           const ended = { taker: f.id, lender, gpus: l.gpus / 1000, reason: 'taker over' };
-          yield* info('loan ended', { term: t.leaderTerm.number, ...ended });
+          yield* info('loan ended', { term: context.leaderTerm.number, ...ended });
         }
       }
     return true;
   });
 
-/** Shortens the tail: writes the jobs of the oldest log entries into their own keys, then deletes the log entries. */
-const compactLog = (t: CycleContext) =>
-  Effect.gen(function* () {
-    if (t.jobState.logTail.size <= (t.settings.state.tail ?? LOG_TAIL_KEPT)) return;
-    const upTo = t.jobState.lastSequence;
-    const ops = t.settings.state.txnOps;
-    const { checkpoint, accounts } = t.jobState;
-    // No log entry goes whose rows the checkpoint lacks. It is written once in so many log entries: the next ones can go by it.
-    const checked: Condition = { key: ACCOUNTS, stamp: checkpoint.revision };
-    const when: Condition[] = [{ key: TERM, stamp: t.leaderTerm.stamp }, checked];
-    const then: Write[] = [];
-    const jobs = new Set<Job>();
-    let bytes = 0;
-    const seqs = [...t.jobState.logTail.keys()].sort((a, b) => a - b).slice(0, -1);
-    if (seqs[0]! > checkpoint.upTo) {
-      then.push(...checkpointWrites(t, accounts));
-      bytes = JSON.stringify(then).length;
+/** One transaction of compaction; `checked` is its condition on the accounts' checkpoint. */
+interface Compaction {
+  readonly when: readonly Condition[];
+  readonly then: readonly Write[];
+  readonly checked: Condition;
+}
+
+/** Bytes of one transaction of compaction. */
+const COMPACTION_BYTES = 48 * 1024;
+
+/** As much of the oldest log entries as one transaction takes: writes of the jobs that they name, then their deletion. */
+const draftCompaction = (context: CycleContext): Compaction => {
+  const { jobState, settings } = context;
+  const upTo = jobState.lastSequence;
+  const ops = settings.state.txnOps;
+  const { checkpoint, accounts } = jobState;
+  // No entry goes whose rows the checkpoint lacks. It is written once in so many entries: the next ones can go by it.
+  const checked: Condition = { key: ACCOUNTS, stamp: checkpoint.revision };
+  const when: Condition[] = [{ key: TERM, stamp: context.leaderTerm.stamp }, checked];
+  const then: Write[] = [];
+  const jobs = new Set<Job>();
+  let bytes = 0;
+  const oldest = [...jobState.logTail.keys()].sort((a, b) => a - b).slice(0, -1);
+  if (oldest[0]! > checkpoint.upTo) {
+    then.push(...checkpointWrites(context, accounts));
+    bytes = JSON.stringify(then).length;
+  }
+  const covered = then.length > 0 ? accounts.upTo : checkpoint.upTo;
+  for (const sequence of oldest) {
+    if (sequence > covered) break;
+    const more: Job[] = [];
+    for (const id of jobState.logTail.get(sequence)!.jobs.keys()) {
+      const job = jobState.jobs.get(id);
+      if (job && job.compactedTo < sequence && !jobs.has(job)) more.push(job);
     }
-    const covered = then.length > 0 ? accounts.upTo : checkpoint.upTo;
-    for (const seq of seqs) {
-      if (seq > covered) break;
-      const more: Job[] = [];
-      for (const id of t.jobState.logTail.get(seq)!.jobs.keys()) {
-        const job = t.jobState.jobs.get(id);
-        if (job && job.compactedTo < seq && !jobs.has(job)) more.push(job);
-      }
-      if (then.length + more.length + 1 > Math.min(ops, UPKEEP_OPS) && then.length > 0) break;
-      const writes: Write[] = more.map((job) => ({
-        set: activeJobKey(job.spec.id),
-        // This view has every log entry up to the cancellation. One that completes the job while this write is on its way must not
-        // look as if it had come first, by the key's new revision: what users were told is cancelled would be done.
-        value: encodeJob({ ...job, cancelledFirst: job.cancelled }, upTo),
-      }));
-      const size = JSON.stringify(writes).length;
-      if (bytes + size > 48 * 1024 && then.length > 0) break;
-      if (then.length + writes.length + 1 > ops) {
-        // More jobs than one transaction takes: fold some, the log entry goes later.
-        const some = writes.slice(0, ops);
-        then.push(...some);
-        for (const job of more.slice(0, ops)) when.push(...jobUnchanged(job.spec.id, job.revision));
-        break;
-      }
-      bytes += size;
-      then.push(...writes, { delete: logEntryKey(seq) });
-      for (const job of more) {
-        jobs.add(job);
-        when.push(...jobUnchanged(job.spec.id, job.revision));
-      }
+    if (then.length + more.length + 1 > Math.min(ops, UPKEEP_OPS) && then.length > 0) break;
+    const writes: Write[] = more.map((job) => ({
+      set: activeJobKey(job.spec.id),
+      // This view has every entry up to the cancellation. One that completes the job while this write is on its way must not
+      // look as if it had come first, by the key's new revision: what users were told is cancelled would be done.
+      value: encodeJob({ ...job, cancelledFirst: job.cancelled }, upTo),
+    }));
+    const size = JSON.stringify(writes).length;
+    if (bytes + size > COMPACTION_BYTES && then.length > 0) break;
+    if (then.length + writes.length + 1 > ops) {
+      // More jobs than one transaction takes: some of them now, the entry goes later.
+      then.push(...writes.slice(0, ops));
+      for (const job of more.slice(0, ops)) when.push(...jobUnchanged(job.spec.id, job.revision));
+      break;
     }
+    bytes += size;
+    then.push(...writes, { delete: logEntryKey(sequence) });
+    for (const job of more) {
+      jobs.add(job);
+      when.push(...jobUnchanged(job.spec.id, job.revision));
+    }
+  }
+  return { when, then, checked };
+};
+
+/** Compacts the log once its tail is long: jobs' own keys take what the oldest entries say, then the entries are deleted. */
+const compactLog = (context: CycleContext) =>
+  Effect.gen(function* () {
+    if (context.jobState.logTail.size <= (context.settings.state.tail ?? LOG_TAIL_KEPT)) return;
+    const { when, then, checked } = draftCompaction(context);
     if (then.length === 0) return;
-    const outcome = yield* transactUntilKnown(t, when, then, '', Priority.Upkeep);
+    const outcome = yield* transactUntilKnown(context, when, then, '', Priority.Upkeep);
     if (outcome === null) return;
-    const read = yield* Effect.isSuccess(t.watcher.refresh);
+    const read = yield* Effect.isSuccess(context.watcher.refresh);
     if (
       read &&
       !outcome.ok &&
       outcome.failed.includes(ACCOUNTS) &&
-      t.jobState.checkpoint.revision === checked.stamp
+      context.jobState.checkpoint.revision === checked.stamp
     )
-      t.lossDetector.suspect('key lost', `${ACCOUNTS} is not as it was`);
+      context.lossDetector.suspect('key lost', `${ACCOUNTS} is not as it was`);
   });
 
-/** Closes jobs that are over and shortens the tail, beside the cycles: these must not wait for its writes. */
-export const upkeep = (t: CycleContext): Effect.Effect<void> =>
+/** Closes jobs that are over and compacts the log, beside the scheduling cycles: these must not wait for its writes. */
+export const upkeep = (context: CycleContext): Effect.Effect<void> =>
   Effect.gen(function* () {
-    if (!t.mayAct()) return;
-    yield* calendarUpkeep(t);
-    if (yield* closeFinishedJobs(t)) return;
-    if (t.mayAct()) yield* compactLog(t);
-    if (t.mayAct() && !(yield* writePage(t))) yield* joinOld(t);
+    if (!context.mayAct()) return;
+    yield* calendarUpkeep(context);
+    if (yield* closeFinishedJobs(context)) return;
+    if (context.mayAct()) yield* compactLog(context);
+    if (context.mayAct() && !(yield* writePage(context))) yield* joinOldPages(context);
   }).pipe(Effect.ignore);
--- a/packages/controller/src/workers/worker-registry.ts
+++ b/packages/controller/src/workers/worker-registry.ts
@@ -9,7 +9,7 @@
 import { type Job, type Placement, taskKey } from '../jobs/model.js';
 import { CONFIRM } from '../leadership/peers.js';
 import type { Settings } from '../settings/settings.js';
-import { type KindOf } from '../accounts/spent.js';
+import { type KindOf } from '../accounts/usage-rows.js';
 import { Phases } from '../accounts/phases.js';
 import { recordAnomaly } from '../metrics.js';
 import { FaultAttribution } from './fault-attribution.js';
--- a/packages/controller/test/accounts.test.ts
+++ b/packages/controller/test/accounts.test.ts
@@ -8,10 +8,10 @@
 import {
   addGap,
   compact,
-  fold,
+  foldLogEntry,
   joinAccounts,
   joinRows,
-  lessRows,
+  subtractRows,
   NONE,
   total,
 } from '../src/accounts/fold.js';
@@ -21,17 +21,24 @@
   type Gap,
   groupKey,
   NO_ACCOUNTS,
-  NOTHING_SPENT,
-  type Spent,
-  type SpentRow,
+  NO_USAGE,
+  type Usage,
+  type UsageRow,
   SPLITS,
 } from '../src/accounts/model.js';
 import { Ledger } from '../src/accounts/ledger.js';
 import { encodePage, type Page, pageKey, pagesOf } from '../src/accounts/pages.js';
 import { Phases } from '../src/accounts/phases.js';
-import { Balance, joinShares, LEAN, ShareBook, sharesOf, shortfalls } from '../src/accounts/share.js';
-import { Spending, splitOf } from '../src/accounts/spent.js';
-import { joinOld } from '../src/accounts/upkeep.js';
+import {
+  Balance,
+  joinShares,
+  MAX_ADJUSTMENT,
+  ShareRecorder,
+  sharesOf,
+  shortfalls,
+} from '../src/accounts/share.js';
+import { UsageRows, splitOf } from '../src/accounts/usage-rows.js';
+import { joinOldPages } from '../src/accounts/upkeep.js';
 import { TERM } from '../src/jobs/keys.js';
 import type { Job } from '../src/jobs/model.js';
 import type { PlacedTask, Resources } from '../src/scheduler/model.js';
@@ -41,7 +48,7 @@
 const us = (n: number): Micros => n as Micros;
 const safe = fc.integer({ min: 0, max: Number.MAX_SAFE_INTEGER });
 const name = fc.constantFrom('red', 'blue', 'a"b', 'x');
-const row: fc.Arbitrary<SpentRow> = fc.record({
+const row: fc.Arbitrary<UsageRow> = fc.record({
   group: fc.tuple(name, name, fc.constantFrom('c8', 'g4-spot')),
   shape: fc.tuple(fc.nat(1e9), fc.nat(1e6), fc.nat(1e9)),
   rate: fc.nat(1e9),
@@ -59,8 +66,8 @@
       return { seq: i + 1, at: us(at), spent: { rows, closes: closes ? us(at - 1) : null, bound: null } };
     });
   });
-const foldAll = (a: Accounts, list: readonly { seq: number; at: Micros; spent: Spent }[]): Accounts =>
-  list.reduce((x, r) => fold(x, r.seq, r.at, r.spent), a);
+const foldAll = (a: Accounts, list: readonly { seq: number; at: Micros; spent: Usage }[]): Accounts =>
+  list.reduce((x, r) => foldLogEntry(x, r.seq, r.at, r.spent), a);
 const content = (a: Accounts) => ({ ...a, rows: [...a.rows].sort(), current: [...a.current].sort(), pending: a.pending.map((p) => ({ ...p, rows: [...p.rows].sort() })) }); // prettier-ignore
 
 test('sums are exact beyond 2^53, in any split of the records, through the checkpoint', () => {
@@ -85,7 +92,7 @@
       assert.deepEqual([of(0), of(1)], [tasks, cpus]);
       // Periods and what came after the last one are the whole.
       assert.deepEqual(
-        [...lessRows(whole.rows, joinRows(whole.current, ...whole.pending.map((p) => p.rows)))],
+        [...subtractRows(whole.rows, joinRows(whole.current, ...whole.pending.map((p) => p.rows)))],
         [],
       );
     }),
@@ -127,7 +134,7 @@
     fc.property(
       fc.option(seen),
       fc.integer({ min: 1, max: 4000 }),
-      fc.constantFrom('done' as const, 'gone' as const, 'withdrawn' as const),
+      fc.constantFrom('done' as const, 'gone' as const, 'cancelled' as const),
       fc.nat(300),
       (s, length, how, checkpoint) => {
         const phases = new Phases();
@@ -173,15 +180,15 @@
     phases: new Phases(),
     kindOf: () => null,
     types: new Map(),
-    lent: () => false,
-    reignFrom: us(0),
-    day: (t: Micros) => t,
+    onLentCapacity: () => false,
+    termFrom: us(0),
+    dayTimeOf: (t: Micros) => t,
   };
-  const spending = new Spending(books, century);
+  const spending = new UsageRows(books, century);
   spending.add(j, [0, 1, 2], 'gone');
   const rows = spending.all();
   assert.ok(rows.length >= 2 && rows.every((r) => r.us.every(Number.isSafeInteger)));
-  const a = fold(NO_ACCOUNTS, 1, century, { ...NOTHING_SPENT, rows });
+  const a = foldLogEntry(NO_ACCOUNTS, 1, century, { ...NO_USAGE, rows });
   const sum = total(a.rows);
   assert.equal(sum[SPLITS.indexOf('fetching') * 4], 2n * BigInt(century) - 5n);
   assert.equal(sum[SPLITS.indexOf('unsure') * 4 + 1], (BigInt(century) - 1n) * 1500n);
@@ -189,13 +196,13 @@
 
 test('what is missing is a gap with its bounds, never nothing', () => {
   const at = (n: number): Micros => us(n * 1e6);
-  let a = fold(NO_ACCOUNTS, 1, at(1), NOTHING_SPENT);
-  a = fold(a, 2, at(2), NOTHING_SPENT);
+  let a = foldLogEntry(NO_ACCOUNTS, 1, at(1), NO_USAGE);
+  a = foldLogEntry(a, 2, at(2), NO_USAGE);
   assert.deepEqual(a.gaps, []);
   // Records 3 and 4 are not there; the next record but one says how much room there was.
-  a = fold(a, 5, at(5), NOTHING_SPENT);
-  a = fold(a, 6, us(0), NOTHING_SPENT);
-  a = fold(a, 7, at(7), { ...NOTHING_SPENT, bound: { room: [8, 1, 4], shut: true } });
+  a = foldLogEntry(a, 5, at(5), NO_USAGE);
+  a = foldLogEntry(a, 6, us(0), NO_USAGE);
+  a = foldLogEntry(a, 7, at(7), { ...NO_USAGE, bound: { room: [8, 1, 4], shut: true } });
   const gap = { open: false, room: [8, 1, 4] };
   assert.deepEqual(a.gaps, [
     { ...gap, why: 'records', from: at(2), to: at(5), seqs: [3, 4] },
@@ -205,9 +212,9 @@
   const older = { ...a, upTo: 90, life: 0 };
   const b = joinAccounts([older, { ...a, life: 1 }], 2, 12, false);
   assert.deepEqual([b.life, b.upTo, b.gaps[2]], [2, 12, { why: 'loss', from: at(7), to: at(7), seqs: [8, 12], room: null, open: true }]); // prettier-ignore
-  const c = fold(b, 13, at(20), { ...NOTHING_SPENT, bound: { room: [9, 0, 9], shut: false } });
-  const d = fold(c, 14, at(30), { ...NOTHING_SPENT, bound: { room: [5, 2, 9], shut: true } });
-  const e = fold(d, 15, at(40), NOTHING_SPENT);
+  const c = foldLogEntry(b, 13, at(20), { ...NO_USAGE, bound: { room: [9, 0, 9], shut: false } });
+  const d = foldLogEntry(c, 14, at(30), { ...NO_USAGE, bound: { room: [5, 2, 9], shut: true } });
+  const e = foldLogEntry(d, 15, at(40), NO_USAGE);
   assert.deepEqual(e.gaps[2], { why: 'loss', from: at(7), to: at(30), seqs: [8, 12], room: [9, 2, 9], open: false }); // prettier-ignore
   assert.deepEqual(joinAccounts([a, e], 3, 15, true).gaps, e.gaps);
   const many = Array.from({ length: 90 }, (_, i): Gap => ({ ...e.gaps[2]!, from: at(i), to: at(i + 1) }));
@@ -249,12 +256,12 @@
   assert.equal(of(array, 0, 1, [24, 0, 64])[0]!.why, 'lost');
   const gang = job('job-1', { team: 'red', cpus: 2, tasks: 4, shape: 'gang' });
   assert.equal(of(gang, 0, 0)[0]!.why, 'gang');
-  const registry = new ShareBook();
-  for (let t = 0; t <= 60; t++) registry.note([GROUP], us(t * 1e6));
+  const registry = new ShareRecorder();
+  for (let t = 0; t <= 60; t++) registry.record([GROUP], us(t * 1e6));
   assert.deepEqual(shortfalls(registry.take(us(60e6))), [
     { team: 'red', jobClass: 'x', waited: 60, entitled: 0.5, had: 0.2, why: 'room' },
   ]);
-  registry.note([{ ...GROUP, owed: 0.1 }], us(61e6));
+  registry.record([{ ...GROUP, owed: 0.1 }], us(61e6));
   assert.deepEqual(shortfalls(registry.take(us(120e6))), [], 'a tenth of a share, or ten seconds of it');
 });
 
@@ -262,12 +269,12 @@
   assert.equal(new Ledger().balance, null);
   const b = new Balance(us(60e6));
   const weights = new Map([['red', 0.05]]);
-  assert.deepEqual(b.lean(weights, ['red', 'blue']), new Map([['red', 0.05], ['blue', 1]])); // prettier-ignore
-  for (let t = 0; t < 600; t++) b.pass([GROUP], us(t * 1e6));
-  assert.equal(b.lean(weights, ['red', 'blue']).get('red'), 0.05 * (1 + LEAN));
-  assert.equal(b.lean(weights, ['red', 'blue']).get('blue'), 1);
-  for (let t = 600; t < 1200; t++) b.pass([], us(t * 1e6));
-  assert.ok(b.lean(weights, ['red']).get('red')! < 0.05 * 1.001);
+  assert.deepEqual(b.adjust(weights, ['red', 'blue']), new Map([['red', 0.05], ['blue', 1]])); // prettier-ignore
+  for (let t = 0; t < 600; t++) b.record([GROUP], us(t * 1e6));
+  assert.equal(b.adjust(weights, ['red', 'blue']).get('red'), 0.05 * (1 + MAX_ADJUSTMENT));
+  assert.equal(b.adjust(weights, ['red', 'blue']).get('blue'), 1);
+  for (let t = 600; t < 1200; t++) b.record([], us(t * 1e6));
+  assert.ok(b.adjust(weights, ['red']).get('red')! < 0.05 * 1.001);
 });
 
 /** A store of pages for the upkeep, and the part of a turn that it uses. */
@@ -321,7 +328,7 @@
   const all = () => pagesOf([...keys].map(([key, value]) => ({ key, value })));
   const want = total(joinRows(new Map(), ...pages.map((p) => p.booked)));
   for (let i = 0; i < 900; i++) {
-    await Effect.runPromise(joinOld(t));
+    await Effect.runPromise(joinOldPages(t));
     // Members of a joined page that are not gone yet are left out, as reports leave them out.
     const there = all().map((x) => x.page);
     const top = there.filter((p) => !there.some((q) => q !== p && q.from <= p.from && q.to >= p.to && q.to - q.from > p.to - p.from)); // prettier-ignore
--- a/packages/controller/test/program.test.ts
+++ b/packages/controller/test/program.test.ts
@@ -123,7 +123,7 @@
   const us = [5, 0, 3, 0, 0, 0, 0];
   const row = { group: ['red', 'x', 'c8-spot'], shape: [1500, 0, 2000], rate: 400_000, us } as const;
   const bound = { room: [8000, 0, 32_000], shut: false } as const;
-  const head = { at: 77 as Micros, calendar: 4, spent: { rows: [row], closes: 60 as Micros, bound } };
+  const head = { at: 77 as Micros, calendar: 4, usage: { rows: [row], closes: 60 as Micros, bound } };
   const jobs = new Map([
     [
       'job-1',
@@ -141,7 +141,7 @@
   assert.deepEqual(decodeLogEntry(9, JSON.parse(JSON.stringify(encodeLogEntry(jobs, head))), 12), {
     sequence: 9,
     revision: 12,
-    head: { ...head, spent: { ...head.spent, rows: [{ ...row, us: [5, 0, 3] }] } },
+    head: { ...head, usage: { ...head.usage, rows: [{ ...row, us: [5, 0, 3] }] } },
     jobs,
   });
 });
--- a/packages/controller/test/rebuild.test.ts
+++ b/packages/controller/test/rebuild.test.ts
@@ -5,7 +5,7 @@
 import fc from 'fast-check';
 import { JobState } from '../src/jobs/job-state.js';
 import { encodeFinalState, encodeJob, encodeFinalStates, encodeBundle } from '../src/jobs/codec.js';
-import { FinalStates } from '../src/jobs/finals.js';
+import { FinalStates } from '../src/jobs/final-states.js';
 import { activeJobKey, finalStateKey, FINAL_STATE_PAGES, JOB_BUNDLES } from '../src/jobs/keys.js';
 import { type FinalState, isComplete, type Job } from '../src/jobs/model.js';
 import {
--- a/packages/operator-cli/src/accounts/read.ts
+++ b/packages/operator-cli/src/accounts/read.ts
@@ -1,8 +1,8 @@
 /** The accounts as the shared state or a snapshot has them, with the pages and what is placed now. */
 import { DiskFiles } from '@lilacvalve/snapshot/files';
 import { load } from '@lilacvalve/snapshot/read';
-import { openAt } from '@lilacvalve/controller/accounts/ledger';
-import { joinRows, lessRows } from '@lilacvalve/controller/accounts/fold';
+import { openPlacementsAt } from '@lilacvalve/controller/accounts/ledger';
+import { joinRows, subtractRows } from '@lilacvalve/controller/accounts/fold';
 import type { Accounts, Rows } from '@lilacvalve/controller/accounts/model';
 import { type Page, PAGES, pagesOf } from '@lilacvalve/controller/accounts/pages';
 import { listAll } from '@lilacvalve/controller/calendar/publish';
@@ -65,9 +65,9 @@
   return {
     accounts,
     pages,
-    open: openAt(jobState, accounts.at, () => null, new Map()),
+    open: openPlacementsAt(jobState, accounts.at, () => null, new Map()),
     ageless,
-    undated: lessRows(accounts.rows, dated),
+    undated: subtractRows(accounts.rows, dated),
   };
 };
 
--- a/packages/operator-cli/src/accounts/report.ts
+++ b/packages/operator-cli/src/accounts/report.ts
@@ -1,5 +1,5 @@
 /** Reports of accounts: pure. Amounts stay integers until they are printed, so the sum of all lines is what was placed. */
-import { joinRows, lessRows, NONE, addAmounts } from '@lilacvalve/controller/accounts/fold';
+import { joinRows, subtractRows, NONE, addAmounts } from '@lilacvalve/controller/accounts/fold';
 import {
   type Amounts,
   groupOf,
@@ -10,7 +10,12 @@
   SPLITS,
   type Unit,
 } from '@lilacvalve/controller/accounts/model';
-import { addShare, type ShareSum, type Shares, WHYS } from '@lilacvalve/controller/accounts/share';
+import {
+  addShare,
+  type ShareSum,
+  type Shares,
+  SHORTFALL_REASONS,
+} from '@lilacvalve/controller/accounts/share';
 import type { DeskOf } from './desks.js';
 import type { Read } from './read.js';
 
@@ -46,7 +51,7 @@
       from: waits[0]!.from,
       to: p.to,
       booked: joinRows(NOTHING, ...waits.map((w) => w.booked)),
-      carried: lessRows(p.open, before),
+      carried: subtractRows(p.open, before),
       shares: waits.map((w) => w.shares),
     });
     before = p.open;
@@ -148,6 +153,6 @@
   out['waited_s'] = s === null ? '0.000' : decimal(s.waited, 3);
   out['entitled'] = s === null ? '' : part(s.entitled);
   out['had'] = s === null ? '' : part(s.had);
-  WHYS.forEach((w, i) => (out[`owed_${w}`] = s === null ? '' : part(s.owed[i]!)));
+  SHORTFALL_REASONS.forEach((w, i) => (out[`owed_${w}`] = s === null ? '' : part(s.owed[i]!)));
   return out;
 };
--- a/packages/operator-cli/src/accounts/verify.ts
+++ b/packages/operator-cli/src/accounts/verify.ts
@@ -1,5 +1,5 @@
 /** Recomputes the sums of the accounts from what they are made of. */
-import { joinRows, lessRows, total } from '@lilacvalve/controller/accounts/fold';
+import { joinRows, subtractRows, total } from '@lilacvalve/controller/accounts/fold';
 import { indexOf, type Rows, SPLITS, UNITS } from '@lilacvalve/controller/accounts/model';
 import type { Read } from './read.js';
 import { decimal, stretches } from './report.js';
@@ -45,7 +45,7 @@
   }
   // Every stretch's booked and carried together are all that is booked and all that stands open.
   const all = stretches(r).flatMap((s) => [s.booked, s.carried]);
-  const rest = lessRows(joinRows(accounts.rows, r.open), joinRows(r.undated, ...all));
+  const rest = subtractRows(joinRows(accounts.rows, r.open), joinRows(r.undated, ...all));
   if (rest.size > 0) wrong.push(`stretches lack ${cpuSeconds(rest)} CPU seconds`);
   for (const g of accounts.gaps) {
     const s = (g.to - g.from) / 1e6;
--- a/packages/operator-cli/test/accounts.test.ts
+++ b/packages/operator-cli/test/accounts.test.ts
@@ -3,13 +3,13 @@
 import { test } from 'node:test';
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { encodeAccounts } from '@lilacvalve/controller/accounts/codec';
-import { fold } from '@lilacvalve/controller/accounts/fold';
-import { openAt } from '@lilacvalve/controller/accounts/ledger';
+import { foldLogEntry } from '@lilacvalve/controller/accounts/fold';
+import { openPlacementsAt } from '@lilacvalve/controller/accounts/ledger';
 import { type Accounts, NO_ACCOUNTS, type Rows } from '@lilacvalve/controller/accounts/model';
 import { encodePage, joinPages, type Page, pageKey } from '@lilacvalve/controller/accounts/pages';
 import { Phases } from '@lilacvalve/controller/accounts/phases';
 import { joinShares } from '@lilacvalve/controller/accounts/share';
-import { Spending } from '@lilacvalve/controller/accounts/spent';
+import { UsageRows } from '@lilacvalve/controller/accounts/usage-rows';
 import { JobState } from '@lilacvalve/controller/jobs/job-state';
 import { encodeJob, encodeLogEntry } from '@lilacvalve/controller/jobs/codec';
 import { accountsKey, activeJobKey, logEntryKey } from '@lilacvalve/controller/jobs/keys';
@@ -45,10 +45,11 @@
     at += 1 + luck.int(25e6);
     const minute = (at - (at % MINUTE)) as Micros;
     const closes = minute > accounts.closed ? minute : null;
-    const open: Rows = closes === null ? new Map() : openAt(jobState, closes, () => null, new Map());
+    const open: Rows =
+      closes === null ? new Map() : openPlacementsAt(jobState, closes, () => null, new Map());
     const j = jobs[luck.int(jobs.length)]!;
-    const books = { phases: new Phases(), kindOf: () => null, types: new Map(), lent: () => false, reignFrom: 0 as Micros, day: (t: Micros) => t }; // prettier-ignore
-    const spending = new Spending(books, at as Micros);
+    const books = { phases: new Phases(), kindOf: () => null, types: new Map(), onLentCapacity: () => false, termFrom: 0 as Micros, dayTimeOf: (t: Micros) => t }; // prettier-ignore
+    const spending = new UsageRows(books, at as Micros);
     const gone = [...j.placed.keys()].filter(() => luck.chance(0.5));
     spending.add(j, gone, 'gone');
     for (const t of gone) {
@@ -58,8 +59,8 @@
     }
     const tasks = [luck.int(20), 20 + luck.int(20)].filter((t) => !j.placed.has(t));
     for (const task of tasks) j.placed.set(task, { task, attempt: seq, machine: 'm', since: at as Micros });
-    const head = { at: at as Micros, calendar: 0, spent: { rows: spending.all(), closes, bound: null } };
-    accounts = fold(accounts, seq, head.at, head.spent);
+    const head = { at: at as Micros, calendar: 0, usage: { rows: spending.all(), closes, bound: null } };
+    accounts = foldLogEntry(accounts, seq, head.at, head.usage);
     if (closes !== null) {
       const [p] = accounts.pending;
       // Now and then the leader ends before it has said what stood open.
--- a/packages/simulation/src/world/count.ts
+++ b/packages/simulation/src/world/count.ts
@@ -2,7 +2,7 @@
  * The world's own count of machine time: reads the records as they reach the state service, byte for byte, with no code
  * of the controllers', and knows of jobs and machines by itself. Held against the accounts that the controllers keep.
  */
-import { joinRows, lessRows } from '@lilacvalve/controller/accounts/fold';
+import { joinRows, subtractRows } from '@lilacvalve/controller/accounts/fold';
 import { pagesOf } from '@lilacvalve/controller/accounts/pages';
 import { type Accounts, NO_KIND } from '@lilacvalve/controller/accounts/model';
 
@@ -175,13 +175,13 @@
   const out: string[] = [];
   const pages = pagesOf(entries).map((p) => p.page);
   const paged = joinRows(accounts.current, ...[...accounts.pending, ...pages.map((p) => ({ rows: p.booked }))].map((p) => p.rows)); // prettier-ignore
-  const rest = lessRows(accounts.rows, paged);
+  const rest = subtractRows(accounts.rows, paged);
   if (rest.size > 0) out.push(`not on pages: ${[...rest.keys()].join()}`);
   pages.forEach((p, i) => {
     const before = pages[i - 1];
     if (before !== undefined && before.to !== p.from) out.push(`no page from ${before.to} to ${p.from}`);
     if (!before?.open || !p.open) return;
-    const sums = lessRows(joinRows(p.booked, p.open), before.open);
+    const sums = subtractRows(joinRows(p.booked, p.open), before.open);
     const told = placedOf(sums.values());
     const world = placed.between(p.from, p.to);
     if (told.join() !== world.join())
