--- a/packages/controller/src/accounts/fold.ts
+++ b/packages/controller/src/accounts/fold.ts
@@ -113,7 +113,7 @@
   return [joined, ...rest];
 };
 
-/** Whether a log entry should say how much room there is (`Spent.bound`). */
+/** Whether a log entry should say how much room there is (`Usage.bound`). */
 export const needsCapacityBound = (a: Accounts): boolean => a.gaps.some((g) => g.open || g.room === null);
 
 const boundGaps = (gaps: readonly Gap[], at: Micros, bound: Usage['bound']): readonly Gap[] =>
