--- a/packages/controller/src/accounts/codec.ts
+++ b/packages/controller/src/accounts/codec.ts
@@ -20,7 +20,7 @@
   WIDTH,
 } from './model.js';
 
-type WireSpent = [
+type WireUsage = [
   team: string,
   jobClass: string,
   kind: string,
@@ -32,12 +32,12 @@
 ];
 /** The members of a log entry's header that are the accounts'. */
 export interface StoredUsage {
-  readonly s?: readonly WireSpent[];
+  readonly s?: readonly WireUsage[];
   readonly p?: number;
   readonly b?: readonly [...room: [number, number, number], shut: 0 | 1];
 }
 
-const wireRow = (r: UsageRow): WireSpent => {
+const wireRow = (r: UsageRow): WireUsage => {
   const us = [...r.us];
   while (us.length > 0 && us[us.length - 1] === 0) us.pop();
   return [...r.group, ...r.shape, r.rate, ...us];
@@ -53,7 +53,7 @@
   ...(s.bound === null ? {} : { b: [...s.bound.room, s.bound.shut ? 1 : 0] as const }),
 });
 
-/** Throws on what `encodeSpent` can't have written. */
+/** Throws on what `encodeUsage` can't have written. */
 export const decodeUsage = (v: StoredUsage): Usage => {
   if (v.s === undefined && v.p === undefined && v.b === undefined) return NO_USAGE;
   return {
