--- a/packages/controller/src/recovery/orphaned-jobs.ts
+++ b/packages/controller/src/recovery/orphaned-jobs.ts
@@ -50,7 +50,7 @@
       if (!old && (registry.unknownJobs.has(id) || !registry.priorLeasesExpired(t.clock()))) continue;
       // Nobody has submitted it again, or nothing of it is left.
       if (old) registry.abortedUnknownJobs.add(id);
-      if (yield* write([{ key: orphanedJobKey(id), stamp: w.stamp }], { delete: orphanedJobKey(id) }))
+      if (yield* write([{ key: orphanedJobKey(id), stamp: w.revision }], { delete: orphanedJobKey(id) }))
         yield* info('ward given up', {
           term: t.leaderTerm.number,
           job: id,
--- a/packages/controller/src/workers/worker-registry.ts
+++ b/packages/controller/src/workers/worker-registry.ts
@@ -11,7 +11,7 @@
 import type { JobState } from '../jobs/job-state.js';
 import { type Job, type Placement, taskKey } from '../jobs/model.js';
 import type { Settings } from '../settings/settings.js';
-import type { KindOf } from '../accounts/spent.js';
+import type { KindOf } from '../accounts/usage-rows.js';
 import type { Phases } from '../accounts/phases.js';
 import type { Start } from '../scheduler/model.js';
 import type { Order, Heartbeat, ReportedTask } from './codec.js';
--- a/packages/operator-cli/src/accounts/report.ts
+++ b/packages/operator-cli/src/accounts/report.ts
@@ -1,5 +1,5 @@
 /** Reports of accounts: pure. Amounts stay integers until they are printed, so the sum of all lines is what was placed. */
-import { joinRows, lessRows, NONE, addAmounts } from '@lilacvalve/controller/accounts/fold';
+import { joinRows, subtractRows, NONE, addAmounts } from '@lilacvalve/controller/accounts/fold';
 import {
   type Amounts,
   groupOf,
@@ -10,7 +10,12 @@
   SPLITS,
   type Unit,
 } from '@lilacvalve/controller/accounts/model';
-import { addShare, type ShareSum, type Shares, WHYS } from '@lilacvalve/controller/accounts/share';
+import {
+  addShare,
+  type ShareSum,
+  type Shares,
+  SHORTFALL_REASONS,
+} from '@lilacvalve/controller/accounts/share';
 import type { DeskOf } from './desks.js';
 import type { AccountsView } from './read.js';
 
@@ -62,7 +67,7 @@
       from: periods[0]!.from,
       to: period.to,
       booked: joinRows(NOTHING, ...periods.map(({ booked }) => booked)),
-      carried: lessRows(period.open, openBefore),
+      carried: subtractRows(period.open, openBefore),
       shares: periods.map(({ shares }) => shares),
     });
     openBefore = period.open;
@@ -179,7 +184,9 @@
     waited_s: share === null ? '0.000' : decimal(share.waited, 3),
     entitled: share === null ? '' : part(share.entitled),
     had: share === null ? '' : part(share.had),
-    ...Object.fromEntries(WHYS.map((why, i) => [`owed_${why}`, share === null ? '' : part(share.owed[i]!)])),
+    ...Object.fromEntries(
+      SHORTFALL_REASONS.map((why, i) => [`owed_${why}`, share === null ? '' : part(share.owed[i]!)]),
+    ),
   };
 };
 
--- a/packages/operator-cli/src/accounts/verify.ts
+++ b/packages/operator-cli/src/accounts/verify.ts
@@ -1,5 +1,5 @@
 /** Recomputes the sums of the accounts from what they are made of. */
-import { joinRows, lessRows, total } from '@lilacvalve/controller/accounts/fold';
+import { joinRows, subtractRows, total } from '@lilacvalve/controller/accounts/fold';
 import { type Accounts, indexOf, type Rows, SPLITS, UNITS } from '@lilacvalve/controller/accounts/model';
 import type { AccountsView } from './read.js';
 import { isoTime } from '../output.js';
@@ -69,7 +69,7 @@
   wrong.push(...missingPages(view), ...impossibleAmounts(accounts.rows));
   // Every stretch's booked and carried together are all that is booked and all that stands open.
   const all = stretches(view).flatMap(({ booked, carried }) => [booked, carried]);
-  const rest = lessRows(joinRows(accounts.rows, open), joinRows(undated, ...all));
+  const rest = subtractRows(joinRows(accounts.rows, open), joinRows(undated, ...all));
   if (rest.size > 0) wrong.push(`stretches lack ${cpuSeconds(rest)} CPU seconds`);
   const notes = accounts.gaps.map(gapNote);
   const unsure = total(accounts.rows);
