--- a/tools/known-red.mjs
+++ b/tools/known-red.mjs
@@ -1,8 +1,10 @@
-// Runs the test files under a directory as `node --test --test-reporter=spec` does, and knows the tests that fail for a
-// fault not mended yet. KNOWN-RED.txt in the working directory lists them, one entry a line:
-//   test name | command and seed | what was seen | issue
-// The failure of a listed test is passed over, and nothing else is: its counts stay in node's own closing lines.
-//   node tools/known-red.mjs target/test
+/**
+ * Runs the test files under a directory as `node --test --test-reporter=spec` does, and knows the tests that fail for a
+ * fault not mended yet. KNOWN-RED.txt in the working directory lists them, one entry a line:
+ *   test name | command and seed | what was seen | issue
+ * The failure of a listed test is passed over, and nothing else is: its counts stay in node's own closing lines.
+ *   node tools/known-red.mjs target/test
+ */
 import { existsSync, readdirSync, readFileSync } from 'node:fs';
 import { resolve } from 'node:path';
 import { run } from 'node:test';
@@ -10,26 +12,49 @@
 
 const LIST = 'KNOWN-RED.txt';
 
+/** What fails the run beside failing tests. */
 const faults = [];
-const listed = new Map();
-const lines = existsSync(LIST) ? readFileSync(LIST, 'utf8').split('\n') : [];
-if (lines.at(-1) === '') lines.pop();
-for (const line of lines) {
-  const [name, command, seen, issue, ...rest] = line.split('|').map((part) => part.trim());
-  if (!name || !command || !seen || !/^#?\d+$/.test(issue ?? '') || rest.length > 0)
-    faults.push(`"${line}" is not: test name | command and seed | what was seen | issue`);
-  else if (listed.has(name)) faults.push(`"${name}" is listed twice`);
-  else listed.set(name, { command, seen, issue: issue.replace('#', ''), runs: 0, failed: false });
-}
+
+/** The entries by test name. A line that is not an entry, or repeats one, is a fault. */
+const readList = () => {
+  const entries = new Map();
+  const lines = existsSync(LIST) ? readFileSync(LIST, 'utf8').split('\n') : [];
+  if (lines.at(-1) === '') lines.pop();
+  for (const line of lines) {
+    const [name, command, seen, issue, ...rest] = line.split('|').map((part) => part.trim());
+    if (!name || !command || !seen || !/^#?\d+$/.test(issue ?? '') || rest.length > 0)
+      faults.push(`"${line}" is not: test name | command and seed | what was seen | issue`);
+    else if (entries.has(name)) faults.push(`"${name}" is listed twice`);
+    else entries.set(name, { command, seen, issue: issue.replace('#', ''), runs: 0, failed: false });
+  }
+  return entries;
+};
+const listed = readList();
 
 const files = readdirSync(process.argv[2], { recursive: true, withFileTypes: true })
-  .filter((f) => f.isFile() && /\.[cm]?js$/.test(f.name))
-  .map((f) => resolve(f.path, f.name))
+  .filter((entry) => entry.isFile() && /\.[cm]?js$/.test(entry.name))
+  .map((entry) => resolve(entry.path, entry.name))
   .sort();
 if (files.length === 0) faults.push(`no test file under ${process.argv[2]}`);
 
-const state = new Map(files.map((f) => [f, { red: 0, others: 0, open: 0, error: undefined }]));
-const judge = ({ type, data }) => {
+/** By file: failures of listed tests and others, tests without a result yet, and how the file itself ended. */
+const state = new Map(files.map((file) => [file, { red: 0, others: 0, open: 0, error: undefined }]));
+/** Takes the result of a test, or of its file as a whole where `own` says so. */
+const judgeResult = (file, { type, data }, own) => {
+  const known = own ? undefined : listed.get(data.name);
+  const failure = type === 'test:fail' && data.todo === undefined ? data.details.error.failureType : null;
+  if (!own) file.open--;
+  if (known) known.runs++;
+  // Only what the test itself throws: one that is cancelled or cut short has not shown its fault.
+  if (known && failure === 'testCodeFailure') {
+    known.failed = true;
+    file.red++;
+  } else if (failure !== null && failure !== 'subtestsFailed') file.others++; // Subtests are judged one by one.
+};
+
+/** Takes one event of the runner. */
+const judge = (event) => {
+  const { type, data } = event;
   // What happens after a test ended names no file: it must not hide behind a file that fails by a listed test.
   if (
     type === 'test:diagnostic' &&
@@ -42,17 +67,7 @@
   const own = data.name === data.file;
   if (type === 'test:complete' && own) file.error = data.details.error;
   else if (type === 'test:enqueue' && !own) file.open++;
-  else if (type === 'test:pass' || type === 'test:fail') {
-    const known = own ? undefined : listed.get(data.name);
-    const failure = type === 'test:fail' && data.todo === undefined ? data.details.error.failureType : null;
-    if (!own) file.open--;
-    if (known) known.runs++;
-    // Only what the test itself throws: one that is cancelled or cut short has not shown its fault.
-    if (known && failure === 'testCodeFailure') {
-      known.failed = true;
-      file.red++;
-    } else if (failure !== null && failure !== 'subtestsFailed') file.others++; // Subtests are judged one by one.
-  }
+  else if (type === 'test:pass' || type === 'test:fail') judgeResult(file, event, own);
 };
 const judged = async function* (events) {
   for await (const event of events) {
--- a/tools/served.mjs
+++ b/tools/served.mjs
@@ -6,6 +6,7 @@
 
 /** Less is a failed day; less than `WARN` is worth finding out why. */
 export const FAIL = 0.5;
+/** See `FAIL`. */
 export const WARN = 0.75;
 
 /** Seconds from the first attempt to submit. */
@@ -23,28 +24,33 @@
 
 /** From a run's report: teams, with the part of their jobs that started. */
 export const teamsOfReport = (report) =>
-  Object.entries(report.teams ?? {}).map(([name, t]) => ({
+  Object.entries(report.teams ?? {}).map(([name, { jobs, started }]) => ({
     name,
-    jobs: t.jobs,
-    started: t.jobs > 0 ? Math.min(1, t.started / t.jobs) : 1,
+    jobs,
+    started: jobs > 0 ? Math.min(1, started / jobs) : 1,
   }));
 
 /**
  * Which jobs waited longest, the report does not say. Of five largest, three began in time if no more than two jobs of
  * the class began late; otherwise the largest may be the late ones.
  */
-export const lateLargest = (c) => c.jobs * (1 - c.begun) > 2.5;
+export const lateLargest = ({ jobs, begun }) => jobs * (1 - begun) > 2.5;
 
 /** From a run's report: exact counts, those that their users cancelled left out of what should end. */
 export const servedOfReport = (report) =>
-  Object.entries(report.classes ?? {}).map(([name, c]) => ({
-    name,
-    jobs: c.accepted,
-    started: c.accepted > 0 ? Math.min(1, c.started / c.accepted) : 1,
-    ended: c.accepted > c.cancelled ? Math.min(1, c.done / (c.accepted - c.cancelled)) : 1,
-    begun: c.accepted > 0 ? inTime(c.wait_s) * Math.min(1, c.started / c.accepted) : 1,
-    longest: c.wait_s?.max ?? 0,
-  }));
+  Object.entries(report.classes ?? {}).map(
+    ([name, { accepted, started, cancelled, done, wait_s: waits }]) => {
+      const startedPart = accepted > 0 ? Math.min(1, started / accepted) : 1;
+      return {
+        name,
+        jobs: accepted,
+        started: startedPart,
+        ended: accepted > cancelled ? Math.min(1, done / (accepted - cancelled)) : 1,
+        begun: accepted > 0 ? inTime(waits) * startedPart : 1,
+        longest: waits?.max ?? 0,
+      };
+    },
+  );
 
 const AIM = /^(wait|finished|deadline) (\S+) [^:]*: ([\d.]+) \(aim/;
 /**
@@ -54,16 +60,19 @@
 export const servedOfAims = (aims) => {
   const classes = new Map();
   for (const [text] of aims ?? []) {
-    const m = AIM.exec(text);
-    if (!m) continue;
-    const [, kind, name, part] = m;
-    const c = classes.get(name) ?? { name, jobs: null, started: null, ended: null };
+    const match = AIM.exec(text);
+    if (!match) continue;
+    const [, kind, name, part] = match;
+    const served = classes.get(name) ?? { name, jobs: null, started: null, ended: null };
     const field = kind === 'wait' ? 'started' : 'ended';
-    c[field] = Math.max(c[field] ?? 0, Number(part));
-    classes.set(name, c);
+    served[field] = Math.max(served[field] ?? 0, Number(part));
+    classes.set(name, served);
   }
   // Who ended had started.
-  return [...classes.values()].map((c) => ({ ...c, started: Math.max(c.started ?? 0, c.ended ?? 0) }));
+  return [...classes.values()].map((served) => ({
+    ...served,
+    started: Math.max(served.started ?? 0, served.ended ?? 0),
+  }));
 };
 
 /** The least served class of a day; null: the day says nothing of classes. */
