--- a/packages/controller/src/leadership/leader-session.ts
+++ b/packages/controller/src/leadership/leader-session.ts
@@ -5,7 +5,7 @@
 import { type Micros, millis, seconds, toMillis } from '@lilacvalve/runtime/micros';
 import { tick } from '@lilacvalve/runtime/tick';
 import { Effect, Queue } from 'effect';
-import { Learned } from '../calendar/duty.js';
+import { ClassSamples } from '../calendar/class-samples.js';
 import type { DataLossDetector } from '../recovery/data-loss-detector.js';
 import type { CloudPort } from '../provisioning/cloud.js';
 import { autoscaler } from '../provisioning/autoscaler.js';
@@ -13,7 +13,7 @@
 import type { JobState } from '../jobs/job-state.js';
 import type { StoreWatcher } from '../jobs/store-watcher.js';
 import { QUIESCENT, RECOVERED } from '../jobs/keys.js';
-import { weightsDuty } from '../lending/duty.js';
+import { imageWeightsTask } from '../lending/image-weights-task.js';
 import type { Leadership, LeadershipTerm } from './leadership.js';
 import type { Peers } from './peers.js';
 import type { Admission } from '../overload/admission.js';
@@ -28,10 +28,10 @@
 import type { PreLossViews } from '../recovery/pre-loss-views.js';
 import type { EvidenceStore } from '../recovery/evidence-store.js';
 import { reconcileOrphanedJobs } from '../recovery/orphaned-jobs.js';
-import { Largest, largestDuty } from '../scheduler/largest.js';
+import { LargestJobs, largestJobsTask } from '../scheduler/largest-jobs.js';
 import { summary, runCycle } from '../scheduler/run-cycle.js';
 import { upkeep } from '../scheduler/upkeep.js';
-import { Waits } from '../scheduler/waits.js';
+import { StartWaits } from '../scheduler/start-waits.js';
 import type { CycleState, CycleContext } from '../scheduler/cycle-context.js';
 import type { Settings } from '../settings/settings.js';
 import type { StatePort } from '../state-store/port.js';
@@ -101,7 +101,7 @@
   private readonly wake = Effect.runSync(Queue.sliding<void>(1));
 
   constructor(private readonly parts: LeaderSessionParts) {
-    parts.jobState.onJobs = () => Queue.unsafeOffer(this.wake, undefined);
+    parts.jobState.onJobsChanged = () => Queue.unsafeOffer(this.wake, undefined);
   }
 
   /** The workers, as this node knows them as leader; null: it does not lead, or is still restoring the store. */
@@ -145,7 +145,7 @@
       Effect.ensuring(
         Effect.sync(() => {
           this.desk = null;
-          jobState.letMachinesGo();
+          jobState.dropPlacementIndex();
         }),
       ),
       Effect.zipRight(info('leadership term ended', { term: leaderTerm.number })),
@@ -181,8 +181,8 @@
       this.desk = {
         term: context.leaderTerm.number,
         isCancelled: (id) =>
-          jobState.jobs.get(id)?.withdrawn === true ||
-          preLossViews.all.some((view) => view.jobs.get(id)?.withdrawn === true),
+          jobState.jobs.get(id)?.cancelled === true ||
+          preLossViews.all.some((view) => view.jobs.get(id)?.cancelled === true),
       };
       this.pendingRestore = (id) =>
         gathered.versionsByJob(context).has(id) || gathered.finalStates(context).has(id);
@@ -199,7 +199,13 @@
     return Effect.suspend(() => {
       const t = this.cycleContext(context);
       const { registry } = t;
-      const state: CycleState = { result: null, surplus: new Set(), companions: [], cost: 0, behind: false };
+      const state: CycleState = {
+        result: null,
+        idleNodes: new Set(),
+        coLocatedDemand: [],
+        computeTime: 0,
+        hasBacklog: false,
+      };
       const gate = new CycleGate(parts.clock);
       this.desk = {
         registry,
@@ -213,7 +219,7 @@
         Effect.forever,
       );
       const tidy = supervise('upkeep', upkeep(t).pipe(Effect.zipRight(tick(UPKEEP_GAP_MS)), Effect.forever));
-      const weights = weightsDuty({ ...t, machines: () => registry.machines.values() });
+      const weights = imageWeightsTask({ ...t, machines: () => registry.machines.values() });
       const fleet = autoscaler(t, state, parts.cloud);
       return Effect.all(
         [
@@ -224,7 +230,7 @@
           relieve,
           this.finishRecoveryForever(t, context, gathered),
           weights,
-          largestDuty(t),
+          largestJobsTask(t),
         ],
         { concurrency: 'unbounded', discard: true },
       ).pipe(Effect.ensuring(Effect.sync(() => gate.releaseOverdue(seconds(0)))));
@@ -259,10 +265,10 @@
       fleet: this.fleet,
       clock: parts.clock,
       dayTime: parts.dayTime,
-      learned: new Learned(),
-      companions: new Map(),
-      waits: new Waits(),
-      largest: new Largest(parts.jobState.largest),
+      classSamples: new ClassSamples(),
+      coLocatedDemand: new Map(),
+      startWaits: new StartWaits(),
+      largestJobs: new LargestJobs(parts.jobState.largest),
     };
   }
 
@@ -277,7 +283,7 @@
         Effect.ensuring(Effect.sync(() => gate.cycleEnded())),
       );
       if (t.mayAct()) yield* sendUrgentOrders(registry, parts.workers, parts.admission);
-      yield* Effect.sleep(cycleGapMs(registry.machines.size, toMillis(state.cost), state.behind));
+      yield* Effect.sleep(cycleGapMs(registry.machines.size, toMillis(state.computeTime), state.hasBacklog));
     }).pipe(Effect.forever);
   }
 
--- a/packages/controller/src/leadership/leadership.ts
+++ b/packages/controller/src/leadership/leadership.ts
@@ -68,7 +68,7 @@
     private readonly contacts: Contacts,
     private readonly clock: () => Micros,
   ) {
-    jobState.onVacant = () => Queue.unsafeOffer(this.leaderGone, undefined);
+    jobState.onLeaderKeyDeleted = () => Queue.unsafeOffer(this.leaderGone, undefined);
     this.lease = new LeaderLease(settings);
     const mayCampaign = (): boolean => clock() >= this.noCampaignBefore;
     const shared = { settings, lossDetector, watcher, jobState, peers, clock };
@@ -132,7 +132,7 @@
       this.provenAsOf = Number.NEGATIVE_INFINITY;
     }
     if (incarnation !== null && this.watcher.loaded) {
-      const asOf = this.peers.unchangedSince(incarnation.id, this.watcher.completeTo());
+      const asOf = this.peers.unchangedSince(incarnation.id, this.watcher.completeRevision());
       if (asOf > this.provenAsOf) this.provenAsOf = asOf;
     }
     return Math.max(this.watcher.readAsOf, this.provenAsOf);
--- a/packages/controller/src/node.ts
+++ b/packages/controller/src/node.ts
@@ -13,7 +13,7 @@
 import type { MachineType } from './provisioning/model.js';
 import { JobState } from './jobs/job-state.js';
 import { StoreWatcher } from './jobs/store-watcher.js';
-import { TERM, TYPES } from './jobs/keys.js';
+import { TERM, MACHINE_TYPES } from './jobs/keys.js';
 import { Contacts } from './leadership/contacts.js';
 import { maxViewAge } from './leadership/read-lease.js';
 import { Leadership } from './leadership/leadership.js';
@@ -121,7 +121,8 @@
   );
   peers.onHeartbeat = (b) => {
     if (b.term > 0) lossDetector.noteTerm(b.term, b.from);
-    if (b.store) lossDetector.notePeerRevision(b.store.incarnation, b.store.generation, b.store.highestRevision);
+    if (b.store)
+      lossDetector.notePeerRevision(b.store.incarnation, b.store.generation, b.store.highestRevision);
   };
   peers.onResponse = (b, asked) => {
     // It has seen the key itself, at most so long before it answered.
@@ -143,7 +144,11 @@
   const verify = supervise(
     'verify',
     Effect.gen(function* () {
-      if (lossDetector.incarnation !== null && lossDetector.revisionFloor() === jobState.revision && witness.size > 0)
+      if (
+        lossDetector.incarnation !== null &&
+        lossDetector.revisionFloor() === jobState.revision &&
+        witness.size > 0
+      )
         witness.dropCovered(lossDetector.incarnation.id, jobState.revision);
       if (watcher.loaded && lossDetector.incarnation === null && !lossDetector.suspected) {
         yield* Effect.ignore(leadership.foundStore);
@@ -176,10 +181,10 @@
    * what has ended to be placed still: joined as such, it would be placed, and booked, a second time.
    */
   const whole = (): boolean =>
-    compared && lossDetector.suspicion?.proven !== true && jobState.hole() === null;
+    compared && lossDetector.suspicion?.proven !== true && jobState.missingRecord() === null;
   /** This node's view is of an incarnation that is over. */
   const leaveView = (): void => {
-    if (lossDetector.incarnation !== null && (jobState.jobs.size > 0 || jobState.finals.size > 0))
+    if (lossDetector.incarnation !== null && (jobState.jobs.size > 0 || jobState.finalStates.size > 0))
       relics.add(
         relics.viewOf(
           jobState,
@@ -192,7 +197,7 @@
     verified = false;
     compared = false;
     jobState.clear();
-    watcher.leave();
+    watcher.reset();
     lossDetector.leaveIncarnation();
   };
   const leadership: Leadership = new Leadership(
@@ -234,7 +239,7 @@
           yield* Effect.ignore(
             store.transact(
               [{ key: TERM, stamp: leaderTerm.stamp }],
-              [{ set: TYPES, value: types }],
+              [{ set: MACHINE_TYPES, value: types }],
               Priority.Commit,
               1500,
             ),
@@ -345,7 +350,7 @@
           ...(snapshots === null ? [] : [snapshots.run]),
           loadLine(leads),
           watcher.run,
-          watcher.history,
+          watcher.loadFinalStates,
           verify,
           dataLossTask(parts),
           auditTask(parts),
--- a/packages/controller/src/provisioning/autoscaler.ts
+++ b/packages/controller/src/provisioning/autoscaler.ts
@@ -3,7 +3,7 @@
 import { supervise } from '@lilacvalve/runtime/supervise';
 import { info } from '@lilacvalve/runtime/log';
 import { type Micros, plus, seconds } from '@lilacvalve/runtime/micros';
-import { dayOf } from '../calendar/duty.js';
+import { dayOf } from '../calendar/cutoff-tracking.js';
 import { pressing } from '../calendar/slack.js';
 import type { CycleState, CycleContext } from '../scheduler/cycle-context.js';
 import type { Settings } from '../settings/settings.js';
@@ -132,7 +132,7 @@
   const remove = (candidates: readonly string[], reason: string, onlyEmpty = false) =>
     Effect.gen(function* () {
       if (candidates.length === 0 || !t.mayAct()) return;
-      const holds = (id: string): boolean => (t.jobState.byMachine.get(id)?.size ?? 0) > 0;
+      const holds = (id: string): boolean => (t.jobState.placementsByMachine.get(id)?.size ?? 0) > 0;
       const closed = candidates.slice(0, 100).filter((id) => !(onlyEmpty && holds(id)));
       for (const id of closed) {
         const m = t.registry.machines.get(id);
@@ -185,7 +185,7 @@
     const idle: Idle[] = [];
     const surplus: string[] = [];
     for (const m of t.registry.machines.values()) {
-      const on = t.jobState.byMachine.get(m.id)?.size ?? 0;
+      const on = t.jobState.placementsByMachine.get(m.id)?.size ?? 0;
       if (m.cloudStatus === 'failed') failed.push(m.id);
       else if (m.reported && at > t.registry.leaseExpiry(m) + SILENT) dead.push(m.id);
       else if (isDeaf(m, t.settings.workers, at)) deaf.push(m.id);
@@ -227,7 +227,7 @@
     const back = returns(idle, (m) =>
       t.registry.machines.get(m.id)?.cordonReason
         ? (0 as Micros)
-        : view.surplus.has(m.id) || overdue.has(m.id)
+        : view.idleNodes.has(m.id) || overdue.has(m.id)
           ? IDLE_SURPLUS
           : IDLE,
     );
@@ -239,7 +239,10 @@
     const result = view.result;
     if (result === null || !listedOnce) return;
     // Machines that are up report within a round or two of a new term.
-    if (t.jobState.byMachine.size > 0 && at - t.leaderTerm.began < t.settings.workers.report * 1.5 + 2e6)
+    if (
+      t.jobState.placementsByMachine.size > 0 &&
+      at - t.leaderTerm.began < t.settings.workers.report * 1.5 + 2e6
+    )
       return;
     const bins: Bin[] = [];
     const types = new Map(t.types().map((k) => [k.name, k]));
@@ -275,11 +278,11 @@
       const k = types.get(type);
       if (k) bins.push({ type, zone, spot, free: [k.cpus, k.gpus, k.memGb] });
     }
-    const { current, shown } = t.jobState.calendars;
+    const { current, classDurations: shown } = t.jobState.calendars;
     const day = dayOf(t);
     const classes = shown?.value ?? new Map<string, readonly number[]>();
     const demand: Demand[] = result.unplaced
-      .filter((u) => !u.job.withdrawn)
+      .filter((u) => !u.job.cancelled)
       .map((u) => ({ u, by: pressing(u.job, current, day, classes) ?? Number.POSITIVE_INFINITY }))
       // What would miss its cutoff is worth a machine sooner, by cutoff; the rest in the order of submission.
       .sort(
@@ -293,8 +296,8 @@
       types: t.types(),
       bins,
       demand,
-      companions: view.companions,
-      surplus: view.surplus,
+      companions: view.coLocatedDemand,
+      surplus: view.idleNodes,
       avoid: (job) => t.registry.avoidedMachines(job),
       refused: (o) => at < (refusedUntil.get(offerKey(o)) ?? 0),
       late: (o) => boots.late(bootKey(o), bootOf(o.type), overdueOf.get(bootKey(o)) ?? 0, at),
@@ -307,7 +310,7 @@
       // A name is never used again: it carries the term, which only one node ever holds, and the store's incarnation.
       // A term that a loss has taken and nobody remembers may come again, the time that its attempts begin at does not.
       const name = (): string =>
-        `h-${t.lossDetector.incarnation?.id ?? ''}-${t.leaderTerm.number}.${t.jobState.attempts}-${++named}`;
+        `h-${t.lossDetector.incarnation?.id ?? ''}-${t.leaderTerm.number}.${t.jobState.attemptBase}-${++named}`;
       const hire = hires.ask({ ...w, count: Math.min(50, w.count) }, name, t.clock());
       t.fleet.news = { ...t.fleet.news, asked: hires.asked(t.clock()) };
       const got = yield* cloud.hire(hire, t.mayAct);
--- a/packages/controller/src/recovery/orphaned-jobs.ts
+++ b/packages/controller/src/recovery/orphaned-jobs.ts
@@ -7,7 +7,7 @@
 import { seconds } from '@lilacvalve/runtime/micros';
 import { Effect } from 'effect';
 import type { OrphanedJob } from '../jobs/codec.js';
-import { activeKey, finalKey, TERM, orphanedJobKey } from '../jobs/keys.js';
+import { activeJobKey, finalStateKey, TERM, orphanedJobKey } from '../jobs/keys.js';
 import type { CycleContext } from '../scheduler/cycle-context.js';
 import { Priority } from '../state-store/budget.js';
 
@@ -37,8 +37,8 @@
       const written = yield* write(
         [
           { key: orphanedJobKey(id), stamp: 0 },
-          { key: activeKey(id), stamp: 0 },
-          { key: finalKey(id), stamp: 0 },
+          { key: activeJobKey(id), stamp: 0 },
+          { key: finalStateKey(id), stamp: 0 },
         ],
         { set: orphanedJobKey(id), value },
       );
--- a/packages/controller/src/recovery/view-exchange.ts
+++ b/packages/controller/src/recovery/view-exchange.ts
@@ -41,7 +41,7 @@
 ): ViewResponse => {
   const versions = versionsByJob(relics, witness.versions());
   const merged: Job[] = [...versions.values()].map((list) => mergeVersions(list));
-  const finals = [...jobState.finals.entries(), ...witness.finals()];
+  const finals = [...jobState.finalStates.entries(), ...witness.finals()];
   const mine = digestOf(merged, finals);
   const headers: ViewHeader[] = relics.map((r) => ({
     id: r.id,
--- a/packages/controller/src/workers/service-readiness.ts
+++ b/packages/controller/src/workers/service-readiness.ts
@@ -20,7 +20,7 @@
     for (const job of this.jobState.jobs.values()) {
       const { id, shape, gpus, tasks } = job.spec;
       if (shape !== 'service' || gpus === 0) continue;
-      let all = job.placed.size === tasks && !job.withdrawn;
+      let all = job.placed.size === tasks && !job.cancelled;
       for (let task = 0; all && task < tasks; task++) all = this.running.has(taskKey(id, task));
       if (all && !this.complete.has(id) && [...job.placed.values()].some((p) => p.since >= since))
         found.push(job);
--- a/packages/operator-cli/src/cutoffs.ts
+++ b/packages/operator-cli/src/cutoffs.ts
@@ -2,10 +2,18 @@
 import type { Command } from 'commander';
 import { Effect } from 'effect';
 import type { Micros } from '@lilacvalve/runtime/micros';
-import { isRisk, NO_TALLY, SAID, WHY } from '@lilacvalve/controller/calendar/model';
+import { isRisk, NO_TALLY, CUTOFF_RISK, RISK_REASONS } from '@lilacvalve/controller/calendar/model';
 import { listAll } from '@lilacvalve/controller/calendar/publish';
 import { JobState } from '@lilacvalve/controller/jobs/job-state';
-import { ACTIVE, CALENDAR, STORE_STATUS, PACK, RECORD, ROOT, TERM } from '@lilacvalve/controller/jobs/keys';
+import {
+  ACTIVE_JOBS,
+  CALENDAR,
+  STORE_STATUS,
+  JOB_BUNDLES,
+  LOG_ENTRIES,
+  ROOT,
+  TERM,
+} from '@lilacvalve/controller/jobs/keys';
 import { isComplete, type Job } from '@lilacvalve/controller/jobs/model';
 import type { StateFailure } from '@lilacvalve/controller/state-store/client';
 import {
@@ -32,8 +40,9 @@
   Effect.gen(function* () {
     for (let read = 0; read < MOST_READS; read++) {
       const base = (yield* store.page(ROOT, null, 1)).revision;
-      const lists = yield* Effect.forEach([STORE_STATUS, CALENDAR, RECORD, PACK, ACTIVE, TERM], (prefix) =>
-        listAll(store, prefix),
+      const lists = yield* Effect.forEach(
+        [STORE_STATUS, CALENDAR, LOG_ENTRIES, JOB_BUNDLES, ACTIVE_JOBS, TERM],
+        (prefix) => listAll(store, prefix),
       );
       const since = yield* store.follow(ROOT, base, 0);
       if (since.tooOld) continue;
@@ -95,20 +104,20 @@
 
 /** Why a job that is not cancelled is late or at risk; null: it is neither. */
 const lateness = (row: CountedRow, job: Job, isDone: boolean, now: Micros): string | null => {
-  if (job.said === SAID.missed || (!isDone && row.at !== null && row.at < now)) return MISSED;
-  if (isDone || row.state !== 'coming' || !isRisk(job.said)) return null;
-  return WHY[job.said!] ?? null;
+  if (job.cutoffRisk === CUTOFF_RISK.missed || (!isDone && row.at !== null && row.at < now)) return MISSED;
+  if (isDone || row.state !== 'coming' || !isRisk(job.cutoffRisk)) return null;
+  return RISK_REASONS[job.cutoffRisk!] ?? null;
 };
 
 /** Counts one tied job; at most `mostJobs` of those that are late or at risk are named. */
 const countJob = (row: CountedRow, job: Job, now: Micros, mostJobs: number): void => {
-  const isDone = !job.withdrawn && isComplete(job);
+  const isDone = !job.cancelled && isComplete(job);
   row.tied++;
   if (isDone) row.done++;
-  else if (job.withdrawn) row.cancelled++;
+  else if (job.cancelled) row.cancelled++;
   else if (job.placed.size > 0) row.running++;
   else row.waiting++;
-  if (job.withdrawn) return;
+  if (job.cancelled) return;
   const why = lateness(row, job, isDone, now);
   if (why === null) return;
   if (why === MISSED) row.missed++;
--- a/packages/operator-cli/src/loans.ts
+++ b/packages/operator-cli/src/loans.ts
@@ -3,7 +3,7 @@
 import { Effect } from 'effect';
 import { listAll } from '@lilacvalve/controller/calendar/publish';
 import { JobState } from '@lilacvalve/controller/jobs/job-state';
-import { ACTIVE, PACK, RECORD } from '@lilacvalve/controller/jobs/keys';
+import { ACTIVE_JOBS, JOB_BUNDLES, LOG_ENTRIES } from '@lilacvalve/controller/jobs/keys';
 import { loansOf } from '@lilacvalve/controller/lending/loans';
 import type { Entry, StateFailure } from '@lilacvalve/controller/state-store/client';
 import { type CommandFailure, type Io, type StateOptions, stateOptions, type Store } from './io.js';
@@ -45,7 +45,8 @@
 export const readPlacedJobs = (store: Store): Effect.Effect<JobState, StateFailure> =>
   Effect.gen(function* () {
     const entries: Entry[] = [];
-    for (const prefix of [RECORD, PACK, ACTIVE]) entries.push(...(yield* listAll(store, prefix)));
+    for (const prefix of [LOG_ENTRIES, JOB_BUNDLES, ACTIVE_JOBS])
+      entries.push(...(yield* listAll(store, prefix)));
     const jobState = new JobState();
     jobState.load(entries, 0);
     return jobState;
