--- a/packages/simulation/src/experiment.ts
+++ b/packages/simulation/src/experiment.ts
@@ -2,7 +2,7 @@
 import { Schema } from 'effect';
 import { checkedToml } from '@lilacvalve/runtime/toml';
 import { LINK_STATES } from './world/links.js';
-import { MEETINGS } from './world/meetings/index.js';
+import { MEETINGS } from './world/scenarios/scenarios.js';
 import type { Loss } from './world/state-service/store.js';
 import { CROWDED, GROWN, type Size, SMALL } from './world/deployment-size.js';
 import type { Faults, LinkPlan, LossPlan } from './world/faults.js';
--- a/packages/simulation/src/play.ts
+++ b/packages/simulation/src/play.ts
@@ -1,6 +1,6 @@
 /** Plays one day of an experiment and says what became of it. The same experiment and seed give the same outcome. */
 import type { Experiment } from './experiment.js';
-import type { LeastRow } from './world/begun.js';
+import type { LeastRow } from './world/start-latency-check.js';
 import type { CutoffDay } from './world/cutoffs.js';
 import { BY_MEMORY } from './world/rules.js';
 import { World } from './world/world.js';
--- a/packages/simulation/src/world/capacity-check.ts
+++ b/packages/simulation/src/world/capacity-check.ts
@@ -1,9 +1,9 @@
 /** Looks at who waits although there is room, and at machines that are paid for and not used. */
-import { Charged } from './charged.js';
+import { Charged } from './cost-check.js';
 import type { Cloud } from './cloud.js';
 import type { Rules } from './rules.js';
 import type { Time } from './time.js';
-import { type Amounts, amounts, type Limit, type RoomOn, Waiting, type Wanted } from './waiting.js';
+import { type Amounts, amounts, type Limit, type RoomOn, Waiting, type Wanted } from './starvation-check.js';
 import { type JobTruth, TASK_MEM_GB } from './job-truth.js';
 import type { Worker } from './worker/worker.js';
 
--- a/packages/simulation/src/world/cloud.ts
+++ b/packages/simulation/src/world/cloud.ts
@@ -7,8 +7,8 @@
 import type { Luck } from '@lilacvalve/controller/support/luck';
 import { TYPES } from '@lilacvalve/controller/support/settings';
 import type { FaultLog } from './fault-log.js';
-import type { Meetings } from './meetings/index.js';
-import type { CloudWays } from './meetings/stage.js';
+import type { Meetings } from './scenarios/scenarios.js';
+import type { CloudWays } from './scenarios/scenario-kit.js';
 import type { Place, Rules } from './rules.js';
 import type { Time } from './time.js';
 import type { Worker } from './worker/worker.js';
--- a/packages/simulation/src/world/charged.ts
+++ b/packages/simulation/src/world/cost-check.ts
@@ -2,7 +2,7 @@
  * What is paid for: no machine is charged unused for longer than it takes to give it back, and nothing is rented for what
  * has had room for seconds on machines that are up or on their way. By what is true in the world.
  */
-import { fitsNow, type RoomOn, type Wanted } from './waiting.js';
+import { fitsNow, type RoomOn, type Wanted } from './starvation-check.js';
 
 /** From its last task on, or the last wait of any job: 45 s idle, past the minute that is charged anyhow, and the call. */
 const UNUSED = 120e6;
--- a/packages/simulation/src/world/fault-injector.ts
+++ b/packages/simulation/src/world/fault-injector.ts
@@ -14,7 +14,7 @@
 import { type Faults, type LinkPlan, QUICK_RESTART } from './faults.js';
 import type { Step } from './lending.js';
 import type { Links, LinkState } from './links.js';
-import { type Meetings, MEETINGS } from './meetings/index.js';
+import { type Meetings, MEETINGS } from './scenarios/scenarios.js';
 import type { StateService } from './state-service/state-service.js';
 import type { Time } from './time.js';
 import type { Users } from './users.js';
--- a/packages/simulation/src/world/faults.ts
+++ b/packages/simulation/src/world/faults.ts
@@ -1,6 +1,6 @@
 /** The faults of a day: the kinds that are drawn by chance, and those that are planned. All times are in microseconds. */
 import type { LinkState } from './links.js';
-import type { Meeting } from './meetings/index.js';
+import type { Meeting } from './scenarios/scenarios.js';
 import type { Loss } from './state-service/store.js';
 
 /** Which faults a day may draw, by name, and the planned ones. A scenario of compound faults is a fault by its name. */
--- a/packages/simulation/src/world/lending.ts
+++ b/packages/simulation/src/world/lending.ts
@@ -9,7 +9,7 @@
 import { loansOf } from '@lilacvalve/controller/lending/loans';
 import type { TeamSettings } from '@lilacvalve/controller/settings/settings';
 import type { Luck } from '@lilacvalve/controller/support/luck';
-import type { Arrival } from './crowd.js';
+import type { Arrival } from './load-burst.js';
 import type { JobTruth } from './job-truth.js';
 
 /** Moments after which the leader may die. */
--- a/packages/simulation/src/world/scenario-host.ts
+++ b/packages/simulation/src/world/scenario-host.ts
@@ -6,7 +6,7 @@
 import type { FaultInjector } from './fault-injector.js';
 import type { FaultLog } from './fault-log.js';
 import type { Links } from './links.js';
-import type { Stage } from './meetings/stage.js';
+import type { Stage } from './scenarios/scenario-kit.js';
 import type { Rules } from './rules.js';
 import type { StateService } from './state-service/state-service.js';
 import type { Time } from './time.js';
--- a/packages/simulation/src/world/meetings/atLimit.ts
+++ b/packages/simulation/src/world/scenarios/at-limit.ts
@@ -3,7 +3,7 @@
 import type { TeamSettings } from '@lilacvalve/controller/settings/settings';
 import type { JobTruth } from '../job-truth.js';
 import type { Worker } from '../worker/worker.js';
-import { PLAIN, type Shared, type Trouble } from './stage.js';
+import { PLAIN, type Shared, type Trouble } from './scenario-kit.js';
 
 /** Every team of these days is at its limit as soon as a few jobs of it are there. */
 export const TIGHT_TEAMS: readonly TeamSettings[] = [
--- a/packages/simulation/src/world/meetings/cancelNow.ts
+++ b/packages/simulation/src/world/scenarios/cancel-and-hang.ts
@@ -1,5 +1,5 @@
 import type { Worker } from '../worker/worker.js';
-import type { Shared, Trouble } from './stage.js';
+import type { Shared, Trouble } from './scenario-kit.js';
 
 /** Machines that hang at once, at the most. */
 const MACHINES = 8;
--- a/packages/simulation/src/world/meetings/cancelAtEnd.ts
+++ b/packages/simulation/src/world/scenarios/cancel-at-completion.ts
@@ -3,7 +3,7 @@
 import type { Ask, Asked } from '../history.js';
 import type { JobTruth } from '../job-truth.js';
 import type { Worker } from '../worker/worker.js';
-import { PLAIN, type Shared, type Trouble } from './stage.js';
+import { PLAIN, type Shared, type Trouble } from './scenario-kit.js';
 
 /** What became of a job's last end, and who asked about the job around it. */
 interface Ending {
--- a/packages/simulation/src/world/meetings/cancelInHandover.ts
+++ b/packages/simulation/src/world/scenarios/cancel-during-handover.ts
@@ -1,4 +1,4 @@
-import { PLAIN, type Shared, type Trouble } from './stage.js';
+import { PLAIN, type Shared, type Trouble } from './scenario-kit.js';
 
 const WAYS = ['in order', 'by crash', 'by a lapsed lease', 'with answers on their way'] as const;
 type Way = (typeof WAYS)[number];
--- a/packages/simulation/src/world/meetings/closeLooks.ts
+++ b/packages/simulation/src/world/scenarios/concurrent-reads.ts
@@ -1,5 +1,5 @@
 import type { Answered, Ask, Asked } from '../history.js';
-import { PLAIN, type Shared, type Trouble } from './stage.js';
+import { PLAIN, type Shared, type Trouble } from './scenario-kit.js';
 
 /** What users were told right before they ask again. */
 type News = 'accepted' | 'done' | 'aborted';
--- a/packages/simulation/src/world/meetings/fastBoots.ts
+++ b/packages/simulation/src/world/scenarios/fast-boots.ts
@@ -1,5 +1,5 @@
 import { activeKey, RECORD } from '@lilacvalve/controller/jobs/keys';
-import { PLAIN, type Shared, type Trouble } from './stage.js';
+import { PLAIN, type Shared, type Trouble } from './scenario-kit.js';
 
 /** New machines are up within two seconds; rentals are answered late or never, some carried out late; writes lag. */
 export const fastBoots = (m: Shared): Trouble => {
--- a/packages/simulation/src/world/meetings/handover.ts
+++ b/packages/simulation/src/world/scenarios/handover.ts
@@ -1,4 +1,4 @@
-import type { Shared, Trouble } from './stage.js';
+import type { Shared, Trouble } from './scenario-kit.js';
 
 /** The lead is given back again and again; or all controllers end, and one is back alone. */
 export const handover = (m: Shared): Trouble => ({
--- a/packages/simulation/src/world/meetings/machineDeaf.ts
+++ b/packages/simulation/src/world/scenarios/inbound-loss.ts
@@ -1,4 +1,4 @@
-import type { Shared, Trouble } from './stage.js';
+import type { Shared, Trouble } from './scenario-kit.js';
 
 /** Machines report; answers and direct orders to them are lost. The leader mostly changes. */
 export const machineDeaf = (m: Shared): Trouble => ({
--- a/packages/simulation/src/world/meetings/oddRequests.ts
+++ b/packages/simulation/src/world/scenarios/invalid-requests.ts
@@ -3,7 +3,7 @@
  * knows, and submit jobs that fit no machine or lack a field.
  */
 import { activeKey, finalKey } from '@lilacvalve/controller/jobs/keys';
-import type { Shared, Trouble } from './stage.js';
+import type { Shared, Trouble } from './scenario-kit.js';
 
 type Fields = Readonly<Record<string, unknown>>;
 /** Changes that no deployment can run, or that the page calls malformed, and the field to be named then. */
--- a/packages/simulation/src/world/meetings/leaderAlone.ts
+++ b/packages/simulation/src/world/scenarios/isolated-leader.ts
@@ -1,4 +1,4 @@
-import { PLAIN, type Shared, type Trouble } from './stage.js';
+import { PLAIN, type Shared, type Trouble } from './scenario-kit.js';
 
 /** The leader is cut from state service and peers, while workers and users still reach it. */
 export const leaderAlone = (m: Shared): Trouble => {
--- a/packages/simulation/src/world/meetings/lateReports.ts
+++ b/packages/simulation/src/world/scenarios/late-heartbeats.ts
@@ -1,4 +1,4 @@
-import type { Shared, Trouble } from './stage.js';
+import type { Shared, Trouble } from './scenario-kit.js';
 
 /** Copies of reports arrive late, after newer ones, at the same controller or any other. */
 export const lateReports = (m: Shared): Trouble => {
--- a/packages/simulation/src/world/meetings/lateWrites.ts
+++ b/packages/simulation/src/world/scenarios/late-writes.ts
@@ -1,5 +1,5 @@
 import { CALENDAR, LEADER, RECORD, SHOWN, TYPES } from '@lilacvalve/controller/jobs/keys';
-import type { Shared, Trouble } from './stage.js';
+import type { Shared, Trouble } from './scenario-kit.js';
 
 /** What is neither a job's nor a record. */
 const kindOf = (key: string): string | null =>
--- a/packages/simulation/src/world/meetings/manyLeaders.ts
+++ b/packages/simulation/src/world/scenarios/leader-churn.ts
@@ -1,5 +1,5 @@
 /** Leaders change again and again for two minutes, mostly within seconds, and end inside an outage too. */
-import type { Shared, Trouble } from './stage.js';
+import type { Shared, Trouble } from './scenario-kit.js';
 
 const LASTS = 120e6;
 const TEN = 10;
--- a/packages/simulation/src/world/meetings/answerLost.ts
+++ b/packages/simulation/src/world/scenarios/lost-responses.ts
@@ -10,7 +10,7 @@
   TYPES,
 } from '@lilacvalve/controller/jobs/keys';
 import type { Condition, Write } from '@lilacvalve/controller/state-store/client';
-import { PLAIN, type Shared, type Trouble } from './stage.js';
+import { PLAIN, type Shared, type Trouble } from './scenario-kit.js';
 
 const PAGES = 's/a/p/';
 
--- a/packages/simulation/src/world/meetings/manySmall.ts
+++ b/packages/simulation/src/world/scenarios/many-small-jobs.ts
@@ -1,5 +1,5 @@
 import { build } from 'hdr-histogram-js';
-import { PLAIN, type Shared, type Trouble } from './stage.js';
+import { PLAIN, type Shared, type Trouble } from './scenario-kit.js';
 
 const A_SECOND = 4;
 const LASTS = 100e6;
--- a/packages/simulation/src/world/meetings/machineMute.ts
+++ b/packages/simulation/src/world/scenarios/outbound-loss.ts
@@ -1,5 +1,5 @@
 import type { Worker } from '../worker/worker.js';
-import type { Shared, Trouble } from './stage.js';
+import type { Shared, Trouble } from './scenario-kit.js';
 
 /** Machines reach no controller, while direct orders reach them; some come up so. Users cancel what runs there. */
 export const machineMute = (m: Shared): Trouble => {
--- a/packages/simulation/src/world/meetings/overfull.ts
+++ b/packages/simulation/src/world/scenarios/overload.ts
@@ -1,6 +1,6 @@
 /** More work than all machines that can be had take, urgent and not, over links that are slow or lose a part. */
 import { ZONES } from '@lilacvalve/controller/support/settings';
-import { PLAIN, type Shared, type Trouble } from './stage.js';
+import { PLAIN, type Shared, type Trouble } from './scenario-kit.js';
 
 export const overfull = (m: Shared): Trouble => {
   const { w } = m;
--- a/packages/simulation/src/world/meetings/gap.ts
+++ b/packages/simulation/src/world/scenarios/rolling-refusal.ts
@@ -1,4 +1,4 @@
-import { PLAIN, type Shared, type Trouble } from './stage.js';
+import { PLAIN, type Shared, type Trouble } from './scenario-kit.js';
 
 /** From the refusal on: for how long a hold's view may be behind where it starts something, and an answer on its way. */
 const STARTS_OVER = 7e6;
--- a/packages/simulation/src/world/meetings/stage.ts
+++ b/packages/simulation/src/world/scenarios/scenario-kit.ts
@@ -1,7 +1,7 @@
 /** What troubles that meet need of the world, and what several of them do. */
 import type { Answer } from '@lilacvalve/runtime/http-server';
 import type { Luck } from '@lilacvalve/controller/support/luck';
-import type { Arrival } from '../crowd.js';
+import type { Arrival } from '../load-burst.js';
 import type { Answered, Ask, Asked } from '../history.js';
 import type { LinkState } from '../links.js';
 import type { Got, Rules } from '../rules.js';
@@ -9,7 +9,7 @@
 import type { Time } from '../time.js';
 import type { JobTruth } from '../job-truth.js';
 import type { Worker } from '../worker/worker.js';
-import type { Meeting } from './index.js';
+import type { Meeting } from './scenarios.js';
 
 /** What of the world they need. */
 /** How machines come, as long as a trouble says so. */
--- a/packages/simulation/src/world/meetings/farEnds.ts
+++ b/packages/simulation/src/world/scenarios/staggered-completions.ts
@@ -1,6 +1,6 @@
 import { decodeJob, decodeRecord } from '@lilacvalve/controller/jobs/codec';
 import { activeKey, RECORD } from '@lilacvalve/controller/jobs/keys';
-import { PLAIN, type Shared, type Trouble } from './stage.js';
+import { PLAIN, type Shared, type Trouble } from './scenario-kit.js';
 
 /** Jobs of two or three tasks end far apart; the leader changes between the ends. */
 export const farEnds = (m: Shared): Trouble => {
--- a/packages/simulation/src/world/meetings/reportForNext.ts
+++ b/packages/simulation/src/world/scenarios/stale-heartbeats.ts
@@ -5,7 +5,7 @@
  */
 import { ZONES } from '@lilacvalve/controller/support/settings';
 import type { Worker } from '../worker/worker.js';
-import { PLAIN, type Shared, type Trouble } from './stage.js';
+import { PLAIN, type Shared, type Trouble } from './scenario-kit.js';
 
 interface Kept {
   readonly by: Worker;
--- a/packages/simulation/src/world/meetings/heldMachine.ts
+++ b/packages/simulation/src/world/scenarios/stalled-machine.ts
@@ -1,4 +1,4 @@
-import type { Shared, Trouble } from './stage.js';
+import type { Shared, Trouble } from './scenario-kit.js';
 
 /** Machines stand still between getting an order or an answer and acting on it. */
 export const heldMachine = (m: Shared): Trouble => {
--- a/packages/simulation/src/world/meetings/stateRefuses.ts
+++ b/packages/simulation/src/world/scenarios/state-refuses.ts
@@ -1,4 +1,4 @@
-import type { Shared, Trouble } from './stage.js';
+import type { Shared, Trouble } from './scenario-kit.js';
 
 /** One controller, mostly the leader, is refused by the state service. */
 export const stateRefuses = (m: Shared): Trouble => ({
--- a/packages/simulation/src/world/meetings/stateSlow.ts
+++ b/packages/simulation/src/world/scenarios/state-slow.ts
@@ -1,4 +1,4 @@
-import type { Shared, Trouble } from './stage.js';
+import type { Shared, Trouble } from './scenario-kit.js';
 
 /** Answers of the state service take seconds, beyond time-outs and out of order; what was asked is carried out. */
 export const stateSlow = (m: Shared): Trouble => ({
--- a/packages/simulation/src/world/meetings/allAway.ts
+++ b/packages/simulation/src/world/scenarios/total-outage.ts
@@ -1,6 +1,6 @@
 /** All controllers are away for longer than a lease, and come back one by one; users cancel in the second before. */
 import type { Worker } from '../worker/worker.js';
-import type { Shared, Trouble } from './stage.js';
+import type { Shared, Trouble } from './scenario-kit.js';
 
 export const allAway = (m: Shared): Trouble => {
   const { w } = m;
--- a/packages/simulation/src/world/meetings/oneZoneLoss.ts
+++ b/packages/simulation/src/world/scenarios/zone-machine-loss.ts
@@ -1,7 +1,7 @@
 /** Jobs bound to one zone, arrays too, lose machines: by their end, by a new session, or to stand still, inside and beyond a lease. */
 import { ZONES } from '@lilacvalve/controller/support/settings';
 import type { Worker } from '../worker/worker.js';
-import { PLAIN, type Shared, type Trouble } from './stage.js';
+import { PLAIN, type Shared, type Trouble } from './scenario-kit.js';
 
 export const oneZoneLoss = (m: Shared): Trouble => {
   const { w } = m;
--- a/packages/simulation/src/world/meetings/zoneCutLong.ts
+++ b/packages/simulation/src/world/scenarios/zone-partition.ts
@@ -1,7 +1,7 @@
 /** A controller and the workers of a zone are cut off together, from everything else, for longer than a lease. */
 import { ZONES } from '@lilacvalve/controller/support/settings';
 import type { Worker } from '../worker/worker.js';
-import { PLAIN, type Shared, type Trouble } from './stage.js';
+import { PLAIN, type Shared, type Trouble } from './scenario-kit.js';
 
 export const zoneCutLong = (m: Shared): Trouble => {
   const { w } = m;
--- a/packages/simulation/src/world/users.ts
+++ b/packages/simulation/src/world/users.ts
@@ -2,14 +2,14 @@
 import { Exit } from 'effect';
 import type { Answer } from '@lilacvalve/runtime/http-server';
 import type { Luck } from '@lilacvalve/controller/support/luck';
-import type { Begun } from './begun.js';
+import type { Begun } from './start-latency-check.js';
 import type { Controllers } from './controllers.js';
-import type { Arrival } from './crowd.js';
+import type { Arrival } from './load-burst.js';
 import type { Size } from './deployment-size.js';
 import type { FaultLog } from './fault-log.js';
 import type { Answered, Ask, Asked, History, Open } from './history.js';
 import type { Links } from './links.js';
-import type { Meetings } from './meetings/index.js';
+import type { Meetings } from './scenarios/scenarios.js';
 import type { Fact, Memory, Process } from './memory.js';
 import type { Got, Rules } from './rules.js';
 import type { Time } from './time.js';
--- a/packages/simulation/src/world/worker/task-runner.ts
+++ b/packages/simulation/src/world/worker/task-runner.ts
@@ -1,11 +1,11 @@
 /** The tasks of one machine: images are fetched, gangs gather, tasks run, save and end. */
 import type { Luck } from '@lilacvalve/controller/support/luck';
-import type { Begun } from '../begun.js';
+import type { Begun } from '../start-latency-check.js';
 import { jobIdOf, type JobTruth, TASK_MEM_GB, taskNumberOf } from '../job-truth.js';
 import type { Step } from '../lending.js';
 import type { Place, Rules } from '../rules.js';
 import type { Time } from '../time.js';
-import { type Amounts, amounts } from '../waiting.js';
+import { type Amounts, amounts } from '../starvation-check.js';
 import type { Order } from './wire.js';
 
 /** A hanging machine looks again this often, microseconds. */
--- a/packages/simulation/src/world/worker/worker.ts
+++ b/packages/simulation/src/world/worker/worker.ts
@@ -5,7 +5,7 @@
 import type { Links } from '../links.js';
 import type { Place, Rules } from '../rules.js';
 import type { Time } from '../time.js';
-import type { Amounts } from '../waiting.js';
+import type { Amounts } from '../starvation-check.js';
 import { type GangTiming, type Task, type TaskHost, TaskRunner, type TaskWorld } from './task-runner.js';
 import { decodeDirectOrders, decodeHeartbeatAnswer, encodeHeartbeat } from './wire.js';
 
--- a/packages/simulation/test/checks.test.ts
+++ b/packages/simulation/test/checks.test.ts
@@ -7,16 +7,16 @@
 import { job } from '@lilacvalve/controller/support/job';
 import { Luck } from '@lilacvalve/controller/support/luck';
 import { type DayResult, faultsOf } from '../src/play.js';
-import { Begun } from '../src/world/begun.js';
+import { Begun } from '../src/world/start-latency-check.js';
 import { LENDING_TEAMS, Loans } from '../src/world/lending.js';
-import { Charged } from '../src/world/charged.js';
+import { Charged } from '../src/world/cost-check.js';
 import { Links } from '../src/world/links.js';
-import { ODD, wrongly } from '../src/world/meetings/oddRequests.js';
+import { ODD, wrongly } from '../src/world/scenarios/invalid-requests.js';
 import { Memory } from '../src/world/memory.js';
 import { Rules, type Spec } from '../src/world/rules.js';
 import { StateService } from '../src/world/state-service/state-service.js';
 import { Time } from '../src/world/time.js';
-import { type Amounts, amounts, fitsNow, type RoomOn, Waiting, type Wanted } from '../src/world/waiting.js';
+import { type Amounts, amounts, fitsNow, type RoomOn, Waiting, type Wanted } from '../src/world/starvation-check.js';
 import type { JobTruth } from '../src/world/job-truth.js';
 import { World } from '../src/world/world.js';
 
--- a/packages/simulation/test/meetings-answers.test.ts
+++ b/packages/simulation/test/meetings-answers.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { faultsOf, playDay } from '../src/play.js';
-import { BUSIEST, LOOKS, REFUSED, UNANSWERED } from '../src/world/meetings/closeLooks.js';
+import { BUSIEST, LOOKS, REFUSED, UNANSWERED } from '../src/world/scenarios/concurrent-reads.js';
 import { SMALL } from '../src/world/deployment-size.js';
 import { playMeetings } from './meeting-days.js';
 
