--- a/packages/controller/test/hold.test.ts
+++ b/packages/controller/test/read-lease.test.ts
@@ -2,12 +2,19 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DRIFT, type Micros, seconds } from '@lilacvalve/runtime/micros';
-import type { Doubt } from '../src/doubt/doubt.js';
-import { JobCache } from '../src/jobs/cache.js';
-import { Feed } from '../src/jobs/feed.js';
-import { holdEnds, mayAnswer, mayLag, mayStart, nothingAfter, type Said } from '../src/leadership/hold.js';
+import type { DataLossDetector } from '../src/recovery/data-loss-detector.js';
+import { JobState } from '../src/jobs/job-state.js';
+import { StoreWatcher } from '../src/jobs/store-watcher.js';
+import {
+  readLeaseExpiry,
+  answerAuthority,
+  maxViewAge,
+  mayStart,
+  unchangedSince,
+  type PeerKnowledge,
+} from '../src/leadership/read-lease.js';
 import type { StatePort } from '../src/state-store/port.js';
-import { Luck } from './support/luck.js';
+import { Luck } from './support/random-source.js';
 
 const TTL = seconds(3);
 /** A worker ends its tasks so late at the most: steps of timers, and what it had to do first. */
@@ -45,7 +52,7 @@
     reads.push({ asked, got, revision: revisionAt(Math.min(l.between(asked, got), out)) });
   }
   // Beats to each of the others: one that knows what it has told users of, and as much else as it has read by then.
-  const beats: { by: number; got: number; said: Said }[] = [];
+  const beats: { by: number; got: number; said: PeerKnowledge }[] = [];
   for (let by = 1; by < controllers; by++) {
     // It starts anew, once: until it has read the store it says nothing.
     const anew = l.chance(0.3) ? l.between(0, out + 30e6) : Infinity;
@@ -74,20 +81,20 @@
       const last = beats.filter((b) => b.by === i + 1 && b.got <= t).at(-1);
       return last === undefined || last.said.incarnation === null ? null : last.said;
     });
-    covered = Math.max(covered, nothingAfter(said, INCARNATION, complete));
+    covered = Math.max(covered, unchangedSince(said, INCARNATION, complete));
     const readAsOf = Math.max(Number.NEGATIVE_INFINITY, ...had.map((r) => clock(r.asked)));
-    const standing = {
+    const bounds = {
       // An outage may give a lease its full time again, at any moment; and a majority confirms as it will.
-      rightUntil: l.chance(0.5) ? clock(t) + 1 : 0,
+      leaderLeaseUntil: l.chance(0.5) ? clock(t) + 1 : 0,
       confirmedUntil: Infinity,
       knownAsOf: Math.max(readAsOf, covered),
     };
-    const by = mayAnswer(clock(t) as Micros, standing, workers, TTL);
+    const by = answerAuthority(clock(t) as Micros, bounds, workers, TTL);
     if (by === null) continue;
     count(by);
-    if (mayLag(workers) === 0) {
-      assert.equal(by, 'right', 'no hold is safe');
-      assert.ok(holdEnds(standing, workers) <= standing.knownAsOf);
+    if (maxViewAge(workers) === 0) {
+      assert.equal(by, 'leader lease', 'no read lease is safe');
+      assert.ok(readLeaseExpiry(bounds, workers) <= bounds.knownAsOf);
       continue;
     }
     if (covered > readAsOf + 5e6) count('covered');
@@ -120,32 +127,32 @@
     const late = chain(l, { lease: seconds(lease), cancel: seconds(cancel) }, met);
     assert.ok(late <= 0, `seed ${seed}, lease ${lease}, cancel ${cancel}: ${late / 1e6} s too late`);
   }
-  for (const what of ['right', 'hold', 'covered', 'unknown'])
+  for (const what of ['leader lease', 'read lease', 'covered', 'unknown'])
     assert.ok((met.get(what) ?? 0) > 100, `${what}: ${met.get(what)}`);
 });
 
-test('a hold starts nothing once its view is old, and a right does', () => {
+test('a read lease starts nothing once its view is old, and the leader lease does', () => {
   const known = seconds(100);
   const out = Number.NEGATIVE_INFINITY;
-  const may = (at: number, rightUntil: number): boolean =>
-    mayStart(seconds(at), { rightUntil, knownAsOf: known });
+  const may = (at: number, leaderLeaseUntil: number): boolean =>
+    mayStart(seconds(at), { leaderLeaseUntil, knownAsOf: known });
   assert.deepEqual([may(102.9, out), may(103, out), may(110, out)], [true, false, false]);
   assert.equal(may(110, seconds(111)), true);
 });
 
 test('what this node wrote counts as known right after its view, and no more once that is left', () => {
-  const cache = new JobCache();
-  cache.revision = 4;
-  const feed = new Feed(
-    cache,
+  const jobState = new JobState();
+  jobState.revision = 4;
+  const watcher = new StoreWatcher(
+    jobState,
     {} as StatePort,
     () => 0 as Micros,
     () => true,
-    {} as Doubt,
+    {} as DataLossDetector,
     seconds(1),
   );
-  for (const revision of [6, 5, 8]) feed.committed(revision);
-  assert.equal(feed.completeTo(), 6);
-  feed.leave();
-  assert.deepEqual([feed.loaded, feed.completeTo()], [false, 4]);
+  for (const revision of [6, 5, 8]) watcher.committed(revision);
+  assert.equal(watcher.completeTo(), 6);
+  watcher.leave();
+  assert.deepEqual([watcher.loaded, watcher.completeTo()], [false, 4]);
 });
--- a/packages/controller/test/support/machines.ts
+++ b/packages/controller/test/support/machines.ts
@@ -3,7 +3,7 @@
  * lost, held, and come again; what runs where is written down.
  */
 import { seconds } from '@lilacvalve/runtime/micros';
-import type { Luck } from './luck.js';
+import type { Luck } from './random-source.js';
 import { worldSettings } from './settings.js';
 
 const { report, lease, gangWait, gangPeer } = worldSettings('n0').workers;
@@ -74,7 +74,6 @@
   private readonly reaped = new Set<string>();
   private leaseFrom: number;
   private flying = false;
-  private lastSent = Number.NEGATIVE_INFINITY;
 
   constructor(
     readonly id: string,
@@ -219,7 +218,7 @@
     const { time, luck } = this.g;
     if (!this.alive || this.flying) return;
     this.flying = true;
-    const sent = (this.lastSent = time.now);
+    const sent = time.now;
     const { tenure } = this;
     const body = this.body();
     let open = true;
