--- a/packages/simulation/test/answers-format.test.ts
+++ b/packages/simulation/test/answers-format.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { World } from '../src/world/world.js';
-import { ask, good } from './ask.js';
+import { ask, good } from './support/ask.js';
 
 const report = (tick: number): string =>
   `{"host":"vm-7","addr":"vm-7","hostKind":"c8","room":"a","borrowed":false,"tenure":1,"tick":${tick},"warrant":0,"recallS":null,"pieces":[]}`;
--- a/packages/simulation/test/api.test.ts
+++ b/packages/simulation/test/api.test.ts
@@ -5,7 +5,7 @@
 import { activeKey, asKnown, finalKey } from '@lilacvalve/controller/jobs/keys';
 import type { Condition, Write } from '@lilacvalve/controller/state-store/client';
 import { World } from '../src/world/world.js';
-import { ask, good, said } from './ask.js';
+import { ask, good, said } from './support/ask.js';
 
 const world = (): World => {
   const w = new World(5, {});
--- a/packages/simulation/test/rules-met.test.ts
+++ b/packages/simulation/test/rules-met.test.ts
@@ -1,5 +1,5 @@
 /** What the operators met later: slow, silent, half reachable, or wrong. */
-import { everything, playDays } from './days.js';
+import { everything, playDays } from './support/days.js';
 import type { Faults } from '../src/world/faults.js';
 
 const met: Faults = {
--- a/packages/simulation/test/rules-restart.test.ts
+++ b/packages/simulation/test/rules-restart.test.ts
@@ -1,5 +1,5 @@
 /** Everything restarts at once, and more is asked than there is room to answer. */
-import { playDays } from './days.js';
+import { playDays } from './support/days.js';
 
 playDays(
   [
--- a/packages/simulation/test/rules.test.ts
+++ b/packages/simulation/test/rules.test.ts
@@ -1,5 +1,5 @@
 /** What the first version met: crashes, outages, cuts and losses, on three controllers and on five. */
-import { everything, playDays } from './days.js';
+import { everything, playDays } from './support/days.js';
 
 playDays([
   ['quiet', {}, [1]],
--- a/packages/simulation/test/meetings-answer-lost.test.ts
+++ b/packages/simulation/test/scenarios-answer-lost.test.ts
@@ -1,10 +1,10 @@
 /** Changes that are carried out at once and not answered: others read them before their sender knows. */
-import { playMeetings } from './meeting-days.js';
+import { playScenarios } from './support/scenario-days.js';
 
 const first = (kinds: readonly string[]): string[] => kinds.map((k) => `${k} read by another first`);
 const unheard = (kinds: readonly string[]): string[] => kinds.map((k) => `${k} unheard`);
 
-playMeetings([
+playScenarios([
   [
     'only the answer is lost',
     { lostResponses: true, cutoffs: true, lending: true },
--- a/packages/simulation/test/meetings-answers.test.ts
+++ b/packages/simulation/test/scenarios-answers.test.ts
@@ -4,7 +4,7 @@
 import { faultsOf, playDay } from '../src/play.js';
 import { BUSIEST, LOOKS, REFUSED, UNANSWERED } from '../src/world/scenarios/concurrent-reads.js';
 import { SMALL } from '../src/world/deployment-size.js';
-import { playMeetings } from './meeting-days.js';
+import { playScenarios } from './support/scenario-days.js';
 
 const CLOSE = [
   'asked elsewhere, accepted at once before',
@@ -29,7 +29,7 @@
   assert.ok(refused <= day.met[LOOKS]! / 100, `${refused} of ${day.met[LOOKS]} refused`);
 });
 
-playMeetings([
+playScenarios([
   [
     'users look closely, beside crashes, outages and late writes',
     { concurrentReads: true, nodeCrash: true, quickRestart: true, lateWrites: true, stateOutage: true },
--- a/packages/simulation/test/meetings-cancel.test.ts
+++ b/packages/simulation/test/scenarios-cancel.test.ts
@@ -1,13 +1,13 @@
 /** Cancellations that meet a change of hands, and machines that hang and go on. */
 import { CLOSE } from '../src/world/deployment-size.js';
-import { playMeetings } from './meeting-days.js';
+import { playScenarios } from './support/scenario-days.js';
 
 const hung = [
   'hung with a cancelled task, went on within its lease',
   'hung with a cancelled task, went on beyond its lease',
 ];
 
-playMeetings([
+playScenarios([
   ['machines hang with what was cancelled and go on', { cancelAndHang: true }, hung],
   [
     'the same and a leader refused, where a cancellation must have taken effect barely after a lease',
--- a/packages/simulation/test/meetings-late.test.ts
+++ b/packages/simulation/test/scenarios-late.test.ts
@@ -8,9 +8,9 @@
 import { Effect, Exit } from 'effect';
 import { calendarOf } from '../src/world/cutoffs.js';
 import { World } from '../src/world/world.js';
-import { playMeetings } from './meeting-days.js';
+import { playScenarios } from './support/scenario-days.js';
 
-playMeetings([
+playScenarios([
   [
     'campaigns and hints carried out late',
     { lateWrites: true, handover: true },
--- a/packages/simulation/test/meetings-leaders-away.test.ts
+++ b/packages/simulation/test/scenarios-leaders-away.test.ts
@@ -1,14 +1,14 @@
 /** Leaders that follow one another within seconds, in an outage too, and none at all for longer than a lease. */
-import { playMeetings } from './meeting-days.js';
+import { playScenarios } from './support/scenario-days.js';
 
-playMeetings([
+playScenarios([
   [
     'ten leaders in two minutes, in an outage too',
     { leaderChurn: true },
     ['ten leaders in two minutes', 'a leader ended inside the outage'],
   ],
 ]);
-playMeetings(
+playScenarios(
   [
     [
       'all controllers away beyond the lease, and back one by one',
--- a/packages/simulation/test/meetings-limit.test.ts
+++ b/packages/simulation/test/scenarios-limit.test.ts
@@ -1,7 +1,7 @@
 /** Teams at their limits while users cancel what can't be asked, and the leader changes. */
-import { playMeetings } from './meeting-days.js';
+import { playScenarios } from './support/scenario-days.js';
 
-playMeetings([
+playScenarios([
   [
     'every team at its limit, machines cut off or hung, the leader changed',
     { atLimit: true },
--- a/packages/simulation/test/meetings-mute-machines.test.ts
+++ b/packages/simulation/test/scenarios-mute-machines.test.ts
@@ -1,7 +1,7 @@
 /** Machines that reach no controller, while direct orders reach them. */
-import { playMeetings } from './meeting-days.js';
+import { playScenarios } from './support/scenario-days.js';
 
-playMeetings([
+playScenarios([
   [
     'machines that reach no controller',
     { outboundLoss: true },
--- a/packages/simulation/test/meetings-new-machines.test.ts
+++ b/packages/simulation/test/scenarios-new-machines.test.ts
@@ -1,7 +1,7 @@
 /** Machines that are up at once, before anybody knows of them. */
-import { playMeetings } from './meeting-days.js';
+import { playScenarios } from './support/scenario-days.js';
 
-playMeetings([
+playScenarios([
   [
     'new machines within two seconds, their rentals answered late, carried out late, or never answered',
     { fastBoots: true },
--- a/packages/simulation/test/meetings-odd.test.ts
+++ b/packages/simulation/test/scenarios-odd.test.ts
@@ -1,7 +1,7 @@
 /** Odd requests, on days of their own and with a trouble that changes leaders. */
-import { playMeetings } from './meeting-days.js';
+import { playScenarios } from './support/scenario-days.js';
 
-playMeetings([
+playScenarios([
   [
     'odd requests while controllers end and come back',
     { invalidRequests: true, nodeCrash: true },
--- a/packages/simulation/test/meetings-old-reports.test.ts
+++ b/packages/simulation/test/scenarios-old-reports.test.ts
@@ -1,8 +1,8 @@
 /** What a new leader hears first of a machine may be a lease old, or have a token that only an order of its own has raised. */
-import { playMeetings } from './meeting-days.js';
+import { playScenarios } from './support/scenario-days.js';
 
 // On its first day a task runs twice where a report without the term's token counts as one with it.
-playMeetings(
+playScenarios(
   [
     [
       'old reports reach every controller just as a new leader begins',
--- a/packages/simulation/test/meetings-overfull.test.ts
+++ b/packages/simulation/test/scenarios-overfull.test.ts
@@ -1,7 +1,7 @@
 /** More work than all machines that can be had take, urgent and not. */
-import { playMeetings } from './meeting-days.js';
+import { playScenarios } from './support/scenario-days.js';
 
-playMeetings(
+playScenarios(
   [
     [
       'more work than room, urgent and not, over slow links',
--- a/packages/simulation/test/meetings-zones.test.ts
+++ b/packages/simulation/test/scenarios-zones.test.ts
@@ -1,8 +1,8 @@
 /** A zone that is cut off with a controller, and jobs that are bound to one and lose machines there. */
-import { playMeetings } from './meeting-days.js';
+import { playScenarios } from './support/scenario-days.js';
 
 // On its first day a task runs twice where a lease counts for a third of its time.
-playMeetings(
+playScenarios(
   [
     [
       'a zone with workers and a controller cut off beyond the lease',
@@ -17,7 +17,7 @@
   ],
   [4, 1, 2, 3, 5, 6],
 );
-playMeetings(
+playScenarios(
   [
     [
       'jobs bound to one zone lose machines',
--- a/packages/simulation/test/meetings.test.ts
+++ b/packages/simulation/test/scenarios.test.ts
@@ -1,7 +1,7 @@
-/** The first ten troubles that meet, each on days of its own; the others have files of their own beside this one. */
-import { playMeetings } from './meeting-days.js';
+/** The first ten scenarios of compound faults, each on days of its own; the others have files of their own beside this one. */
+import { playScenarios } from './support/scenario-days.js';
 
-playMeetings([
+playScenarios([
   [
     'ends far apart, the leader changed between',
     { staggeredCompletions: true },
--- a/packages/simulation/test/submissions.test.ts
+++ b/packages/simulation/test/submissions.test.ts
@@ -11,7 +11,7 @@
 import { finalKey, TYPES as TYPES_KEY } from '@lilacvalve/controller/jobs/keys';
 import { TYPES, worldSettings } from '@lilacvalve/controller/support/settings';
 import { World } from '../src/world/world.js';
-import { ask, good, said } from './ask.js';
+import { ask, good, said } from './support/ask.js';
 
 /** A body, what it gets if nobody knows the job, and the field that a refusal with 400 names first. */
 interface Row {
--- a/packages/simulation/test/ask.ts
+++ b/packages/simulation/test/support/ask.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { Exit } from 'effect';
 import type { Answer } from '@lilacvalve/runtime/http-server';
-import type { World } from '../src/world/world.js';
+import type { World } from '../../src/world/world.js';
 
 /** The answer, once it is there: users wait no longer than 6 s. A body that is no text is written as JSON. */
 export const ask = (
--- a/packages/simulation/test/days.ts
+++ b/packages/simulation/test/support/days.ts
@@ -1,9 +1,9 @@
 /** Seeded random days: the real nodes against stand-ins on virtual time, the rules checked after every step. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { GROWN, SMALL } from '../src/world/deployment-size.js';
-import type { Faults } from '../src/world/faults.js';
-import { World } from '../src/world/world.js';
+import { GROWN, SMALL } from '../../src/world/deployment-size.js';
+import type { Faults } from '../../src/world/faults.js';
+import { World } from '../../src/world/world.js';
 
 export type Day = readonly [name: string, troubles: Faults, seeds: readonly number[]];
 
