--- a/packages/simulation/src/play.ts
+++ b/packages/simulation/src/play.ts
@@ -1,6 +1,6 @@
 /** Plays one day of an experiment and says what became of it. The same experiment and seed give the same outcome. */
 import type { Experiment } from './experiment.js';
-import type { LeastRow } from './world/begun.js';
+import type { LeastRow } from './world/start-latency-check.js';
 import type { CutoffDay } from './world/cutoffs.js';
 import { BY_MEMORY } from './world/rules.js';
 import { World } from './world/world.js';
@@ -33,7 +33,7 @@
   readonly losses: number;
   /** Losses through which no controller lived that had read the store: what only they knew is gone. */
   readonly unwitnessed: number;
-  /** The longest that a job went without an answered poll after the last trouble, seconds. */
+  /** The longest that a job went without an answered poll after the last fault, seconds. */
   readonly silence: number;
   /** Answers that lacked what all who were promised to know it took along. */
   readonly excused: number;
@@ -43,7 +43,7 @@
   /** There was room for all. */
   readonly room: boolean;
   readonly struck: Readonly<Record<string, number>>;
-  /** What met what; see world/meetings.ts. */
+  /** How often each thing that the scenarios are about has happened. */
   readonly met: Readonly<Record<string, number>>;
   readonly recovery: Recovery;
   /** Loans made, and how services fared: seconds of replicas wanted and up, services in all and complete within 60 s. */
@@ -138,7 +138,7 @@
     least: world.least(),
     room: x.room,
     struck: { ...world.log.struck },
-    met: { ...world.meetings?.met },
+    met: { ...world.scenarios?.occurred },
     recovery: { ...took },
     lending: world.loans && {
       loans: world.loans.made,
--- a/packages/simulation/src/world/charged.ts
+++ b/packages/simulation/src/world/cost-check.ts
@@ -2,7 +2,7 @@
  * What is paid for: no machine is charged unused for longer than it takes to give it back, and nothing is rented for what
  * has had room for seconds on machines that are up or on their way. By what is true in the world.
  */
-import { fitsNow, type RoomOn, type Wanted } from './waiting.js';
+import { fitsNow, type RoomOn, type Wanted } from './starvation-check.js';
 
 /** From its last task on, or the last wait of any job: 45 s idle, past the minute that is charged anyhow, and the call. */
 const UNUSED = 120e6;
@@ -20,7 +20,7 @@
   readonly used: boolean;
 }
 
-export class Charged {
+export class CostCheck {
   private readonly usedAt = new Map<string, number>();
   private readonly told = new Set<string>();
   private wantedAt = 0;
@@ -33,10 +33,10 @@
 
   constructor(private readonly broke: (what: string) => void) {}
 
-  /** `rooms`: on machines that are up, and of those that boot and are not overdue. `calmAt`: when the last trouble is over. */
+  /** `rooms`: on machines that are up, and of those that boot and are not overdue. `quiescentAt`: when the last fault is over. */
   look(
     now: number,
-    calmAt: number,
+    quiescentAt: number,
     paid: readonly Paid[],
     wanted: readonly Wanted[],
     rooms: readonly RoomOn[],
@@ -46,7 +46,7 @@
     this.open = paid.length > 0;
     for (const m of paid) {
       if (m.used) this.usedAt.set(m.id, now);
-      const since = Math.max(m.rentedAt, this.usedAt.get(m.id) ?? 0, this.wantedAt, calmAt);
+      const since = Math.max(m.rentedAt, this.usedAt.get(m.id) ?? 0, this.wantedAt, quiescentAt);
       const unused = now - since;
       this.longest = Math.max(this.longest, unused);
       const most = m.up ? UNUSED : Math.max(NEVER_UP.least, NEVER_UP.boots * m.boot);
--- a/packages/simulation/src/world/waiting.ts
+++ b/packages/simulation/src/world/starvation-check.ts
@@ -1,5 +1,5 @@
 /**
- * Waiting with room: once the troubles are over, no job waits for 90 s while a machine that fits has room and its team is
+ * Starvation: once the faults are over, no job waits for 90 s while a machine that fits has room and its team is
  * under its limit. By a plain search over what is true in the world, with no code of the controllers'.
  */
 import type { Spec } from './rules.js';
@@ -66,7 +66,7 @@
   return (limit ?? [0, 0]).every((l, i) => l === 0 || used[i]! + job.need[i]! * count <= thousandths(l));
 };
 
-export class Waiting {
+export class StarvationCheck {
   /** By job: since when it waits with room, and which of its tasks were on machines then. */
   private readonly since = new Map<string, { at: number; tasks: ReadonlySet<string> }>();
   /** By machine: what was free at each of the last looks. */
@@ -77,7 +77,7 @@
 
   constructor(private readonly broke: (what: string) => void) {}
 
-  /** Troubles go on: nothing counts from before now. */
+  /** Faults go on: nothing counts from before now. */
   troubled(): void {
     this.since.clear();
     this.lately.clear();
--- a/packages/simulation/test/meetings-answers.test.ts
+++ b/packages/simulation/test/scenarios-answers.test.ts
@@ -2,9 +2,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { faultsOf, playDay } from '../src/play.js';
-import { BUSIEST, LOOKS, REFUSED, UNANSWERED } from '../src/world/meetings/closeLooks.js';
+import { BUSIEST, LOOKS, REFUSED, UNANSWERED } from '../src/world/scenarios/concurrent-reads.js';
 import { SMALL } from '../src/world/deployment-size.js';
-import { playMeetings } from './meeting-days.js';
+import { playScenarios } from './support/scenario-days.js';
 
 const CLOSE = [
   'asked elsewhere, accepted at once before',
@@ -18,7 +18,7 @@
 ];
 
 test('rules hold: users look closely, at no great cost', () => {
-  const troubles = { closeLooks: true };
+  const troubles = { concurrentReads: true };
   const size = { size: SMALL, jobs: 12, room: false, troubledUs: 130e6, quietUs: 300e6 };
   const day = playDay({ name: 'close looks', ...size, troubles }, 1);
   assert.deepEqual(faultsOf(day), []);
@@ -29,15 +29,15 @@
   assert.ok(refused <= day.met[LOOKS]! / 100, `${refused} of ${day.met[LOOKS]} refused`);
 });
 
-playMeetings([
+playScenarios([
   [
     'users look closely, beside crashes, outages and late writes',
-    { closeLooks: true, nodeCrash: true, quickRestart: true, lateWrites: true, stateOutage: true },
+    { concurrentReads: true, nodeCrash: true, quickRestart: true, lateWrites: true, stateOutage: true },
     CLOSE,
   ],
   [
     'cancelled at the last end',
-    { cancelAtEnd: true },
+    { cancelAtCompletion: true },
     [
       'cancellation before the end was durable',
       'cancellation as the end became durable',
@@ -54,7 +54,7 @@
   ],
   [
     'cancelled at the last end, machines deaf',
-    { cancelAtEnd: true, machineDeaf: true },
+    { cancelAtCompletion: true, inboundLoss: true },
     ['withdrawal after the end'],
   ],
 ]);
--- a/packages/simulation/test/meetings-cancel.test.ts
+++ b/packages/simulation/test/scenarios-cancel.test.ts
@@ -1,23 +1,23 @@
 /** Cancellations that meet a change of hands, and machines that hang and go on. */
 import { CLOSE } from '../src/world/deployment-size.js';
-import { playMeetings } from './meeting-days.js';
+import { playScenarios } from './support/scenario-days.js';
 
 const hung = [
   'hung with a cancelled task, went on within its lease',
   'hung with a cancelled task, went on beyond its lease',
 ];
 
-playMeetings([
-  ['machines hang with what was cancelled and go on', { cancelNow: true }, hung],
+playScenarios([
+  ['machines hang with what was cancelled and go on', { cancelAndHang: true }, hung],
   [
     'the same and a leader refused, where a cancellation must have taken effect barely after a lease',
-    { cancelNow: true, gap: true },
+    { cancelAndHang: true, rollingRefusal: true },
     [...hung, 'cancelled beside a leader refused alone'],
     CLOSE,
   ],
   [
     'cancelled while the lead changes hands',
-    { cancelInHandover: true },
+    { cancelDuringHandover: true },
     [
       'cancelled while it ran, handed over in order',
       'cancelled while it ran, handed over by crash',
--- a/packages/simulation/test/meetings-mute-machines.test.ts
+++ b/packages/simulation/test/scenarios-mute-machines.test.ts
@@ -1,10 +1,10 @@
 /** Machines that reach no controller, while direct orders reach them. */
-import { playMeetings } from './meeting-days.js';
+import { playScenarios } from './support/scenario-days.js';
 
-playMeetings([
+playScenarios([
   [
     'machines that reach no controller',
-    { machineMute: true },
+    { outboundLoss: true },
     [
       'cancelled and stopped directly on a mute machine',
       'started again elsewhere after the lease',
--- a/packages/simulation/test/meetings-odd.test.ts
+++ b/packages/simulation/test/scenarios-odd.test.ts
@@ -1,10 +1,10 @@
 /** Odd requests, on days of their own and with a trouble that changes leaders. */
-import { playMeetings } from './meeting-days.js';
+import { playScenarios } from './support/scenario-days.js';
 
-playMeetings([
+playScenarios([
   [
     'odd requests while controllers end and come back',
-    { oddRequests: true, nodeCrash: true },
+    { invalidRequests: true, nodeCrash: true },
     [
       'unfinished job submitted again',
       'known job with an odd body',
