--- a/packages/controller/src/leadership/leader-session.ts
+++ b/packages/controller/src/leadership/leader-session.ts
@@ -17,14 +17,10 @@
 import type { Leadership, LeadershipTerm } from './leadership.js';
 import type { Peers } from './peers.js';
 import type { Admission } from '../overload/admission.js';
-import {
-  declareMilestone,
-  GatheredViews,
-  addLateViews,
-  type RebuildContext,
-  rebuild,
-} from '../recovery/rebuild.js';
-import type { ViewPort } from '../recovery/view-exchange.js';
+import { GatheredViews } from '../recovery/gathered-views.js';
+import type { ViewPort } from '../recovery/model.js';
+import { addLateViews, declareMilestone, rebuild } from '../recovery/rebuild.js';
+import type { RebuildContext } from '../recovery/rebuild-context.js';
 import type { PreLossViews } from '../recovery/pre-loss-views.js';
 import type { EvidenceStore } from '../recovery/evidence-store.js';
 import { reconcileOrphanedJobs } from '../recovery/orphaned-jobs.js';
--- a/packages/controller/src/links.ts
+++ b/packages/controller/src/links.ts
@@ -4,7 +4,7 @@
 import { Effect } from 'effect';
 import { decodePeerHeartbeat, encodePeerHeartbeat } from './leadership/codec.js';
 import type { PeerHeartbeat, PeerPort } from './leadership/peers.js';
-import type { ViewPort } from './recovery/view-exchange.js';
+import type { ViewPort } from './recovery/model.js';
 import type { Peer } from './settings/settings.js';
 import { RELAY_TIMEOUT_MS, type RelayPort } from './workers/heartbeat-relay.js';
 
--- a/packages/controller/src/node.ts
+++ b/packages/controller/src/node.ts
@@ -20,7 +20,8 @@
 import { type PeerPort, Peers } from './leadership/peers.js';
 import { Admission } from './overload/admission.js';
 import { loadLine, storeProbe, eventLoopCheck, servedBy, watchMemory } from './health-check.js';
-import { type ViewPort, viewHandler } from './recovery/view-exchange.js';
+import type { ViewPort } from './recovery/model.js';
+import { viewHandler } from './recovery/view-exchange.js';
 import { PreLossViews } from './recovery/pre-loss-views.js';
 import { answerCheckRequest, verifyWith } from './recovery/view-verification.js';
 import { EvidenceStore } from './recovery/evidence-store.js';
@@ -120,7 +121,8 @@
   );
   peers.onHeartbeat = (b) => {
     if (b.term > 0) lossDetector.noteTerm(b.term, b.from);
-    if (b.store) lossDetector.notePeerRevision(b.store.incarnation, b.store.generation, b.store.highestRevision);
+    if (b.store)
+      lossDetector.notePeerRevision(b.store.incarnation, b.store.generation, b.store.highestRevision);
   };
   peers.onResponse = (b, asked) => {
     // It has seen the key itself, at most so long before it answered.
@@ -142,7 +144,11 @@
   const verify = supervise(
     'verify',
     Effect.gen(function* () {
-      if (lossDetector.incarnation !== null && lossDetector.revisionFloor() === jobState.revision && witness.size > 0)
+      if (
+        lossDetector.incarnation !== null &&
+        lossDetector.revisionFloor() === jobState.revision &&
+        witness.size > 0
+      )
         witness.dropCovered(lossDetector.incarnation.id, jobState.revision);
       if (watcher.loaded && lossDetector.incarnation === null && !lossDetector.suspected) {
         yield* Effect.ignore(leadership.foundStore);
--- a/packages/controller/src/recovery/calendar-recovery.ts
+++ b/packages/controller/src/recovery/calendar-recovery.ts
@@ -4,7 +4,7 @@
 import { laterTally, type Tally } from '../calendar/model.js';
 import { decodeShown, encodeShown, type Shown } from '../calendar/shown.js';
 import { CALENDAR_HEAD, OCCURRENCE, SHOWN } from '../jobs/keys.js';
-import type { Condition, Write } from '../state-store/client.js';
+import type { WriteStep } from './write-steps.js';
 
 /** Counts in one transaction. */
 const TALLIES = 8;
@@ -26,11 +26,6 @@
   };
 };
 
-interface CalendarStep {
-  readonly when: readonly Condition[];
-  readonly then: readonly Write[];
-}
-
 const same = (a: Tally, b: Tally | undefined): boolean =>
   JSON.stringify(encodeTally(a)) === JSON.stringify(b === undefined ? null : encodeTally(b));
 
@@ -43,9 +38,9 @@
   best: Remembered,
   valueBytes: number,
   damaged: ReadonlyMap<string, number> = new Map(),
-): CalendarStep[] => {
+): WriteStep[] => {
   const stampOf = (key: string, known: number | undefined): number => damaged.get(key) ?? known ?? 0;
-  const steps: CalendarStep[] = [];
+  const steps: WriteStep[] = [];
   const { calendar } = best;
   if (
     calendar !== null &&
--- a/packages/controller/src/recovery/evidence-store.ts
+++ b/packages/controller/src/recovery/evidence-store.ts
@@ -9,10 +9,9 @@
 import { packFinal, unpackFinal } from '../jobs/finals.js';
 import type { FinalState } from '../jobs/model.js';
 import type { Peer } from '../settings/settings.js';
-import type { ViewPort } from './view-exchange.js';
+import { EVIDENCE_PATH, type ViewPort } from './model.js';
 import type { JobVersion } from './merge.js';
 
-export const EVIDENCE_PATH = '/witness';
 /** A peer on the same network answers in a few milliseconds. */
 const REPLICATE_TIMEOUT_MS = 120;
 /** Peers told of one thing, the leader first: for it to be lost, all of them would have to end with this node. */
--- a/packages/controller/src/recovery/model.ts
+++ b/packages/controller/src/recovery/model.ts
@@ -1,8 +1,11 @@
 /**
- * The store's identity. An incarnation is one life of the store's data: it begins at the first start, or with a rebuild
+ * The store's identity, and what controllers exchange about it. An incarnation is one life of the store's data: it begins at the first start, or with a rebuild
  * after a loss, and revisions, terms and attempts can be compared within it only. Its key is named after it and every
  * transaction is conditional on that key, so that one from before a loss can never find its conditions true by accident.
  */
+import type { NoAnswer } from '@lilacvalve/runtime/http-client';
+import type { Effect } from 'effect';
+import type { Peer } from '../settings/settings.js';
 
 export interface Incarnation {
   /** Random: no two have the same. */
@@ -88,3 +91,17 @@
   readonly kind: EvidenceKind;
   readonly what: string;
 }
+
+/** Paths on which controllers ask each other, with the requests and responses of codec.ts. */
+export const VIEW_PATH = '/view';
+/** Content is durable: the views that held it can be forgotten. */
+export const DURABLE_PATH = '/durable';
+/** Two views are compared; see view-verification.ts. */
+export const CHECK_PATH = '/check';
+/** What a user is about to be told; see evidence-store.ts. */
+export const EVIDENCE_PATH = '/witness';
+
+/** Carries a request to a peer and its response back. */
+export interface ViewPort {
+  ask(peer: Peer, path: string, body: Buffer): Effect.Effect<Buffer, NoAnswer>;
+}
--- a/packages/controller/src/recovery/view-exchange.ts
+++ b/packages/controller/src/recovery/view-exchange.ts
@@ -19,18 +19,11 @@
 import { digestOf, RANGES, rangeOf } from './digest.js';
 import { type JobVersion, mergeVersions } from './merge.js';
 import { versionsByJob, type PreLossView, type PreLossViews } from './pre-loss-views.js';
-import { CHECK_PATH } from './view-verification.js';
-import { decodeJobEvidence, type EvidenceStore, EVIDENCE_PATH } from './evidence-store.js';
+import { decodeJobEvidence, type EvidenceStore } from './evidence-store.js';
+import { CHECK_PATH, DURABLE_PATH, EVIDENCE_PATH, VIEW_PATH, type ViewPort } from './model.js';
 
 /** Jobs and final states in one answer: some 300 KB. */
 const MAX_ITEMS = 800;
-export const VIEW_PATH = '/view';
-export const DURABLE_PATH = '/durable';
-
-/** Carries a question to a peer and its answer back. */
-export interface ViewPort {
-  ask(peer: Peer, path: string, body: Buffer): Effect.Effect<Buffer, NoAnswer>;
-}
 
 /** A node's memory for whoever asks: its relics, and its view as long as that is of another incarnation than the asker's. */
 export const answerViewRequest = (
--- a/packages/controller/src/recovery/view-verification.ts
+++ b/packages/controller/src/recovery/view-verification.ts
@@ -12,9 +12,8 @@
 import type { Peer } from '../settings/settings.js';
 import type { StatePort } from '../state-store/port.js';
 import { digestOf, RANGES, rangeOf } from './digest.js';
-import type { ViewPort } from './view-exchange.js';
+import { CHECK_PATH, type ViewPort } from './model.js';
 
-export const CHECK_PATH = '/check';
 /** A job, its key's revision, and the last record that mentions it. */
 type KnownJob = [id: string, stamp: number, touched: number];
 /** How long a peer may take; a node that has just started answers nobody before. */
--- a/packages/controller/test/late-writes.test.ts
+++ b/packages/controller/test/late-writes.test.ts
@@ -23,7 +23,9 @@
   TERM,
   orphanedJobKey,
 } from '../src/jobs/keys.js';
-import { GatheredViews, rebuild, writeBack } from '../src/recovery/rebuild.js';
+import { GatheredViews } from '../src/recovery/gathered-views.js';
+import { rebuild } from '../src/recovery/rebuild.js';
+import { writeBack } from '../src/recovery/write-back.js';
 import { commit } from '../src/scheduler/commit.js';
 import { upkeep } from '../src/scheduler/upkeep.js';
 import type { Start } from '../src/scheduler/model.js';
--- a/packages/controller/test/support/late-store.ts
+++ b/packages/controller/test/support/late-store.ts
@@ -13,7 +13,7 @@
 import { StoreWatcher } from '../../src/jobs/store-watcher.js';
 import { activeKey, INCARNATION, REBUILD, RECOVERED, TERM } from '../../src/jobs/keys.js';
 import type { Job } from '../../src/jobs/model.js';
-import { type RebuildContext } from '../../src/recovery/rebuild.js';
+import type { RebuildContext } from '../../src/recovery/rebuild-context.js';
 import type { JobEvidence } from '../../src/recovery/evidence-store.js';
 import { Largest } from '../../src/scheduler/largest.js';
 import { Waits } from '../../src/scheduler/waits.js';
