--- a/packages/controller/src/recovery/audit.ts
+++ b/packages/controller/src/recovery/audit.ts
@@ -1,6 +1,6 @@
 /**
- * Looks for keys that went without a change to tell of it: part of the store's listing is held against the view that
- * the watch feeds. A key counts as lost only if the view is at least as new as the listing and still has it.
+ * Finds keys that vanished without a change that tells of it: a page of the store's listing is compared with the view that
+ * the store watcher maintains. A key counts as lost only if the view is at least as new as the listing and still has it.
  */
 import type { JobState } from '../jobs/job-state.js';
 import {
@@ -16,7 +16,7 @@
 } from '../jobs/keys.js';
 import type { Page } from '../state-store/client.js';
 
-/** The prefixes that are looked through, one after the other. */
+/** The prefixes that are searched, one after the other. */
 export const AUDITED_PREFIXES = [RECORD, ACTIVE, PACK, TERM, LEADER, STORE_STATUS, CALENDAR] as const;
 
 /** Keys that the view has below `prefix`, with the revisions it knows them at. Sorted. */
--- a/packages/controller/src/recovery/calendar-recovery.ts
+++ b/packages/controller/src/recovery/calendar-recovery.ts
@@ -1,4 +1,4 @@
-/** The calendar's part in a rebuild: what nodes remember of the keys below `s/c/` is joined and written back. */
+/** The calendar in a rebuild: what controllers remember of the keys below `s/c/` is joined and written back. */
 import { decodeCalendar, encodeCalendar, encodeTally, decodeTally, type Head } from '../calendar/codec.js';
 import { type Calendars, pagesOf, type Remembered } from '../calendar/fold.js';
 import { laterTally, type Tally } from '../calendar/model.js';
--- a/packages/controller/src/recovery/codec.ts
+++ b/packages/controller/src/recovery/codec.ts
@@ -1,4 +1,4 @@
-/** What the rebuilder and the other controllers tell each other, as msgpack. Anything else is answered null. */
+/** What the rebuilding leader and the other controllers send each other, as msgpack. Other bytes are decoded to null. */
 import { pack, unpack } from 'msgpackr';
 import { decodeAccounts, encodeAccounts } from '../accounts/codec.js';
 import { type Accounts, NO_ACCOUNTS } from '../accounts/model.js';
@@ -9,14 +9,14 @@
 import { decodeRemembered, encodeRemembered } from './calendar-recovery.js';
 import type { JobVersion } from './merge.js';
 
-/** Asks for what the asked node remembers and the asker does not have alike, from a range of ids on. */
+/** Asks for what the asked node remembers and the asker does not have the same, from a range of ids on. */
 export interface ViewRequest {
   /** The asker's incarnation. */
   readonly incarnation: string;
   readonly digest: Uint32Array;
   readonly from: number;
 }
-/** One relic's standing, without its jobs. */
+/** One pre-loss view without its jobs. */
 export interface ViewHeader {
   readonly id: string;
   readonly lastSeq: number;
@@ -24,6 +24,7 @@
   readonly ledTerm: number | null;
   readonly accounts: Accounts;
 }
+/** What the asked node remembers, as far as one response holds. */
 export interface ViewResponse {
   readonly headers: readonly ViewHeader[];
   readonly versions: readonly JobVersion[];
@@ -34,13 +35,13 @@
   readonly calendar: Remembered | null;
 }
 
-/** Between controllers as in the store, so that a view's accounts never take more than a checkpoint may. */
+/** As large as in the store, so that a view's accounts never take more than a checkpoint may. */
 const ACCOUNTS_BYTES = 14 * 1024;
 
 type WireClaim = [id: string, generation: number, revision: number, job: unknown];
 
-export const encodeViewRequest = (a: ViewRequest): Buffer =>
-  Buffer.from(pack([a.incarnation, [...a.digest], a.from]));
+export const encodeViewRequest = (request: ViewRequest): Buffer =>
+  Buffer.from(pack([request.incarnation, [...request.digest], request.from]));
 export const decodeViewRequest = (body: Buffer): ViewRequest | null => {
   try {
     const [incarnation, digest, from] = unpack(body) as [string, number[], number];
@@ -51,14 +52,20 @@
   }
 };
 
-export const encodeViewResponse = (t: ViewResponse): Buffer =>
+export const encodeViewResponse = (response: ViewResponse): Buffer =>
   Buffer.from(
     pack([
-      t.headers.map((h) => [h.id, h.lastSeq, h.term, h.ledTerm, encodeAccounts(h.accounts, ACCOUNTS_BYTES)]),
-      t.versions.map((c): WireClaim => [c.job.spec.id, c.generation, c.revision, encodeJob(c.job, 0)]),
-      t.finals.map(([id, f]) => [id, packFinal(f)]),
-      t.next,
-      t.calendar === null ? null : encodeRemembered(t.calendar),
+      response.headers.map((h) => [
+        h.id,
+        h.lastSeq,
+        h.term,
+        h.ledTerm,
+        encodeAccounts(h.accounts, ACCOUNTS_BYTES),
+      ]),
+      response.versions.map((c): WireClaim => [c.job.spec.id, c.generation, c.revision, encodeJob(c.job, 0)]),
+      response.finals.map(([id, f]) => [id, packFinal(f)]),
+      response.next,
+      response.calendar === null ? null : encodeRemembered(response.calendar),
     ]),
   );
 export const decodeViewResponse = (body: Buffer): ViewResponse | null => {
@@ -92,7 +99,7 @@
   }
 };
 
-/** Relics whose content is durable by now. */
+/** Ids of pre-loss views whose content is durable by now. */
 export const encodeDurable = (ids: readonly string[]): Buffer => Buffer.from(pack(ids));
 export const decodeDurable = (body: Buffer): string[] | null => {
   try {
--- a/packages/controller/src/recovery/data-loss-detector.ts
+++ b/packages/controller/src/recovery/data-loss-detector.ts
@@ -1,48 +1,50 @@
 /**
- * Whether this node can believe the state service. Every answer is held against what was known when it was asked for;
- * what can't follow from that is evidence of a loss, and from then on nothing is committed, started, rented or returned,
- * and users are told to come back, until the store is seen to be as it was or has been rebuilt (docs/rebuild.md).
+ * Whether the state service has lost data. Every answer is compared with what was known when it was asked for; what can't
+ * follow from that is evidence of a loss, and from then on nothing is committed, started, rented or returned, and users get
+ * 503, until the store is seen to be intact or has been rebuilt (docs/rebuild.md).
  */
 import { DRIFT, type Micros, millis, seconds } from '@lilacvalve/runtime/micros';
 import type { Condition } from '../state-store/client.js';
 import { INCARNATION } from '../jobs/keys.js';
 import type { Evidence, EvidenceKind, Incarnation, StoreKnowledge } from './model.js';
 
-/** More evidence than this says nothing new. */
-const EVIDENCE_KEPT = 8;
+/** More evidence than this adds nothing. */
+const MAX_EVIDENCE = 8;
 
 /** From the first evidence of a loss until a new incarnation may begin. */
 export const CERTAIN_AFTER = seconds(3);
-/** For clocks that drift, and messages on their way. */
+/** For drifting clocks and messages in flight. */
 const MARGIN = millis(200);
 
+/** A suspected loss of data. */
 export interface Suspicion {
   readonly since: Micros;
   readonly evidence: Evidence[];
-  /** A peer has shown that the store lacks what it had: that this node's own view agrees with the store says nothing. */
+  /** A peer has shown that the store lacks what it had: that this node's own view agrees with the store then proves nothing. */
   proven: boolean;
-  /** The term this node was acting for, without a gap, when the doubt began; null: it was not. */
+  /** The term this node was acting for, without a gap, when the loss was first suspected; null: it was not. */
   ledTerm: number | null;
 }
 
+/** What this node knows of the store's data, and whether the store still shows it. */
 export class DataLossDetector {
   /** The store's, as this node has read it. null: not read, or the store has none yet. */
   incarnation: Incarnation | null = null;
   suspicion: Suspicion | null = null;
-  /** Counts the incarnations that this node has left: an answer to a question asked in an earlier one says nothing. */
+  /** Counts the incarnations that this node has left: an answer to a request sent in an earlier one proves nothing. */
   incarnationCount = 0;
   private revision = -1;
   /** The highest generation that this node or a peer has seen. */
   private generation = -1;
   /** The incarnation and revision that this node's disk holds. */
   private fromDisk: { readonly id: string; readonly revision: number } | null = null;
-  /** The highest term named by a worker or a peer, and when. */
+  /** The highest term that a worker or a peer has named, and when. */
   private namedTerm: { readonly term: number; readonly at: Micros; readonly by: string } | null = null;
   /** When this node's incarnation was last seen to be the store's: by a read of its key, or a transaction that held it. */
   private seenAt = Number.NEGATIVE_INFINITY;
   /** Called with the store's incarnation once a read of it has been believed. */
   onIncarnationConfirmed: (incarnation: string) => void = () => undefined;
-  /** Called when a doubt begins. */
+  /** Called when a loss is first suspected. */
   onSuspected: () => void = () => undefined;
 
   constructor(
@@ -55,6 +57,7 @@
     return this.suspicion !== null;
   }
 
+  /** What the next answers are compared with. */
   known(): StoreKnowledge {
     return {
       incarnation: this.incarnation,
@@ -64,6 +67,7 @@
     };
   }
 
+  /** Adds evidence of a loss; the first makes the loss suspected. `proven`: see `Suspicion`. */
   suspect(kind: EvidenceKind, what: string, proven = false): void {
     if (this.suspicion === null) {
       this.suspicion = {
@@ -73,7 +77,7 @@
         ledTerm: this.currentTermNumber(),
       };
       this.onSuspected();
-    } else if (this.suspicion.evidence.length < EVIDENCE_KEPT) this.suspicion.evidence.push({ kind, what });
+    } else if (this.suspicion.evidence.length < MAX_EVIDENCE) this.suspicion.evidence.push({ kind, what });
     if (proven) this.suspicion.proven = true;
   }
 
@@ -82,14 +86,15 @@
     if (asked > this.seenAt) this.seenAt = asked;
   }
 
-  /** How long ago that was, with what clocks may differ by. */
+  /** How long ago that was at the most, given how far clocks may drift; microseconds. */
   sinceIncarnationSeen(): number {
     return Math.min(1e12, (this.clock() - this.seenAt) * (1 + 2 * DRIFT));
   }
 
   /**
-   * Changes that follow on a view's revision prove nothing by themselves: after a loss and a rebuild the revision comes
-   * again. A rebuild begins `CERTAIN_AFTER` after its loss at the earliest, so a key seen within less than that is proof.
+   * Whether changes that follow on a view's revision can be trusted. By themselves they prove nothing: after a loss and a
+   * rebuild the same revision occurs again. A rebuild begins `CERTAIN_AFTER` after its loss at the earliest, so an
+   * incarnation's key that was seen more recently is proof.
    */
   incarnationSeenRecently(): boolean {
     return this.clock() - this.seenAt < CERTAIN_AFTER - MARGIN;
@@ -100,7 +105,7 @@
     return this.revision;
   }
 
-  /** An answer is as of `revision`; `floor`: of when it was asked for. false: it can't follow from what was known. */
+  /** An answer is as of `revision`; `floor`: `revisionFloor` when it was asked for. false: the store has gone back. */
   acceptRevision(revision: number, floor: number): boolean {
     if (revision < floor) {
       this.suspect('revision went back', `${revision} after ${floor}`);
@@ -118,14 +123,14 @@
     if (id === this.incarnation?.id && revision > this.revision && !this.suspected) this.revision = revision;
   }
 
-  /** What this node knew in an earlier life, from its disk. */
+  /** What an earlier process of this node knew, from its disk. */
   restoreKnowledge(id: string, generation: number, revision: number, term: number): void {
     this.generation = Math.max(this.generation, generation);
     this.fromDisk = { id, revision };
     this.noteTerm(term, 'a snapshot');
   }
 
-  /** What a read has shown: the store's incarnation, if it has one, becomes this node's; one must be as new as known. */
+  /** A read has shown the store's incarnation (null: it has none): this node's from now on, unless a newer one is known. */
   readIncarnation(there: Incarnation | null): void {
     if (this.incarnation !== null) return;
     if (there !== null && there.generation >= this.generation) {
@@ -139,24 +144,24 @@
       );
   }
 
-  /** A worker's token or a peer's beat names a term: it was committed before that. */
+  /** A worker's fencing token or a peer's heartbeat names a term, which was therefore committed before. */
   noteTerm(term: number, by: string): void {
     if (this.namedTerm === null || term > this.namedTerm.term)
       this.namedTerm = { term, at: this.clock(), by };
   }
 
-  /** A worker's token. One from before the store's first start was given by an earlier life of it, which is lost. */
+  /** A worker's fencing token. One from before the store's first start was issued by an earlier store, which is lost. */
   noteToken(token: number, worker: string): void {
     if (token === 0) return;
     this.noteTerm(token, worker);
-    const i = this.incarnation;
-    if (i === null || i.generation > 0 || token > i.termFloor) return;
+    const { incarnation } = this;
+    if (incarnation === null || incarnation.generation > 0 || token > incarnation.termFloor) return;
     this.suspect(
       'other incarnation',
       `${worker} has token ${token}, from before the store's first start`,
       true,
     );
-    // Who led that life is not known: nobody's view is the whole of it.
+    // Who led that store is not known: no view of it is complete.
     this.suspicion!.ledTerm = null;
   }
 
@@ -164,7 +169,7 @@
     return this.namedTerm?.term ?? 0;
   }
 
-  /** A read that was asked for at `asked` shows this term. */
+  /** A read sent at `asked` shows this term: it must not be lower than one named before. */
   checkTerm(term: number, asked: Micros): void {
     const { namedTerm: named } = this;
     if (named !== null && named.term > term && named.at <= asked)
@@ -178,12 +183,12 @@
       : { key: INCARNATION + this.incarnation.id, stamp: this.incarnation.stamp };
   }
 
-  /** The store is as it was. */
+  /** The store was seen to be intact. */
   ruleOut(): void {
     this.suspicion = null;
   }
 
-  /** Another incarnation begins for this node: what it knew of revisions counts no more. */
+  /** This node's incarnation is over: what it knew of revisions does not apply to the next. */
   leaveIncarnation(): void {
     this.incarnationCount++;
     this.suspicion = null;
--- a/packages/controller/src/recovery/detection-task.ts
+++ b/packages/controller/src/recovery/detection-task.ts
@@ -1,6 +1,6 @@
 /**
- * Looks at a doubted store until it is certain what became of it, and looks for lost keys while nothing is doubted. What
- * follows from a loss (a new incarnation, and its rebuild) is the leadership's and the rebuild's.
+ * Probes a store that may have lost data until it is certain what became of it, and searches for lost keys while no loss is
+ * suspected. What follows from a loss belongs to others: a new incarnation to `leadership`, its rebuild to `rebuild.ts`.
  */
 import { supervise } from '@lilacvalve/runtime/supervise';
 import { info } from '@lilacvalve/runtime/log';
@@ -25,32 +25,34 @@
 import type { Entry, StateFailure } from '../state-store/client.js';
 import type { StatePort } from '../state-store/port.js';
 import { findLostKey, AUDITED_PREFIXES, expectedKeys } from './audit.js';
-import { CERTAIN_AFTER, type DataLossDetector } from './data-loss-detector.js';
+import { CERTAIN_AFTER, type DataLossDetector, type Suspicion } from './data-loss-detector.js';
 import { verdictOf } from './loss-verdict.js';
 import { incarnationOf, type Probe } from './model.js';
 
 const PROBE_EVERY_MS = 250;
-/** Looks in a row that must agree on a loss. The last leader goes first: its view is the whole one. */
+/** Probes in a row that must agree on a loss. The last leader goes first: its view is complete. */
 const AGREEING_PROBES = { leader: 6, follower: 9 };
 const PROBES_KEPT = 40;
 /** Between two pages of the search for lost keys, by the leader. */
 const AUDIT_EVERY_MS = 4000;
 const AUDIT_PAGE = 120;
 
+/** What detection works with. */
 export interface DetectionParts {
   readonly lossDetector: DataLossDetector;
   readonly unguardedStore: StatePort;
   readonly store: StatePort;
   readonly watcher: StoreWatcher;
   readonly jobState: JobState;
-  /** See `Leadership.refound`. */
+  /** See `Leadership.refoundStore`. */
   readonly refoundStore: Effect.Effect<boolean, StateFailure>;
-  /** Takes up another incarnation that is there already. */
+  /** Leaves this node's incarnation for another one that is there already. */
   readonly retireView: () => void;
   readonly isLeader: () => boolean;
   readonly clock: () => Micros;
 }
 
+/** One short look at the store. */
 const probeStore = (raw: StatePort): Effect.Effect<Probe, StateFailure> =>
   Effect.map(Effect.all([raw.page(STORE_STATUS, null, 1000), raw.page(TERM, null, 1)]), ([life, term]) => ({
     incarnations: life.entries
@@ -60,21 +62,21 @@
     term: (term.entries[0]?.value as { term?: number } | undefined)?.term ?? 0,
   }));
 
-/** Everything that a view has, in one word a key: what two views of one revision must agree on. */
-const fingerprint = (c: JobState): Map<string, string> => {
+/** Everything that a view has, in one word per key: what two views of one revision must agree on. */
+const fingerprint = (view: JobState): Map<string, string> => {
   const out = new Map<string, string>();
-  for (const [id, j] of c.jobs) out.set(`job ${id}`, `${j.stamp} ${contentOf(j)}`);
-  for (const [seq, r] of c.tail) out.set(`record ${seq}`, String(r.stamp));
-  for (const [key, p] of c.packs) out.set(`pack ${key}`, String(p.stamp));
-  for (const key of c.damaged.keys()) out.set(`damaged ${key}`, '');
-  out.set('term', `${c.term} ${c.termStamp}`);
-  out.set('leader', JSON.stringify(c.leader));
-  for (const [key, stamp] of c.calendars.keys()) out.set(key, String(stamp));
+  for (const [id, j] of view.jobs) out.set(`job ${id}`, `${j.stamp} ${contentOf(j)}`);
+  for (const [seq, r] of view.tail) out.set(`record ${seq}`, String(r.stamp));
+  for (const [key, pack] of view.packs) out.set(`pack ${key}`, String(pack.stamp));
+  for (const key of view.damaged.keys()) out.set(`damaged ${key}`, '');
+  out.set('term', `${view.term} ${view.termStamp}`);
+  out.set('leader', JSON.stringify(view.leader));
+  for (const [key, stamp] of view.calendars.keys()) out.set(key, String(stamp));
   return out;
 };
 
 /** The first difference between the view and a fresh reading of all that it is made of; null: there is none. */
-const findDifference = (p: DetectionParts): Effect.Effect<string | null, StateFailure> =>
+const findDifference = (parts: DetectionParts): Effect.Effect<string | null, StateFailure> =>
   Effect.gen(function* () {
     const entries: Entry[] = [];
     let base = Number.POSITIVE_INFINITY;
@@ -82,7 +84,7 @@
       let after: string | null = null;
       for (let more = true; more;) {
         const page: { entries: readonly Entry[]; more: boolean; revision: number } =
-          yield* p.unguardedStore.page(prefix, after, 1000);
+          yield* parts.unguardedStore.page(prefix, after, 1000);
         base = Math.min(base, page.revision);
         entries.push(...page.entries);
         after = page.entries[page.entries.length - 1]?.key ?? after;
@@ -92,81 +94,93 @@
     const fresh = new JobState();
     fresh.load(entries, base);
     for (let i = 0; i < 10; i++) {
-      for (const c of [p.jobState, fresh]) {
-        const changes = yield* p.unguardedStore.follow(ROOT, c.revision, 0);
+      for (const view of [parts.jobState, fresh]) {
+        const changes = yield* parts.unguardedStore.follow(ROOT, view.revision, 0);
         if (changes.tooOld) return 'the view is too old to follow';
-        if (changes.revision < c.revision) return `revision ${changes.revision} after ${c.revision}`;
-        c.advance(changes.changes, changes.revision);
+        if (changes.revision < view.revision) return `revision ${changes.revision} after ${view.revision}`;
+        view.advance(changes.changes, changes.revision);
       }
-      if (p.jobState.revision === fresh.revision) break;
+      if (parts.jobState.revision === fresh.revision) break;
     }
     if (fresh.calendarLost) return `${CALENDAR_HEAD}: not what records went by`;
-    const mine = fingerprint(p.jobState);
-    const there = fingerprint(fresh);
-    for (const [key, v] of mine)
-      if (there.get(key) !== v) return `${key}: ${there.get(key) ?? 'missing'}, was ${v}`.slice(0, 200);
-    for (const key of there.keys()) if (!mine.has(key)) return `${key}: not known`;
+    const known = fingerprint(parts.jobState);
+    const stored = fingerprint(fresh);
+    for (const [key, v] of known)
+      if (stored.get(key) !== v) return `${key}: ${stored.get(key) ?? 'missing'}, was ${v}`.slice(0, 200);
+    for (const key of stored.keys()) if (!known.has(key)) return `${key}: not known`;
     return null;
   });
 
-/** Ends a doubt, in whatever way the evidence calls for. */
-export const dataLossTask = (p: DetectionParts): Effect.Effect<never> => {
-  const begun = Effect.runSync(Queue.sliding<void>(1));
-  p.lossDetector.onSuspected = () => Queue.unsafeOffer(begun, undefined);
-  return supervise(
-    'data-loss detection',
-    Effect.gen(function* () {
-      yield* Queue.take(begun);
-      const first = p.lossDetector.suspicion?.evidence[0];
-      if (first) yield* info('store doubted', { evidence: first.kind, what: first.what });
-      let looks: Probe[] = [];
-      let failed = 0;
-      while (p.lossDetector.suspicion !== null) {
-        const { ledTerm: led, since } = p.lossDetector.suspicion;
-        const certain = p.clock() - since >= CERTAIN_AFTER;
-        const seen = yield* Effect.option(probeStore(p.unguardedStore));
-        if (seen._tag === 'Some') {
-          looks = [...looks.slice(-PROBES_KEPT), seen.value];
-          const verdict = verdictOf(
-            p.lossDetector.known(),
-            looks,
-            led === null ? AGREEING_PROBES.follower : AGREEING_PROBES.leader,
-          );
-          if (verdict === 'moved') {
-            yield* info('store was rebuilt', { known: p.lossDetector.incarnation?.id ?? 'none' });
-            p.retireView();
-          } else if (verdict === 'restored') {
-            const differs = p.lossDetector.suspicion.proven
-              ? Option.some(first?.what ?? 'a peer knows more')
-              : yield* Effect.option(findDifference(p));
-            if (differs._tag === 'Some' && differs.value === null) {
-              p.lossDetector.ruleOut();
-              yield* info('doubt over', { looks: looks.length });
-            } else if (differs._tag === 'Some') {
-              failed++;
-              if (failed === 1) yield* info('store has lost data', { what: differs.value! });
-              // Two copies that answer in turn differ too, and then a look goes back again.
-              if (failed >= 2 && certain && neverWentBack(looks)) yield* beginIncarnation(p);
-            }
-          } else if (verdict === 'lost' && certain) {
-            yield* info('store has lost data', { looks: looks.length, revision: seen.value.revision });
-            yield* beginIncarnation(p);
+/** What a store that looks intact differs in from this node's view; None: that could not be read. */
+const differenceOf = (
+  parts: DetectionParts,
+  suspicion: Suspicion,
+): Effect.Effect<Option.Option<string | null>> =>
+  suspicion.proven
+    ? Effect.succeed(Option.some(suspicion.evidence[0]?.what ?? 'a peer knows more'))
+    : Effect.option(findDifference(parts));
+
+/** Probes the store until the suspicion is over: ruled out, or this node has left for another incarnation. */
+const investigate = (parts: DetectionParts): Effect.Effect<void> =>
+  Effect.gen(function* () {
+    const { lossDetector } = parts;
+    const first = lossDetector.suspicion?.evidence[0];
+    if (first) yield* info('data loss suspected', { evidence: first.kind, what: first.what });
+    let probes: Probe[] = [];
+    let differences = 0;
+    while (lossDetector.suspicion !== null) {
+      const { suspicion } = lossDetector;
+      const certain = parts.clock() - suspicion.since >= CERTAIN_AFTER;
+      const probe = yield* Effect.option(probeStore(parts.unguardedStore));
+      if (probe._tag === 'Some') {
+        probes = [...probes.slice(-PROBES_KEPT), probe.value];
+        const needed = suspicion.ledTerm === null ? AGREEING_PROBES.follower : AGREEING_PROBES.leader;
+        const verdict = verdictOf(lossDetector.known(), probes, needed);
+        if (verdict === 'rebuilt') {
+          yield* info('store rebuilt by another controller', {
+            known: lossDetector.incarnation?.id ?? 'none',
+          });
+          parts.retireView();
+        } else if (verdict === 'intact') {
+          const difference = yield* differenceOf(parts, suspicion);
+          if (difference._tag === 'Some' && difference.value === null) {
+            lossDetector.ruleOut();
+            yield* info('data loss ruled out', { probes: probes.length });
+          } else if (difference._tag === 'Some') {
+            differences++;
+            if (differences === 1) yield* info('data loss found', { what: difference.value });
+            // Two copies of the store that answer in turn differ too, but then a probe's revision goes back.
+            if (differences >= 2 && certain && neverWentBack(probes)) yield* beginIncarnation(parts);
           }
+        } else if (verdict === 'lost' && certain) {
+          yield* info('data loss found', { probes: probes.length, revision: probe.value.revision });
+          yield* beginIncarnation(parts);
         }
-        yield* Effect.sleep(PROBE_EVERY_MS + 100 * (yield* Random.next));
       }
-    }).pipe(Effect.forever),
+      yield* Effect.sleep(PROBE_EVERY_MS + 100 * (yield* Random.next));
+    }
+  });
+
+/** Investigates each suspected loss, one after the other. Never ends by itself. */
+export const dataLossTask = (parts: DetectionParts): Effect.Effect<never> => {
+  const suspected = Effect.runSync(Queue.sliding<void>(1));
+  parts.lossDetector.onSuspected = () => Queue.unsafeOffer(suspected, undefined);
+  return supervise(
+    'data-loss detection',
+    Queue.take(suspected).pipe(Effect.zipRight(Effect.suspend(() => investigate(parts))), Effect.forever),
   );
 };
 
-const neverWentBack = (looks: readonly Probe[]): boolean =>
-  looks.slice(-AGREEING_PROBES.leader).every((l, i, all) => i === 0 || l.revision >= all[i - 1]!.revision) &&
-  looks.length >= AGREEING_PROBES.leader;
+/** No probe's revision is lower than the one before, for as many as a leader needs. */
+const neverWentBack = (probes: readonly Probe[]): boolean =>
+  probes.slice(-AGREEING_PROBES.leader).every((l, i, all) => i === 0 || l.revision >= all[i - 1]!.revision) &&
+  probes.length >= AGREEING_PROBES.leader;
 
-const beginIncarnation = (p: DetectionParts): Effect.Effect<void> => Effect.ignore(p.refoundStore);
+/** Starts the rebuild of a lost store, unless another controller is faster. */
+const beginIncarnation = (parts: DetectionParts): Effect.Effect<void> => Effect.ignore(parts.refoundStore);
 
-/** The leader looks through the store's listing, a page at a time, for keys that are gone without a trace. */
-export const auditTask = (p: DetectionParts): Effect.Effect<never> => {
+/** The leader searches the store's listing, a page at a time, for keys that are gone without a change that tells of it. */
+export const auditTask = (parts: DetectionParts): Effect.Effect<never> => {
   let prefix = 0;
   let after: string | null = null;
   return supervise(
@@ -174,18 +188,18 @@
     Effect.sleep(AUDIT_EVERY_MS).pipe(
       Effect.zipRight(
         Effect.suspend(() =>
-          p.isLeader() && p.watcher.loaded && !p.lossDetector.suspected
+          parts.isLeader() && parts.watcher.loaded && !parts.lossDetector.suspected
             ? Effect.gen(function* () {
                 const under = AUDITED_PREFIXES[prefix]!;
-                const page = yield* p.store.page(under, after, AUDIT_PAGE);
-                yield* p.watcher.refresh;
+                const page = yield* parts.store.page(under, after, AUDIT_PAGE);
+                yield* parts.watcher.refresh;
                 const lostKey = findLostKey(
                   page,
-                  expectedKeys(p.jobState, under),
+                  expectedKeys(parts.jobState, under),
                   after,
-                  p.jobState.revision,
+                  parts.jobState.revision,
                 );
-                if (lostKey !== null) p.lossDetector.suspect('key lost', lostKey);
+                if (lostKey !== null) parts.lossDetector.suspect('key lost', lostKey);
                 const last = page.entries[page.entries.length - 1];
                 if (page.more && last) after = last.key;
                 else {
--- a/packages/controller/src/recovery/digest.ts
+++ b/packages/controller/src/recovery/digest.ts
@@ -1,6 +1,6 @@
 /**
- * Digests of a view by range of ids, so that two nodes find where their views differ without sending them. Ids fall into
- * ranges by their hash; a range's digest is the sum, without order, of its jobs' hashes.
+ * Digests of a view by range of ids, by which two nodes find where their views differ without sending them. An id's hash
+ * gives its range; a range's digest is the exclusive or of its jobs' hashes, so that order does not matter.
  */
 import type { FinalState, Job } from '../jobs/model.js';
 import { contentOf } from './merge.js';
--- a/packages/controller/src/recovery/evidence-store.ts
+++ b/packages/controller/src/recovery/evidence-store.ts
@@ -1,7 +1,8 @@
 /**
- * What this node tells a user, it first tells the other controllers that may not have read it yet: should the state
- * service lose it and this node end in the same moment, somebody still knows. A node that does not answer at once is not
- * waited for; the store's commit is what makes the answer true (docs/rebuild.md).
+ * Evidence of what users were told. Before this node confirms something to a user, it sends that to other controllers that
+ * may not have read it yet: should the state service lose it and this node crash in the same moment, another controller
+ * still knows. A controller that does not answer at once is not waited for; the store's commit is what makes the answer true
+ * (docs/rebuild.md).
  */
 import { Effect } from 'effect';
 import { pack, unpack } from 'msgpackr';
@@ -14,12 +15,12 @@
 
 /** A peer on the same network answers in a few milliseconds. */
 const REPLICATE_TIMEOUT_MS = 120;
-/** Peers told of one thing, the leader first: for it to be lost, all of them would have to end with this node. */
+/** Peers that get a piece of evidence, the leader first: it is lost only if all of them crash together with this node. */
 const MAX_PEERS = 2;
-/** More than come in between two reads of a node. */
+/** More than arrive between two reads of a node. */
 const MAX_RECORDS = 2000;
 
-/** One thing told: a job as accepted or cancelled (its key's value), or a final state. As of `revision`. */
+/** What a user was told of a job, as of `revision`: accepted or cancelled (its key's value), or its final state. */
 export interface JobEvidence {
   readonly id: string;
   readonly revision: number;
@@ -63,6 +64,7 @@
   }
 };
 
+/** The evidence that this node holds, its own and the other controllers', until its view includes it. */
 export class EvidenceStore {
   private readonly evidence = new Map<string, JobEvidence>();
 
@@ -72,10 +74,10 @@
     private readonly behind: (revision: number) => readonly Peer[],
   ) {}
 
-  /** Another node tells this one. */
+  /** Keeps a piece of evidence, unless a later one of the same job is there. */
   record(f: JobEvidence): void {
     const known = this.evidence.get(f.id);
-    // One that comes late, or twice, takes nothing back.
+    // One that arrives late, or twice, takes nothing back.
     if (known !== undefined && known.incarnation === f.incarnation && known.revision > f.revision) return;
     this.evidence.delete(f.id);
     this.evidence.set(f.id, f);
@@ -86,13 +88,13 @@
     }
   }
 
-  /** This node's own view of `incarnation` is as new as `revision`: it includes what was noted up to there. */
+  /** Drops the evidence up to `revision` of `incarnation`: this node's own view includes it. */
   dropCovered(incarnation: string, revision: number): void {
     for (const [id, f] of this.evidence)
       if (f.incarnation === incarnation && f.revision <= revision) this.evidence.delete(id);
   }
 
-  /** Completes once the peers know it, or have had their time. */
+  /** Sends a piece of evidence to the peers that may lack it; completes once they have it, or after `REPLICATE_TIMEOUT_MS`. */
   replicate(f: JobEvidence): Effect.Effect<void> {
     return Effect.suspend(() => {
       // This node's own view is as of its last read, and that may have been before.
@@ -111,7 +113,7 @@
     return this.evidence.size;
   }
 
-  /** What is noted and not covered, as a view has it. */
+  /** The active jobs that the evidence tells of, as a view has them. */
   versions(): JobVersion[] {
     const out: JobVersion[] = [];
     for (const f of this.evidence.values())
@@ -119,9 +121,11 @@
         out.push({ generation: f.generation, revision: -1, job: decodeJob(f.id, f.value.stored, 0) });
     return out;
   }
+  /** The final states that the evidence tells of. */
   *finals(): Generator<readonly [string, FinalState]> {
     for (const f of this.evidence.values()) if ('final' in f.value) yield [f.id, f.value.final];
   }
+  /** Forgets everything: it is durable in a new incarnation. */
   clear(): void {
     this.evidence.clear();
   }
--- a/packages/controller/src/recovery/guarded-store.ts
+++ b/packages/controller/src/recovery/guarded-store.ts
@@ -1,7 +1,7 @@
 /**
- * The state service as the rest of the node sees it: every transaction carries the incarnation's condition, every
- * answer is held against what was known when it was asked for, and while the store is doubted nothing is asked of it.
- * Leases are not: keeping one costs nothing if the store turns out to be sound.
+ * The state service as the rest of the node sees it: every transaction is conditional on the incarnation's key, every answer
+ * is compared with what was known when it was asked for, and while a data loss is suspected every request fails. Requests
+ * for leases are exempt: keeping one does no harm if the store turns out to be intact.
  */
 import { NoAnswer } from '@lilacvalve/runtime/http-client';
 import type { Micros } from '@lilacvalve/runtime/micros';
@@ -20,9 +20,10 @@
 import type { StatePort } from '../state-store/port.js';
 import type { DataLossDetector } from './data-loss-detector.js';
 
-/** What is asked of a doubted store fails with this; surely not carried out. */
-export const dataLossSuspected = new Refused({ status: 503, reason: 'the state service is doubted' });
+/** What every request fails with while a data loss is suspected; it was certainly not carried out. */
+export const dataLossSuspected = new Refused({ status: 503, reason: 'data loss suspected' });
 
+/** Passes requests on to `unguardedStore`, unless a data loss is suspected. */
 export class GuardedStore implements StatePort {
   constructor(
     private readonly unguardedStore: StatePort,
--- a/packages/controller/src/recovery/merge.ts
+++ b/packages/controller/src/recovery/merge.ts
@@ -1,8 +1,7 @@
 /**
- * Joins what several nodes remember of a job. Within an incarnation every view is a prefix of one history, so the later
- * view is right about what has ended; whatever was told to a user (accepted, cancelled, done) holds whoever knows it; and
- * what may be running counts as running. The result depends on the set of versions only: not on their order, on
- * repetition, or on who joins them (docs/rebuild.md).
+ * Merges what several nodes remember of a job. Within an incarnation every view is a prefix of one history, so the later
+ * view is right about what has ended; whatever a user was told (accepted, cancelled, done) holds, whichever view has it; and
+ * what may be running counts as running. The merge is commutative, associative and idempotent (docs/rebuild.md).
  */
 import { encodeRanges } from '../jobs/ranges.js';
 import { FAILURES_KEPT, type FinalState, isComplete, type Job, type Placement } from '../jobs/model.js';
@@ -17,7 +16,7 @@
 
 const placements = (job: Job): Placement[] => [...job.placed.values()].sort((a, b) => a.task - b.task);
 
-/** All that distinguishes two states of one job, whoever holds them. */
+/** A job's state in one string: two views have the same state of the job if their strings are equal. */
 export const contentOf = (job: Job): string =>
   [
     job.withdrawn ? 'w' : isComplete(job) ? 'c' : 'o',
@@ -67,7 +66,7 @@
   const told = versions.some((c) => !c.job.withdrawn && isComplete(c.job));
   return {
     spec: { ...spec, submitted: first.submitted, tie: first.tie },
-    // Who was told `done` was told so from a record that came before any withdrawal.
+    // A user who was told `done` was told so from a record that came before any withdrawal.
     withdrawn: !told && versions.some((c) => c.job.withdrawn),
     attempt: Math.max(...versions.map((c) => c.job.attempt)),
     done,
@@ -82,6 +81,6 @@
   };
 };
 
-/** Of two final states that were both told, `done` holds: it was true. */
+/** Of two final states that users were both told, `done` wins: it was true. */
 export const mergeFinals = (a: FinalState | undefined, b: FinalState): FinalState =>
   a === undefined || (a.status === 'cancelled' && b.status === 'done') ? b : a;
--- a/packages/controller/src/recovery/model.ts
+++ b/packages/controller/src/recovery/model.ts
@@ -1,6 +1,6 @@
 /**
- * The store's identity, and what controllers exchange about it. An incarnation is one life of the store's data: it begins at the first start, or with a rebuild
- * after a loss, and revisions, terms and attempts can be compared within it only. Its key is named after it and every
+ * The store's identity, and what controllers exchange about it. An incarnation of the store's data begins at the first
+ * start, or with a rebuild after a loss; revisions, terms and attempts can be compared within one only. Its key is named after it and every
  * transaction is conditional on that key, so that one from before a loss can never find its conditions true by accident.
  */
 import type { NoAnswer } from '@lilacvalve/runtime/http-client';
@@ -20,7 +20,7 @@
   readonly bornAt: number | null;
 }
 
-/** The incarnation that a key's value tells of. */
+/** The incarnation that is stored as `value` under a key of revision `stamp`. */
 export const incarnationOf = (id: string, value: unknown, stamp: number): Incarnation => {
   const v = value as { g?: unknown; t?: unknown; s?: unknown } | null;
   const count = (n: unknown): number => (Number.isSafeInteger(n) ? (n as number) : 0);
@@ -35,7 +35,9 @@
 
 /** Terms and attempts of a generation begin above all of the generations before, whatever of those is still known. */
 const GENERATION = 2 ** 32;
+/** Below all terms and attempts of a generation. */
 export const firstOfGeneration = (generation: number): number => generation * GENERATION;
+/** The generation of a term or an attempt. */
 export const generationOf = (termOrAttempt: number): number => Math.floor(termOrAttempt / GENERATION);
 
 /** A job is started in one record at a time, and there are fewer of these in a second. */
@@ -60,13 +62,13 @@
   readonly incarnation: Incarnation | null;
   /** The highest generation that this node or a peer has seen; -1: none. */
   readonly generation: number;
-  /** The highest revision that the incarnation has shown to anybody heard of. */
+  /** The highest revision of the incarnation that this node or a peer has seen. */
   readonly revision: number;
-  /** The highest term that anybody has named. */
+  /** The highest term that a worker or a peer has named. */
   readonly term: number;
 }
 
-/** One short look at the store while it is doubted. */
+/** One short look at the store while a data loss is suspected. */
 export interface Probe {
   readonly incarnations: readonly Incarnation[];
   /** The lowest revision that its reads said they were of. */
@@ -74,7 +76,7 @@
   readonly term: number;
 }
 
-/** What can't follow from what was known: why the store is doubted. */
+/** What can't follow from what was known: why a data loss is suspected. */
 export type EvidenceKind =
   /** An answer is as of an older revision than one seen before it was asked for. */
   | 'revision went back'
--- a/packages/controller/src/recovery/orphaned-jobs.ts
+++ b/packages/controller/src/recovery/orphaned-jobs.ts
@@ -1,7 +1,7 @@
 /**
- * Jobs that only workers name: after a loss that took every other memory of them. They are kept running and their room is
- * held, they are never answered 404, and when their user submits them again what runs becomes the submitted job's. After
- * a stated time they are stopped.
+ * Orphaned jobs: after a loss that took every other trace of them, only workers still name them. They are kept running and
+ * their machines' capacity stays reserved, users never get 404 for them, and when one is submitted again, its running tasks
+ * become the submitted job's. After `KEEP_ORPHANED_FOR` they are aborted.
  */
 import { info } from '@lilacvalve/runtime/log';
 import { seconds } from '@lilacvalve/runtime/micros';
@@ -11,11 +11,12 @@
 import type { CycleContext } from '../scheduler/cycle-context.js';
 import { Priority } from '../state-store/budget.js';
 
-/** Kept for so long after its first mention. */
+/** How long an orphaned job is kept after a worker first named it. */
 export const KEEP_ORPHANED_FOR = seconds(600);
-/** Written at one go. */
+/** New orphaned jobs recorded in one pass. */
 const MAX_WRITES = 8;
 
+/** Records jobs that only workers name, and drops those that are gone or have been kept for long enough. */
 export const reconcileOrphanedJobs = (t: CycleContext): Effect.Effect<void> =>
   Effect.gen(function* () {
     const { registry, jobState } = t;
@@ -43,18 +44,18 @@
         { set: orphanedJobKey(id), value },
       );
       if (written)
-        yield* info('job named by workers only', { term: t.leaderTerm.number, job: id, tasks: tasks.size });
+        yield* info('orphaned job found', { term: t.leaderTerm.number, job: id, tasks: tasks.size });
     }
-    for (const [id, w] of jobState.orphanedJobs) {
-      const old = t.dayTime() - w.since > KEEP_ORPHANED_FOR;
-      if (!old && (registry.unknownJobs.has(id) || !registry.allLapsed(t.clock()))) continue;
-      // Nobody has submitted it again, or nothing of it is left.
-      if (old) registry.givenUp.add(id);
-      if (yield* write([{ key: orphanedJobKey(id), stamp: w.stamp }], { delete: orphanedJobKey(id) }))
-        yield* info('ward given up', {
+    for (const [id, orphaned] of jobState.orphanedJobs) {
+      const expired = t.dayTime() - orphaned.since > KEEP_ORPHANED_FOR;
+      if (!expired && (registry.unknownJobs.has(id) || !registry.allLapsed(t.clock()))) continue;
+      // Nobody has submitted it again, or no task of it is left.
+      if (expired) registry.givenUp.add(id);
+      if (yield* write([{ key: orphanedJobKey(id), stamp: orphaned.stamp }], { delete: orphanedJobKey(id) }))
+        yield* info('orphaned job aborted', {
           term: t.leaderTerm.number,
           job: id,
-          reason: old ? 'not submitted again' : 'gone',
+          reason: expired ? 'not submitted again' : 'gone',
         });
     }
     if (fresh.length > 0) yield* Effect.ignore(t.watcher.refresh);
--- a/packages/controller/src/recovery/pre-loss-views.ts
+++ b/packages/controller/src/recovery/pre-loss-views.ts
@@ -1,10 +1,12 @@
-/** Views of incarnations that are over, kept until their content is durable in the present one. */
+/** Views from before a loss of data: of incarnations that are over, kept until their content is durable in the present one. */
 import type { Accounts } from '../accounts/model.js';
 import type { JobState } from '../jobs/job-state.js';
 import type { Job } from '../jobs/model.js';
 import type { JobVersion } from './merge.js';
 
+/** What a controller knew of the store when its incarnation ended. */
 export interface PreLossView {
+  /** Names the view among those of all controllers. */
   readonly id: string;
   readonly generation: number;
   /** The view is as of this revision; -1: part of it may be of any time. */
@@ -12,11 +14,13 @@
   readonly jobs: ReadonlyMap<string, Job>;
   readonly lastSeq: number;
   readonly accounts: Accounts;
-  /** The term it knew, and the one its holder was acting for without a gap when the doubt began; null: for none. */
+  /** The highest term it knew. */
   readonly term: number;
+  /** The term its holder was acting for, without a gap, when the loss was suspected; null: none. */
   readonly ledTerm: number | null;
 }
 
+/** The pre-loss views that this node keeps. */
 export class PreLossViews {
   private views: PreLossView[] = [];
   private count = 0;
@@ -31,7 +35,7 @@
     return this.views;
   }
 
-  /** The view as it stands, as a relic. `whole`: it has all that it should have at its revision. */
+  /** The present view, as one to be kept. `whole`: it has all that it should have at its revision. */
   viewOf(jobState: JobState, generation: number, led: number | null, whole = true): PreLossView {
     return {
       id: `${this.processId}/${++this.count}`,
@@ -45,19 +49,20 @@
     };
   }
 
-  add(relic: PreLossView): void {
-    this.views.push(relic);
+  /** Keeps a view. */
+  add(view: PreLossView): void {
+    this.views.push(view);
   }
 
-  /** Their content is durable. */
+  /** Forgets views whose content is durable. */
   drop(ids: readonly string[]): void {
-    this.views = this.views.filter((r) => !ids.includes(r.id));
+    this.views = this.views.filter((view) => !ids.includes(view.id));
   }
 }
 
-/** The versions of several views, by job. */
+/** What several views have of each job, by the job's id. `more`: versions that stand before theirs. */
 export const versionsByJob = (
-  relics: readonly PreLossView[],
+  views: readonly PreLossView[],
   more: readonly JobVersion[] = [],
 ): Map<string, JobVersion[]> => {
   const out = new Map<string, JobVersion[]>();
@@ -66,9 +71,9 @@
     if (list) list.push(c);
     else out.set(c.job.spec.id, [c]);
   }
-  for (const r of relics)
-    for (const [id, job] of r.jobs) {
-      const version = { generation: r.generation, revision: r.revision, job };
+  for (const view of views)
+    for (const [id, job] of view.jobs) {
+      const version = { generation: view.generation, revision: view.revision, job };
       const list = out.get(id);
       if (list) list.push(version);
       else out.set(id, [version]);
--- a/packages/controller/src/recovery/rebuild-plan.ts
+++ b/packages/controller/src/recovery/rebuild-plan.ts
@@ -1,7 +1,8 @@
-/** What must be written so that the store holds all that anybody remembers: a pure decision. */
+/** What must be written so that the store holds all that any controller remembers: a pure decision. */
 import { finalState, type FinalState, type Job } from '../jobs/model.js';
 import { type JobVersion, contentOf, mergeVersions, mergeFinals } from './merge.js';
 
+/** What the store holds, as far as the plan needs it. */
 export interface RecoveredStore {
   readonly jobs: ReadonlyMap<string, Job>;
   /** Revision of a job's own key whose value can't be read. */
@@ -13,6 +14,7 @@
   readonly revision: number;
 }
 
+/** What a pass of the rebuild writes. */
 export interface RebuildPlan {
   /** Final states of jobs that the store does not know. */
   readonly finals: (readonly [string, FinalState])[];
--- a/packages/controller/src/recovery/view-exchange.ts
+++ b/packages/controller/src/recovery/view-exchange.ts
@@ -1,4 +1,4 @@
-/** Views between controllers: what a node tells the rebuilder, and how that one asks. */
+/** Views between controllers: how the rebuilding leader asks for them, and what a controller answers. */
 import { type Answer, type Incoming, json } from '@lilacvalve/runtime/http-server';
 import { NoAnswer } from '@lilacvalve/runtime/http-client';
 import { Effect } from 'effect';
@@ -25,23 +25,23 @@
 /** Jobs and final states in one answer: some 300 KB. */
 const MAX_ITEMS = 800;
 
-/** A node's memory for whoever asks: its relics, and its view as long as that is of another incarnation than the asker's. */
+/** All that this node remembers and the asker's digest does not cover, from one range of ids on. */
 export const answerViewRequest = (
-  a: ViewRequest,
-  relics: readonly PreLossView[],
+  request: ViewRequest,
+  preLossViews: readonly PreLossView[],
   jobState: JobState,
-  witness: EvidenceStore,
+  evidenceStore: EvidenceStore,
 ): ViewResponse => {
-  const versions = versionsByJob(relics, witness.versions());
+  const versions = versionsByJob(preLossViews, evidenceStore.versions());
   const merged: Job[] = [...versions.values()].map((list) => mergeVersions(list));
-  const finals = [...jobState.finals.entries(), ...witness.finals()];
+  const finals = [...jobState.finals.entries(), ...evidenceStore.finals()];
   const mine = digestOf(merged, finals);
-  const headers: ViewHeader[] = relics.map((r) => ({
-    id: r.id,
-    lastSeq: r.lastSeq,
-    term: r.term,
-    ledTerm: r.ledTerm,
-    accounts: r.accounts,
+  const headers: ViewHeader[] = preLossViews.map((view) => ({
+    id: view.id,
+    lastSeq: view.lastSeq,
+    term: view.term,
+    ledTerm: view.ledTerm,
+    accounts: view.accounts,
   }));
   const ids = new Map<number, { versions: JobVersion[]; finals: (readonly [string, FinalState])[] }>();
   const at = (id: string) => {
@@ -56,9 +56,13 @@
     versions: [],
     finals: [],
   };
-  let range = Math.max(0, a.from);
+  let range = Math.max(0, request.from);
   for (; range < RANGES; range++) {
-    if (mine[range * 2] === a.digest[range * 2] && mine[range * 2 + 1] === a.digest[range * 2 + 1]) continue;
+    if (
+      mine[range * 2] === request.digest[range * 2] &&
+      mine[range * 2 + 1] === request.digest[range * 2 + 1]
+    )
+      continue;
     if (out.versions.length + out.finals.length >= MAX_ITEMS) break;
     const there = ids.get(range);
     if (!there) continue;
@@ -69,18 +73,18 @@
     headers,
     ...out,
     next: range < RANGES ? range : null,
-    calendar: a.from === 0 ? jobState.calendars.remembered() : null,
+    calendar: request.from === 0 ? jobState.calendars.remembered() : null,
   };
 };
 
-/** What other controllers ask of this one's memory. null: the question is none of these. */
+/** Answers what other controllers ask of this one's memory; null: the request is none of these. */
 export const viewHandler = (
-  relics: PreLossViews,
-  /** This node's view as a relic, if it is of another incarnation than the asker's. */
+  preLossViews: PreLossViews,
+  /** This node's present view, if it is of another incarnation than the asker's. */
   live: (incarnation: string) => PreLossView | null,
   jobState: JobState,
-  witness: EvidenceStore,
-  /** See verify.ts. */
+  evidenceStore: EvidenceStore,
+  /** See view-verification.ts. */
   check: (body: Buffer) => Buffer | null,
 ) => {
   const octets = (body: Buffer): Answer => ({
@@ -90,19 +94,24 @@
   });
   return (r: Incoming): Answer | null => {
     if (r.path === VIEW_PATH) {
-      const ask = r.body === null ? null : decodeViewRequest(r.body);
-      if (ask === null) return json(400, {});
-      const own = live(ask.incarnation);
+      const request = r.body === null ? null : decodeViewRequest(r.body);
+      if (request === null) return json(400, {});
+      const own = live(request.incarnation);
       return octets(
         encodeViewResponse(
-          answerViewRequest(ask, own === null ? relics.all : [...relics.all, own], jobState, witness),
+          answerViewRequest(
+            request,
+            own === null ? preLossViews.all : [...preLossViews.all, own],
+            jobState,
+            evidenceStore,
+          ),
         ),
       );
     }
     if (r.path === EVIDENCE_PATH) {
-      const fact = r.body === null ? null : decodeJobEvidence(r.body);
-      if (fact === null) return json(400, {});
-      witness.record(fact);
+      const evidence = r.body === null ? null : decodeJobEvidence(r.body);
+      if (evidence === null) return json(400, {});
+      evidenceStore.record(evidence);
       return octets(Buffer.alloc(0));
     }
     if (r.path === CHECK_PATH) {
@@ -112,14 +121,14 @@
     if (r.path === DURABLE_PATH) {
       const ids = r.body === null ? null : decodeDurable(r.body);
       if (ids === null) return json(400, {});
-      relics.drop(ids);
+      preLossViews.drop(ids);
       return octets(encodeDurable(ids));
     }
     return null;
   };
 };
 
-/** All that a peer remembers and `digest` does not cover. */
+/** All that a peer remembers and `digest` does not cover, asked for range by range. */
 export const fetchView = (
   port: ViewPort,
   peer: Peer,
@@ -133,15 +142,15 @@
   const from = (range: number): Effect.Effect<ViewResponse, NoAnswer> =>
     port.ask(peer, VIEW_PATH, encodeViewRequest({ incarnation, digest, from: range })).pipe(
       Effect.flatMap((body) => {
-        const t = decodeViewResponse(body);
-        if (t === null) return Effect.fail(new NoAnswer({ reason: 'not a view' }));
-        headers.splice(0, headers.length, ...t.headers);
-        versions.push(...t.versions);
-        finals.push(...t.finals);
-        calendar ??= t.calendar;
-        return t.next === null
+        const response = decodeViewResponse(body);
+        if (response === null) return Effect.fail(new NoAnswer({ reason: 'not a view' }));
+        headers.splice(0, headers.length, ...response.headers);
+        versions.push(...response.versions);
+        finals.push(...response.finals);
+        calendar ??= response.calendar;
+        return response.next === null
           ? Effect.succeed({ headers, versions, finals, next: null, calendar })
-          : from(t.next);
+          : from(response.next);
       }),
     );
   return from(0);
--- a/packages/controller/src/recovery/view-verification.ts
+++ b/packages/controller/src/recovery/view-verification.ts
@@ -1,7 +1,7 @@
 /**
- * A node that has just read the store holds that against what its peers have: keys that went without a trace are missed
- * by those only who had read them before. Until all peers have answered or been asked in vain, this node tells users of
- * final states only.
+ * A node that has just read the store compares its view with its peers': only who had read a key before can miss it once it
+ * is gone without a change that tells of it. Until every peer has answered, or has been asked without an answer, this node
+ * tells users of final states only.
  */
 import { Effect } from 'effect';
 import { pack, unpack } from 'msgpackr';
@@ -18,7 +18,7 @@
 type KnownJob = [id: string, stamp: number, touched: number];
 /** How long a peer may take; a node that has just started answers nobody before. */
 const TIMEOUT_MS = 800;
-/** Ids in one answer. */
+/** Jobs in one answer. */
 const MAX_JOBS = 4000;
 
 interface CheckRequest {
@@ -26,7 +26,7 @@
   readonly digest: readonly number[];
 }
 
-/** Digest by range of which jobs a view has as under way, and as of which key and record. */
+/** Digest by range of which jobs a view has as active, and as of which key revision and record. */
 const activeJobsDigest = (jobState: JobState): Uint32Array =>
   digestOf(
     [],
@@ -36,12 +36,13 @@
     (key) => key.slice(0, key.indexOf('@')),
   );
 
+/** Asks a peer to compare: the incarnation, and a digest of the active jobs. */
 export const encodeCheckRequest = (incarnation: string, jobState: JobState): Buffer =>
   Buffer.from(pack([incarnation, [...activeJobsDigest(jobState)]]));
 
 /**
- * What a peer is told: the highest revision this node has seen, and the jobs that its view has under way, with their
- * keys' revisions, in the ranges where the asker's differ. A view that is doubted by now says most.
+ * What a peer is told: the highest revision this node has seen, and the jobs that its view has as active, with their keys'
+ * revisions, in the ranges where the asker's differ. A view under suspicion answers too: it says most.
  */
 export const answerCheckRequest = (
   body: Buffer,
@@ -49,19 +50,20 @@
   incarnation: string | null,
   revision: number,
 ): Buffer | null => {
-  let q: CheckRequest;
+  let request: CheckRequest;
   try {
     const [of, digest] = unpack(body) as [string, number[]];
     if (typeof of !== 'string' || !Array.isArray(digest)) return null;
-    q = { incarnation: of, digest };
+    request = { incarnation: of, digest };
   } catch {
     return null;
   }
-  if (incarnation === null || incarnation !== q.incarnation) return Buffer.from(pack(null));
+  if (incarnation === null || incarnation !== request.incarnation) return Buffer.from(pack(null));
   const mine = activeJobsDigest(jobState);
   const differs = new Set<number>();
   for (let r = 0; r < RANGES; r++)
-    if (mine[r * 2] !== q.digest[r * 2] || mine[r * 2 + 1] !== q.digest[r * 2 + 1]) differs.add(r);
+    if (mine[r * 2] !== request.digest[r * 2] || mine[r * 2 + 1] !== request.digest[r * 2 + 1])
+      differs.add(r);
   const out: KnownJob[] = [];
   for (const [id, job] of jobState.jobs)
     if (job.stamp > 0 && differs.has(rangeOf(id)) && out.length < MAX_JOBS)
@@ -78,6 +80,7 @@
   }
 };
 
+/** What a comparison works with. */
 export interface VerificationParts {
   readonly lossDetector: DataLossDetector;
   readonly store: StatePort;
@@ -86,29 +89,29 @@
   readonly port: ViewPort;
 }
 
-/** What came of asking a peer; `ignorant`: it has no view of this incarnation. */
+/** The result of asking a peer; `ignorant`: it has no view of this incarnation. */
 export type Comparison = 'compared' | 'ignorant' | 'silent';
 
-/** A peer compares its view with this one's; what it knows and the store does not is evidence. */
-export const verifyWith = (v: VerificationParts, peer: Peer): Effect.Effect<Comparison> =>
+/** Compares this node's view with a peer's; what the peer knows and the store does not have is evidence of a loss. */
+export const verifyWith = (parts: VerificationParts, peer: Peer): Effect.Effect<Comparison> =>
   Effect.gen(function* () {
-    const { incarnation } = v.lossDetector;
+    const { incarnation } = parts.lossDetector;
     if (incarnation === null) return 'silent' as const;
-    const body = yield* v.port.ask(peer, CHECK_PATH, encodeCheckRequest(incarnation.id, v.jobState));
+    const body = yield* parts.port.ask(peer, CHECK_PATH, encodeCheckRequest(incarnation.id, parts.jobState));
     const theirs = decodeCheckResponse(body);
     if (theirs === null) return 'ignorant' as const;
     const [revision, jobs] = theirs;
     // If it has seen more than the store shows from here on, the next read is evidence.
-    v.lossDetector.notePeerRevision(incarnation.id, incarnation.generation, revision);
-    yield* v.watcher.refresh;
+    parts.lossDetector.notePeerRevision(incarnation.id, incarnation.generation, revision);
+    yield* parts.watcher.refresh;
     for (const [id, stamp, touched] of jobs) {
-      const mine = v.jobState.jobs.get(id);
+      const mine = parts.jobState.jobs.get(id);
       if (mine && (mine.stamp < stamp || mine.touched < touched))
-        v.lossDetector.suspect('key lost', `${id} as ${peer.label} knows it`, true);
-      if (mine || v.jobState.finals.has(id) || stamp > v.jobState.revision) continue;
-      const over = yield* v.store.get(finalKey(id));
-      if (over.entry === null && !v.jobState.jobs.has(id))
-        v.lossDetector.suspect('key lost', `${activeKey(id)} is known to ${peer.label}`, true);
+        parts.lossDetector.suspect('key lost', `${id} as ${peer.label} knows it`, true);
+      if (mine || parts.jobState.finals.has(id) || stamp > parts.jobState.revision) continue;
+      const over = yield* parts.store.get(finalKey(id));
+      if (over.entry === null && !parts.jobState.jobs.has(id))
+        parts.lossDetector.suspect('key lost', `${activeKey(id)} is known to ${peer.label}`, true);
     }
     return 'compared' as const;
   }).pipe(
--- a/packages/controller/test/data-loss-detector.test.ts
+++ b/packages/controller/test/data-loss-detector.test.ts
@@ -1,4 +1,4 @@
-/** Noticing a loss: what counts as evidence, and what looks at a doubted store say of it. */
+/** Detecting a loss of data: what counts as evidence, and what probes of the store decide. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Micros } from '@lilacvalve/runtime/micros';
@@ -30,10 +30,10 @@
 });
 
 test('a store that shows what was known, or more, is restored; one that shows less is lost once looks agree', () => {
-  assert.equal(verdictOf(known, [probe()], 3), 'restored');
-  assert.equal(verdictOf(known, [probe({ revision: 180, term: 5 })], 3), 'restored');
+  assert.equal(verdictOf(known, [probe()], 3), 'intact');
+  assert.equal(verdictOf(known, [probe({ revision: 180, term: 5 })], 3), 'intact');
   const empty = probe({ incarnations: [], revision: 0, term: 0 });
-  assert.equal(verdictOf(known, [empty, empty], 3), 'again');
+  assert.equal(verdictOf(known, [empty, empty], 3), 'undecided');
   assert.equal(verdictOf(known, [empty, empty, empty], 3), 'lost');
   // The key is there, at another revision: it was written anew.
   const rewritten = probe({ incarnations: [{ ...first, stamp: 9 }] });
@@ -51,7 +51,7 @@
     assert.notEqual(verdictOf(known, looks, 3), 'lost');
   }
   const back = [probe({ revision: 70 }), probe({ revision: 60 })];
-  assert.equal(verdictOf(known, [...back, ...back, ...back], 3), 'again');
+  assert.equal(verdictOf(known, [...back, ...back, ...back], 3), 'undecided');
 });
 
 test('a newer incarnation has been rebuilt by somebody; an older or an equal one is itself a loss', () => {
@@ -60,7 +60,7 @@
     revision: 75,
     term: 9e9,
   });
-  assert.equal(verdictOf(known, [rebuilt], 3), 'moved');
+  assert.equal(verdictOf(known, [rebuilt], 3), 'rebuilt');
   const anew = probe({
     incarnations: [{ id: 'fresh', generation: 0, stamp: 1, termFloor: 0, bornAt: 0 }],
     revision: 2,
@@ -69,7 +69,7 @@
   assert.equal(verdictOf(known, [anew, anew, anew], 3), 'lost');
   // A node without a view takes what is there, unless somebody has said that it knows a newer one.
   const none: StoreKnowledge = { incarnation: null, generation: -1, revision: -1, term: 0 };
-  assert.equal(verdictOf(none, [anew], 3), 'moved');
+  assert.equal(verdictOf(none, [anew], 3), 'rebuilt');
   assert.equal(verdictOf({ ...none, generation: 2 }, [rebuilt, rebuilt, rebuilt], 3), 'lost');
 });
 
