--- a/packages/controller/src/snapshots/restore.ts
+++ b/packages/controller/src/snapshots/restore.ts
@@ -1,7 +1,7 @@
 /**
- * Writes a snapshot's content into an empty state service, through its own interface. What is written begins a new
- * incarnation that is marked as being rebuilt: whatever was used after the snapshot is never used again, and the first
- * leader waits until nothing from before can be running.
+ * Writes a snapshot's content into an empty state service, by ordinary transactions. They begin a new incarnation that is
+ * marked as being rebuilt: terms and attempts used after the snapshot are never used again, and the first leader waits until
+ * nothing from before can be running.
  */
 import { Effect, Random } from 'effect';
 import type { Content } from '@lilacvalve/snapshot/read';
@@ -12,7 +12,7 @@
 import type { StatePort } from '../state-store/port.js';
 
 /** There while a restore is under way: of which snapshot, and how far it has come. */
-export const RESTORE = 's/l/restore';
+export const RESTORE_PROGRESS = 's/l/restore';
 
 export interface RestoreLimits {
   readonly txnOps: number;
@@ -28,17 +28,18 @@
   readonly to: string;
 }
 
-/** Keys that a restore leaves out: they speak of who led, or of the incarnation that is over. */
-const leftOut = (key: string): boolean =>
+/** Keys that a restore leaves out: they tell who led, or belong to the incarnation that is over. */
+const isLeftOut = (key: string): boolean =>
   key === LEADER ||
   key === TERM ||
-  key === RESTORE ||
+  key === RESTORE_PROGRESS ||
   [REBUILD, QUIESCENT, RECOVERED].includes(key) ||
   key.startsWith(INCARNATION);
 
-/** A transaction's bytes: the protocol's limit, with room for what stands around the values. */
-const BYTES = 48 * 1024;
+/** Bytes of values in one transaction: the protocol's limit, with room for what is around them. */
+const TRANSACTION_BYTES = 48 * 1024;
 
+/** Restores `content`; begun again after an interruption, it continues where it was. `said`: called after each transaction. */
 export const restore = (
   content: Content,
   store: StatePort,
@@ -48,7 +49,7 @@
   Effect.gen(function* () {
     const of = `${content.incarnation}@${content.revision}`;
     const there = yield* store.page(ROOT, null, 1);
-    const mark = (yield* store.get(RESTORE)).entry;
+    const mark = (yield* store.get(RESTORE_PROGRESS)).entry;
     if (mark === null && there.entries.length > 0)
       return { ok: false, reason: `the store is not empty: it has ${there.entries[0]!.key}` } as const;
     let progress = (mark?.value as Progress | undefined) ?? { of, to: '' };
@@ -56,7 +57,7 @@
     if (progress.of !== of)
       return { ok: false, reason: `a restore of another snapshot (${progress.of}) is under way` } as const;
     const all = [...content.entries.values()]
-      .filter((e) => e.key.startsWith(ROOT) && !leftOut(e.key) && e.value !== undefined)
+      .filter((e) => e.key.startsWith(ROOT) && !isLeftOut(e.key) && e.value !== undefined)
       .sort((a, b) => (a.key < b.key ? -1 : 1));
     const resumed = mark !== null;
     let rest = all.filter((e) => e.key > progress.to);
@@ -68,10 +69,13 @@
               // The mark goes with the last part. The term comes with it: a late copy of the first one, for which there was no
               // mark yet either, must not set back what the controllers have made of it since.
               [
-                { key: RESTORE, stamp },
+                { key: RESTORE_PROGRESS, stamp },
                 { key: TERM, stamp: 0 },
               ],
-              [...then, next === null ? { delete: RESTORE } : { set: RESTORE, value: next }],
+              [
+                ...then,
+                next === null ? { delete: RESTORE_PROGRESS } : { set: RESTORE_PROGRESS, value: next },
+              ],
               Priority.Commit,
               3000,
             ),
@@ -81,7 +85,7 @@
             return true;
           }
           // Perhaps it was applied and its answer lost: then the mark says so.
-          const now = (yield* store.get(RESTORE)).entry;
+          const now = (yield* store.get(RESTORE_PROGRESS)).entry;
           const same = JSON.stringify(now?.value ?? null) === JSON.stringify(next);
           if (same) {
             stamp = now?.stamp ?? 0;
@@ -96,7 +100,7 @@
       let bytes = 0;
       for (const e of rest) {
         const size = JSON.stringify(e.value).length + e.key.length + 40;
-        if (part.length > 0 && (part.length >= limits.txnOps - 1 || bytes + size > BYTES)) break;
+        if (part.length > 0 && (part.length >= limits.txnOps - 1 || bytes + size > TRANSACTION_BYTES)) break;
         if (size > limits.valueBytes)
           return { ok: false, reason: `${e.key}: larger than a value may be here` } as const;
         part.push({ set: e.key, value: e.value });
@@ -110,10 +114,10 @@
       said(all.length - rest.length, all.length);
     }
     const generation = content.generation + 1;
-    const luck = (yield* Random.nextIntBetween(0, 2 ** 31)).toString(36);
+    const random = (yield* Random.nextIntBetween(0, 2 ** 31)).toString(36);
     const last: Write[] = [
       { set: TERM, value: { term: firstOfGeneration(generation) } },
-      { set: `${INCARNATION}restored.${generation}.${luck}`, value: { g: generation, by: 'restore' } },
+      { set: `${INCARNATION}restored.${generation}.${random}`, value: { g: generation, by: 'restore' } },
       { set: REBUILD, value: { phase: 'gather', heard: [] } },
     ];
     if (!(yield* commit(last, null)))
--- a/packages/controller/src/snapshots/snapshot-task.ts
+++ b/packages/controller/src/snapshots/snapshot-task.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps a snapshot of the store on this node's disk, where operators have turned that on, and remembers what one from
- * before says when the node starts: a store that has lost what the snapshot holds is rebuilt from it, too.
+ * Keeps a snapshot of the store on this node's disk, where operators have turned that on, and reads the one that is there
+ * when the node starts: a store that has lost what the snapshot holds is rebuilt from it as well (docs/snapshots.md).
  */
 import { supervise } from '@lilacvalve/runtime/supervise';
 import { error, info } from '@lilacvalve/runtime/log';
@@ -17,14 +17,14 @@
 import type { Page } from '../state-store/client.js';
 import type { StatePort } from '../state-store/port.js';
 
-/** What was committed is on the disk so long after this node has read it, unless the disk is slower. */
-export const WINDOW_MS = 200;
-const PAGE = 500;
+/** A change is on the disk so long after this node has read it, at the latest, unless the disk is slower. */
+export const SYNC_EVERY_MS = 200;
+const PAGE_SIZE = 500;
 /** Between two pages of a base: it is read beside everything else. */
 const PAGE_GAP_MS = 100;
 
 export const SETTINGS: Omit<WriterOptions, 'revision' | 'now' | 'sleep' | 'say'> = {
-  syncMs: WINDOW_MS,
+  syncMs: SYNC_EVERY_MS,
   journalBytes: 32 * 1024 * 1024,
   queue: 20_000,
   keep: 3,
@@ -41,30 +41,31 @@
   return jobState;
 };
 
+/** What the task works with. */
 export interface SnapshotParts {
   readonly files: Files;
   readonly store: StatePort;
   readonly watcher: StoreWatcher;
   readonly jobState: JobState;
   readonly lossDetector: DataLossDetector;
-  readonly relics: PreLossViews;
+  readonly preLossViews: PreLossViews;
 }
 
-/** Before anything of the store is believed: what the disk says is known, and kept until it is durable. */
-const remember = (p: SnapshotParts): Effect.Effect<void> =>
-  Effect.promise(() => load(p.files)).pipe(
+/** Before anything is read of the store: what the snapshot has counts as known, and is kept until it is durable. */
+const restoreFromSnapshot = (parts: SnapshotParts): Effect.Effect<void> =>
+  Effect.promise(() => load(parts.files)).pipe(
     Effect.flatMap((c) => {
       if (c === null) return info('no snapshot');
       const view = viewOf(c);
-      for (const [id, f] of view.finals.entries()) p.jobState.finals.remember(id, f);
-      const relic = p.relics.viewOf(view, c.generation, null);
-      p.relics.add(relic);
+      for (const [id, f] of view.finals.entries()) parts.jobState.finals.remember(id, f);
+      const snapshotView = parts.preLossViews.viewOf(view, c.generation, null);
+      parts.preLossViews.add(snapshotView);
       // A store of that incarnation that is at least as new has lost nothing of it.
-      p.lossDetector.onIncarnationConfirmed = (id) => {
-        if (id === c.incarnation) p.relics.drop([relic.id]);
-        p.lossDetector.onIncarnationConfirmed = () => undefined;
+      parts.lossDetector.onIncarnationConfirmed = (id) => {
+        if (id === c.incarnation) parts.preLossViews.drop([snapshotView.id]);
+        parts.lossDetector.onIncarnationConfirmed = () => undefined;
       };
-      p.lossDetector.restoreKnowledge(c.incarnation, c.generation, c.revision, view.term);
+      parts.lossDetector.restoreKnowledge(c.incarnation, c.generation, c.revision, view.term);
       const flaws = c.files.flatMap((f) => (f.flaw ? [`${f.name} ${f.flaw.kind} at ${f.flaw.offset}`] : []));
       return info('snapshot read', {
         revision: c.revision,
@@ -76,10 +77,11 @@
     Effect.catchAllCause((cause) => error('snapshot not read', { reason: String(cause).slice(0, 300) })),
   );
 
+/** `first`: to be run before anything is read of the store. `run`: writes the snapshot, for ever. */
 export const snapshotTask = (
-  p: SnapshotParts,
+  parts: SnapshotParts,
 ): { readonly first: Effect.Effect<void>; readonly run: Effect.Effect<never> } => ({
-  first: remember(p),
+  first: restoreFromSnapshot(parts),
   run: supervise(
     'snapshots',
     Effect.gen(function* () {
@@ -87,26 +89,26 @@
       const runPromise = Runtime.runPromise(runtime);
       const fork = Runtime.runFork(runtime);
       const sleep = (ms: number): Promise<void> => runPromise(Effect.sleep(ms));
-      const writer = new SnapshotWriter(p.files, {
+      const writer = new SnapshotWriter(parts.files, {
         ...SETTINGS,
-        revision: () => p.jobState.revision,
+        revision: () => parts.jobState.revision,
         now: () => Date.now(),
         sleep,
         say: (event, what) => void fork(info(`snapshot ${event}`, { what })),
       });
-      let life: string | null = null;
-      p.watcher.onChanges = (changes) => {
-        const i = p.lossDetector.incarnation;
+      let incarnationId: string | null = null;
+      parts.watcher.onChanges = (changes) => {
+        const i = parts.lossDetector.incarnation;
         if (i === null) return;
-        if (i.id !== life) {
-          life = i.id;
+        if (i.id !== incarnationId) {
+          incarnationId = i.id;
           writer.begin({ incarnation: i.id, generation: i.generation });
         }
         writer.changes(changes);
       };
       const source = async function* (): AsyncGenerator<SourcePage> {
         for (let after: string | null = null, more = true; more;) {
-          const page: Page = await runPromise(p.store.page(ROOT, after, PAGE, Priority.Upkeep));
+          const page: Page = await runPromise(parts.store.page(ROOT, after, PAGE_SIZE, Priority.Upkeep));
           yield page;
           after = page.entries[page.entries.length - 1]?.key ?? null;
           more = page.more && after !== null;
@@ -116,7 +118,7 @@
       yield* Effect.promise(() => writer.run(source)).pipe(
         Effect.ensuring(
           Effect.sync(() => {
-            p.watcher.onChanges = null;
+            parts.watcher.onChanges = null;
             writer.close();
           }),
         ),
--- a/packages/controller/src/state-store/client.ts
+++ b/packages/controller/src/state-store/client.ts
@@ -1,13 +1,14 @@
 /**
- * Client of the state service. Failures keep apart what the caller must treat differently: `Refused` was
- * surely not carried out, `NoAnswer` may have been, or may be later.
+ * Client of the state service, a consensus-backed key-value store: compare-and-swap transactions, paged reads, a watch and
+ * leases. Failures tell apart what callers must treat differently: `Refused` was certainly not carried out, `NoAnswer` may
+ * have been, or may be later. The service's field names (`k`, `stamp`, `ledgerRev`, `tenancy`, ...) occur here only.
  */
 import { Data, Effect } from 'effect';
 import { HttpClient, keptOpen, type NoAnswer, type Reply } from '@lilacvalve/runtime/http-client';
 import { type Micros, now, toMillis } from '@lilacvalve/runtime/micros';
 import { countMetric } from '../metrics.js';
 import type { Settings } from '../settings/settings.js';
-import { Parts, Priority } from './budget.js';
+import { StoreBudgets, Priority } from './budget.js';
 
 /** The service said it did not carry the request out (429, 503, 400). */
 export class Refused extends Data.TaggedError('Refused')<{
@@ -16,15 +17,26 @@
 }> {}
 export type StateFailure = Refused | NoAnswer;
 
+/** A counter that 2^53 and more can't be compared by: the client fails rather than act on a wrong comparison. */
+export class CounterOutOfRange extends Data.TaggedError('CounterOutOfRange')<{ readonly value: unknown }> {
+  override get message(): string {
+    return `counter out of range: ${String(this.value)}`;
+  }
+}
+
+/** What a transaction depends on: the key's revision is still this one; 0: the key does not exist. */
 export interface Condition {
   readonly key: string;
   readonly stamp: number;
 }
+/** One change of a transaction. `lease`: the key is deleted once that lease expires. */
 export type Write =
   { readonly set: string; readonly value: unknown; readonly lease?: number } | { readonly delete: string };
+/** `failed`: the keys whose conditions did not hold; nothing was changed. */
 export type Outcome =
   | { readonly ok: true; readonly revision: number }
   | { readonly ok: false; readonly failed: readonly string[]; readonly revision: number };
+/** A key's value and the revision of its last change. */
 export interface Entry {
   readonly key: string;
   readonly value: unknown;
@@ -35,31 +47,50 @@
   readonly entry: Entry | null;
   readonly revision: number | null;
 }
+/** Part of the keys below a prefix, in key order. */
 export interface Page {
   readonly entries: readonly Entry[];
   readonly more: boolean;
   readonly revision: number;
 }
+/** One change, as a watch tells it. */
 export interface Change {
   readonly key: string;
   /** undefined: the key was deleted. */
   readonly value: unknown;
   readonly stamp: number;
 }
+/** `tooOld`: the service no longer has the changes after the revision asked for. */
 export type Changes =
   | { readonly tooOld: true }
   | { readonly tooOld: false; readonly revision: number; readonly changes: readonly Change[] };
 
-const safe = (n: unknown): number => {
-  // Beyond 2^53 two revisions could compare equal; refuse rather than act on a wrong comparison.
-  if (typeof n !== 'number' || !Number.isSafeInteger(n))
-    throw new Error(`counter out of range: ${String(n)}`);
-  return n;
+const safeCounter = (value: unknown): number => {
+  if (typeof value !== 'number' || !Number.isSafeInteger(value)) throw new CounterOutOfRange({ value });
+  return value;
 };
 
+/** The fields of the service's answers. */
+interface WireBody {
+  readonly ledgerRev?: unknown;
+  readonly stamp?: unknown;
+  readonly value?: unknown;
+  readonly tenancy?: unknown;
+  readonly more?: unknown;
+  readonly failed?: readonly string[];
+  readonly entries?: readonly { readonly k: string; readonly value: unknown; readonly stamp: unknown }[];
+  readonly log?: readonly {
+    readonly set?: string;
+    readonly delete?: string;
+    readonly value?: unknown;
+    readonly stamp: unknown;
+  }[];
+}
+
+/** One controller's connection to the state service, within its share of the service's rate limits. */
 export class StateStore {
   private readonly client: HttpClient;
-  private readonly parts: Parts;
+  private readonly budgets: StoreBudgets;
   /** When the service last served this node. */
   lastServed = Number.NEGATIVE_INFINITY;
   /** When the service last refused with 503, or gave no answer. */
@@ -70,18 +101,20 @@
     private readonly clock: () => Micros = now,
   ) {
     this.client = new HttpClient(settings.stateAddress, keptOpen(24));
-    this.parts = new Parts(settings.nodes, settings.state);
+    this.budgets = new StoreBudgets(settings.nodes, settings.state);
   }
 
+  /** A leader takes a larger share of the rate limits. */
   leading(yes: boolean): void {
-    this.parts.leading(yes);
+    this.budgets.leading(yes);
   }
 
-  /** How long a change asked for now would wait for its part of the rate. */
+  /** How long a change asked for now would wait for this controller's share of the rate. */
   writeWait(): Micros {
-    return this.parts.writes.wait();
+    return this.budgets.writes.wait();
   }
 
+  /** Compare-and-swap: applies all of `then` if all of `when` holds, and nothing otherwise. */
   transact(
     when: readonly Condition[],
     then: readonly Write[],
@@ -94,16 +127,16 @@
         'set' in w ? { set: w.set, value: w.value, tenancy: w.lease } : { delete: w.delete },
       ),
     });
-    return this.parts.writes.take(priority, then.length).pipe(
+    return this.budgets.writes.take(priority, then.length).pipe(
       Effect.zipRight(this.call('POST', '/multi', body, priority, timeoutMs)),
       Effect.flatMap((reply): Effect.Effect<Outcome, StateFailure> => {
-        const value = parse(reply);
-        if (reply.status === 200) return Effect.succeed({ ok: true, revision: safe(value.ledgerRev) });
+        const body = parse(reply);
+        if (reply.status === 200) return Effect.succeed({ ok: true, revision: safeCounter(body.ledgerRev) });
         if (reply.status === 409) {
           return Effect.succeed({
             ok: false,
-            failed: (value.failed ?? []) as string[],
-            revision: safe(value.ledgerRev),
+            failed: body.failed ?? [],
+            revision: safeCounter(body.ledgerRev),
           });
         }
         return this.refused(reply);
@@ -111,21 +144,26 @@
     );
   }
 
+  /** Reads one key. */
   get(key: string, timeoutMs = 1000): Effect.Effect<Found, StateFailure> {
     return this.call('GET', `/kv/${key}`, null, Priority.Read, timeoutMs).pipe(
       Effect.flatMap((reply): Effect.Effect<Found, StateFailure> => {
-        const v = parse(reply);
+        const body = parse(reply);
         if (reply.status === 404)
           return Effect.succeed({
             entry: null,
-            revision: v.ledgerRev === undefined ? null : safe(v.ledgerRev),
+            revision: body.ledgerRev === undefined ? null : safeCounter(body.ledgerRev),
           });
         if (reply.status !== 200) return this.refused(reply);
-        return Effect.succeed({ entry: { key, value: v.value, stamp: safe(v.stamp) }, revision: null });
+        return Effect.succeed({
+          entry: { key, value: body.value, stamp: safeCounter(body.stamp) },
+          revision: null,
+        });
       }),
     );
   }
 
+  /** Reads up to `limit` keys below `prefix`, from the first one after `after` on. */
   page(
     prefix: string,
     after: string | null,
@@ -136,41 +174,44 @@
     return this.call('GET', path, null, priority, 3000).pipe(
       Effect.flatMap((reply): Effect.Effect<Page, StateFailure> => {
         if (reply.status !== 200) return this.refused(reply);
-        const v = parse(reply);
-        const entries = ((v.entries ?? []) as { k: string; value: unknown; stamp: number }[]).map((e) => ({
+        const body = parse(reply);
+        const entries = (body.entries ?? []).map((e) => ({
           key: e.k,
           value: e.value,
-          stamp: safe(e.stamp),
+          stamp: safeCounter(e.stamp),
         }));
-        return Effect.succeed({ entries, more: v.more === true, revision: safe(v.ledgerRev) });
+        return Effect.succeed({ entries, more: body.more === true, revision: safeCounter(body.ledgerRev) });
       }),
     );
   }
 
+  /** Waits up to `blockMs` for changes below `prefix` after the revision `after`. */
   follow(prefix: string, after: number, blockMs: number): Effect.Effect<Changes, StateFailure> {
     const path = `/follow?prefix=${encodeURIComponent(prefix)}&after=${after}&blockMs=${blockMs}`;
     return this.call('GET', path, null, blockMs === 0 ? Priority.Commit : Priority.Read, blockMs + 1500).pipe(
       Effect.flatMap((reply): Effect.Effect<Changes, StateFailure> => {
         if (reply.status === 410) return Effect.succeed({ tooOld: true });
         if (reply.status !== 200) return this.refused(reply);
-        const v = parse(reply);
-        const log = (v.log ?? []) as { set?: string; delete?: string; value?: unknown; stamp: number }[];
+        const body = parse(reply);
         return Effect.succeed({
           tooOld: false,
-          revision: safe(v.ledgerRev),
-          changes: log.map((e) => ({
+          revision: safeCounter(body.ledgerRev),
+          changes: (body.log ?? []).map((e) => ({
             key: (e.set ?? e.delete)!,
             value: e.set === undefined ? undefined : e.value,
-            stamp: safe(e.stamp),
+            stamp: safeCounter(e.stamp),
           })),
         });
       }),
     );
   }
 
+  /** Asks for a new lease; its number. */
   grant(ttl: Micros): Effect.Effect<number, StateFailure> {
     return this.call('POST', '/grants', JSON.stringify({ ttlMs: toMillis(ttl) }), Priority.Lease, 1500).pipe(
-      Effect.flatMap((r) => (r.status === 200 ? Effect.succeed(safe(parse(r).tenancy)) : this.refused(r))),
+      Effect.flatMap((r) =>
+        r.status === 200 ? Effect.succeed(safeCounter(parse(r).tenancy)) : this.refused(r),
+      ),
     );
   }
 
@@ -184,13 +225,14 @@
     );
   }
 
+  /** Gives a lease back: keys attached to it are deleted. */
   release(lease: number): Effect.Effect<void, StateFailure> {
     return this.call('DELETE', `/grants/${lease}`, null, Priority.Lease, 800).pipe(Effect.asVoid);
   }
 
   private refused(reply: Reply): Effect.Effect<never, Refused> {
     if (reply.status === 429) {
-      this.parts.drain();
+      this.budgets.drain();
     }
     return Effect.fail(new Refused({ status: reply.status, reason: reply.body.toString('utf8', 0, 200) }));
   }
@@ -203,7 +245,7 @@
     timeoutMs: number,
   ): Effect.Effect<Reply, NoAnswer> {
     countMetric('store');
-    return this.parts.requests.take(priority, 1).pipe(
+    return this.budgets.requests.take(priority, 1).pipe(
       Effect.zipRight(this.client.request(method, path, body, timeoutMs)),
       Effect.tap((reply) =>
         Effect.sync(() => {
@@ -220,10 +262,10 @@
   }
 }
 
-// eslint-disable-next-line @typescript-eslint/no-explicit-any
-const parse = (reply: Reply): any => {
+/** An answer that is no JSON is treated like an empty one: what it should have had is then out of range. */
+const parse = (reply: Reply): WireBody => {
   try {
-    return JSON.parse(reply.body.toString('utf8')) ?? {};
+    return (JSON.parse(reply.body.toString('utf8')) ?? {}) as WireBody;
   } catch {
     return {};
   }
--- a/packages/controller/src/state-store/hint.ts
+++ b/packages/controller/src/state-store/hint.ts
@@ -1,10 +1,10 @@
-/** A hint for the next leader: kept in one key, written when it has changed; lost or old, it costs time and nothing else. */
+/** A hint for the next leader: one key, written when its value has changed. If it is lost or old, that costs time only. */
 import { Effect } from 'effect';
 import { Priority } from './budget.js';
 import type { Condition } from './client.js';
 import type { StatePort } from './port.js';
 
-/** Writes `value` to `key` unless it was the last one written. Failures are left to the next look. */
+/** Writes `value` to `key` unless it was the last one written. A failed write is left to the next call. */
 export const hintWriter = (store: StatePort, when: Condition, key: string) => {
   let written = '';
   return (value: unknown): Effect.Effect<void> =>
--- a/packages/controller/src/state-store/port.ts
+++ b/packages/controller/src/state-store/port.ts
@@ -1,4 +1,4 @@
-/** What the rest of the service needs of the state service; tests put a stand-in here. */
+/** What the rest of the controller needs of the state service; tests put in a stand-in. */
 import type { StateStore } from './client.js';
 
 export type StatePort = Pick<
--- a/packages/simulation/src/world/state-service/rate-limits.ts
+++ b/packages/simulation/src/world/state-service/rate-limits.ts
@@ -1,6 +1,6 @@
 /** The state service's limits on requests and writes, and the port of a controller that keeps to its share of them. */
 import { Effect } from 'effect';
-import { Parts, Priority } from '@lilacvalve/controller/state-store/budget';
+import { StoreBudgets, Priority } from '@lilacvalve/controller/state-store/budget';
 import { Refused, type StateFailure } from '@lilacvalve/controller/state-store/client';
 import type { StatePort } from '@lilacvalve/controller/state-store/port';
 import type { Time } from '../time.js';
@@ -49,7 +49,7 @@
       now: this.time.micros,
       after: (ms: number, go: () => void) => void this.time.after(ms * 1000, go),
     };
-    const parts = new Parts(limits.nodes, limits, timing);
+    const parts = new StoreBudgets(limits.nodes, limits, timing);
     const call = <A>(priority: Priority, writes: number, ask: () => Effect.Effect<A, StateFailure>) =>
       Effect.suspend(() => (writes > 0 ? parts.writes.take(priority, writes) : Effect.void)).pipe(
         Effect.zipRight(parts.requests.take(priority, 1)),
--- a/packages/simulation/test/restore.test.ts
+++ b/packages/simulation/test/restore.test.ts
@@ -5,7 +5,7 @@
 import { JobState } from '@lilacvalve/controller/jobs/job-state';
 import { encodeFinal, encodeJob } from '@lilacvalve/controller/jobs/codec';
 import { activeKey, finalKey, INCARNATION, LEADER, REBUILD, TERM } from '@lilacvalve/controller/jobs/keys';
-import { RESTORE, restore, type Restored } from '@lilacvalve/controller/snapshots/restore';
+import { RESTORE_PROGRESS, restore, type Restored } from '@lilacvalve/controller/snapshots/restore';
 import { job } from '@lilacvalve/controller/support/job';
 import { Luck } from '@lilacvalve/controller/support/random-source';
 import type { Entry } from '@lilacvalve/snapshot/format';
@@ -56,7 +56,7 @@
   assert.equal(view.incarnation!.generation, 3, 'what was used after the snapshot is never used again');
   assert.equal(view.rebuild!.phase, 'gather');
   assert.equal(view.leader, null);
-  assert.ok(view.term >= view.floor && !state.keys.has(RESTORE));
+  assert.ok(view.term >= view.floor && !state.keys.has(RESTORE_PROGRESS));
 };
 
 test('all that a snapshot holds is put back, under a new incarnation that is to be rebuilt', () => {
@@ -84,7 +84,7 @@
     }
     w.state.lossy = 0;
     w.time.run(w.time.now + 70e6);
-    if (w.state.keys.has(RESTORE)) assert.ok(play(w, content(25), 60e6)!.ok);
+    if (w.state.keys.has(RESTORE_PROGRESS)) assert.ok(play(w, content(25), 60e6)!.ok);
     isThere(w.state, 25);
   }
   assert.ok(resumed > 20, `${resumed} resumed`);
--- a/packages/snapshot/src/files.ts
+++ b/packages/snapshot/src/files.ts
@@ -1,13 +1,15 @@
-/** What the writer needs of a disk; tests put one there that ends, fills up or lies. */
+/** What the writer needs of a disk; tests put in one that crashes, fills up or loses what was not synced. */
 import { open, mkdir, readdir, readFile, rename, rm, type FileHandle } from 'node:fs/promises';
 import { join } from 'node:path';
 
+/** A file that is being appended to. */
 export interface OpenFile {
   append(data: Buffer): Promise<void>;
   /** Completes once what was appended is on the disk. */
   sync(): Promise<void>;
   close(): Promise<void>;
 }
+/** One directory. */
 export interface Files {
   create(name: string): Promise<OpenFile>;
   rename(from: string, to: string): Promise<void>;
--- a/packages/snapshot/src/format.ts
+++ b/packages/snapshot/src/format.ts
@@ -17,8 +17,9 @@
 /** Deflating less than this gains nothing. */
 const DEFLATE_FROM = 512;
 /** No block is larger: a length beyond it is damage, not a reason to read on. */
-export const LARGEST = 8 * 1024 * 1024;
+export const MAX_PAYLOAD = 8 * 1024 * 1024;
 
+/** One key's value, or its deletion. */
 export interface Entry {
   readonly key: string;
   /** undefined: deleted. */
@@ -27,10 +28,11 @@
   readonly stamp: number;
 }
 
+/** The first block of a file; JSON of this object, so its field names are part of the format. */
 export interface Head {
   readonly version: number;
   readonly kind: 'base' | 'journal';
-  /** Which life of the store's data this is of, and how many there were before. */
+  /** Which incarnation of the store's data this is of, and how many there were before. */
   readonly incarnation: string;
   readonly generation: number;
   /** A base was begun at this revision; a journal goes on from it. */
@@ -65,7 +67,7 @@
 /** `revision`: of the latest page that a base was read from: it holds only with a journal that reaches so far. */
 export const endBlock = (number: number, count: number, revision: number): Buffer =>
   block(number, KIND.end, Buffer.from(JSON.stringify({ count, revision })));
-/** An entry that only says up to which revision a journal is whole. */
+/** The key of an entry that only says up to which revision a journal is complete. */
 export const REACHED = '';
 
 export type Part =
@@ -82,15 +84,21 @@
   readonly reason: string;
 }
 
+/** A whole block that this version can't read. */
+class UnreadablePart extends Error {
+  override readonly name = 'UnreadablePart';
+}
+
 const partOf = (kind: number, payload: Buffer): Part => {
   if (kind === KIND.head) {
     const head = JSON.parse(payload.toString('utf8')) as Head;
-    if (head.version !== VERSION) throw new Error(`version ${head.version}, this program reads ${VERSION}`);
+    if (head.version !== VERSION)
+      throw new UnreadablePart(`version ${head.version}, this program reads ${VERSION}`);
     return { kind: 'head', head };
   }
   if (kind === KIND.end)
     return { kind: 'end', ...(JSON.parse(payload.toString('utf8')) as { count: number; revision: number }) };
-  if (kind !== KIND.entries && kind !== KIND.deflated) throw new Error(`unknown kind ${kind}`);
+  if (kind !== KIND.entries && kind !== KIND.deflated) throw new UnreadablePart(`unknown kind ${kind}`);
   const rows = unpack(kind === KIND.deflated ? inflateRawSync(payload) : payload) as [
     string,
     number,
@@ -103,13 +111,13 @@
 };
 
 /** The parts of a file up to its first flaw, which comes last if there is one. Nothing after a flaw is read. */
-export function* parts(file: Buffer): Generator<Part | Flaw> {
+export function* readParts(file: Buffer): Generator<Part | Flaw> {
   let offset = 0;
   for (let number = 0; offset < file.length; number++) {
     const flaw = (kind: Flaw['kind'], reason: string): Flaw => ({ kind, block: number, offset, reason });
     if (file.length - offset < HEADER) return yield flaw('torn', 'ends within a header');
     const length = file.readUInt32LE(offset);
-    if (length > LARGEST) return yield flaw('damaged', `a length of ${length}`);
+    if (length > MAX_PAYLOAD) return yield flaw('damaged', `a length of ${length}`);
     const end = offset + HEADER + length;
     if (end > file.length) return yield flaw('torn', 'ends within a block');
     if (crc32(file.subarray(offset + 8, end)) !== file.readUInt32LE(offset + 4))
--- a/packages/snapshot/src/names.ts
+++ b/packages/snapshot/src/names.ts
@@ -5,15 +5,17 @@
 export const journalName = (n: number): string => `${String(n).padStart(6, '0')}.journal`;
 export const PART = '.part';
 
-export interface Named {
+/** A file of a snapshot, by its name. */
+export interface SnapshotFile {
   readonly number: number;
   readonly kind: 'base' | 'journal';
   readonly name: string;
 }
-export const named = (names: readonly string[]): Named[] =>
+/** The snapshot files among `names`, in the order in which they were begun. */
+export const parseNames = (names: readonly string[]): SnapshotFile[] =>
   names
     .flatMap((name) => {
       const m = NAME.exec(name);
-      return m ? [{ number: Number(m[1]), kind: m[2] as Named['kind'], name }] : [];
+      return m ? [{ number: Number(m[1]), kind: m[2] as SnapshotFile['kind'], name }] : [];
     })
     .sort((a, b) => a.number - b.number || (a.kind < b.kind ? -1 : 1));
--- a/packages/snapshot/src/read.ts
+++ b/packages/snapshot/src/read.ts
@@ -1,9 +1,10 @@
-/** Reads what a writer has left: the newest base that is whole, and the journals from it on as far as they are. */
+/** Reads what a writer has left: the newest base that is complete, and the journals after it as far as they are. */
 import type { Files } from './files.js';
-import { type Entry, type Flaw, type Head, isFlaw, parts, REACHED } from './format.js';
-import { named, type Named } from './names.js';
+import { type Entry, type Flaw, type Head, isFlaw, readParts, REACHED } from './format.js';
+import { parseNames, type SnapshotFile } from './names.js';
 
-export interface Checked {
+/** What reading a file through has shown. */
+export interface CheckedFile {
   readonly name: string;
   readonly kind: 'base' | 'journal';
   readonly head: Head | null;
@@ -11,27 +12,28 @@
   /** The highest revision in it. */
   readonly last: number;
   readonly bytes: number;
-  /** A base: its end is there and counts right. A journal: any that begins with a head. */
+  /** A base: its end block is there, with the right count. A journal: it begins with a head. */
   readonly usable: boolean;
   readonly flaw: Flaw | null;
 }
 
+/** The store's content as a snapshot has it. */
 export interface Content {
   readonly incarnation: string;
   readonly generation: number;
   /** The content is as of this revision. */
   readonly revision: number;
   readonly entries: ReadonlyMap<string, Entry>;
-  readonly files: readonly Checked[];
+  readonly files: readonly CheckedFile[];
 }
 
-const readOne = (file: Named, data: Buffer, take: (e: Entry) => void): Checked => {
+const checkFile = (file: SnapshotFile, data: Buffer, take: (e: Entry) => void): CheckedFile => {
   let head: Head | null = null;
   let entries = 0;
   let last = 0;
   let ended: number | null = null;
   let flaw: Flaw | null = null;
-  for (const p of parts(data)) {
+  for (const p of readParts(data)) {
     if (isFlaw(p)) flaw = p;
     else if (p.kind === 'head') head = p.head;
     else if (head === null) break;
@@ -53,9 +55,10 @@
 };
 
 /** Every file, read through and checked. */
-export const check = async (files: Files): Promise<Checked[]> => {
-  const out: Checked[] = [];
-  for (const f of named(await files.list())) out.push(readOne(f, await files.read(f.name), () => undefined));
+export const check = async (files: Files): Promise<CheckedFile[]> => {
+  const out: CheckedFile[] = [];
+  for (const f of parseNames(await files.list()))
+    out.push(checkFile(f, await files.read(f.name), () => undefined));
   return out;
 };
 
@@ -64,12 +67,12 @@
  * a flaw is used, and none after one that has a flaw unless a whole base follows it.
  */
 export const load = async (files: Files): Promise<Content | null> => {
-  const all = named(await files.list());
+  const all = parseNames(await files.list());
   const bases = all.filter((f) => f.kind === 'base').reverse();
   for (const base of bases) {
     const entries = new Map<string, Entry>();
-    const read: Checked[] = [];
-    const first = readOne(base, await files.read(base.name), (e) => entries.set(e.key, e));
+    const read: CheckedFile[] = [];
+    const first = checkFile(base, await files.read(base.name), (e) => entries.set(e.key, e));
     read.push(first);
     if (!first.usable || first.head === null) continue;
     const { head } = first;
@@ -78,10 +81,10 @@
     const gone = new Map<string, number>();
     for (const j of all.filter((f) => f.kind === 'journal' && f.number >= base.number)) {
       const rows: Entry[] = [];
-      const checked = readOne(j, await files.read(j.name), (e) => rows.push(e));
+      const checked = checkFile(j, await files.read(j.name), (e) => rows.push(e));
       read.push(checked);
       if (!checked.usable || checked.head?.incarnation !== head.incarnation) break;
-      // Changes were dropped before it: what follows would stand on nothing.
+      // Changes were dropped before it, so it does not follow on what was read so far.
       if (j.number > base.number && !checked.head.continues) break;
       for (const e of rows) {
         revision = Math.max(revision, e.stamp);
@@ -95,19 +98,20 @@
       }
       if (checked.flaw !== null) break;
     }
-    // Read while changes went on, it shows some of them; the journal that has them all ends before.
+    // The base was read while changes went on and shows some of them; the journal ends before it has them all.
     if (revision < first.last) continue;
     return { incarnation: head.incarnation, generation: head.generation, revision, entries, files: read };
   }
   return null;
 };
 
+/** A key whose values differ; null: the key is missing on that side. */
 export interface Difference {
   readonly key: string;
   readonly left: Entry | null;
   readonly right: Entry | null;
 }
-/** Keys that two contents have otherwise, in key order. */
+/** The keys whose values differ between two contents, in key order. */
 export const differences = (a: Content, b: Content): Difference[] => {
   const keys = [...new Set([...a.entries.keys(), ...b.entries.keys()])].sort();
   return keys.flatMap((key) => {
--- a/packages/snapshot/src/writer.ts
+++ b/packages/snapshot/src/writer.ts
@@ -1,10 +1,10 @@
 /**
- * Writes a base and, beside and after it, a journal of changes. Whoever hands changes over never waits: they go into a
- * bounded queue, and what does not fit begins a new base instead of growing it. What was counted as synced is on the disk.
+ * Writes a base and, beside and after it, a journal of changes. The caller that hands changes over never waits: they go into
+ * a bounded queue; when that is full, a new base is begun instead. Whatever `synced` covers is on the disk.
  */
 import type { Files, OpenFile } from './files.js';
 import { endBlock, type Entry, entriesBlock, type Head, headBlock, REACHED, VERSION } from './format.js';
-import { baseName, journalName, named, PART } from './names.js';
+import { baseName, journalName, parseNames, PART } from './names.js';
 
 export interface WriterOptions {
   /** Changes are on the disk so long after they were handed over, at the latest, unless the disk is slower. */
@@ -32,23 +32,25 @@
 }
 /** The store's content in pages, for a base. Whatever changes meanwhile must be handed over as changes too. */
 export type Source = () => AsyncIterable<SourcePage>;
-export interface Life {
+/** Which incarnation of the store's data a snapshot is of, as the files' heads name it. */
+export interface StoreIncarnation {
   readonly incarnation: string;
   readonly generation: number;
 }
 
-/** How often a base that is read waits for its journal. */
+/** How often a base that has been read waits for its journal to catch up, `syncMs` each time. */
 const CATCH_UP = 50;
 
+/** Writes one directory's snapshot; `run` does the work, `changes` and `begin` hand over what there is. */
 export class SnapshotWriter {
   private queue: Entry[] = [];
   private file: OpenFile | null = null;
   private blocks = 0;
   private bytes = 0;
   private number = 0;
-  private life: Life | null = null;
+  private incarnation: StoreIncarnation | null = null;
   /** A base must be written: there is none, changes were dropped, or the journal is large. */
-  private wanted = true;
+  private baseWanted = true;
   private writing = false;
   private closed = false;
   /** The journal may have a hole: it goes on with the next base only. */
@@ -56,55 +58,56 @@
   /** Revision up to which everything handed over is on the disk. */
   synced = -1;
   private last = -1;
-  /** What is written to the journal, one after the other; see `inTurn`. */
-  private turn: Promise<unknown> = Promise.resolve();
+  /** The journal's writes, one after the other; see `serialize`. */
+  private serialized: Promise<unknown> = Promise.resolve();
 
   constructor(
     private readonly files: Files,
-    private readonly o: WriterOptions,
+    private readonly options: WriterOptions,
   ) {}
 
-  /** Hands changes over, at once. */
+  /** Hands changes over; returns at once. */
   changes(entries: readonly Entry[]): void {
     if (this.closed || entries.length === 0) return;
-    if (this.queue.length + entries.length > this.o.queue) {
-      if (!this.broken) this.o.say('behind', `${this.queue.length} changes wait for the disk`);
+    if (this.queue.length + entries.length > this.options.queue) {
+      if (!this.broken) this.options.say('behind', `${this.queue.length} changes wait for the disk`);
       this.queue = [];
       this.broken = true;
-      this.wanted = true;
+      this.baseWanted = true;
       return;
     }
     this.queue.push(...entries);
   }
 
-  /** The store has begun another life: what is on the disk is of the one before, and is kept until a base is whole. */
-  begin(life: Life): void {
-    this.life = life;
+  /** Another incarnation of the store has begun: files of the one before are kept until a base of this one is complete. */
+  begin(incarnation: StoreIncarnation): void {
+    this.incarnation = incarnation;
     this.queue = [];
     this.broken = true;
-    this.wanted = true;
+    this.baseWanted = true;
   }
 
+  /** A base is wanted and none is being written. */
   needsBase(): boolean {
-    return this.wanted && !this.writing && !this.closed && this.life !== null;
+    return this.baseWanted && !this.writing && !this.closed && this.incarnation !== null;
   }
 
   /** Writes a base; the journal for what comes meanwhile is begun before the source is first read. */
   async base(source: Source): Promise<void> {
-    const { life } = this;
-    if (life === null || this.writing) return;
+    const { incarnation } = this;
+    if (incarnation === null || this.writing) return;
     this.writing = true;
     try {
-      const numbers = named(await this.files.list()).map((f) => f.number);
+      const numbers = parseNames(await this.files.list()).map((f) => f.number);
       this.number = Math.max(this.number, ...numbers, 0) + 1;
       const n = this.number;
       const head: Head = {
         version: VERSION,
         kind: 'journal',
-        ...life,
-        revision: this.o.revision(),
+        ...incarnation,
+        revision: this.options.revision(),
         continues: !this.broken,
-        at: this.o.now(),
+        at: this.options.now(),
       };
       await this.flush();
       await this.stopJournal();
@@ -117,7 +120,7 @@
       this.bytes = first.length;
       // From here on nothing is dropped, or this base is for nothing.
       this.broken = false;
-      this.wanted = false;
+      this.baseWanted = false;
       const part = baseName(n) + PART;
       await this.files.remove(part);
       const base = await this.files.create(part);
@@ -135,43 +138,44 @@
       await base.sync();
       await base.close();
       // The base shows changes of the time it was read in: it is whole only once the journal has them all.
-      for (let i = 0; i < CATCH_UP && this.o.revision() < revision; i++) await this.o.sleep(this.o.syncMs);
-      const reached = this.o.revision();
+      for (let i = 0; i < CATCH_UP && this.options.revision() < revision; i++)
+        await this.options.sleep(this.options.syncMs);
+      const reached = this.options.revision();
       await this.flush();
-      await this.inTurn(async () => {
+      await this.serialize(async () => {
         if (this.broken || reached < revision) return;
         await journal.append(entriesBlock(this.blocks++, [{ key: REACHED, value: null, stamp: reached }]));
         await journal.sync();
       });
-      if (this.broken || this.life !== life || reached < revision) {
-        this.wanted = true;
+      if (this.broken || this.incarnation !== incarnation || reached < revision) {
+        this.baseWanted = true;
         await this.files.remove(part);
         return;
       }
       await this.files.rename(part, baseName(n));
-      this.o.say('base', `${baseName(n)}: ${count} entries`);
-      await this.retire();
+      this.options.say('base', `${baseName(n)}: ${count} entries`);
+      await this.removeOld();
     } catch (e) {
-      this.wanted = true;
-      this.o.say('failed', (e as Error).message);
+      this.baseWanted = true;
+      this.options.say('failed', (e as Error).message);
     } finally {
       this.writing = false;
     }
   }
 
   /**
-   * A base and the writer's duty both flush: two blocks under one number, and whoever reads the journal finds the second
-   * one damaged, and all after it.
+   * Runs the journal's writes one after the other. A base and `run` both flush: without this, two blocks could get one
+   * number, and a reader would take the second one, and all after it, for damaged.
    */
-  private inTurn(go: () => Promise<void>): Promise<void> {
-    const done = this.turn.then(go);
-    this.turn = done.catch(() => undefined);
+  private serialize(go: () => Promise<void>): Promise<void> {
+    const done = this.serialized.then(go);
+    this.serialized = done.catch(() => undefined);
     return done;
   }
 
   /** Writes and syncs what waits; called again and again. */
   flush(): Promise<void> {
-    return this.inTurn(() => this.write());
+    return this.serialize(() => this.write());
   }
 
   private async write(): Promise<void> {
@@ -183,49 +187,50 @@
       const block = entriesBlock(this.blocks, batch);
       await file.append(block);
       await file.sync();
-      // Another file by now: what this one has is as it is.
+      // Another journal has been begun: this one stays as it is.
       if (this.file !== file) return;
       this.blocks++;
       this.bytes += block.length;
       this.last = Math.max(this.last, ...batch.map((e) => e.stamp));
       this.synced = this.last;
-      if (this.bytes > this.o.journalBytes) this.wanted = true;
+      if (this.bytes > this.options.journalBytes) this.baseWanted = true;
     } catch (e) {
       // Perhaps half a block stands there: nothing may follow it.
       this.broken = true;
-      this.wanted = true;
-      this.o.say('failed', (e as Error).message);
+      this.baseWanted = true;
+      this.options.say('failed', (e as Error).message);
     }
   }
 
-  /** The writer's duty: flushes, and writes bases when they are wanted. Ends once closed. */
+  /** Flushes, and writes bases when they are wanted. Ends once closed. */
   async run(source: Source): Promise<void> {
     let wait = 1000;
     let base: Promise<void> | null = null;
     let next = 0;
     while (!this.closed) {
       await this.flush();
-      if (base === null && this.needsBase() && this.o.now() >= next) {
+      if (base === null && this.needsBase() && this.options.now() >= next) {
         base = this.base(source).then(() => {
           base = null;
           // A disk that is full now is full a second later, too.
-          wait = this.wanted ? Math.min(60_000, wait * 2) : 1000;
-          next = this.wanted ? this.o.now() + wait : 0;
+          wait = this.baseWanted ? Math.min(60_000, wait * 2) : 1000;
+          next = this.baseWanted ? this.options.now() + wait : 0;
         });
       }
-      await this.o.sleep(this.o.syncMs);
+      await this.options.sleep(this.options.syncMs);
     }
     await base;
     await this.flush();
     await this.stopJournal();
   }
 
+  /** Makes `run` flush and end. */
   close(): void {
     this.closed = true;
   }
 
   private stopJournal(): Promise<void> {
-    return this.inTurn(async () => {
+    return this.serialize(async () => {
       const { file } = this;
       this.file = null;
       await file?.close().catch(() => undefined);
@@ -233,23 +238,23 @@
   }
 
   /** Removes what is neither among the bases to keep nor needed to go on from one of them. */
-  private async retire(): Promise<void> {
-    const all = named(await this.files.list());
+  private async removeOld(): Promise<void> {
+    const all = parseNames(await this.files.list());
     const bases = all.filter((f) => f.kind === 'base').map((f) => f.number);
-    const kept = bases.slice(-this.o.keep);
+    const kept = bases.slice(-this.options.keep);
     const oldest = kept[0] ?? 0;
     for (const f of all) {
       if (f.number >= oldest) continue;
       await this.files.remove(f.name);
-      this.o.say('removed', f.name);
+      this.options.say('removed', f.name);
     }
     // Older ones than the age allows, but never the newest.
     for (const number of kept.slice(0, -1)) {
       const head = (await this.files.read(baseName(number))).subarray(13, 400).toString('latin1');
-      const at = Number(/"at":(\d+)/.exec(head)?.[1] ?? this.o.now());
-      if (this.o.now() - at <= this.o.maxAgeMs) continue;
+      const at = Number(/"at":(\d+)/.exec(head)?.[1] ?? this.options.now());
+      if (this.options.now() - at <= this.options.maxAgeMs) continue;
       for (const name of [baseName(number), journalName(number)]) await this.files.remove(name);
-      this.o.say('removed', baseName(number));
+      this.options.say('removed', baseName(number));
     }
   }
 }
--- a/packages/snapshot/test/snapshot.test.ts
+++ b/packages/snapshot/test/snapshot.test.ts
@@ -5,7 +5,7 @@
 import { join } from 'node:path';
 import { test } from 'node:test';
 import { DiskFiles, type Files, type OpenFile } from '../src/files.js';
-import { type Entry, entriesBlock, headBlock, isFlaw, parts, VERSION } from '../src/format.js';
+import { type Entry, entriesBlock, headBlock, isFlaw, readParts, VERSION } from '../src/format.js';
 import { baseName, journalName } from '../src/names.js';
 import { check, differences, load } from '../src/read.js';
 import { SnapshotWriter, type SourcePage, type WriterOptions } from '../src/writer.js';
@@ -180,14 +180,14 @@
   for (let at = 0; at < file.length; at++) {
     const bad = Buffer.from(file);
     bad[at] = bad[at]! ^ 4;
-    const read = [...parts(bad)];
+    const read = [...readParts(bad)];
     const flaw = read.find(isFlaw)!;
     const hit = ends.findIndex((e) => at < e);
     assert.equal(flaw.block, hit, `byte ${at}`);
     assert.equal(read.length, hit + 1);
   }
   const swapped = Buffer.concat([blocks[0]!, blocks[2]!, blocks[1]!]);
-  assert.match([...parts(swapped)].filter(isFlaw)[0]!.reason, /not its place/);
+  assert.match([...readParts(swapped)].filter(isFlaw)[0]!.reason, /not its place/);
   const newer = headBlock({
     version: VERSION + 1,
     kind: 'journal',
@@ -196,7 +196,7 @@
     continues: true,
     at: 1,
   });
-  assert.match([...parts(newer)].filter(isFlaw)[0]!.reason, /version/);
+  assert.match([...readParts(newer)].filter(isFlaw)[0]!.reason, /version/);
 });
 
 test('a full disk is said once, never thrown at the caller, and a later base makes it good', async () => {
