--- a/packages/controller/src/leadership/peers.ts
+++ b/packages/controller/src/leadership/peers.ts
@@ -119,8 +119,8 @@
   behind(incarnation: string, revision: number): Peer[] {
     return this.settings.peers.filter((p) => {
       if (!this.isReachable(p.label)) return false;
-      const life = this.responses.get(p.label)?.heartbeat.store;
-      return life?.incarnation !== incarnation || life.viewRevision < revision;
+      const store = this.responses.get(p.label)?.heartbeat.store;
+      return store?.incarnation !== incarnation || store.viewRevision < revision;
     });
   }
 
@@ -193,11 +193,11 @@
     const { peers, nodes } = this.settings;
     if (peers.length < nodes - 1) return Number.NEGATIVE_INFINITY;
     const said = peers.map((p): PeerKnowledge | null => {
-      const h = this.responses.get(p.label);
-      const life = h?.heartbeat.store;
-      if (!h?.heartbeat.viewLoaded || !life) return null;
-      const revision = Math.max(life.highestRevision, life.viewRevision);
-      return { asked: h.asked, incarnation: life.incarnation, revision };
+      const response = this.responses.get(p.label);
+      const store = response?.heartbeat.store;
+      if (!response?.heartbeat.viewLoaded || !store) return null;
+      const revision = Math.max(store.highestRevision, store.viewRevision);
+      return { asked: response.asked, incarnation: store.incarnation, revision };
     });
     return Math.min(this.clock(), unchangedSince(said, incarnation, revision));
   }
--- a/packages/controller/src/recovery/detection-task.ts
+++ b/packages/controller/src/recovery/detection-task.ts
@@ -54,11 +54,11 @@
 
 /** One short look at the store. */
 const probeStore = (raw: StatePort): Effect.Effect<Probe, StateFailure> =>
-  Effect.map(Effect.all([raw.page(STORE_STATUS, null, 1000), raw.page(TERM, null, 1)]), ([life, term]) => ({
-    incarnations: life.entries
+  Effect.map(Effect.all([raw.page(STORE_STATUS, null, 1000), raw.page(TERM, null, 1)]), ([status, term]) => ({
+    incarnations: status.entries
       .filter((e) => e.key.startsWith(INCARNATION))
       .map((e) => incarnationOf(e.key.slice(INCARNATION.length), e.value, e.stamp)),
-    revision: Math.min(life.revision, term.revision),
+    revision: Math.min(status.revision, term.revision),
     term: (term.entries[0]?.value as { term?: number } | undefined)?.term ?? 0,
   }));
 
--- a/packages/controller/src/recovery/guarded-store.ts
+++ b/packages/controller/src/recovery/guarded-store.ts
@@ -48,11 +48,11 @@
       const fence = this.lossDetector.fence();
       if (this.lossDetector.suspected || fence === null) return Effect.fail(dataLossSuspected);
       const floor = this.lossDetector.revisionFloor();
-      const { incarnationCount: life } = this.lossDetector;
+      const { incarnationCount } = this.lossDetector;
       const asked = this.clock();
       return this.unguardedStore.transact([...when, fence], then, priority, timeoutMs).pipe(
         Effect.flatMap((o): Effect.Effect<Outcome, StateFailure> => {
-          if (this.lossDetector.incarnationCount !== life)
+          if (this.lossDetector.incarnationCount !== incarnationCount)
             return Effect.fail(new NoAnswer({ reason: dataLossSuspected.reason }));
           const sound = this.lossDetector.acceptRevision(
             o.revision,
@@ -120,10 +120,10 @@
     return Effect.suspend(() => {
       if (this.lossDetector.suspected) return Effect.fail(dataLossSuspected);
       const floor = this.lossDetector.revisionFloor();
-      const { incarnationCount: life } = this.lossDetector;
+      const { incarnationCount } = this.lossDetector;
       return ask().pipe(
         Effect.flatMap((a) => {
-          if (this.lossDetector.incarnationCount !== life) return Effect.fail(dataLossSuspected);
+          if (this.lossDetector.incarnationCount !== incarnationCount) return Effect.fail(dataLossSuspected);
           const revision = revisionOf(a);
           if (revision !== null) this.lossDetector.acceptRevision(revision, floor);
           return this.lossDetector.suspected ? Effect.fail(dataLossSuspected) : Effect.succeed(a);
--- a/packages/controller/src/recovery/pre-loss-views.ts
+++ b/packages/controller/src/recovery/pre-loss-views.ts
@@ -26,8 +26,8 @@
   private count = 0;
 
   /**
-   * `life`: a name that no other process has, nor an earlier one of this controller. A late `durable` message names the
-   * views of the process that was asked; by it another one's must not be forgotten.
+   * `processId`: a name that no other process has, nor an earlier one of this controller: a late `durable` message names the
+   * views of the process that was asked, and must not make another process forget its own.
    */
   constructor(private readonly processId: string) {}
 
--- a/packages/controller/test/answer-lost.test.ts
+++ b/packages/controller/test/answer-lost.test.ts
@@ -42,10 +42,10 @@
 import type { StateFailure, Write } from '../src/state-store/client.js';
 import { hintWriter } from '../src/state-store/hint.js';
 import type { StatePort } from '../src/state-store/port.js';
-import { body, calm, controller, fresh, HEAD, kept, S, Service, SETTINGS, Time } from './support/late-store.js'; // prettier-ignore
+import { body, singleController, controller, fresh, HEAD, kept, S, Service, SETTINGS, Time } from './support/late-store.js'; // prettier-ignore
 import { Luck } from './support/random-source.js';
 
-type Calm = ReturnType<typeof calm>;
+type SingleController = ReturnType<typeof singleController>;
 const sets =
   (prefix: string) =>
   (then: readonly Write[]): boolean =>
@@ -60,7 +60,7 @@
   readonly match: (then: readonly Write[]) => boolean;
   readonly more?: readonly Write[];
   /** What its sender does; what comes of it is what it says. */
-  readonly act: (c: Calm) => Effect.Effect<unknown, unknown>;
+  readonly act: (c: SingleController) => Effect.Effect<unknown, unknown>;
   /** What the store has of it in the end. */
   readonly key: string;
   /** Hints: an equal value twice changes nothing. */
@@ -74,11 +74,11 @@
     status < 202,
     (JSON.parse(b.toString()) as { status?: string }).status,
   ]);
-const start = (c: Calm) =>
+const start = (c: SingleController) =>
   Effect.suspend(() =>
     commit(c.turn, [{ job: c.node.jobState.jobs.get(JOB)!, attempt: 7, on: new Map([['m', [0]]]) }]),
   );
-const end = (c: Calm, how: 'done' | 'gone') =>
+const end = (c: SingleController, how: 'done' | 'gone') =>
   Effect.suspend(() => {
     const ends = { done: new Set<number>(), gone: new Set<number>(), failed: new Set<number>() };
     ends[how].add(0);
@@ -108,7 +108,7 @@
   ...paged.pages.map((p) => ({ set: p.key, value: p.value })),
   { set: CALENDAR_HEAD, value: paged.head },
 ];
-const ward: Write = { set: orphanedJobKey(JOB), value: { since: 1e12, tasks: 3 } };
+const orphaned: Write = { set: orphanedJobKey(JOB), value: { since: 1e12, tasks: 3 } };
 /** An operator's command: should it fail, it is given once more. */
 const twice = <A, E>(what: Effect.Effect<A, E>): Effect.Effect<A, E> => Effect.retry(what, { times: 1 });
 const content = {
@@ -126,7 +126,7 @@
     act: ({ node }) => said(node.users.withdraw(JOB)),
   },
   {
-    ...{ kind: 'withdrawal of a ward', match: sets(FINAL), more: [ward], key: FINAL },
+    ...{ kind: 'withdrawal of an orphaned job', match: sets(FINAL), more: [orphaned], key: FINAL },
     act: ({ node }) => said(node.users.withdraw(JOB)),
   },
   {
@@ -171,14 +171,14 @@
     act: (c) => times(2, Effect.zipRight(Effect.ignore(writePage(c.turn)), c.node.watcher.refresh)),
   },
   {
-    ...{ kind: 'ward', match: sets(ORPHANED_JOB), key: ORPHANED_JOB },
+    ...{ kind: 'orphaned job', match: sets(ORPHANED_JOB), key: ORPHANED_JOB },
     act: (c) => {
       c.turn.registry.unknownJobs.set(JOB, new Set(['0@m']));
       return Effect.zipRight(times(2, reconcileOrphanedJobs(c.turn)), said(c.node.users.poll(JOB)));
     },
   },
   {
-    ...{ kind: 'calm', match: sets(QUIESCENT), key: QUIESCENT, times: 2 },
+    ...{ kind: 'quiescent', match: sets(QUIESCENT), key: QUIESCENT, times: 2 },
     act: (c) => declareMilestone(c.turn as never, QUIESCENT),
   },
   {
@@ -208,7 +208,7 @@
 /** Plays a row; `heard`: with no answer lost. */
 const play = (row: Row, heard: boolean) => {
   const told: JobEvidence[] = [];
-  const c = calm(row.more, (f) => Effect.sync(() => void told.push(f)));
+  const c = singleController(row.more, (f) => Effect.sync(() => void told.push(f)));
   const { service, time, node } = c;
   const other = controller(time, service, 1);
   c.go(other.watcher.refresh);
@@ -240,7 +240,7 @@
   );
   // A hint may be written twice; nothing else is.
   assert.equal(applied, heard ? 1 : (row.times ?? 1), `${row.kind} was carried out ${applied} times`);
-  assert.ok(!node.lossDetector.suspected, `${row.kind}: the store is doubted`);
+  assert.ok(!node.lossDetector.suspected, `${row.kind}: a data loss is suspected`);
   const store = service.entries(row.key).map((e) => [e.key, e.value]);
   return { store, says, lost, asked, told: told.map((f) => f.id) };
 };
@@ -437,7 +437,7 @@
 
 test('an acceptance or withdrawal whose answer was lost is told to the others before its user', () => {
   const told: JobEvidence[] = [];
-  const c = calm([], (f) => Effect.sync(() => void told.push(f)));
+  const c = singleController([], (f) => Effect.sync(() => void told.push(f)));
   let lost = 0;
   c.service.unheard = () => ++lost % 2 === 1;
   c.go(Effect.map(said(c.node.users.submit(submitted)), (s) => assert.deepEqual(s, [true, 'pending'])));
--- a/packages/controller/test/contacts.test.ts
+++ b/packages/controller/test/contacts.test.ts
@@ -1,4 +1,4 @@
-/** When a leader gives way because workers don't reach it. */
+/** When a leader steps down because workers don't reach it, and what peers tell each other. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Effect, Fiber } from 'effect';
@@ -18,7 +18,7 @@
   return c;
 };
 /** First moment at which it says so, asked every half second for twelve; null: never. */
-const givesWay = (
+const stepsDownAfter = (
   c: Contacts,
   peers: (at: Micros) => { node: string; contacts: number }[],
 ): number | null => {
@@ -28,23 +28,23 @@
 };
 
 // A leader that reached the state service and no worker kept the lead until every lease had run out.
-test('a leader that workers no longer reach gives way to a peer they do reach, within their leases', () => {
-  const at = givesWay(heardBy(40), () => [{ node: 'n1', contacts: 30 }]);
+test('a leader that workers no longer reach steps down for a peer they do reach, within their leases', () => {
+  const at = stepsDownAfter(heardBy(40), () => [{ node: 'n1', contacts: 30 }]);
   assert.ok(at !== null && at > 4 && at < 8, `${at}`);
 });
 
-test('nobody gives way where all are cut off alike, or none is, or workers fall silent for everybody', () => {
+test('no leader steps down where all are cut off alike, or none is, or workers fall silent for everybody', () => {
   assert.equal(
-    givesWay(heardBy(40), () => []),
+    stepsDownAfter(heardBy(40), () => []),
     null,
   );
   assert.equal(
-    givesWay(heardBy(40), () => [{ node: 'n1', contacts: 1 }]),
+    stepsDownAfter(heardBy(40), () => [{ node: 'n1', contacts: 1 }]),
     null,
   );
-  // What the peer says is a beat old.
+  // What the peer says is one heartbeat old.
   assert.equal(
-    givesWay(heardBy(40), (at) => [{ node: 'n1', contacts: at < seconds(5.5) ? 40 : 0 }]),
+    stepsDownAfter(heardBy(40), (at) => [{ node: 'n1', contacts: at < seconds(5.5) ? 40 : 0 }]),
     null,
   );
   const heard = heardBy(0);
@@ -52,19 +52,19 @@
     for (let i = 0; i < 40; i++) heard.recordContact(`vm-${i}`, at);
     return [{ node: 'n1', contacts: 40 }];
   };
-  assert.equal(givesWay(heard, all), null);
+  assert.equal(stepsDownAfter(heard, all), null);
 });
 
-test('who gives way again stays away for longer each time, until it is long ago', () => {
+test('the backoff after stepping down doubles each time, up to a limit, and is reset after a while', () => {
   const c = heardBy(0);
   const times = [0, 60, 120, 180, 240, 900].map((s) => c.backoff(seconds(s)) / 1e6);
   assert.deepEqual(times, [20, 40, 80, 160, 160, 20]);
 });
 
-// A malformed beat once ended the connection's request with a defect, and an answer like it the duty.
-test('what is no beat is passed over, whatever it is', () => {
-  const beat = { from: 'n1', term: 3, served: true, loaded: true, contacts: 4 };
-  assert.deepEqual(decodePeerHeartbeat(Buffer.from(pack(beat))), {
+// A malformed heartbeat once ended the connection's request with a defect, and a response like it the task.
+test('what is no heartbeat is ignored, whatever it is', () => {
+  const heartbeat = { from: 'n1', term: 3, served: true, loaded: true, contacts: 4 };
+  assert.deepEqual(decodePeerHeartbeat(Buffer.from(pack(heartbeat))), {
     ...{ from: 'n1', term: 3, servedByStore: true, viewLoaded: true, reachableWorkers: 4 },
     ...{ store: null, hasPreLossViews: false },
   });
@@ -73,43 +73,43 @@
     7,
     [],
     {},
-    { ...beat, term: 'x' },
-    { ...beat, term: 2 ** 60 },
-    { ...beat, news: 1 },
+    { ...heartbeat, term: 'x' },
+    { ...heartbeat, term: 2 ** 60 },
+    { ...heartbeat, news: 1 },
   ];
   for (const b of bad) assert.equal(decodePeerHeartbeat(Buffer.from(pack(b))), null, JSON.stringify(b));
-  const whole = Buffer.from(pack(beat));
+  const whole = Buffer.from(pack(heartbeat));
   for (const cut of [0, 1, 5, whole.length - 1])
     assert.equal(decodePeerHeartbeat(whole.subarray(0, cut)), null);
   assert.equal(decodePeerHeartbeat(Buffer.from([0xc1, 0xff, 0x00])), null);
 });
 
-// Users that reached a leader cut from all others stayed with it, and got 503 for as long as the cut lasted.
-test('a controller is alone when no other has answered it lately, and only where there are others', async () => {
+// Users that reached a leader cut off from all others stayed with it, and got 503 for as long as the cut lasted.
+test('a controller is isolated when no other has answered it lately, and only where there are others', async () => {
   let at = ZERO;
   let silent = false;
-  const beat: PeerHeartbeat = {
+  const heartbeat: PeerHeartbeat = {
     ...{ from: 'n1', term: 1, servedByStore: true, viewLoaded: true, reachableWorkers: 0 },
     ...{ store: null, hasPreLossViews: false },
   };
   const port = {
-    exchange: () => (silent ? Effect.fail(new NoAnswer({ reason: 'timeout' })) : Effect.succeed(beat)),
+    exchange: () => (silent ? Effect.fail(new NoAnswer({ reason: 'timeout' })) : Effect.succeed(heartbeat)),
   };
   const of = (settings: Settings): Peers =>
     new Peers(
       settings,
       port,
-      () => beat,
+      () => heartbeat,
       () => at,
     );
   const one = of(worldSettings('n0', { peers: [] }));
   const peers = of(worldSettings('n0', { peers: [{ label: 'n1', zone: 'a', address: '' }] }));
   assert.deepEqual([one.isolated(), peers.isolated()], [false, true]);
-  const beats = Effect.runFork(peers.run);
+  const exchanges = Effect.runFork(peers.run);
   await new Promise((go) => setTimeout(go, 50));
   assert.equal(peers.isolated(), false);
   silent = true;
   at = seconds(4);
   assert.equal(peers.isolated(), true);
-  await Effect.runPromise(Fiber.interrupt(beats));
+  await Effect.runPromise(Fiber.interrupt(exchanges));
 });
--- a/packages/controller/test/data-loss-detector.test.ts
+++ b/packages/controller/test/data-loss-detector.test.ts
@@ -29,7 +29,7 @@
   ...over,
 });
 
-test('a store that shows what was known, or more, is restored; one that shows less is lost once looks agree', () => {
+test('a store that shows what was known, or more, is intact; one that shows less is lost once probes agree', () => {
   assert.equal(verdictOf(known, [probe()], 3), 'intact');
   assert.equal(verdictOf(known, [probe({ revision: 180, term: 5 })], 3), 'intact');
   const empty = probe({ incarnations: [], revision: 0, term: 0 });
@@ -43,18 +43,18 @@
 });
 
 // Two copies that answer in turn, one of them older, are no loss: a rebuild would fork what the newer one has.
-test('looks that go to and fro never agree on a loss', () => {
+test('probes whose revisions go back and forth never agree on a loss', () => {
   const older = probe({ revision: 60 });
-  const looks: Probe[] = [];
+  const probes: Probe[] = [];
   for (let i = 0; i < 40; i++) {
-    looks.push(i % 2 === 0 ? older : probe());
-    assert.notEqual(verdictOf(known, looks, 3), 'lost');
+    probes.push(i % 2 === 0 ? older : probe());
+    assert.notEqual(verdictOf(known, probes, 3), 'lost');
   }
   const back = [probe({ revision: 70 }), probe({ revision: 60 })];
   assert.equal(verdictOf(known, [...back, ...back, ...back], 3), 'undecided');
 });
 
-test('a newer incarnation has been rebuilt by somebody; an older or an equal one is itself a loss', () => {
+test('a newer incarnation was begun by another controller; an older or an equal one is itself a loss', () => {
   const rebuilt = probe({
     incarnations: [{ id: 'two', generation: 1, stamp: 70, termFloor: 0, bornAt: 60 }],
     revision: 75,
@@ -73,7 +73,7 @@
   assert.equal(verdictOf({ ...none, generation: 2 }, [rebuilt, rebuilt, rebuilt], 3), 'lost');
 });
 
-test('answers are held against what was known when they were asked for', () => {
+test('answers are compared with what was known when they were asked for', () => {
   const lossDetector = new DataLossDetector(
     () => at(5),
     () => 7,
@@ -116,7 +116,7 @@
 
 // Every controller had ended with the store: its first term was 1 once more, workers took it for the old one's, and what
 // they ran was stopped as unknown.
-test("a worker's token from before the store's first start proves that an earlier life was lost", () => {
+test("a worker's token from before the store's first start proves that an earlier store was lost", () => {
   const fresh = (base: number, generation = 0): DataLossDetector => {
     const d = new DataLossDetector(
       () => at(1),
@@ -205,7 +205,7 @@
   const i: Incarnation = { ...first, bornAt: 1000 };
   const early = attemptFloor(i, null, 1000.4);
   assert.equal(early, 0, 'small at first');
-  // A reign of 100 s, with a record in each of its turns; then the store comes back as it was before that reign.
+  // A term of 100 s, with a log entry in each of its cycles; then the store comes back as it was before that term.
   const used = early + 400;
   assert.ok(attemptFloor(i, early, 1100) > used);
   assert.ok(attemptFloor(i, null, 1100) > used, 'what is known of terms is lost too');
--- a/packages/controller/test/draft.test.ts
+++ b/packages/controller/test/draft.test.ts
@@ -10,7 +10,7 @@
 import type { Start } from '../src/scheduler/model.js';
 import type { CycleContext } from '../src/scheduler/cycle-context.js';
 import type { Condition, Write } from '../src/state-store/client.js';
-import { calm, fresh, kept, SETTINGS } from './support/late-store.js';
+import { singleController, fresh, kept, SETTINGS } from './support/late-store.js';
 import { Luck } from './support/random-source.js';
 
 type StateLimits = (typeof SETTINGS)['state'];
@@ -64,7 +64,7 @@
 
 /** The turn of a controller that leads, and every transaction that it sends. */
 const leading = (jobs: readonly Job[], state: StateLimits) => {
-  const c = calm(jobs.map(kept));
+  const c = singleController(jobs.map(kept));
   const sent: Sent[] = [];
   const { store } = c.turn;
   const spy = Object.create(store) as typeof store;
--- a/packages/controller/test/late-writes.test.ts
+++ b/packages/controller/test/late-writes.test.ts
@@ -36,7 +36,7 @@
 import { Luck } from './support/random-source.js';
 import {
   body,
-  calm,
+  singleController,
   controller,
   fresh,
   HEAD,
@@ -172,7 +172,7 @@
       }
     });
 
-  /** A reign: starts what waits, ends what runs, tidies up beside it. */
+  /** One term as leader: starts what waits, ends what runs, tidies up beside it. */
   const lead = (t: CycleContext) =>
     Effect.gen(function* () {
       yield* Effect.fork(
@@ -241,7 +241,7 @@
   service.trouble = false;
   time.run(1e12 + 170 * S);
   look();
-  for (const n of nodes) must(!n.lossDetector.suspected, 'the store is doubted');
+  for (const n of nodes) must(!n.lossDetector.suspected, 'a data loss is suspected');
   for (const id of truth.keys()) {
     must(over.has(id), `${id} is not over`);
     if (['done', 'aborted'].includes(told.get(id)!))
@@ -273,7 +273,7 @@
 // A record hangs on the one before it. The first one has none: a copy of it, minutes late, found it folded and gone, and
 // came back as a record with a gap behind it, which a controller that reads anew takes for a loss.
 test('copies of the first record and of the first folding change nothing once others have followed', () => {
-  const { service, node, go, turn } = calm([kept(fresh('job-1')), kept(fresh('job-2'))]);
+  const { service, node, go, turn } = singleController([kept(fresh('job-1')), kept(fresh('job-2'))]);
   for (const id of ['job-1', 'job-2']) {
     const gone = Effect.sync(() => turn.registry.ends.set(id, { done: new Set(), gone: new Set([0]), failed: new Set() })); // prettier-ignore
     for (let n = 0; n < 6; n++) go(Effect.zipRight(gone, commit(turn, [])));
@@ -290,7 +290,7 @@
 
 // Folding waits for its part of the budget, and writes a job's key as it was: cancelled, its last task still running.
 test('a cancelled job whose last task completes while its key is folded stays cancelled', () => {
-  const { service, node, go, turn } = calm([kept(fresh('job-1')), kept(fresh('job-2'))]);
+  const { service, node, go, turn } = singleController([kept(fresh('job-1')), kept(fresh('job-2'))]);
   const one = [...Array(3).keys()];
   go(commit(turn, [{ job: node.jobState.jobs.get('job-1')!, attempt: 1, on: new Map([['m', one]]) }]));
   const ends = (id: string, done: number[], gone: number[]): void =>
@@ -322,7 +322,7 @@
 });
 
 test('a key that somebody has changed is no lost key when the read that would show it fails', () => {
-  const { service, node, go, turn } = calm([kept(fresh('job-1'))]);
+  const { service, node, go, turn } = singleController([kept(fresh('job-1'))]);
   service.transact([], [kept(fresh('job-1', { withdrawn: true }))]);
   service.deaf = true;
   go(commit(turn, [{ job: node.jobState.jobs.get('job-1')!, attempt: 1, on: new Map([['m', [0]]]) }]));
@@ -369,7 +369,7 @@
 test('an acceptance that arrives after a rebuild has found the job changes nothing of it', () => {
   const state = { attempt: 4, done: new Set([0]), touched: 7 };
   const known = fresh('job-1', state);
-  const { service, node, go, turn } = calm([
+  const { service, node, go, turn } = singleController([
     { set: 's/p/1-0', value: encodePack([known, fresh('job-2', { ...state, withdrawn: true })]) },
   ]);
   service.transact([], [kept(fresh('job-1'))]);
@@ -389,7 +389,7 @@
   }
 });
 
-test('a rebuild that is over is not said to be over again, with accounts of then', () => {
+test('a rebuild that is complete is not recorded as complete again, with the accounts of then', () => {
   const { service, go, r } = rebuilding();
   const { port } = service;
   // The first one that ends it is carried out and not answered.
@@ -410,7 +410,7 @@
   assert.equal(service.keys.get('s/a/now')!.value, 'newer');
 });
 
-test('a job that users may be cancelling by its ward comes back by a key of its own', () => {
+test('an orphaned job that users may be cancelling is restored to a key of its own', () => {
   const { service, go, r } = rebuilding([{ set: orphanedJobKey('job-1'), value: { since: 0, tasks: 3 } }]);
   const g = new GatheredViews();
   const job = fresh('job-1', { attempt: 4, done: new Set([0]), touched: 7 });
@@ -429,7 +429,7 @@
   const at = (n: number): Micros => micros(n * MINUTE);
   const pending = [1, 2].map((n) => ({ from: at(n - 1), to: at(n), rows: new Map() }));
   const [value] = encodeAccounts({ ...NO_ACCOUNTS, upTo: 5, closed: at(2), pending }, 9000);
-  const { service, node, go, turn } = calm([{ set: 's/a/now', value }]);
+  const { service, node, go, turn } = singleController([{ set: 's/a/now', value }]);
   const shares = joinShares([['red', 'x', 7, 1, 0, 1]]);
   for (const p of pending) turn.ledger.closing.set(p.to, { open: new Map(), shares });
   const unheard = Effect.fail(new NoAnswer({ reason: 'timeout' }));
@@ -440,7 +440,7 @@
   assert.deepEqual(pages.map((p) => [p.page.to, ...p.page.shares.values()].slice(0, 2)), pending.map((p) => [p.to, ...shares.values()])); // prettier-ignore
 });
 
-test('a restore that is over does not begin again', () => {
+test('a restore that is complete does not begin again', () => {
   const time = new Time(1);
   const service = new Service(time, new Luck(1));
   service.trouble = false;
--- a/packages/controller/test/link.test.ts
+++ b/packages/controller/test/link.test.ts
@@ -1,4 +1,4 @@
-/** Links between controllers: every question gets its own answer or none, whatever the other side's life does. */
+/** Links between controllers: every request gets its own response or none, whatever happens to the other side. */
 import assert from 'node:assert/strict';
 import * as net from 'node:net';
 import { test } from 'node:test';
@@ -43,7 +43,7 @@
   }
 };
 
-test('answers find their questions in whatever order they come, and a failed one costs the others nothing', async () => {
+test('responses find their requests in whatever order they arrive, and a failed one does not affect the others', async () => {
   const luck = new Luck(7);
   const peer = await peerOn(0);
   const link = new Link(`127.0.0.1:${peer.port}`);
@@ -64,7 +64,7 @@
   await peer.end();
 });
 
-test('a question given up is never answered by what comes late; a peer that ends fails all, its next life answers', async () => {
+test('a request that timed out is never answered by a late response; a peer that ends fails all, its next process answers', async () => {
   const first = await peerOn(0);
   const link = new Link(`127.0.0.1:${first.port}`);
   // The exchange is open before a question is given up on it: on a busy machine that alone took longer.
@@ -84,7 +84,7 @@
   await second.end();
 });
 
-test('what is no message ends its own connection only', async () => {
+test('bytes that are no message end their own connection only', async () => {
   const peer = await peerOn(0);
   const link = new Link(`127.0.0.1:${peer.port}`);
   assert.equal(await ask(link, '/echo', 'a'), '200 a');
--- a/packages/controller/test/read-lease.test.ts
+++ b/packages/controller/test/read-lease.test.ts
@@ -1,4 +1,4 @@
-/** Reports are answered only while no cancellation can be overdue by it, whatever the times of reads, beats and clocks. */
+/** Heartbeats are answered only while that can make no cancellation overdue, whatever the times of reads, peers' heartbeats and clocks. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DRIFT, type Micros, seconds } from '@lilacvalve/runtime/micros';
@@ -109,7 +109,7 @@
   return worst;
 };
 
-test('no answer to a report lets a task of a cancelled job live on, at any drawn times and settings', () => {
+test('no answer to a heartbeat lets a task of a cancelled job run too long, at any drawn times and settings', () => {
   const known: [lease: number, cancel: number][] = [
     [27, 47],
     [11, 36],
@@ -140,7 +140,7 @@
   assert.equal(may(110, seconds(111)), true);
 });
 
-test('what this node wrote counts as known right after its view, and no more once that is left', () => {
+test('what this node wrote counts as known right after its view, and no longer once that view is left', () => {
   const jobState = new JobState();
   jobState.revision = 4;
   const watcher = new StoreWatcher(
--- a/packages/controller/test/rebuild.test.ts
+++ b/packages/controller/test/rebuild.test.ts
@@ -75,7 +75,7 @@
     .map((picks): JobVersion[] => picks.map((i) => ({ generation: 0, revision: i, job: states[i]! }))),
 );
 
-test('joining does not depend on order or on repetition', () => {
+test('merging does not depend on order or on repetition', () => {
   fc.assert(
     fc.property(versions, fc.infiniteStream(fc.nat()), (list, order) => {
       const result = contentOf(mergeVersions(list));
@@ -90,7 +90,7 @@
   );
 });
 
-test('of views of one history the join is the latest: nothing told is lost, nothing that ended runs again', () => {
+test('views of one history merge to the latest: nothing confirmed is lost, nothing that ended runs again', () => {
   fc.assert(
     fc.property(versions, (list) => {
       const merged = mergeVersions(list);
@@ -120,7 +120,7 @@
   assert.deepEqual([...merged.done], [0]);
 });
 
-test('who was told done stays told done, and a cancellation holds against everything but that', () => {
+test('a confirmed end stays, and a cancellation holds against everything but that', () => {
   const open = job('job-1', { tasks: 1 });
   const withdrawn = { ...job('job-1', { tasks: 1 }), withdrawn: true };
   const complete = job('job-1', { tasks: 1 });
@@ -146,7 +146,7 @@
 const versionMap = (...jobs: Job[]): Map<string, JobVersion[]> =>
   new Map(jobs.map((j) => [j.spec.id, [{ generation: 0, revision: 10, job: j }]]));
 
-test('the plan writes what is missing or differs, ends what is over, and leaves the rest alone', () => {
+test('the plan writes what is missing or differs, ends what is final, and leaves the rest alone', () => {
   const same = job('job-1');
   const changed = job('job-2', { tasks: 2 });
   changed.done.add(1);
@@ -216,7 +216,7 @@
   assert.deepEqual([again.missing, again.differing, again.close, again.finals], [[], [], [], []]);
 });
 
-test('only what differs travels between two nodes, in bounded answers', () => {
+test('only what differs is sent between two nodes, in bounded responses', () => {
   const mine = new JobState();
   const theirs = new JobState();
   for (let i = 0; i < 3000; i++) {
@@ -227,8 +227,8 @@
   const extra = job('job-77777', { tasks: 2 });
   theirs.apply({ key: activeKey('job-77777'), value: wire(encodeJob(extra, 0)), stamp: 4000 });
   theirs.apply({ key: finalKey('job-88888'), value: encodeFinal({ status: 'done', tasks: 4 }), stamp: 4001 });
-  const relics = new PreLossViews('n1');
-  relics.add(relics.viewOf(theirs, 0, null));
+  const preLossViews = new PreLossViews('n1');
+  preLossViews.add(preLossViews.viewOf(theirs, 0, null));
   const own = new PreLossViews('n0');
   own.add(own.viewOf(mine, 0, null));
   const nobody = new EvidenceStore({ ask: () => Effect.succeed(Buffer.alloc(0)) }, () => []);
@@ -236,7 +236,9 @@
   const ask = decodeViewRequest(
     encodeViewRequest({ incarnation: 'x', digest: digestOf(merged, []), from: 0 }),
   )!;
-  const answer = decodeViewResponse(encodeViewResponse(answerViewRequest(ask, relics.all, theirs, nobody)))!;
+  const answer = decodeViewResponse(
+    encodeViewResponse(answerViewRequest(ask, preLossViews.all, theirs, nobody)),
+  )!;
   assert.equal(answer.next, null);
   assert.ok(answer.versions.length < 60, `${answer.versions.length} of 3001 versions travelled`);
   assert.ok(answer.versions.some((c) => c.job.spec.id === 'job-77777'));
@@ -247,7 +249,7 @@
   for (let from: number | null = 0; from !== null; parts++) {
     const t: ReturnType<typeof answerViewRequest> = answerViewRequest(
       { incarnation: 'x', digest: new Uint32Array(RANGES * 2), from },
-      relics.all,
+      preLossViews.all,
       theirs,
       nobody,
     );
@@ -261,7 +263,7 @@
   assert.equal(decodeViewResponse(Buffer.from('x')), null);
 });
 
-test('a pack lists jobs until they have keys of their own or are over, in whatever order that is read', () => {
+test('a bundle lists jobs until they have keys of their own or are final, in whatever order that is read', () => {
   const packed = encodePack([job('job-1', { tasks: 3 }), job('job-2')]);
   const own = { ...job('job-1', { tasks: 3 }), attempt: 8 };
   const changes = [
@@ -303,7 +305,7 @@
   assert.deepEqual(jobState.finals.get('job-5'), { status: 'done', tasks: 100_000 });
 });
 
-test('what a user is told is noted by the others until their own view includes it', () => {
+test('evidence of what a user was told is kept by the others until their own view includes it', () => {
   const nobody = new EvidenceStore({ ask: () => Effect.succeed(Buffer.alloc(0)) }, () => []);
   const accepted = {
     id: 'job-1',
@@ -331,7 +333,7 @@
   assert.deepEqual([nobody.versions().length, [...nobody.finals()].length], [0, 1]);
 });
 
-test('what an earlier process of the same controller is told takes nothing from the next one', () => {
+test('a message to an earlier process of the same controller makes the next one forget nothing', () => {
   const before = new PreLossViews('n1/1000');
   const asked = before.viewOf(new JobState(), 0, null);
   const after = new PreLossViews('n1/2000');
--- a/packages/controller/test/support/late-store.ts
+++ b/packages/controller/test/support/late-store.ts
@@ -279,7 +279,7 @@
 };
 
 /** One controller that leads, and a store in which nothing goes wrong but what the test does. */
-export const calm = (
+export const singleController = (
   more: readonly Write[] = [],
   replicate?: (evidence: JobEvidence) => Effect.Effect<void>,
 ) => {
@@ -304,7 +304,7 @@
 export const kept = (j: Job): Write => ({ set: activeKey(j.spec.id), value: encodeJob(j, j.touched) });
 
 export const rebuilding = (more: readonly Write[] = []) => {
-  const c = calm([{ set: REBUILD, value: { phase: 'gather', heard: [] } }, ...more]);
+  const c = singleController([{ set: REBUILD, value: { phase: 'gather', heard: [] } }, ...more]);
   const { node, turn, time } = c;
   const nothing = {
     all: [],
