--- a/packages/controller/src/recovery/evidence-store.ts
+++ b/packages/controller/src/recovery/evidence-store.ts
@@ -38,11 +38,25 @@
   stored: unknown,
 ];
 
-export const encodeJobEvidence = (f: JobEvidence): Buffer => {
+export const encodeJobEvidence = (evidence: JobEvidence): Buffer => {
   const wire: Wire =
-    'final' in f.value
-      ? [f.id, f.revision, f.generation, f.incarnation, packFinal(f.value.final), null]
-      : [f.id, f.revision, f.generation, f.incarnation, null, f.value.stored];
+    'final' in evidence.value
+      ? [
+          evidence.id,
+          evidence.revision,
+          evidence.generation,
+          evidence.incarnation,
+          packFinal(evidence.value.final),
+          null,
+        ]
+      : [
+          evidence.id,
+          evidence.revision,
+          evidence.generation,
+          evidence.incarnation,
+          null,
+          evidence.value.stored,
+        ];
   return Buffer.from(pack(wire));
 };
 export const decodeJobEvidence = (body: Buffer): JobEvidence | null => {
@@ -75,12 +89,17 @@
   ) {}
 
   /** Keeps a piece of evidence, unless a later one of the same job is there. */
-  record(f: JobEvidence): void {
-    const known = this.evidence.get(f.id);
+  record(evidence: JobEvidence): void {
+    const known = this.evidence.get(evidence.id);
     // One that arrives late, or twice, takes nothing back.
-    if (known !== undefined && known.incarnation === f.incarnation && known.revision > f.revision) return;
-    this.evidence.delete(f.id);
-    this.evidence.set(f.id, f);
+    if (
+      known !== undefined &&
+      known.incarnation === evidence.incarnation &&
+      known.revision > evidence.revision
+    )
+      return;
+    this.evidence.delete(evidence.id);
+    this.evidence.set(evidence.id, evidence);
     if (this.evidence.size <= MAX_RECORDS) return;
     for (const old of this.evidence.keys()) {
       this.evidence.delete(old);
@@ -90,18 +109,18 @@
 
   /** Drops the evidence up to `revision` of `incarnation`: this node's own view includes it. */
   dropCovered(incarnation: string, revision: number): void {
-    for (const [id, f] of this.evidence)
-      if (f.incarnation === incarnation && f.revision <= revision) this.evidence.delete(id);
+    for (const [id, evidence] of this.evidence)
+      if (evidence.incarnation === incarnation && evidence.revision <= revision) this.evidence.delete(id);
   }
 
   /** Sends a piece of evidence to the peers that may lack it; completes once they have it, or after `REPLICATE_TIMEOUT_MS`. */
-  replicate(f: JobEvidence): Effect.Effect<void> {
+  replicate(evidence: JobEvidence): Effect.Effect<void> {
     return Effect.suspend(() => {
       // This node's own view is as of its last read, and that may have been before.
-      this.record(f);
-      const peers = this.behind(f.revision).slice(0, MAX_PEERS);
+      this.record(evidence);
+      const peers = this.behind(evidence.revision).slice(0, MAX_PEERS);
       if (peers.length === 0) return Effect.void;
-      const body = encodeJobEvidence(f);
+      const body = encodeJobEvidence(evidence);
       return Effect.forEach(peers, (p) => Effect.ignore(this.port.ask(p, EVIDENCE_PATH, body)), {
         concurrency: 'unbounded',
         discard: true,
@@ -116,14 +135,19 @@
   /** The active jobs that the evidence tells of, as a view has them. */
   versions(): JobVersion[] {
     const out: JobVersion[] = [];
-    for (const f of this.evidence.values())
-      if ('stored' in f.value)
-        out.push({ generation: f.generation, revision: -1, job: decodeJob(f.id, f.value.stored, 0) });
+    for (const evidence of this.evidence.values())
+      if ('stored' in evidence.value)
+        out.push({
+          generation: evidence.generation,
+          revision: -1,
+          job: decodeJob(evidence.id, evidence.value.stored, 0),
+        });
     return out;
   }
   /** The final states that the evidence tells of. */
   *finals(): Generator<readonly [string, FinalState]> {
-    for (const f of this.evidence.values()) if ('final' in f.value) yield [f.id, f.value.final];
+    for (const evidence of this.evidence.values())
+      if ('final' in evidence.value) yield [evidence.id, evidence.value.final];
   }
   /** Forgets everything: it is durable in a new incarnation. */
   clear(): void {
