--- a/packages/controller/src/api/handlers.ts
+++ b/packages/controller/src/api/handlers.ts
@@ -304,7 +304,8 @@
     }).pipe(Effect.catchAll(unavailable));
 
   /** What workers run of it already becomes the submitted job's. */
-  const adopting = (id: string): Write[] => (d.jobState.orphanedJobs.has(id) ? [{ delete: orphanedJobKey(id) }] : []);
+  const adopting = (id: string): Write[] =>
+    d.jobState.orphanedJobs.has(id) ? [{ delete: orphanedJobKey(id) }] : [];
 
   const poll = (id: string): Effect.Effect<Answer> =>
     open() || (d.jobState.finals.has(id) && d.durable())
--- a/packages/controller/src/node.ts
+++ b/packages/controller/src/node.ts
@@ -326,7 +326,14 @@
   const snapshots =
     ports.snapshots === null
       ? null
-      : snapshotTask({ files: ports.snapshots, store, watcher, jobState, lossDetector, preLossViews: relics });
+      : snapshotTask({
+          files: ports.snapshots,
+          store,
+          watcher,
+          jobState,
+          lossDetector,
+          preLossViews: relics,
+        });
   const parts: DetectionParts = {
     lossDetector,
     unguardedStore: ports.store,
