--- a/packages/controller/src/leadership/codec.ts
+++ b/packages/controller/src/leadership/codec.ts
@@ -4,7 +4,7 @@
  */
 import { pack, unpack } from 'msgpackr';
 import type { ProvisioningNews } from '../provisioning/model.js';
-import type { PeerHeartbeat, StoreObservation } from './peers.js';
+import type { PeerHeartbeat, StoreObservation } from './model.js';
 
 interface WireObservation {
   readonly incarnation: string;
--- a/packages/controller/test/contacts.test.ts
+++ b/packages/controller/test/contacts.test.ts
@@ -7,7 +7,8 @@
 import { type Micros, plus, seconds } from '@lilacvalve/runtime/micros';
 import { Contacts } from '../src/leadership/contacts.js';
 import { decodePeerHeartbeat } from '../src/leadership/codec.js';
-import { type PeerHeartbeat, Peers } from '../src/leadership/peers.js';
+import type { PeerHeartbeat } from '../src/leadership/model.js';
+import { Peers } from '../src/leadership/peers.js';
 import type { Settings } from '../src/settings/settings.js';
 import { worldSettings } from './support/settings.js';
 
