--- a/packages/controller/src/leadership/peers.ts
+++ b/packages/controller/src/leadership/peers.ts
@@ -15,41 +15,9 @@
 import type { ProvisioningNews } from '../provisioning/model.js';
 import type { Peer, Settings } from '../settings/settings.js';
 import { decodePeerHeartbeat, encodePeerHeartbeat } from './codec.js';
+import type { PeerHeartbeat } from './model.js';
 import { unchangedSince, type PeerKnowledge } from './read-lease.js';
 
-/** What one controller tells another once a second; on the wire: `codec.ts`. */
-export interface PeerHeartbeat {
-  /** The sender's label. */
-  readonly from: string;
-  /** Highest term the sender knows of. */
-  readonly term: number;
-  /** The state service serves the sender. */
-  readonly servedByStore: boolean;
-  /** The sender has read the term from the store since it started: its confirmation counts only then. */
-  readonly viewLoaded: boolean;
-  /** Workers that have lately reached the sender, whatever it answered them. */
-  readonly reachableWorkers: number;
-  /** What the sender has seen of the state service; null: nothing yet. */
-  readonly store: StoreObservation | null;
-  /** The sender keeps views from before a data loss whose content may not be durable yet. */
-  readonly hasPreLossViews: boolean;
-  /** From a leader only: what its successor should know of the machines being rented and returned. */
-  readonly provisioning?: ProvisioningNews;
-}
-
-/** What a controller has seen of the state service's data. */
-export interface StoreObservation {
-  /** The incarnation's id. */
-  readonly incarnation: string;
-  readonly generation: number;
-  /** The highest revision that the sender has seen or heard of. */
-  readonly highestRevision: number;
-  /** The revision that the sender's view is as of. */
-  readonly viewRevision: number;
-  /** How long ago, at the most, the sender saw the incarnation's key in the store; microseconds. */
-  readonly seenAgo: number;
-}
-
 /** Sends a heartbeat to a peer; succeeds with the peer's own. */
 export interface PeerPort {
   exchange(peer: Peer, heartbeat: PeerHeartbeat): Effect.Effect<PeerHeartbeat, NoAnswer>;
@@ -119,8 +87,8 @@
   behind(incarnation: string, revision: number): Peer[] {
     return this.settings.peers.filter((p) => {
       if (!this.isReachable(p.label)) return false;
-      const life = this.responses.get(p.label)?.heartbeat.store;
-      return life?.incarnation !== incarnation || life.viewRevision < revision;
+      const store = this.responses.get(p.label)?.heartbeat.store;
+      return store?.incarnation !== incarnation || store.viewRevision < revision;
     });
   }
 
@@ -193,11 +161,11 @@
     const { peers, nodes } = this.settings;
     if (peers.length < nodes - 1) return Number.NEGATIVE_INFINITY;
     const said = peers.map((p): PeerKnowledge | null => {
-      const h = this.responses.get(p.label);
-      const life = h?.heartbeat.store;
-      if (!h?.heartbeat.viewLoaded || !life) return null;
-      const revision = Math.max(life.highestRevision, life.viewRevision);
-      return { asked: h.asked, incarnation: life.incarnation, revision };
+      const response = this.responses.get(p.label);
+      const store = response?.heartbeat.store;
+      if (!response?.heartbeat.viewLoaded || !store) return null;
+      const revision = Math.max(store.highestRevision, store.viewRevision);
+      return { asked: response.asked, incarnation: store.incarnation, revision };
     });
     return Math.min(this.clock(), unchangedSince(said, incarnation, revision));
   }
--- a/packages/controller/src/links.ts
+++ b/packages/controller/src/links.ts
@@ -3,8 +3,9 @@
 import { Link } from '@lilacvalve/runtime/link';
 import { Effect } from 'effect';
 import { decodePeerHeartbeat, encodePeerHeartbeat } from './leadership/codec.js';
-import type { PeerHeartbeat, PeerPort } from './leadership/peers.js';
-import type { ViewPort } from './recovery/view-exchange.js';
+import type { PeerHeartbeat } from './leadership/model.js';
+import type { PeerPort } from './leadership/peers.js';
+import type { ViewPort } from './recovery/model.js';
 import type { Peer } from './settings/settings.js';
 import { RELAY_TIMEOUT_MS, type RelayPort } from './workers/heartbeat-relay.js';
 
--- a/packages/controller/src/node.ts
+++ b/packages/controller/src/node.ts
@@ -20,7 +20,8 @@
 import { type PeerPort, Peers } from './leadership/peers.js';
 import { Admission } from './overload/admission.js';
 import { loadLine, storeProbe, eventLoopCheck, servedBy, watchMemory } from './health-check.js';
-import { type ViewPort, viewHandler } from './recovery/view-exchange.js';
+import type { ViewPort } from './recovery/model.js';
+import { viewHandler } from './recovery/view-exchange.js';
 import { PreLossViews } from './recovery/pre-loss-views.js';
 import { answerCheckRequest, verifyWith } from './recovery/view-verification.js';
 import { EvidenceStore } from './recovery/evidence-store.js';
@@ -326,7 +327,14 @@
   const snapshots =
     ports.snapshots === null
       ? null
-      : snapshotTask({ files: ports.snapshots, store, watcher, jobState, lossDetector, relics });
+      : snapshotTask({
+          files: ports.snapshots,
+          store,
+          watcher,
+          jobState,
+          lossDetector,
+          preLossViews: relics,
+        });
   const parts: DetectionParts = {
     lossDetector,
     unguardedStore: ports.store,
--- a/packages/controller/src/recovery/calendar-recovery.ts
+++ b/packages/controller/src/recovery/calendar-recovery.ts
@@ -1,4 +1,4 @@
-/** The calendar's part in a rebuild: what nodes remember of the keys below `s/c/` is joined and written back. */
+/** The calendar in a rebuild: what controllers remember of the keys below `s/c/` is joined and written back. */
 import { decodeCalendar, encodeCalendar, encodeTally, decodeTally, type Head } from '../calendar/codec.js';
 import { type Calendars, pagesOf, type Remembered } from '../calendar/calendars.js';
 import { laterTally, type Tally } from '../calendar/model.js';
@@ -8,7 +8,7 @@
   type ClassDurations,
 } from '../calendar/class-durations.js';
 import { CALENDAR_HEAD, OCCURRENCE, CLASS_DURATIONS } from '../jobs/keys.js';
-import type { Condition, Write } from '../state-store/client.js';
+import type { WriteStep } from './write-steps.js';
 
 /** Counts in one transaction. */
 const TALLIES = 8;
@@ -30,11 +30,6 @@
   };
 };
 
-interface CalendarStep {
-  readonly when: readonly Condition[];
-  readonly then: readonly Write[];
-}
-
 const same = (a: Tally, b: Tally | undefined): boolean =>
   JSON.stringify(encodeTally(a)) === JSON.stringify(b === undefined ? null : encodeTally(b));
 
@@ -47,9 +42,9 @@
   best: Remembered,
   valueBytes: number,
   damaged: ReadonlyMap<string, number> = new Map(),
-): CalendarStep[] => {
+): WriteStep[] => {
   const stampOf = (key: string, known: number | undefined): number => damaged.get(key) ?? known ?? 0;
-  const steps: CalendarStep[] = [];
+  const steps: WriteStep[] = [];
   const { calendar } = best;
   if (
     calendar !== null &&
--- a/packages/controller/src/recovery/evidence-store.ts
+++ b/packages/controller/src/recovery/evidence-store.ts
@@ -1,7 +1,8 @@
 /**
- * What this node tells a user, it first tells the other controllers that may not have read it yet: should the state
- * service lose it and this node end in the same moment, somebody still knows. A node that does not answer at once is not
- * waited for; the store's commit is what makes the answer true (docs/rebuild.md).
+ * Evidence of what users were told. Before this node confirms something to a user, it sends that to other controllers that
+ * may not have read it yet: should the state service lose it and this node crash in the same moment, another controller
+ * still knows. A controller that does not answer at once is not waited for; the store's commit is what makes the answer true
+ * (docs/rebuild.md).
  */
 import { Effect } from 'effect';
 import { pack, unpack } from 'msgpackr';
@@ -9,18 +10,17 @@
 import { packFinalState, unpackFinalState } from '../jobs/final-states.js';
 import type { FinalState } from '../jobs/model.js';
 import type { Peer } from '../settings/settings.js';
-import type { ViewPort } from './view-exchange.js';
+import { EVIDENCE_PATH, type ViewPort } from './model.js';
 import type { JobVersion } from './merge.js';
 
-export const EVIDENCE_PATH = '/witness';
 /** A peer on the same network answers in a few milliseconds. */
 const REPLICATE_TIMEOUT_MS = 120;
-/** Peers told of one thing, the leader first: for it to be lost, all of them would have to end with this node. */
+/** Peers that get a piece of evidence, the leader first: it is lost only if all of them crash together with this node. */
 const MAX_PEERS = 2;
-/** More than come in between two reads of a node. */
+/** More than arrive between two reads of a node. */
 const MAX_RECORDS = 2000;
 
-/** One thing told: a job as accepted or cancelled (its key's value), or a final state. As of `revision`. */
+/** What a user was told of a job, as of `revision`: accepted or cancelled (its key's value), or its final state. */
 export interface JobEvidence {
   readonly id: string;
   readonly revision: number;
@@ -38,11 +38,25 @@
   stored: unknown,
 ];
 
-export const encodeJobEvidence = (f: JobEvidence): Buffer => {
+export const encodeJobEvidence = (evidence: JobEvidence): Buffer => {
   const wire: Wire =
-    'final' in f.value
-      ? [f.id, f.revision, f.generation, f.incarnation, packFinalState(f.value.final), null]
-      : [f.id, f.revision, f.generation, f.incarnation, null, f.value.stored];
+    'final' in evidence.value
+      ? [
+          evidence.id,
+          evidence.revision,
+          evidence.generation,
+          evidence.incarnation,
+          packFinalState(evidence.value.final),
+          null,
+        ]
+      : [
+          evidence.id,
+          evidence.revision,
+          evidence.generation,
+          evidence.incarnation,
+          null,
+          evidence.value.stored,
+        ];
   return Buffer.from(pack(wire));
 };
 export const decodeJobEvidence = (body: Buffer): JobEvidence | null => {
@@ -64,6 +78,7 @@
   }
 };
 
+/** The evidence that this node holds, its own and the other controllers', until its view includes it. */
 export class EvidenceStore {
   private readonly evidence = new Map<string, JobEvidence>();
 
@@ -73,13 +88,18 @@
     private readonly behind: (revision: number) => readonly Peer[],
   ) {}
 
-  /** Another node tells this one. */
-  record(f: JobEvidence): void {
-    const known = this.evidence.get(f.id);
-    // One that comes late, or twice, takes nothing back.
-    if (known !== undefined && known.incarnation === f.incarnation && known.revision > f.revision) return;
-    this.evidence.delete(f.id);
-    this.evidence.set(f.id, f);
+  /** Keeps a piece of evidence, unless a later one of the same job is there. */
+  record(evidence: JobEvidence): void {
+    const known = this.evidence.get(evidence.id);
+    // One that arrives late, or twice, takes nothing back.
+    if (
+      known !== undefined &&
+      known.incarnation === evidence.incarnation &&
+      known.revision > evidence.revision
+    )
+      return;
+    this.evidence.delete(evidence.id);
+    this.evidence.set(evidence.id, evidence);
     if (this.evidence.size <= MAX_RECORDS) return;
     for (const old of this.evidence.keys()) {
       this.evidence.delete(old);
@@ -87,20 +107,20 @@
     }
   }
 
-  /** This node's own view of `incarnation` is as new as `revision`: it includes what was noted up to there. */
+  /** Drops the evidence up to `revision` of `incarnation`: this node's own view includes it. */
   dropCovered(incarnation: string, revision: number): void {
-    for (const [id, f] of this.evidence)
-      if (f.incarnation === incarnation && f.revision <= revision) this.evidence.delete(id);
+    for (const [id, evidence] of this.evidence)
+      if (evidence.incarnation === incarnation && evidence.revision <= revision) this.evidence.delete(id);
   }
 
-  /** Completes once the peers know it, or have had their time. */
-  replicate(f: JobEvidence): Effect.Effect<void> {
+  /** Sends a piece of evidence to the peers that may lack it; completes once they have it, or after `REPLICATE_TIMEOUT_MS`. */
+  replicate(evidence: JobEvidence): Effect.Effect<void> {
     return Effect.suspend(() => {
       // This node's own view is as of its last read, and that may have been before.
-      this.record(f);
-      const peers = this.behind(f.revision).slice(0, MAX_PEERS);
+      this.record(evidence);
+      const peers = this.behind(evidence.revision).slice(0, MAX_PEERS);
       if (peers.length === 0) return Effect.void;
-      const body = encodeJobEvidence(f);
+      const body = encodeJobEvidence(evidence);
       return Effect.forEach(peers, (p) => Effect.ignore(this.port.ask(p, EVIDENCE_PATH, body)), {
         concurrency: 'unbounded',
         discard: true,
@@ -112,17 +132,24 @@
     return this.evidence.size;
   }
 
-  /** What is noted and not covered, as a view has it. */
+  /** The active jobs that the evidence tells of, as a view has them. */
   versions(): JobVersion[] {
     const out: JobVersion[] = [];
-    for (const f of this.evidence.values())
-      if ('stored' in f.value)
-        out.push({ generation: f.generation, revision: -1, job: decodeJob(f.id, f.value.stored, 0) });
+    for (const evidence of this.evidence.values())
+      if ('stored' in evidence.value)
+        out.push({
+          generation: evidence.generation,
+          revision: -1,
+          job: decodeJob(evidence.id, evidence.value.stored, 0),
+        });
     return out;
   }
+  /** The final states that the evidence tells of. */
   *finals(): Generator<readonly [string, FinalState]> {
-    for (const f of this.evidence.values()) if ('final' in f.value) yield [f.id, f.value.final];
+    for (const evidence of this.evidence.values())
+      if ('final' in evidence.value) yield [evidence.id, evidence.value.final];
   }
+  /** Forgets everything: it is durable in a new incarnation. */
   clear(): void {
     this.evidence.clear();
   }
--- a/packages/controller/test/data-loss-detector.test.ts
+++ b/packages/controller/test/data-loss-detector.test.ts
@@ -1,4 +1,4 @@
-/** Noticing a loss: what counts as evidence, and what looks at a doubted store say of it. */
+/** Detecting a loss of data: what counts as evidence, and what probes of the store decide. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Micros } from '@lilacvalve/runtime/micros';
@@ -36,11 +36,11 @@
   ...over,
 });
 
-test('a store that shows what was known, or more, is restored; one that shows less is lost once looks agree', () => {
-  assert.equal(verdictOf(known, [probe()], 3), 'restored');
-  assert.equal(verdictOf(known, [probe({ revision: 180, term: 5 })], 3), 'restored');
+test('a store that shows what was known, or more, is intact; one that shows less is lost once probes agree', () => {
+  assert.equal(verdictOf(known, [probe()], 3), 'intact');
+  assert.equal(verdictOf(known, [probe({ revision: 180, term: 5 })], 3), 'intact');
   const empty = probe({ incarnations: [], revision: 0, term: 0 });
-  assert.equal(verdictOf(known, [empty, empty], 3), 'again');
+  assert.equal(verdictOf(known, [empty, empty], 3), 'undecided');
   assert.equal(verdictOf(known, [empty, empty, empty], 3), 'lost');
   // The key is there, at another revision: it was written anew.
   const rewritten = probe({ incarnations: [{ ...first, stamp: 9 }] });
@@ -50,24 +50,24 @@
 });
 
 // Two copies that answer in turn, one of them older, are no loss: a rebuild would fork what the newer one has.
-test('looks that go to and fro never agree on a loss', () => {
+test('probes whose revisions go back and forth never agree on a loss', () => {
   const older = probe({ revision: 60 });
-  const looks: Probe[] = [];
+  const probes: Probe[] = [];
   for (let i = 0; i < 40; i++) {
-    looks.push(i % 2 === 0 ? older : probe());
-    assert.notEqual(verdictOf(known, looks, 3), 'lost');
+    probes.push(i % 2 === 0 ? older : probe());
+    assert.notEqual(verdictOf(known, probes, 3), 'lost');
   }
   const back = [probe({ revision: 70 }), probe({ revision: 60 })];
-  assert.equal(verdictOf(known, [...back, ...back, ...back], 3), 'again');
+  assert.equal(verdictOf(known, [...back, ...back, ...back], 3), 'undecided');
 });
 
-test('a newer incarnation has been rebuilt by somebody; an older or an equal one is itself a loss', () => {
+test('a newer incarnation was begun by another controller; an older or an equal one is itself a loss', () => {
   const rebuilt = probe({
     incarnations: [{ id: 'two', generation: 1, stamp: 70, termFloor: 0, bornAt: 60 }],
     revision: 75,
     term: 9e9,
   });
-  assert.equal(verdictOf(known, [rebuilt], 3), 'moved');
+  assert.equal(verdictOf(known, [rebuilt], 3), 'rebuilt');
   const anew = probe({
     incarnations: [{ id: 'fresh', generation: 0, stamp: 1, termFloor: 0, bornAt: 0 }],
     revision: 2,
@@ -76,11 +76,11 @@
   assert.equal(verdictOf(known, [anew, anew, anew], 3), 'lost');
   // A node without a view takes what is there, unless somebody has said that it knows a newer one.
   const none: StoreKnowledge = { incarnation: null, generation: -1, revision: -1, term: 0 };
-  assert.equal(verdictOf(none, [anew], 3), 'moved');
+  assert.equal(verdictOf(none, [anew], 3), 'rebuilt');
   assert.equal(verdictOf({ ...none, generation: 2 }, [rebuilt, rebuilt, rebuilt], 3), 'lost');
 });
 
-test('answers are held against what was known when they were asked for', () => {
+test('answers are compared with what was known when they were asked for', () => {
   const lossDetector = new DataLossDetector(
     () => at(5),
     () => 7,
@@ -123,7 +123,7 @@
 
 // Every controller had ended with the store: its first term was 1 once more, workers took it for the old one's, and what
 // they ran was stopped as unknown.
-test("a worker's token from before the store's first start proves that an earlier life was lost", () => {
+test("a worker's token from before the store's first start proves that an earlier store was lost", () => {
   const fresh = (base: number, generation = 0): DataLossDetector => {
     const d = new DataLossDetector(
       () => at(1),
@@ -216,7 +216,7 @@
   const i: Incarnation = { ...first, bornAt: 1000 };
   const early = attemptFloor(i, null, 1000.4);
   assert.equal(early, 0, 'small at first');
-  // A reign of 100 s, with a record in each of its turns; then the store comes back as it was before that reign.
+  // A term of 100 s, with a log entry in each of its cycles; then the store comes back as it was before that term.
   const used = early + 400;
   assert.ok(attemptFloor(i, early, 1100) > used);
   assert.ok(attemptFloor(i, null, 1100) > used, 'what is known of terms is lost too');
--- a/packages/controller/test/late-writes.test.ts
+++ b/packages/controller/test/late-writes.test.ts
@@ -23,7 +23,9 @@
   TERM,
   orphanedJobKey,
 } from '../src/jobs/keys.js';
-import { GatheredViews, rebuild, writeBack } from '../src/recovery/rebuild.js';
+import { GatheredViews } from '../src/recovery/gathered-views.js';
+import { rebuild } from '../src/recovery/rebuild.js';
+import { writeBack } from '../src/recovery/write-back.js';
 import { commit } from '../src/scheduler/commit.js';
 import { upkeep } from '../src/scheduler/upkeep.js';
 import type { Start } from '../src/scheduler/model.js';
@@ -170,7 +172,7 @@
       }
     });
 
-  /** A reign: starts what waits, ends what runs, tidies up beside it. */
+  /** One term as leader: starts what waits, ends what runs, tidies up beside it. */
   const lead = (t: CycleContext) =>
     Effect.gen(function* () {
       yield* Effect.fork(
@@ -239,7 +241,7 @@
   service.isFaulty = false;
   time.run(1e12 + 170 * S);
   look();
-  for (const n of nodes) must(!n.lossDetector.suspected, 'the store is doubted');
+  for (const n of nodes) must(!n.lossDetector.suspected, 'a data loss is suspected');
   for (const id of truth.keys()) {
     must(over.has(id), `${id} is not over`);
     if (['done', 'aborted'].includes(told.get(id)!))
@@ -393,7 +395,7 @@
   }
 });
 
-test('a rebuild that is over is not said to be over again, with accounts of then', () => {
+test('a rebuild that is complete is not recorded as complete again, with the accounts of then', () => {
   const { service, go, r } = rebuilding();
   const { port } = service;
   // The first one that ends it is carried out and not answered.
@@ -414,7 +416,7 @@
   assert.equal(service.keys.get('s/a/now')!.value, 'newer');
 });
 
-test('a job that users may be cancelling by its ward comes back by a key of its own', () => {
+test('an orphaned job that users may be cancelling is restored to a key of its own', () => {
   const { service, go, r } = rebuilding([{ set: orphanedJobKey('job-1'), value: { since: 0, tasks: 3 } }]);
   const g = new GatheredViews();
   const job = newJob('job-1', { attempt: 4, done: new Set([0]), lastSequence: 7 });
@@ -444,7 +446,7 @@
   assert.deepEqual(pages.map((p) => [p.page.to, ...p.page.shares.values()].slice(0, 2)), pending.map((p) => [p.to, ...shares.values()])); // prettier-ignore
 });
 
-test('a restore that is over does not begin again', () => {
+test('a restore that is complete does not begin again', () => {
   const time = new VirtualTime(1);
   const service = new Service(time, new Luck(1));
   service.isFaulty = false;
