--- a/eslint.config.js
+++ b/eslint.config.js
@@ -5,7 +5,16 @@
 import { shortNames } from './tools/eslint/short-names.mjs';
 
 /** Folders (or files) that are whole: every rule below holds there. The list only grows. */
-export const WHOLE = ['tools', 'packages/scale-test', 'packages/operator-cli'];
+export const WHOLE = [
+  'tools',
+  'packages/scale-test',
+  'packages/operator-cli',
+  'packages/controller/src/api',
+  'packages/controller/src/leadership',
+  'packages/controller/src/provisioning',
+  'packages/controller/src/settings',
+  'packages/controller/src/state-store',
+];
 
 /** Imports between packages go down this table only; a product package never depends on the simulation. */
 const MAY_IMPORT = {
--- a/packages/controller/src/api/cancellation.ts
+++ b/packages/controller/src/api/cancellation.ts
@@ -23,6 +23,7 @@
   readonly writes: Write[];
 }
 
+/** Answers cancellations: one compare-and-swap on the job's key, tried again until it is known to hold. */
 export class CancellationHandler {
   constructor(
     private readonly context: ApiContext,
--- a/packages/controller/src/api/confirmation.ts
+++ b/packages/controller/src/api/confirmation.ts
@@ -11,6 +11,7 @@
 import type { JobLookupResult } from './job-lookup.js';
 import { jobResponse } from './responses.js';
 
+/** Turns what was found or committed into the answer that a user may get. */
 export class Confirmation {
   constructor(private readonly context: ApiContext) {}
 
--- a/packages/controller/src/api/job-lookup.ts
+++ b/packages/controller/src/api/job-lookup.ts
@@ -16,6 +16,7 @@
 /** The job's state can't be told with certainty right now; the user comes back later. */
 export const UNCERTAIN = new Refused({ status: 503, reason: 'not certain of this job yet' });
 
+/** Looks jobs up in this controller's view, and in the store for what the view does not hold. */
 export class JobLookup {
   constructor(private readonly context: ApiContext) {}
 
--- a/packages/controller/src/api/submission.ts
+++ b/packages/controller/src/api/submission.ts
@@ -55,6 +55,7 @@
   lastSequence: 0,
 });
 
+/** Answers submissions. */
 export class SubmissionHandler {
   constructor(
     private readonly context: ApiContext,
--- a/packages/controller/src/leadership/campaign.ts
+++ b/packages/controller/src/leadership/campaign.ts
@@ -31,6 +31,7 @@
   readonly asked: Micros;
 }
 
+/** What a campaign for the leader key works on. */
 export interface CampaignParts {
   readonly settings: Settings;
   readonly store: StatePort;
@@ -44,6 +45,7 @@
   readonly clock: () => Micros;
 }
 
+/** One controller's tries to become leader. */
 export class Campaign {
   /** Since when this node has left a vacant leadership to a better placed peer. */
   private deferringSince: Micros | null = null;
--- a/packages/controller/src/leadership/codec.ts
+++ b/packages/controller/src/leadership/codec.ts
@@ -67,37 +67,42 @@
   return pack(wire);
 };
 
-const object = (v: unknown): v is Record<string, unknown> =>
-  typeof v === 'object' && v !== null && !Array.isArray(v);
+const object = (value: unknown): value is Record<string, unknown> =>
+  typeof value === 'object' && value !== null && !Array.isArray(value);
 const text = (v: unknown): v is string => typeof v === 'string';
-const isOffer = (v: unknown): v is Record<string, unknown> =>
-  object(v) && text(v.type) && text(v.zone) && typeof v.spot === 'boolean' && typeof v.age === 'number';
-const isObservation = (v: unknown): v is WireObservation =>
-  object(v) &&
-  text(v.incarnation) &&
-  Number.isInteger(v.generation) &&
-  Number.isInteger(v.revision) &&
-  Number.isInteger(v.read) &&
-  typeof v.age === 'number';
-const isProvisioning = (v: unknown): v is WireProvisioning =>
-  object(v) &&
-  Array.isArray(v.rented) &&
-  v.rented.every((r: unknown) => isOffer(r) && text(r.id)) &&
-  Array.isArray(v.removed) &&
-  v.removed.every(text) &&
-  (v.asked === undefined ||
-    (Array.isArray(v.asked) && v.asked.every((a: unknown) => isOffer(a) && Number.isInteger(a.count))));
+const isOffer = (value: unknown): value is Record<string, unknown> =>
+  object(value) &&
+  text(value.type) &&
+  text(value.zone) &&
+  typeof value.spot === 'boolean' &&
+  typeof value.age === 'number';
+const isObservation = (value: unknown): value is WireObservation =>
+  object(value) &&
+  text(value.incarnation) &&
+  Number.isInteger(value.generation) &&
+  Number.isInteger(value.revision) &&
+  Number.isInteger(value.read) &&
+  typeof value.age === 'number';
+const isProvisioning = (value: unknown): value is WireProvisioning =>
+  object(value) &&
+  Array.isArray(value.rented) &&
+  value.rented.every((r: unknown) => isOffer(r) && text(r.id)) &&
+  Array.isArray(value.removed) &&
+  value.removed.every(text) &&
+  (value.asked === undefined ||
+    (Array.isArray(value.asked) &&
+      value.asked.every((a: unknown) => isOffer(a) && Number.isInteger(a.count))));
 /** Checked by hand, as workers' heartbeats are: a schema's decoder took a seventh of an idle node's processor time. */
-const isHeartbeat = (v: unknown): v is WireHeartbeat =>
-  object(v) &&
-  text(v.from) &&
-  Number.isSafeInteger(v.term) &&
-  typeof v.served === 'boolean' &&
-  typeof v.loaded === 'boolean' &&
-  Number.isInteger(v.contacts) &&
-  (v.life === undefined || v.life === null || isObservation(v.life)) &&
-  (v.relics === undefined || typeof v.relics === 'boolean') &&
-  (v.news === undefined || isProvisioning(v.news));
+const isHeartbeat = (value: unknown): value is WireHeartbeat =>
+  object(value) &&
+  text(value.from) &&
+  Number.isSafeInteger(value.term) &&
+  typeof value.served === 'boolean' &&
+  typeof value.loaded === 'boolean' &&
+  Number.isInteger(value.contacts) &&
+  (value.life === undefined || value.life === null || isObservation(value.life)) &&
+  (value.relics === undefined || typeof value.relics === 'boolean') &&
+  (value.news === undefined || isProvisioning(value.news));
 
 const readObservation = (wire: WireObservation): StoreObservation => ({
   incarnation: wire.incarnation,
--- a/packages/controller/src/leadership/contacts.ts
+++ b/packages/controller/src/leadership/contacts.ts
@@ -40,9 +40,9 @@
   /** How many workers were heard within the window. Forgets those not heard for a worker lease. */
   recentCount(at: Micros): number {
     let count = 0;
-    for (const [id, t] of this.lastContact) {
-      if (at - t <= this.window) count++;
-      else if (at - t > this.settings.workers.lease) this.lastContact.delete(id);
+    for (const [id, heardAt] of this.lastContact) {
+      if (at - heardAt <= this.window) count++;
+      else if (at - heardAt > this.settings.workers.lease) this.lastContact.delete(id);
     }
     return count;
   }
--- a/packages/controller/src/leadership/leader-lease.ts
+++ b/packages/controller/src/leadership/leader-lease.ts
@@ -5,6 +5,7 @@
 /** For the time that an answer of the state service takes to arrive and be acted on. */
 const SAFETY_MARGIN = millis(150);
 
+/** The lease on the leader key, and until when it gives a right to act. */
 export class LeaderLease {
   /** The state service's number of the lease; null: this node holds none. */
   id: number | null = null;
--- a/packages/controller/src/leadership/leader-session.ts
+++ b/packages/controller/src/leadership/leader-session.ts
@@ -66,6 +66,7 @@
     costMs * (1 / CYCLE_SHARE - 1),
   );
 
+/** What the leader's sessions work on. */
 export interface LeaderSessionParts {
   readonly settings: Settings;
   readonly store: StatePort;
@@ -195,8 +196,8 @@
   private operate(context: RebuildContext, gathered: GatheredViews): Effect.Effect<void> {
     const { parts, wake } = this;
     return Effect.suspend(() => {
-      const t = this.cycleContext(context);
-      const { registry } = t;
+      const cycleContext = this.cycleContext(context);
+      const { registry } = cycleContext;
       const state: CycleState = {
         result: null,
         idleNodes: new Set(),
@@ -216,19 +217,22 @@
         Effect.zipRight(tick(TERM_CHECK_MS)),
         Effect.forever,
       );
-      const tidy = supervise('upkeep', upkeep(t).pipe(Effect.zipRight(tick(UPKEEP_GAP_MS)), Effect.forever));
-      const weights = imageWeightsTask({ ...t, machines: () => registry.machines.values() });
-      const fleet = autoscaler(t, state, parts.cloud);
+      const tidy = supervise(
+        'upkeep',
+        upkeep(cycleContext).pipe(Effect.zipRight(tick(UPKEEP_GAP_MS)), Effect.forever),
+      );
+      const weights = imageWeightsTask({ ...cycleContext, machines: () => registry.machines.values() });
+      const fleet = autoscaler(cycleContext, state, parts.cloud);
       return Effect.all(
         [
-          supervise('scheduling', this.scheduleForever(t, state, gate)),
+          supervise('scheduling', this.scheduleForever(cycleContext, state, gate)),
           fleet,
           tidy,
-          logSummaryForever(t, state),
+          logSummaryForever(cycleContext, state),
           relieve,
-          this.finishRecoveryForever(t, context, gathered),
+          this.finishRecoveryForever(cycleContext, context, gathered),
           weights,
-          largestJobsTask(t),
+          largestJobsTask(cycleContext),
         ],
         { concurrency: 'unbounded', discard: true },
       ).pipe(Effect.ensuring(Effect.sync(() => gate.releaseOverdue(seconds(0)))));
@@ -271,64 +275,69 @@
   }
 
   /** One scheduling cycle after another: when something has changed, and at least every `CYCLE_EVERY_MS`. */
-  private scheduleForever(t: CycleContext, state: CycleState, gate: CycleGate): Effect.Effect<never> {
+  private scheduleForever(
+    cycleContext: CycleContext,
+    state: CycleState,
+    gate: CycleGate,
+  ): Effect.Effect<never> {
     const { parts, wake } = this;
-    const { registry } = t;
+    const { registry } = cycleContext;
     return Effect.gen(function* () {
       yield* Queue.take(wake).pipe(Effect.timeoutOption(CYCLE_EVERY_MS));
       gate.cycleBegan();
-      yield* (t.mayAct() ? runCycle(t, state) : Effect.void).pipe(
+      yield* (cycleContext.mayAct() ? runCycle(cycleContext, state) : Effect.void).pipe(
         Effect.ensuring(Effect.sync(() => gate.cycleEnded())),
       );
-      if (t.mayAct()) yield* sendUrgentOrders(registry, parts.workers, parts.admission);
+      if (cycleContext.mayAct()) yield* sendUrgentOrders(registry, parts.workers, parts.admission);
       yield* Effect.sleep(cycleGapMs(registry.machines.size, toMillis(state.computeTime), state.hasBacklog));
     }).pipe(Effect.forever);
   }
 
   private finishRecoveryForever(
-    t: CycleContext,
+    cycleContext: CycleContext,
     context: RebuildContext,
     gathered: GatheredViews,
   ): Effect.Effect<never> {
     return supervise(
       'recovery',
-      Effect.suspend(() => (t.mayAct() ? this.finishRecovery(t, context, gathered) : Effect.void)).pipe(
-        Effect.zipRight(tick(RECOVERY_EVERY_MS)),
-        Effect.forever,
-      ),
+      Effect.suspend(() =>
+        cycleContext.mayAct() ? this.finishRecovery(cycleContext, context, gathered) : Effect.void,
+      ).pipe(Effect.zipRight(tick(RECOVERY_EVERY_MS)), Effect.forever),
     );
   }
 
   /** What is left to do after the store's first start or a rebuild, until nothing unknown can be running or turn up. */
   private finishRecovery(
-    t: CycleContext,
+    cycleContext: CycleContext,
     context: RebuildContext,
     gathered: GatheredViews,
   ): Effect.Effect<void> {
-    const { jobState, registry } = t;
+    const { jobState, registry } = cycleContext;
     return Effect.gen(this, function* () {
       yield* Effect.ignore(addLateViews(context, gathered, this.parts.peers.withPreLossViews()));
       const generation = jobState.incarnation?.generation ?? 0;
-      const at = t.clock();
+      const at = cycleContext.clock();
       if (!jobState.quiescent && registry.priorLeasesExpired(at)) yield* declareMilestone(context, QUIESCENT);
       const allAccountedFor =
         generation === 0
-          ? (t.fleet.listed && registry.allMachinesConfirmed()) || registry.priorLeasesExpired(at)
+          ? (cycleContext.fleet.listed && registry.allMachinesConfirmed()) || registry.priorLeasesExpired(at)
           : jobState.quiescent;
       if (!jobState.recovered && jobState.rebuild === null && allAccountedFor)
         yield* declareMilestone(context, RECOVERED);
-      if (generation > 0 && jobState.rebuild?.phase !== 'gather') yield* reconcileOrphanedJobs(t);
+      if (generation > 0 && jobState.rebuild?.phase !== 'gather') yield* reconcileOrphanedJobs(cycleContext);
     });
   }
 }
 
 /** Logs a line about the cluster every `SUMMARY_EVERY_MS`. */
-const logSummaryForever = (t: CycleContext, state: CycleState): Effect.Effect<never> =>
+const logSummaryForever = (cycleContext: CycleContext, state: CycleState): Effect.Effect<never> =>
   supervise(
     'summary',
     Effect.sleep(SUMMARY_EVERY_MS).pipe(
       Effect.zipRight(
-        Effect.suspend(() => info('cluster', { term: t.leaderTerm.number, ...summary(t, state) })),
+        Effect.suspend(() =>
+          info('cluster', { term: cycleContext.leaderTerm.number, ...summary(cycleContext, state) }),
+        ),
       ),
       Effect.forever,
     ),
--- a/packages/controller/src/leadership/leadership.ts
+++ b/packages/controller/src/leadership/leadership.ts
@@ -34,6 +34,7 @@
   readonly began: Micros;
 }
 
+/** Whether this controller leads, may answer heartbeats, or campaigns: the only source of "may act until". */
 export class Leadership {
   private leaderTerm: LeadershipTerm | null = null;
   private readonly lease: LeaderLease;
--- a/packages/controller/src/leadership/peers.ts
+++ b/packages/controller/src/leadership/peers.ts
@@ -63,9 +63,9 @@
 
   /** Carries the highest term heard of, so that a lower one is never confirmed again. */
   private heartbeat(): PeerHeartbeat {
-    const m = this.ownState();
-    this.highest = Math.max(this.highest, m.term);
-    return { ...m, from: this.settings.label, term: this.highest };
+    const own = this.ownState();
+    this.highest = Math.max(this.highest, own.term);
+    return { ...own, from: this.settings.label, term: this.highest };
   }
 
   /** Takes in a peer's heartbeat; returns this node's own. */
@@ -85,9 +85,9 @@
 
   /** Reachable peers that have not said that they have read `incarnation` up to `revision`. */
   behind(incarnation: string, revision: number): Peer[] {
-    return this.settings.peers.filter((p) => {
-      if (!this.isReachable(p.label)) return false;
-      const store = this.responses.get(p.label)?.heartbeat.store;
+    return this.settings.peers.filter((peer) => {
+      if (!this.isReachable(peer.label)) return false;
+      const store = this.responses.get(peer.label)?.heartbeat.store;
       return store?.incarnation !== incarnation || store.viewRevision < revision;
     });
   }
@@ -160,8 +160,8 @@
   unchangedSince(incarnation: string, revision: number): number {
     const { peers, nodes } = this.settings;
     if (peers.length < nodes - 1) return Number.NEGATIVE_INFINITY;
-    const said = peers.map((p): PeerKnowledge | null => {
-      const response = this.responses.get(p.label);
+    const said = peers.map((peer): PeerKnowledge | null => {
+      const response = this.responses.get(peer.label);
       const store = response?.heartbeat.store;
       if (!response?.heartbeat.viewLoaded || !store) return null;
       const revision = Math.max(store.highestRevision, store.viewRevision);
@@ -172,9 +172,9 @@
 
   /** Enough nodes know `term`, this one included, that every majority contains one of them. */
   acknowledged(term: number): boolean {
-    let n = 1;
-    for (const h of this.responses.values()) if (h.heartbeat.term >= term) n++;
-    return n >= Math.ceil(this.settings.nodes / 2);
+    let acknowledging = 1;
+    for (const h of this.responses.values()) if (h.heartbeat.term >= term) acknowledging++;
+    return acknowledging >= Math.ceil(this.settings.nodes / 2);
   }
 
   /** Exchanges heartbeats with one peer for ever; a peer that does not answer delays no other. */
--- a/packages/controller/src/leadership/read-lease.ts
+++ b/packages/controller/src/leadership/read-lease.ts
@@ -19,8 +19,11 @@
 const MIN_USEFUL_VIEW_AGE = seconds(1);
 
 /** How old a view may be while workers' leases are renewed by it; 0: no view that can be had is new enough. */
-export const maxViewAge = (w: Workers): Micros => {
-  const lag = plus(w.cancel, -w.cancel * 2 * DRIFT - w.lease * (1 + 2 * DRIFT) - SAFETY_MARGIN);
+export const maxViewAge = (workers: Workers): Micros => {
+  const lag = plus(
+    workers.cancel,
+    -(workers.cancel as number) * 2 * DRIFT - workers.lease * (1 + 2 * DRIFT) - SAFETY_MARGIN,
+  );
   return lag < MIN_USEFUL_VIEW_AGE ? (0 as Micros) : lag;
 };
 
@@ -44,9 +47,9 @@
   revision: number,
 ): number =>
   said.reduce(
-    (asOf, s) =>
-      s !== null && s.incarnation === incarnation && s.revision <= revision
-        ? Math.min(asOf, s.asked)
+    (asOf, peer) =>
+      peer !== null && peer.incarnation === incarnation && peer.revision <= revision
+        ? Math.min(asOf, peer.asked)
         : Number.NEGATIVE_INFINITY,
     Number.POSITIVE_INFINITY,
   );
@@ -68,13 +71,14 @@
  * Whether an answer may start tasks: by the leader lease, or while the others know of nothing later than this view. Otherwise
  * a read lease would start jobs that users were told are cancelled: stopped in time, but started after the confirmation.
  */
-export const mayStart = (at: Micros, s: Pick<AnswerBounds, 'leaderLeaseUntil' | 'knownAsOf'>): boolean =>
-  at < s.leaderLeaseUntil || at < s.knownAsOf + MAX_VIEW_AGE_FOR_STARTS;
+export const mayStart = (at: Micros, bounds: Pick<AnswerBounds, 'leaderLeaseUntil' | 'knownAsOf'>): boolean =>
+  at < bounds.leaderLeaseUntil || at < bounds.knownAsOf + MAX_VIEW_AGE_FOR_STARTS;
 
 /** Until when a read lease, or any answer by an old view, is safe. */
-export const readLeaseExpiry = (s: Pick<AnswerBounds, 'knownAsOf'>, w: Workers): number =>
-  s.knownAsOf + maxViewAge(w);
+export const readLeaseExpiry = (bounds: Pick<AnswerBounds, 'knownAsOf'>, workers: Workers): number =>
+  bounds.knownAsOf + maxViewAge(workers);
 
+/** Under which right a heartbeat may be answered. */
 export type AnswerAuthority = 'leader lease' | 'read lease';
 
 /**
@@ -84,11 +88,11 @@
  */
 export const answerAuthority = (
   at: Micros,
-  s: AnswerBounds,
-  w: Workers,
+  bounds: AnswerBounds,
+  workers: Workers,
   ttl: Micros,
 ): AnswerAuthority | null => {
-  const lag = maxViewAge(w);
-  if (at < s.leaderLeaseUntil && at < s.knownAsOf + (lag > 0 ? lag : ttl)) return 'leader lease';
-  return at < s.confirmedUntil && at < readLeaseExpiry(s, w) ? 'read lease' : null;
+  const lag = maxViewAge(workers);
+  if (at < bounds.leaderLeaseUntil && at < bounds.knownAsOf + (lag > 0 ? lag : ttl)) return 'leader lease';
+  return at < bounds.confirmedUntil && at < readLeaseExpiry(bounds, workers) ? 'read lease' : null;
 };
--- a/packages/controller/src/leadership/store-founding.ts
+++ b/packages/controller/src/leadership/store-founding.ts
@@ -26,6 +26,7 @@
 import type { WonTerm } from './campaign.js';
 import type { Peers } from './peers.js';
 
+/** What the founding of a store incarnation works on. */
 export interface FoundingParts {
   readonly settings: Settings;
   /** The state service as it is, without the guard. */
--- a/packages/controller/src/overload/admission.ts
+++ b/packages/controller/src/overload/admission.ts
@@ -12,6 +12,7 @@
 /** Successive multiples of it, taken modulo 1, lie as evenly as can be however many there are. */
 const GOLDEN = 0.6180339887498949;
 
+/** Admission control of one controller: counts what is in flight and measures how late its event loop runs. */
 export class Admission {
   private readonly inFlight: Record<Work, number> = { poll: 0, submission: 0, order: 0, report: 0 };
   private readonly limits: Limits;
--- a/packages/controller/src/overload/model.ts
+++ b/packages/controller/src/overload/model.ts
@@ -4,8 +4,10 @@
 
 /** Kinds of work, the least worth first. A lease's renewal is this node's own doing and is never shed. */
 export const WORK = ['poll', 'submission', 'order', 'report'] as const;
+/** A kind of work. */
 export type Work = (typeof WORK)[number];
 
+/** How much there is to do right now. */
 export interface Load {
   /** How far behind its clock this node is: what comes in now was sent so long ago, at least. */
   readonly lag: Micros;
@@ -19,6 +21,7 @@
   readonly memory: number;
 }
 
+/** From where on work is refused. */
 export interface Limits {
   /** From this lag on, work of the kind is refused. Ascending in the order of `WORK`. */
   readonly lag: Readonly<Record<Work, Micros>>;
--- a/packages/controller/src/overload/turns.ts
+++ b/packages/controller/src/overload/turns.ts
@@ -12,10 +12,12 @@
  * can be afforded. A multiple of the other, so that a turn of the second kind is one of the first kind on all nodes.
  */
 export const SHARES = { behind: 3, storm: 6 } as const;
+/** One of `SHARES`. */
 export type Shares = (typeof SHARES)[keyof typeof SHARES];
 /** An answer this close to a slot's end may belong to the next one: time of day differs between nodes. */
 const EDGE = seconds(0.5);
 
+/** When a job's polls are answered while the controller is behind. */
 export interface Turn {
   /** It is this job's turn. */
   readonly mine: boolean;
@@ -26,10 +28,10 @@
 
 /** FNV-1a with a last mixing; 32 bits. */
 const hash = (text: string): number => {
-  let h = 2166136261;
-  for (let i = 0; i < text.length; i++) h = Math.imul(h ^ text.charCodeAt(i), 16777619);
-  h = Math.imul(h ^ (h >>> 15), 2246822519);
-  return (h ^ (h >>> 13)) >>> 0;
+  let digest = 2166136261;
+  for (let i = 0; i < text.length; i++) digest = Math.imul(digest ^ text.charCodeAt(i), 16777619);
+  digest = Math.imul(digest ^ (digest >>> 15), 2246822519);
+  return (digest ^ (digest >>> 13)) >>> 0;
 };
 
 /** `at`: time of day. */
--- a/packages/controller/src/provisioning/autoscaler.ts
+++ b/packages/controller/src/provisioning/autoscaler.ts
@@ -84,8 +84,10 @@
   }
 
   readonly run = Effect.suspend(() => this.step()).pipe(
-    Effect.catchAll((e) =>
-      info('cloud unavailable', { reason: e.reason }).pipe(Effect.zipRight(Effect.sleep(FAILURE_WAIT_MS))),
+    Effect.catchAll((failure) =>
+      info('cloud unavailable', { reason: failure.reason }).pipe(
+        Effect.zipRight(Effect.sleep(FAILURE_WAIT_MS)),
+      ),
     ),
     Effect.zipRight(Effect.sleep(STEP_INTERVAL_MS)),
     Effect.forever,
@@ -346,8 +348,8 @@
       surplus: this.cycle.idleNodes,
       avoidedMachines: (job) => registry.avoidedMachines(job),
       isRefused: (o) => at < (this.refusedUntil.get(offerKey(o)) ?? 0),
-      bootsSlowly: (o) =>
-        this.boots.bootsSlowly(bootKey(o), this.bootOf(o.type), overdue.get(bootKey(o)) ?? 0, at),
+      bootsSlowly: (offer) =>
+        this.boots.bootsSlowly(bootKey(offer), this.bootOf(offer.type), overdue.get(bootKey(offer)) ?? 0, at),
       maxPerType: MAX_RENTED_PER_TYPE,
     });
     this.needed = plan.needed;
--- a/packages/controller/src/provisioning/cloud.ts
+++ b/packages/controller/src/provisioning/cloud.ts
@@ -17,6 +17,7 @@
 export class CloudAnswerMalformed extends Data.TaggedError('CloudAnswerMalformed')<{
   readonly reason: string;
 }> {}
+/** Why the cloud did not do what was asked. */
 export type CloudFailure = CloudRefused | OutOfCapacity | CloudAnswerMalformed | NoAnswer;
 
 /** One rental. Repeated under the same name, it is carried out only once. */
@@ -103,11 +104,11 @@
   const { hosts, more } = value as { hosts: unknown; more?: unknown };
   if (!Array.isArray(hosts) || (more !== undefined && more !== null && typeof more !== 'boolean'))
     throw new CloudAnswerMalformed({ reason: 'not a list' });
-  const machines = (hosts as WireHost[]).map((h): ListedMachine => {
-    const { id, hostKind: type, room: zone, heldS } = h;
-    const addr = h.addr ?? '';
-    const spot = h.borrowed ?? false;
-    const status = text(h.status) ? STATUSES[h.status] : undefined;
+  const machines = (hosts as WireHost[]).map((host): ListedMachine => {
+    const { id, hostKind: type, room: zone, heldS } = host;
+    const addr = host.addr ?? '';
+    const spot = host.borrowed ?? false;
+    const status = text(host.status) ? STATUSES[host.status] : undefined;
     if (!text(id) || !text(addr) || !text(type) || !text(zone) || typeof spot !== 'boolean')
       throw new CloudAnswerMalformed({ reason: `not a machine: ${String(id)}` });
     if (status === undefined || typeof heldS !== 'number' || !Number.isFinite(heldS))
@@ -122,10 +123,10 @@
 const read = <A>(reply: Reply, decode: (value: unknown) => A): Effect.Effect<A, CloudAnswerMalformed> =>
   Effect.try({
     try: () => decode(JSON.parse(reply.body.toString())),
-    catch: (e) =>
-      e instanceof CloudAnswerMalformed
-        ? e
-        : new CloudAnswerMalformed({ reason: `unreadable: ${String(e).slice(0, REASON_BYTES)}` }),
+    catch: (reason) =>
+      reason instanceof CloudAnswerMalformed
+        ? reason
+        : new CloudAnswerMalformed({ reason: `unreadable: ${String(reason).slice(0, REASON_BYTES)}` }),
   });
 
 /** How the cloud says, with status 503, that it has no machine of the offer. */
@@ -165,10 +166,10 @@
         Priority.Read,
       ).pipe(
         Effect.flatMap((r) => read(r, readList)),
-        Effect.flatMap((v) => {
-          sofar.push(...v.machines);
-          const last = v.machines[v.machines.length - 1];
-          return v.more && last ? page(last.id, sofar) : Effect.succeed(sofar);
+        Effect.flatMap((answer) => {
+          sofar.push(...answer.machines);
+          const last = answer.machines[answer.machines.length - 1];
+          return answer.more && last ? page(last.id, sofar) : Effect.succeed(sofar);
         }),
       );
     return page(null, []);
@@ -216,12 +217,12 @@
             : new CloudRefused({ status: 0, reason: 'no longer entitled' }),
         ),
       ),
-      Effect.flatMap((r) =>
-        r.status === 200
-          ? Effect.succeed(r)
+      Effect.flatMap((reply) =>
+        reply.status === 200
+          ? Effect.succeed(reply)
           : Effect.sync(() => {
-              if (r.status === 429) this.budget.drain();
-            }).pipe(Effect.zipRight(Effect.fail(failureOf(r)))),
+              if (reply.status === 429) this.budget.drain();
+            }).pipe(Effect.zipRight(Effect.fail(failureOf(reply)))),
       ),
     );
   }
--- a/packages/controller/src/provisioning/rental-requests.ts
+++ b/packages/controller/src/provisioning/rental-requests.ts
@@ -17,6 +17,7 @@
   readonly at: Micros;
 }
 
+/** Requests for machines whose answer is not known yet, under names that are never used again. */
 export class RentalRequests {
   /** By offer. */
   private readonly open = new Map<string, OpenRequest>();
--- a/packages/controller/src/provisioning/scaling-plan.ts
+++ b/packages/controller/src/provisioning/scaling-plan.ts
@@ -61,8 +61,8 @@
 }
 
 /** How many of a task a whole machine takes. */
-const perMachine = (t: MachineType, need: Resources): number =>
-  Math.min(1000, countFitting(need, [t.cpus, t.gpus, t.memGb]));
+const perMachine = (machineType: MachineType, need: Resources): number =>
+  Math.min(1000, countFitting(need, [machineType.cpus, machineType.gpus, machineType.memGb]));
 
 /** How much more spot capacity costs by lost work: more for a task that saves nothing. */
 const spotLossFactor = (job: Job): number => (job.spec.checkpoint > 0 ? 1.1 : 1.3);
@@ -119,8 +119,8 @@
   }
 
   private wholeRoom(type: string): Resources {
-    const t = this.types.get(type);
-    return t ? [t.cpus, t.gpus, t.memGb] : [0, 0, 0];
+    const machineType = this.types.get(type);
+    return machineType ? [machineType.cpus, machineType.gpus, machineType.memGb] : [0, 0, 0];
   }
 
   /** Whether a task of this job can go there as the cycle sees it. */
--- a/packages/controller/src/recovery/detection-task.ts
+++ b/packages/controller/src/recovery/detection-task.ts
@@ -114,8 +114,9 @@
     if (fresh.calendarLost) return `${CALENDAR_HEAD}: not what records went by`;
     const known = fingerprint(parts.jobState);
     const stored = fingerprint(fresh);
-    for (const [key, v] of known)
-      if (stored.get(key) !== v) return `${key}: ${stored.get(key) ?? 'missing'}, was ${v}`.slice(0, 200);
+    for (const [key, value] of known)
+      if (stored.get(key) !== value)
+        return `${key}: ${stored.get(key) ?? 'missing'}, was ${value}`.slice(0, 200);
     for (const key of stored.keys()) if (!known.has(key)) return `${key}: not known`;
     return null;
   });
--- a/packages/controller/src/recovery/digest.ts
+++ b/packages/controller/src/recovery/digest.ts
@@ -9,10 +9,10 @@
 
 /** FNV-1a with a last mixing; 32 bits. */
 const hash = (text: string, seed: number): number => {
-  let h = seed;
-  for (let i = 0; i < text.length; i++) h = Math.imul(h ^ text.charCodeAt(i), 16777619);
-  h = Math.imul(h ^ (h >>> 15), 2246822519);
-  return (h ^ (h >>> 13)) >>> 0;
+  let digest = seed;
+  for (let i = 0; i < text.length; i++) digest = Math.imul(digest ^ text.charCodeAt(i), 16777619);
+  digest = Math.imul(digest ^ (digest >>> 15), 2246822519);
+  return (digest ^ (digest >>> 13)) >>> 0;
 };
 
 export const rangeOf = (id: string): number => hash(id, 2166136261) % RANGES;
--- a/packages/controller/src/recovery/guarded-store.ts
+++ b/packages/controller/src/recovery/guarded-store.ts
@@ -51,19 +51,19 @@
       const { incarnationCount } = this.lossDetector;
       const asked = this.clock();
       return this.unguardedStore.transact([...when, fence], then, priority, timeoutMs).pipe(
-        Effect.flatMap((o): Effect.Effect<Outcome, StateFailure> => {
+        Effect.flatMap((outcome): Effect.Effect<Outcome, StateFailure> => {
           if (this.lossDetector.incarnationCount !== incarnationCount)
             return Effect.fail(new NoAnswer({ reason: dataLossSuspected.reason }));
           const sound = this.lossDetector.acceptRevision(
-            o.revision,
-            o.ok && then.some((w) => 'set' in w) ? floor + 1 : floor,
+            outcome.revision,
+            outcome.ok && then.some((w) => 'set' in w) ? floor + 1 : floor,
           );
-          if (!o.ok && o.failed.includes(fence.key))
+          if (!outcome.ok && outcome.failed.includes(fence.key))
             this.lossDetector.suspect('other incarnation', `${fence.key} refused`);
           // Not done is certain whatever became of the store; done is not, in one that has lost data.
-          if (o.ok && sound) this.lossDetector.incarnationSeen(asked);
-          if (sound && !this.lossDetector.suspected) return Effect.succeed(o);
-          return o.ok
+          if (outcome.ok && sound) this.lossDetector.incarnationSeen(asked);
+          if (sound && !this.lossDetector.suspected) return Effect.succeed(outcome);
+          return outcome.ok
             ? Effect.fail(new NoAnswer({ reason: dataLossSuspected.reason }))
             : Effect.fail(dataLossSuspected);
         }),
@@ -122,11 +122,11 @@
       const floor = this.lossDetector.revisionFloor();
       const { incarnationCount } = this.lossDetector;
       return ask().pipe(
-        Effect.flatMap((a) => {
+        Effect.flatMap((answer) => {
           if (this.lossDetector.incarnationCount !== incarnationCount) return Effect.fail(dataLossSuspected);
-          const revision = revisionOf(a);
+          const revision = revisionOf(answer);
           if (revision !== null) this.lossDetector.acceptRevision(revision, floor);
-          return this.lossDetector.suspected ? Effect.fail(dataLossSuspected) : Effect.succeed(a);
+          return this.lossDetector.suspected ? Effect.fail(dataLossSuspected) : Effect.succeed(answer);
         }),
       );
     });
--- a/packages/controller/src/recovery/loss-verdict.ts
+++ b/packages/controller/src/recovery/loss-verdict.ts
@@ -27,9 +27,9 @@
   return row >= need ? 'lost' : 'undecided';
 };
 
-const matchesKnown = (known: StoreKnowledge, p: Probe): boolean =>
-  p.revision >= known.revision &&
-  p.term >= known.term &&
+const matchesKnown = (known: StoreKnowledge, probe: Probe): boolean =>
+  probe.revision >= known.revision &&
+  probe.term >= known.term &&
   (known.incarnation === null
-    ? known.generation < 0 && p.incarnations.length === 0
-    : p.incarnations.some((i) => i.id === known.incarnation!.id && i.stamp === known.incarnation!.stamp));
+    ? known.generation < 0 && probe.incarnations.length === 0
+    : probe.incarnations.some((i) => i.id === known.incarnation!.id && i.stamp === known.incarnation!.stamp));
--- a/packages/controller/src/recovery/orphaned-jobs.ts
+++ b/packages/controller/src/recovery/orphaned-jobs.ts
@@ -17,9 +17,9 @@
 const MAX_WRITES = 8;
 
 /** Records jobs that only workers name, and drops those that are gone or have been kept for long enough. */
-export const reconcileOrphanedJobs = (t: CycleContext): Effect.Effect<void> =>
+export const reconcileOrphanedJobs = (context: CycleContext): Effect.Effect<void> =>
   Effect.gen(function* () {
-    const { registry, jobState } = t;
+    const { registry, jobState } = context;
     const fresh = [...registry.unknownJobs]
       .filter(([id]) => !jobState.orphanedJobs.has(id) && !registry.abortedUnknownJobs.has(id))
       .slice(0, MAX_WRITES);
@@ -27,14 +27,14 @@
       when: { key: string; stamp: number }[],
       then: { set: string; value: unknown } | { delete: string },
     ) =>
-      t.store
-        .transact([{ key: TERM, stamp: t.leaderTerm.stamp }, ...when], [then], Priority.Commit, 1200)
+      context.store
+        .transact([{ key: TERM, stamp: context.leaderTerm.stamp }, ...when], [then], Priority.Commit, 1200)
         .pipe(
           Effect.map((o) => o.ok),
           Effect.orElseSucceed(() => false),
         );
     for (const [id, tasks] of fresh) {
-      const value: OrphanedJob = { since: t.dayTime(), tasks: tasks.size };
+      const value: OrphanedJob = { since: context.dayTime(), tasks: tasks.size };
       const written = yield* write(
         [
           { key: orphanedJobKey(id), stamp: 0 },
@@ -44,21 +44,22 @@
         { set: orphanedJobKey(id), value },
       );
       if (written)
-        yield* info('orphaned job found', { term: t.leaderTerm.number, job: id, tasks: tasks.size });
+        yield* info('orphaned job found', { term: context.leaderTerm.number, job: id, tasks: tasks.size });
     }
     for (const [id, orphaned] of jobState.orphanedJobs) {
-      const expired = t.dayTime() - orphaned.since > KEEP_ORPHANED_FOR;
-      if (!expired && (registry.unknownJobs.has(id) || !registry.priorLeasesExpired(t.clock()))) continue;
+      const expired = context.dayTime() - orphaned.since > KEEP_ORPHANED_FOR;
+      if (!expired && (registry.unknownJobs.has(id) || !registry.priorLeasesExpired(context.clock())))
+        continue;
       // Nobody has submitted it again, or no task of it is left.
       if (expired) registry.abortedUnknownJobs.add(id);
       if (
         yield* write([{ key: orphanedJobKey(id), stamp: orphaned.revision }], { delete: orphanedJobKey(id) })
       )
         yield* info('orphaned job aborted', {
-          term: t.leaderTerm.number,
+          term: context.leaderTerm.number,
           job: id,
           reason: expired ? 'not submitted again' : 'gone',
         });
     }
-    if (fresh.length > 0) yield* Effect.ignore(t.watcher.refresh);
+    if (fresh.length > 0) yield* Effect.ignore(context.watcher.refresh);
   });
--- a/packages/controller/src/recovery/view-exchange.ts
+++ b/packages/controller/src/recovery/view-exchange.ts
@@ -92,9 +92,9 @@
     body,
     headers: { 'Content-Type': 'application/msgpack' },
   });
-  return (r: Incoming): Answer | null => {
-    if (r.path === VIEW_PATH) {
-      const request = r.body === null ? null : decodeViewRequest(r.body);
+  return (incoming: Incoming): Answer | null => {
+    if (incoming.path === VIEW_PATH) {
+      const request = incoming.body === null ? null : decodeViewRequest(incoming.body);
       if (request === null) return json(400, {});
       const own = live(request.incarnation);
       return octets(
@@ -108,18 +108,18 @@
         ),
       );
     }
-    if (r.path === EVIDENCE_PATH) {
-      const evidence = r.body === null ? null : decodeJobEvidence(r.body);
+    if (incoming.path === EVIDENCE_PATH) {
+      const evidence = incoming.body === null ? null : decodeJobEvidence(incoming.body);
       if (evidence === null) return json(400, {});
       evidenceStore.record(evidence);
       return octets(Buffer.alloc(0));
     }
-    if (r.path === CHECK_PATH) {
-      const answer = r.body === null ? null : check(r.body);
+    if (incoming.path === CHECK_PATH) {
+      const answer = incoming.body === null ? null : check(incoming.body);
       return answer === null ? json(400, {}) : octets(answer);
     }
-    if (r.path === DURABLE_PATH) {
-      const ids = r.body === null ? null : decodeDurable(r.body);
+    if (incoming.path === DURABLE_PATH) {
+      const ids = incoming.body === null ? null : decodeDurable(incoming.body);
       if (ids === null) return json(400, {});
       preLossViews.drop(ids);
       return octets(encodeDurable(ids));
--- a/packages/controller/src/recovery/write-back.ts
+++ b/packages/controller/src/recovery/write-back.ts
@@ -36,8 +36,8 @@
   Effect.gen(function* () {
     const out = new Set<string>();
     for (const e of (yield* watcher.listAll(FINAL_STATES)).entries) out.add(e.key.slice(FINAL_STATES.length));
-    for (const e of (yield* watcher.listAll(FINAL_STATE_PAGES)).entries)
-      for (const [id] of decodeFinalStates(e.value)) out.add(id);
+    for (const entry of (yield* watcher.listAll(FINAL_STATE_PAGES)).entries)
+      for (const [id] of decodeFinalStates(entry.value)) out.add(id);
     return out;
   });
 
--- a/packages/controller/src/recovery/write-steps.ts
+++ b/packages/controller/src/recovery/write-steps.ts
@@ -120,9 +120,9 @@
     return {
       when: [...ended.map((e) => ({ key: activeJobKey(e.id), stamp: e.stamp })), ...bundles.when],
       then: [
-        ...ended.flatMap((e): Write[] => [
-          { delete: activeJobKey(e.id) },
-          { set: finalStateKey(e.id), value: encodeFinalState(e.final) },
+        ...ended.flatMap((entry): Write[] => [
+          { delete: activeJobKey(entry.id) },
+          { set: finalStateKey(entry.id), value: encodeFinalState(entry.final) },
         ]),
         ...bundles.then,
       ],
--- a/packages/controller/src/settings/settings.ts
+++ b/packages/controller/src/settings/settings.ts
@@ -68,6 +68,7 @@
   }),
 });
 
+/** Another controller. */
 export interface Peer {
   readonly label: string;
   readonly zone: string;
@@ -79,6 +80,7 @@
   readonly guarantee: { readonly cpus: number; readonly gpus: number };
   readonly limit: { readonly cpus: number; readonly gpus: number };
 }
+/** A service-level objective of a class of jobs. */
 export interface Objective {
   readonly kind: string;
   readonly jobClass: string;
@@ -86,6 +88,7 @@
   readonly share: number;
   readonly times: number;
 }
+/** What the platform hands over in the settings file, checked; times in microseconds. */
 export interface Settings {
   readonly label: string;
   readonly zone: string;
@@ -124,57 +127,58 @@
 export const parseSettings = (text: string): Either.Either<Settings, string> => {
   const decoded = readFile(text);
   if (Either.isLeft(decoded)) return Either.left(decoded.left);
-  const f = decoded.right;
-  const w = f.cluster.workers;
+  const file = decoded.right;
+  const workers = file.cluster.workers;
   return Either.right({
-    label: f.label,
-    zone: f.zone,
-    listen: f.listen,
-    peerListen: f.cluster_listen,
-    peers: f.others.map((o) => ({ label: o.label, zone: o.zone, address: o.peer_addr })),
-    cloudAddress: f.services.cloud,
-    stateAddress: f.services.state,
-    nodes: f.cluster.nodes,
-    zones: f.cluster.zones,
-    skew: millis(f.cluster.skew_ms),
-    teams: f.cluster.teams.map((t) => ({
-      name: t.name,
-      guarantee: { cpus: t.cpus, gpus: t.gpus },
-      limit: { cpus: t.cpus_max, gpus: t.gpus_max },
+    label: file.label,
+    zone: file.zone,
+    listen: file.listen,
+    peerListen: file.cluster_listen,
+    peers: file.others.map((o) => ({ label: o.label, zone: o.zone, address: o.peer_addr })),
+    cloudAddress: file.services.cloud,
+    stateAddress: file.services.state,
+    nodes: file.cluster.nodes,
+    zones: file.cluster.zones,
+    skew: millis(file.cluster.skew_ms),
+    teams: file.cluster.teams.map((team) => ({
+      name: team.name,
+      guarantee: { cpus: team.cpus, gpus: team.gpus },
+      limit: { cpus: team.cpus_max, gpus: team.gpus_max },
     })),
-    objectives: f.cluster.objectives.map((o) => ({
-      kind: o.kind,
-      jobClass: o.class,
-      within: seconds(o.within_s),
-      share: o.share,
-      times: o.times,
+    objectives: file.cluster.objectives.map((objective) => ({
+      kind: objective.kind,
+      jobClass: objective.class,
+      within: seconds(objective.within_s),
+      share: objective.share,
+      times: objective.times,
     })),
     workers: {
-      report: seconds(w.report_s),
-      lease: seconds(w.lease_s),
-      gangWait: seconds(w.gang_wait_s),
-      gangPeer: seconds(w.gang_peer_s),
-      cancel: seconds(w.cancel_s),
+      report: seconds(workers.report_s),
+      lease: seconds(workers.lease_s),
+      gangWait: seconds(workers.gang_wait_s),
+      gangPeer: seconds(workers.gang_peer_s),
+      cancel: seconds(workers.cancel_s),
     },
     state: {
-      rps: f.cluster.state.rps,
-      writeRps: f.cluster.state.write_rps,
-      valueBytes: Math.floor(f.cluster.state.value_kb * 1024),
-      txnOps: f.cluster.state.txn_ops,
+      rps: file.cluster.state.rps,
+      writeRps: file.cluster.state.write_rps,
+      valueBytes: Math.floor(file.cluster.state.value_kb * 1024),
+      txnOps: file.cluster.state.txn_ops,
     },
-    cloud: { rps: f.cluster.cloud.rps, listLag: seconds(f.cluster.cloud.list_lag_s) },
+    cloud: { rps: file.cluster.cloud.rps, listLag: seconds(file.cluster.cloud.list_lag_s) },
     limits: {
-      cores: f.cluster.machine_limits.cores,
-      memoryMb: f.cluster.machine_limits.memory_mb,
-      maxConnections: f.cluster.machine_limits.max_connections,
+      cores: file.cluster.machine_limits.cores,
+      memoryMb: file.cluster.machine_limits.memory_mb,
+      maxConnections: file.cluster.machine_limits.max_connections,
     },
   });
 };
 
+/** The settings of a file, or one line that names the field and the reason. */
 export const readSettings = (path: string): Either.Either<Settings, string> => {
   try {
     return parseSettings(readFileSync(path, 'utf8'));
-  } catch (e) {
-    return Either.left(`cannot read: ${(e as Error).message}`);
+  } catch (failure) {
+    return Either.left(`cannot read: ${(failure as Error).message}`);
   }
 };
--- a/packages/controller/src/state-store/budget.ts
+++ b/packages/controller/src/state-store/budget.ts
@@ -93,9 +93,9 @@
   }
 
   private refill(): void {
-    const t = this.time.now();
-    this.tokens = Math.min(this.burst, this.tokens + ((t - this.refilledAt) / 1e6) * this.rate);
-    this.refilledAt = t;
+    const now = this.time.now();
+    this.tokens = Math.min(this.burst, this.tokens + ((now - this.refilledAt) / 1e6) * this.rate);
+    this.refilledAt = now;
   }
 
   private setTimer(): void {
@@ -109,10 +109,10 @@
     this.timerSet = false;
     this.refill();
     while (this.waiting.length > 0 && this.tokens >= Math.min(this.waiting[0]!.cost, this.burst)) {
-      const w = this.waiting.shift()!;
-      this.queuedCost -= w.cost;
-      this.tokens -= w.cost;
-      w.go();
+      const waiter = this.waiting.shift()!;
+      this.queuedCost -= waiter.cost;
+      this.tokens -= waiter.cost;
+      waiter.go();
     }
     this.setTimer();
   }
@@ -135,9 +135,9 @@
 
   /** The leader writes the most: it takes a larger share of the limits than its followers. */
   leading(yes: boolean): void {
-    const n = this.nodes;
-    const part = n <= 1 ? 0.95 : yes ? 0.5 : 0.5 / (n - 1);
-    this.requests.setRate(this.limits.rps * (n <= 1 ? 0.95 : yes ? 0.4 : 0.6 / (n - 1)));
+    const nodes = this.nodes;
+    const part = nodes <= 1 ? 0.95 : yes ? 0.5 : 0.5 / (nodes - 1);
+    this.requests.setRate(this.limits.rps * (nodes <= 1 ? 0.95 : yes ? 0.4 : 0.6 / (nodes - 1)));
     this.writes.setRate(this.limits.writeRps * part);
   }
 
--- a/packages/controller/src/state-store/client.ts
+++ b/packages/controller/src/state-store/client.ts
@@ -15,6 +15,7 @@
   readonly status: number;
   readonly reason: string;
 }> {}
+/** Why the state service did not answer as asked. */
 export type StateFailure = Refused | NoAnswer;
 
 /** A counter that 2^53 and more can't be compared by: the client fails rather than act on a wrong comparison. */
@@ -123,8 +124,10 @@
   ): Effect.Effect<Outcome, StateFailure> {
     const body = JSON.stringify({
       when: when.map((c) => ({ k: c.key, stamp: c.stamp })),
-      then: then.map((w) =>
-        'set' in w ? { set: w.set, value: w.value, tenancy: w.lease } : { delete: w.delete },
+      then: then.map((write) =>
+        'set' in write
+          ? { set: write.set, value: write.value, tenancy: write.lease }
+          : { delete: write.delete },
       ),
     });
     return this.budgets.writes.take(priority, then.length).pipe(
@@ -175,10 +178,10 @@
       Effect.flatMap((reply): Effect.Effect<Page, StateFailure> => {
         if (reply.status !== 200) return this.refused(reply);
         const body = parse(reply);
-        const entries = (body.entries ?? []).map((e) => ({
-          key: e.k,
-          value: e.value,
-          stamp: safeCounter(e.stamp),
+        const entries = (body.entries ?? []).map((entry) => ({
+          key: entry.k,
+          value: entry.value,
+          stamp: safeCounter(entry.stamp),
         }));
         return Effect.succeed({ entries, more: body.more === true, revision: safeCounter(body.ledgerRev) });
       }),
@@ -196,10 +199,10 @@
         return Effect.succeed({
           tooOld: false,
           revision: safeCounter(body.ledgerRev),
-          changes: (body.log ?? []).map((e) => ({
-            key: (e.set ?? e.delete)!,
-            value: e.set === undefined ? undefined : e.value,
-            stamp: safeCounter(e.stamp),
+          changes: (body.log ?? []).map((change) => ({
+            key: (change.set ?? change.delete)!,
+            value: change.set === undefined ? undefined : change.value,
+            stamp: safeCounter(change.stamp),
           })),
         });
       }),
@@ -209,8 +212,8 @@
   /** Asks for a new lease; its number. */
   grant(ttl: Micros): Effect.Effect<number, StateFailure> {
     return this.call('POST', '/grants', JSON.stringify({ ttlMs: toMillis(ttl) }), Priority.Lease, 1500).pipe(
-      Effect.flatMap((r) =>
-        r.status === 200 ? Effect.succeed(safeCounter(parse(r).tenancy)) : this.refused(r),
+      Effect.flatMap((reply) =>
+        reply.status === 200 ? Effect.succeed(safeCounter(parse(reply).tenancy)) : this.refused(reply),
       ),
     );
   }
@@ -218,9 +221,9 @@
   /** true: extended; false: the lease is gone. */
   extend(lease: number, timeoutMs: number): Effect.Effect<boolean, StateFailure> {
     return this.call('POST', `/grants/${lease}/extend`, '{}', Priority.Lease, timeoutMs).pipe(
-      Effect.flatMap((r): Effect.Effect<boolean, StateFailure> => {
-        if (r.status === 200) return Effect.succeed(true);
-        return r.status === 404 ? Effect.succeed(false) : this.refused(r);
+      Effect.flatMap((reply): Effect.Effect<boolean, StateFailure> => {
+        if (reply.status === 200) return Effect.succeed(true);
+        return reply.status === 404 ? Effect.succeed(false) : this.refused(reply);
       }),
     );
   }
--- a/packages/controller/src/state-store/port.ts
+++ b/packages/controller/src/state-store/port.ts
@@ -1,6 +1,7 @@
 /** What the rest of the controller needs of the state service; tests put in a stand-in. */
 import type { StateStore } from './client.js';
 
+/** The state service as the slices see it. */
 export type StatePort = Pick<
   StateStore,
   | 'transact'
--- a/packages/controller/src/workers/heartbeat-relay.ts
+++ b/packages/controller/src/workers/heartbeat-relay.ts
@@ -167,10 +167,10 @@
     }
     countMetric('relayed', batch.length);
     receive(
-      batch.map((b) => {
-        const heartbeat = reader.read(b);
+      batch.map((body) => {
+        const heartbeat = reader.read(body);
         if (heartbeat === null)
-          recordAnomaly('malformed', 'malformed heartbeat', () => ({ machine: senderOf(b) }));
+          recordAnomaly('malformed', 'malformed heartbeat', () => ({ machine: senderOf(body) }));
         return heartbeat;
       }),
       (responses) =>
--- a/packages/controller/src/workers/observed-exits.ts
+++ b/packages/controller/src/workers/observed-exits.ts
@@ -27,6 +27,7 @@
 export const hasExited = (exits: TaskExits, task: number): boolean =>
   exits.done.has(task) || exits.gone.has(task);
 
+/** Exits that workers have reported and no log entry has yet. */
 export class ObservedExits {
   /** By job. */
   readonly byJob = new Map<string, TaskExits>();
--- a/packages/controller/src/workers/order-queue.ts
+++ b/packages/controller/src/workers/order-queue.ts
@@ -37,6 +37,7 @@
 /** A task that must run for more than this part of the time to the recall is not expected to complete. */
 const ESTIMATE_FACTOR = 1.5;
 
+/** What each worker is to be told. */
 export class OrderQueue {
   /** Stops that should also go out directly. */
   readonly urgent: UrgentOrder[] = [];
--- a/packages/controller/src/workers/orphaned-tasks.ts
+++ b/packages/controller/src/workers/orphaned-tasks.ts
@@ -10,6 +10,7 @@
 import type { Machine } from './machine.js';
 import type { ObservedExits } from './observed-exits.js';
 
+/** Tasks that workers run and no log entry knows, after a loss of data. */
 export class OrphanedTasks {
   /** Tasks of known jobs, by job and task: where they run and as which attempt. */
   readonly byJob = new Map<string, Map<number, Placement>>();
--- a/packages/controller/src/workers/quarantine.ts
+++ b/packages/controller/src/workers/quarantine.ts
@@ -21,6 +21,7 @@
   readonly quarantined: boolean;
 }
 
+/** Machines and jobs that are kept from each other after failures. */
 export class Quarantine {
   private readonly faults: FaultAttribution;
   private readonly reportedSuspects = new Set<string>();
--- a/packages/controller/src/workers/service-readiness.ts
+++ b/packages/controller/src/workers/service-readiness.ts
@@ -4,6 +4,7 @@
 import { type Job, taskKey } from '../jobs/model.js';
 import type { Running } from './observed-exits.js';
 
+/** Notices when all replicas of a service run. */
 export class ServiceReadiness {
   /** Services of which all replicas ran when last asked. */
   private readonly complete = new Set<string>();
--- a/packages/controller/src/workers/start-confirmation.ts
+++ b/packages/controller/src/workers/start-confirmation.ts
@@ -13,6 +13,7 @@
 const COOLDOWN = seconds(10);
 const MAX_COOLDOWN = seconds(60);
 
+/** Whether the starts that were sent have arrived. */
 export class StartConfirmation {
   /** Workers found unreachable since this was last emptied. */
   readonly unreachable: string[] = [];
--- a/packages/controller/src/workers/worker-leases.ts
+++ b/packages/controller/src/workers/worker-leases.ts
@@ -10,6 +10,7 @@
 /** Spared for messages that were on their way when the lease ended. */
 const MARGIN = seconds(1);
 
+/** Until when each worker's lease may run. */
 export class WorkerLeases {
   /** Until when an older leader may have renewed leases; null: not known yet. */
   private olderLeaderUntil: Micros | null = null;
--- a/packages/controller/src/workers/worker-registry.ts
+++ b/packages/controller/src/workers/worker-registry.ts
@@ -41,6 +41,7 @@
 
 type PlacedTask = Placement & { readonly job: Job };
 
+/** The leader's machines and all that is observed of them in its term. */
 export class WorkerRegistry {
   private readonly byId = new Map<string, Machine>();
   readonly machines: Machines = this.byId;
