--- a/packages/controller/src/accounts/booking.ts
+++ b/packages/controller/src/accounts/booking.ts
@@ -64,7 +64,7 @@
       rows: this.spending.all(),
       closes,
       bound: wantsBound(accounts)
-        ? { room: roomOf(t.registry.machines.values(), types), shut: t.jobState.calm }
+        ? { room: roomOf(t.registry.machines.values(), types), shut: t.jobState.quiescent }
         : null,
     };
   }
--- a/packages/controller/src/accounts/spent.ts
+++ b/packages/controller/src/accounts/spent.ts
@@ -127,7 +127,7 @@
       const p = job.placed.get(t);
       if (!p) continue;
       const { key, make } = this.rowOf(job, p.machine);
-      const ended = how === 'gone' && job.withdrawn ? 'withdrawn' : how;
+      const ended = how === 'gone' && job.cancelled ? 'withdrawn' : how;
       let us: number[];
       if (p.since > 0 && p.since < at) {
         const course = books.phases.courseOf(taskKey(job.spec.id, t), p.attempt, p.since >= books.reignFrom);
--- a/packages/controller/src/calendar/duty.ts
+++ b/packages/controller/src/calendar/duty.ts
@@ -3,7 +3,7 @@
 import { info } from '@lilacvalve/runtime/log';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import type { JobState } from '../jobs/job-state.js';
-import { OCCURRENCE, SHOWN, TERM } from '../jobs/keys.js';
+import { OCCURRENCE, CLASS_DURATIONS, TERM } from '../jobs/keys.js';
 import { type FinalState, isComplete, type Job, type JobChange } from '../jobs/model.js';
 import type { CycleContext } from '../scheduler/cycle-context.js';
 import { Priority } from '../state-store/budget.js';
@@ -69,7 +69,7 @@
   const over = (most: number | undefined, held: number, need: number): boolean =>
     most !== undefined && most > 0 && held + need * more > most + 1e-6;
   let lost = false;
-  for (const r of t.jobState.tail.values()) {
+  for (const r of t.jobState.logTail.values()) {
     const c = r.jobs.get(spec.id);
     if ((c?.gone?.length ?? 0) > (c?.failed?.length ?? 0)) lost = true;
   }
@@ -83,7 +83,7 @@
   if (calendars.current === null || calendars.current.cutoffs.length === 0) return out;
   const pace = paceOf(t);
   for (const job of t.jobState.jobs.values()) {
-    if (job.spec.tie === null || job.withdrawn || isComplete(job)) continue;
+    if (job.spec.tie === null || job.cancelled || isComplete(job)) continue;
     // What the same record completes is not at risk; it may have missed.
     const ends = t.registry.ends.get(job.spec.id);
     const over = ends !== undefined && job.done.size + ends.done.size >= job.spec.tasks;
@@ -102,16 +102,16 @@
   day: Micros,
 ): Effect.Effect<void> =>
   Effect.forEach(
-    [...jobs].filter(([, c]) => c.said !== undefined && c.said !== SAID.nothing),
+    [...jobs].filter(([, c]) => c.cutoffRisk !== undefined && c.cutoffRisk !== SAID.nothing),
     ([id, c]) => {
       const spec = t.jobState.jobs.get(id)?.spec;
       const o = spec === undefined ? null : occurrenceOf(t.jobState.calendars.current, spec);
       const fields = { term: t.leaderTerm.number, job: id, cutoff: o?.id };
-      return c.said === SAID.missed
+      return c.cutoffRisk === SAID.missed
         ? info('cutoff missed', fields)
         : info('cutoff at risk', {
             ...fields,
-            why: WHY[c.said!],
+            why: WHY[c.cutoffRisk!],
             inS: o === null ? undefined : Math.round((o.at - day) / 1e6),
           });
     },
@@ -149,8 +149,8 @@
       tie,
       addTally(sums.get(tie) ?? NO_TALLY, {
         done,
-        risked: done === 1 && isRisk(job.said) ? 1 : 0,
-        missed: done === 1 && job.said === SAID.missed ? 1 : 0,
+        risked: done === 1 && isRisk(job.cutoffRisk) ? 1 : 0,
+        missed: done === 1 && job.cutoffRisk === SAID.missed ? 1 : 0,
         cancelled: 1 - done,
       }),
     );
@@ -195,9 +195,9 @@
       t.store.transact(
         [
           { key: TERM, stamp: t.leaderTerm.stamp },
-          { key: SHOWN, stamp: calendars.shown?.stamp ?? 0 },
+          { key: CLASS_DURATIONS, stamp: calendars.shown?.stamp ?? 0 },
         ],
-        [{ set: SHOWN, value: encodeShown(addShown(calendars.remembered().shown, ratios)) }],
+        [{ set: CLASS_DURATIONS, value: encodeShown(addShown(calendars.remembered().shown, ratios)) }],
         Priority.Upkeep,
         1500,
       ),
--- a/packages/controller/src/calendar/fold.ts
+++ b/packages/controller/src/calendar/fold.ts
@@ -2,7 +2,7 @@
  * What the keys below `s/c/` say, folded from the watch: every node has the same calendar at a revision. A head counts
  * once all its pages are there and are what its digest stands for; until then the calendar before it holds.
  */
-import { CALENDAR_HEAD, CALENDAR_PAGE, OCCURRENCE, SHOWN } from '../jobs/keys.js';
+import { CALENDAR_HEAD, CALENDAR_PAGE, OCCURRENCE, CLASS_DURATIONS } from '../jobs/keys.js';
 import { decodeCalendar, decodeHead, decodeTally, encodeCalendar, type Head, type Paged } from './codec.js';
 import { type Calendar, laterTally, type Tally } from './model.js';
 import { decodeShown, type Shown } from './shown.js';
@@ -44,7 +44,7 @@
       this.tallies.set(id, { value: tally, stamp });
       const before = this.seen.get(id);
       this.seen.set(id, before === undefined ? tally : laterTally(before, tally));
-    } else if (key === SHOWN) {
+    } else if (key === CLASS_DURATIONS) {
       this.shown = value === undefined ? null : { value: decodeShown(value), stamp };
       if (this.shown !== null) this.seenShown = this.shown.value;
     }
@@ -70,7 +70,7 @@
     const out: [string, number][] = [...this.pages].map(([key, p]) => [key, p.stamp]);
     for (const [id, t] of this.tallies) out.push([OCCURRENCE + id, t.stamp]);
     if (this.head !== null) out.push([CALENDAR_HEAD, this.head.stamp]);
-    if (this.shown !== null) out.push([SHOWN, this.shown.stamp]);
+    if (this.shown !== null) out.push([CLASS_DURATIONS, this.shown.stamp]);
     return out;
   }
 
--- a/packages/controller/src/calendar/slack.ts
+++ b/packages/controller/src/calendar/slack.ts
@@ -147,7 +147,7 @@
 ): number | null => {
   const o = occurrenceOf(calendar, job.spec);
   if (o === null) return null;
-  const said = job.said ?? SAID.nothing;
+  const said = job.cutoffRisk ?? SAID.nothing;
   if (day > o.at) return said === SAID.missed ? null : SAID.missed;
   if (said === SAID.missed) return SAID.nothing;
   if (said !== SAID.nothing) return null;
--- a/packages/controller/src/jobs/codec.ts
+++ b/packages/controller/src/jobs/codec.ts
@@ -10,16 +10,16 @@
   type StoredLoans,
   type StoredParts,
 } from '../lending/codec.js';
-import { packFinal, unpackFinal } from './finals.js';
+import { packFinalState, unpackFinalState } from './finals.js';
 import { decodeRanges, encodeRanges } from './ranges.js';
 import {
-  type CycleRecord,
+  type LogEntry,
   type FinalState,
   type Job,
   type JobChange,
   type JobSpec,
-  NO_HEAD,
-  type RecordHead,
+  NO_HEADER,
+  type LogEntryHeader,
   type Shape,
   URGENCY,
   type Urgency,
@@ -101,7 +101,7 @@
   );
 
 /** Durable form of a job: one key for each. */
-interface Stored {
+interface StoredJob {
   readonly c: string;
   readonly o: string;
   readonly s: Shape;
@@ -134,23 +134,23 @@
   readonly g?: StoredLoans;
   readonly y?: number;
 }
-const bits = (v: unknown, n: number): boolean =>
+const isNumbers = (v: unknown, n: number): boolean =>
   Array.isArray(v) && v.length === n && v.every((x) => Number.isFinite(x));
 /** What decoding relies on. A store that has lost data may also have damaged it. */
-const whole = (v: Stored | null): boolean =>
+const isStoredJob = (v: StoredJob | null): boolean =>
   typeof v === 'object' &&
   v !== null &&
   typeof v.c === 'string' &&
   typeof v.o === 'string' &&
   Number.isSafeInteger(v.n) &&
-  bits(v.r, 3) &&
-  bits(v.b, 3) &&
-  bits(v.e, 3) &&
+  isNumbers(v.r, 3) &&
+  isNumbers(v.b, 3) &&
+  isNumbers(v.e, 3) &&
   Array.isArray(v.i) &&
   Number.isSafeInteger(v.t);
-const bit = (b: boolean): 0 | 1 => (b ? 1 : 0);
+const flag = (b: boolean): 0 | 1 => (b ? 1 : 0);
 
-export const encodeJob = (job: Job, folded: number): Stored => {
+export const encodeJob = (job: Job, folded: number): StoredJob => {
   const s = job.spec;
   const p: Record<string, [number, string, number?][]> = {};
   // Started by one record on one machine: the same attempt and the same time.
@@ -179,28 +179,28 @@
     i: [s.image, s.imageGb],
     h: s.types,
     z: s.zone,
-    b: [bit(s.oneZone), bit(s.spread), bit(s.spot)],
+    b: [flag(s.oneZone), flag(s.spread), flag(s.spot)],
     e: [s.estimate, s.checkpoint, s.save],
     l: s.deadline,
     t: s.submitted,
-    ...(job.withdrawn ? { w: 1 as const } : {}),
-    ...(job.withdrawn && job.withdrawnFirst ? { v: 1 as const } : {}),
+    ...(job.cancelled ? { w: 1 as const } : {}),
+    ...(job.cancelled && job.cancelledFirst ? { v: 1 as const } : {}),
     ...(folded > 0 ? { f: folded } : {}),
     ...(job.attempt > 0 ? { a: job.attempt } : {}),
     ...(job.done.size > 0 ? { d: encodeRanges(job.done) } : {}),
     ...(groups.size > 0 ? { p } : {}),
     ...(job.failedOn.size > 0 ? { x: [...job.failedOn] } : {}),
     ...(s.tie === null ? {} : { k: s.tie }),
-    ...(job.said ? { q: job.said } : {}),
+    ...(job.cutoffRisk ? { q: job.cutoffRisk } : {}),
     ...(job.loans.size > 0 ? { g: encodeLoans(job.loans, s.submitted) } : {}),
-    ...(job.taken > 0 ? { y: job.taken } : {}),
+    ...(job.preemptedForServices > 0 ? { y: job.preemptedForServices } : {}),
   };
 };
 
 /** Throws on a value that can't have been written by `encodeJob`. */
 export const decodeJob = (id: string, value: unknown, stamp: number): Job => {
-  const v = value as Stored;
-  if (!whole(v)) throw new Error(`${id}: not a job`);
+  const v = value as StoredJob;
+  if (!isStoredJob(v)) throw new Error(`${id}: not a job`);
   const placed: Job['placed'] = new Map();
   for (const [machine, list] of Object.entries(v.p ?? {})) {
     for (const [attempt, ranges, after] of list) {
@@ -233,39 +233,39 @@
       submitted: v.t as Micros,
       tie: typeof v.k === 'string' ? v.k : null,
     },
-    withdrawn: v.w === 1,
-    ...(v.v === 1 ? { withdrawnFirst: true } : {}),
+    cancelled: v.w === 1,
+    ...(v.v === 1 ? { cancelledFirst: true } : {}),
     attempt: v.a ?? 0,
     done: new Set(decodeRanges(v.d ?? '')),
     placed,
     failedOn: new Set(v.x ?? []),
     loans: decodeLoans(v.g, v.t as Micros),
-    taken: v.y ?? 0,
-    stamp,
-    folded: v.f ?? 0,
-    touched: v.f ?? 0,
-    ...(v.q === undefined ? {} : { said: v.q }),
+    preemptedForServices: v.y ?? 0,
+    revision: stamp,
+    compactedTo: v.f ?? 0,
+    lastSequence: v.f ?? 0,
+    ...(v.q === undefined ? {} : { cutoffRisk: v.q }),
   };
 };
 
-export const encodeFinal = (f: FinalState): unknown => [f.status === 'done' ? 1 : 0, f.tasks];
-export const decodeFinal = (value: unknown): FinalState => {
-  if (!bits(value, 2)) throw new Error('not a final state');
+export const encodeFinalState = (f: FinalState): unknown => [f.status === 'done' ? 1 : 0, f.tasks];
+export const decodeFinalState = (value: unknown): FinalState => {
+  if (!isNumbers(value, 2)) throw new Error('not a final state');
   const [s, tasks] = value as [number, number];
   return { status: s === 1 ? 'done' : 'cancelled', tasks };
 };
 
 /** Several rebuilt jobs in one value. */
-export const encodePack = (jobs: readonly Job[]): unknown =>
-  Object.fromEntries(jobs.map((j) => [j.spec.id, encodeJob(j, j.touched)]));
-export const decodePack = (value: unknown): Job[] =>
+export const encodeBundle = (jobs: readonly Job[]): unknown =>
+  Object.fromEntries(jobs.map((j) => [j.spec.id, encodeJob(j, j.lastSequence)]));
+export const decodeBundle = (value: unknown): Job[] =>
   Object.entries(value as Record<string, unknown>).map(([id, v]) => decodeJob(id, v, 0));
 
 /** Several final states in one value. */
-export const encodeOver = (finals: readonly (readonly [string, FinalState])[]): unknown =>
-  Object.fromEntries(finals.map(([id, f]) => [id, packFinal(f)]));
-export const decodeOver = (value: unknown): [string, FinalState][] =>
-  Object.entries(value as Record<string, number>).map(([id, n]) => [id, unpackFinal(n)]);
+export const encodeFinalStates = (finals: readonly (readonly [string, FinalState])[]): unknown =>
+  Object.fromEntries(finals.map(([id, f]) => [id, packFinalState(f)]));
+export const decodeFinalStates = (value: unknown): [string, FinalState][] =>
+  Object.entries(value as Record<string, number>).map(([id, n]) => [id, unpackFinalState(n)]);
 
 /** What is known of a job that only workers name. */
 export interface OrphanedJob {
@@ -294,15 +294,15 @@
   ...(c.start
     ? { a: c.start.attempt, p: Object.fromEntries([...c.start.on].map(([m, t]) => [m, encodeRanges(t)])) }
     : {}),
-  ...(c.said === undefined ? {} : { q: c.said }),
+  ...(c.cutoffRisk === undefined ? {} : { q: c.cutoffRisk }),
   ...(c.lend?.length ? { l: encodeParts(c.lend) } : {}),
   ...(c.repay?.length ? { r: encodeParts(c.repay) } : {}),
-  ...(c.taken ? { y: c.taken } : {}),
+  ...(c.preemptedForServices ? { y: c.preemptedForServices } : {}),
 });
 
 /** A record's member for its head; no job has such an id. */
-const HEAD = '@';
-interface StoredHead extends StoredSpent {
+const HEADER = '@';
+interface StoredHeader extends StoredSpent {
   /** Microseconds, time of day. */
   readonly t: number;
   /** Version of the calendar; absent: none. */
@@ -311,7 +311,7 @@
 
 const optionalText = (v: unknown): boolean => v === undefined || typeof v === 'string';
 /** What decoding relies on: a record whose changes can't be told would else pass for one without any. */
-const wholeChange = (c: StoredChange | null): boolean =>
+const isStoredChange = (c: StoredChange | null): boolean =>
   typeof c === 'object' &&
   c !== null &&
   optionalText(c.d) &&
@@ -321,14 +321,14 @@
     ? c.p === undefined
     : Number.isSafeInteger(c.a) && Object.values(c.p ?? {}).every((t) => typeof t === 'string'));
 
-const decodeHead = (v: StoredHead | undefined): RecordHead =>
+const decodeHeader = (v: StoredHeader | undefined): LogEntryHeader =>
   v !== undefined && Number.isSafeInteger(v.t)
     ? { at: v.t as Micros, calendar: v.c ?? 0, spent: decodeSpent(v) }
-    : NO_HEAD;
+    : NO_HEADER;
 
 /** Throws if it is damaged. */
 const decodeChange = (c: StoredChange): JobChange => {
-  if (!wholeChange(c)) throw new Error('a change is damaged');
+  if (!isStoredChange(c)) throw new Error('a change is damaged');
   return {
     done: c.d === undefined ? undefined : decodeRanges(c.d),
     gone: c.g === undefined ? undefined : decodeRanges(c.g),
@@ -340,28 +340,28 @@
             attempt: c.a,
             on: new Map(Object.entries(c.p ?? {}).map(([m, t]) => [m, decodeRanges(t)])),
           },
-    ...(c.q === undefined ? {} : { said: c.q }),
+    ...(c.q === undefined ? {} : { cutoffRisk: c.q }),
     lend: decodeParts(c.l),
     repay: decodeParts(c.r),
-    taken: c.y,
+    preemptedForServices: c.y,
   };
 };
 
-export const encodeRecord = (jobs: ReadonlyMap<string, JobChange>, head: RecordHead): unknown => ({
+export const encodeLogEntry = (jobs: ReadonlyMap<string, JobChange>, head: LogEntryHeader): unknown => ({
   ...Object.fromEntries([...jobs].map(([id, c]) => [id, encodeChange(c)])),
-  [HEAD]: {
+  [HEADER]: {
     t: head.at,
     ...(head.calendar > 0 ? { c: head.calendar } : {}),
     ...encodeSpent(head.spent),
-  } satisfies StoredHead,
+  } satisfies StoredHeader,
 });
 
-export const decodeRecord = (seq: number, value: unknown, stamp: number): CycleRecord => {
-  const { [HEAD]: head, ...changes } = value as Record<string, StoredChange> & { [HEAD]?: StoredHead };
+export const decodeLogEntry = (seq: number, value: unknown, stamp: number): LogEntry => {
+  const { [HEADER]: head, ...changes } = value as Record<string, StoredChange> & { [HEADER]?: StoredHeader };
   return {
-    seq,
-    stamp,
-    head: decodeHead(head),
+    sequence: seq,
+    revision: stamp,
+    head: decodeHeader(head),
     jobs: new Map(Object.entries(changes).map(([id, c]) => [id, decodeChange(c)])),
   };
 };
--- a/packages/controller/src/jobs/finals.ts
+++ b/packages/controller/src/jobs/finals.ts
@@ -6,26 +6,26 @@
 
 const KEPT = 100_000;
 
-export const packFinal = (f: FinalState): number => f.tasks * 2 + (f.status === 'done' ? 1 : 0);
-export const unpackFinal = (n: number): FinalState => ({
+export const packFinalState = (f: FinalState): number => f.tasks * 2 + (f.status === 'done' ? 1 : 0);
+export const unpackFinalState = (n: number): FinalState => ({
   status: n % 2 === 1 ? 'done' : 'cancelled',
   tasks: Math.floor(n / 2),
 });
 
-export class Finals {
+export class FinalStates {
   private readonly byId = new Map<string, number>();
   /** Every final state in the store is here: what is not here is not there. */
   complete = false;
 
-  constructor(private readonly most = KEPT) {}
+  constructor(private readonly capacity = KEPT) {}
 
   get size(): number {
     return this.byId.size;
   }
 
   /** None has been forgotten yet. */
-  get room(): boolean {
-    return this.byId.size < this.most;
+  get hasRoom(): boolean {
+    return this.byId.size < this.capacity;
   }
 
   has(id: string): boolean {
@@ -34,12 +34,12 @@
 
   get(id: string): FinalState | undefined {
     const n = this.byId.get(id);
-    return n === undefined ? undefined : unpackFinal(n);
+    return n === undefined ? undefined : unpackFinalState(n);
   }
 
   remember(id: string, f: FinalState): void {
-    this.byId.set(id, packFinal(f));
-    if (this.byId.size <= this.most) return;
+    this.byId.set(id, packFinalState(f));
+    if (this.byId.size <= this.capacity) return;
     this.complete = false;
     for (const old of this.byId.keys()) {
       this.byId.delete(old);
@@ -48,6 +48,6 @@
   }
 
   *entries(): Generator<readonly [string, FinalState]> {
-    for (const [id, n] of this.byId) yield [id, unpackFinal(n)];
+    for (const [id, n] of this.byId) yield [id, unpackFinalState(n)];
   }
 }
--- a/packages/controller/src/leadership/leader-session.ts
+++ b/packages/controller/src/leadership/leader-session.ts
@@ -12,7 +12,7 @@
 import type { ProvisioningNews, MachineType } from '../provisioning/model.js';
 import type { JobState } from '../jobs/job-state.js';
 import type { StoreWatcher } from '../jobs/store-watcher.js';
-import { CALM, SETTLED } from '../jobs/keys.js';
+import { QUIESCENT, RECOVERED } from '../jobs/keys.js';
 import { weightsDuty } from '../lending/duty.js';
 import type { Leadership, LeadershipTerm } from './leadership.js';
 import type { Peers } from './peers.js';
@@ -96,7 +96,7 @@
   private readonly wake = Effect.runSync(Queue.sliding<void>(1));
 
   constructor(private readonly p: LeaderSessionParts) {
-    p.jobState.onJobs = () => Queue.unsafeOffer(this.wake, undefined);
+    p.jobState.onJobsChanged = () => Queue.unsafeOffer(this.wake, undefined);
   }
 
   registry(): WorkerRegistry | null {
@@ -141,8 +141,8 @@
       this.desk = {
         term: leaderTerm.number,
         cancelled: (id) =>
-          p.jobState.jobs.get(id)?.withdrawn === true ||
-          p.relics.all.some((x) => x.jobs.get(id)?.withdrawn === true),
+          p.jobState.jobs.get(id)?.cancelled === true ||
+          p.relics.all.some((x) => x.jobs.get(id)?.cancelled === true),
       };
       this.owed = (id) => gathered.byJob(r).has(id) || gathered.finalStates(r).has(id);
       return Effect.ensuring(
@@ -160,7 +160,7 @@
       Effect.ensuring(
         Effect.sync(() => {
           this.desk = null;
-          p.jobState.letMachinesGo();
+          p.jobState.dropPlacementIndex();
         }),
       ),
       Effect.zipRight(info('no longer leads', { term: leaderTerm.number })),
@@ -261,10 +261,12 @@
       yield* Effect.ignore(listen(r, gathered, this.p.peers.withRelics()));
       const generation = jobState.incarnation?.generation ?? 0;
       const at = t.clock();
-      if (!jobState.calm && registry.allLapsed(at)) yield* declare(r, CALM);
+      if (!jobState.quiescent && registry.allLapsed(at)) yield* declare(r, QUIESCENT);
       const all =
-        generation === 0 ? (t.fleet.listed && registry.accounted()) || registry.allLapsed(at) : jobState.calm;
-      if (!jobState.settled && jobState.rebuild === null && all) yield* declare(r, SETTLED);
+        generation === 0
+          ? (t.fleet.listed && registry.accounted()) || registry.allLapsed(at)
+          : jobState.quiescent;
+      if (!jobState.recovered && jobState.rebuild === null && all) yield* declare(r, RECOVERED);
       if (generation > 0 && jobState.rebuild?.phase !== 'gather') yield* tendWards(t);
     });
   }
--- a/packages/controller/src/leadership/leadership.ts
+++ b/packages/controller/src/leadership/leadership.ts
@@ -12,7 +12,16 @@
 import type { StoreWatcher } from '../jobs/store-watcher.js';
 import { type DataLossDetector } from '../recovery/data-loss-detector.js';
 import { attemptsFrom, floorOf, generationOf, incarnationOf } from '../recovery/model.js';
-import { CALM, FOUNDED, INCARNATION, LEADER, LIFE, REBUILD, SETTLED, TERM } from '../jobs/keys.js';
+import {
+  QUIESCENT,
+  FOUNDED,
+  INCARNATION,
+  LEADER,
+  STORE_STATUS,
+  REBUILD,
+  RECOVERED,
+  TERM,
+} from '../jobs/keys.js';
 import type { StateFailure, Write } from '../state-store/client.js';
 import type { Contacts } from './contacts.js';
 import { holdEnds, mayAnswer, mayLag, mayStart } from './read-lease.js';
@@ -77,7 +86,7 @@
     private readonly contacts: Contacts,
     private readonly clock: () => Micros,
   ) {
-    jobState.onVacant = () => Queue.unsafeOffer(this.vacant, undefined);
+    jobState.onLeaderKeyDeleted = () => Queue.unsafeOffer(this.vacant, undefined);
     this.ttl = Math.min(seconds(4), Math.max(seconds(2.5), settings.workers.lease / 5)) as Micros;
   }
 
@@ -138,7 +147,7 @@
       this.coveredAsOf = Number.NEGATIVE_INFINITY;
     }
     if (incarnation !== null && this.watcher.loaded) {
-      const asOf = this.peers.nothingAfter(incarnation.id, this.watcher.completeTo());
+      const asOf = this.peers.nothingAfter(incarnation.id, this.watcher.completeRevision());
       if (asOf > this.coveredAsOf) this.coveredAsOf = asOf;
     }
     return Math.max(this.watcher.readAsOf, this.coveredAsOf);
@@ -221,7 +230,7 @@
 
   /** As far as was read, this node leads by the campaign of this term and lease: both stand there by one change. */
   private wonCampaign(term: number, lease: number): boolean {
-    const { leader, leaderStamp, termStamp } = this.jobState;
+    const { leader, leaderRevision: leaderStamp, termRevision: termStamp } = this.jobState;
     const mine = leader?.node === this.settings.label && leader.term === term && leader.lease === lease;
     return mine && leaderStamp === termStamp;
   }
@@ -248,14 +257,14 @@
     const term = Math.max(this.jobState.term, incarnation.base) + 1;
     const attempts = attemptsFrom(
       incarnation,
-      this.jobState.term > 0 ? this.jobState.attempts : null,
+      this.jobState.term > 0 ? this.jobState.attemptBase : null,
       (yield* Clock.currentTimeMillis) / 1000,
     );
     const sent = yield* Effect.either(
       this.store.transact(
         [
           { key: LEADER, stamp: 0 },
-          { key: TERM, stamp: this.jobState.termStamp },
+          { key: TERM, stamp: this.jobState.termRevision },
         ],
         [
           { set: LEADER, value: { node: this.settings.label, term, lease }, lease },
@@ -271,7 +280,7 @@
       // from before its lease was asked for, as ever.
       yield* this.watcher.refreshNow;
       if (this.wonCampaign(term, lease) && this.clock() < this.rightFrom(asked))
-        yield* this.begin(term, this.jobState.termStamp, lease, asked);
+        yield* this.begin(term, this.jobState.termRevision, lease, asked);
       return;
     }
     const outcome = sent.right;
@@ -323,7 +332,7 @@
     const outcome = yield* this.raw.transact(
       [
         { key: FOUNDED, stamp: 0 },
-        { key: TERM, stamp: this.jobState.termStamp },
+        { key: TERM, stamp: this.jobState.termRevision },
         { key: born, stamp: 0 },
       ],
       [
@@ -343,7 +352,7 @@
    */
   readonly refoundStore: Effect.Effect<boolean, StateFailure> = Effect.gen(this, function* () {
     const [life, lead, last] = yield* Effect.all([
-      this.raw.page(LIFE, null, 1000),
+      this.raw.page(STORE_STATUS, null, 1000),
       this.raw.page(LEADER, null, 1),
       this.raw.page(TERM, null, 1),
     ]);
@@ -365,7 +374,7 @@
     const asked = this.clock();
     const lease = yield* this.raw.grant(this.ttl);
     const gone: Write[] = life.entries
-      .filter((e) => old.includes(e) || [CALM, SETTLED].includes(e.key))
+      .filter((e) => old.includes(e) || [QUIESCENT, RECOVERED].includes(e.key))
       .map((e) => ({ delete: e.key }));
     const outcome = yield* this.raw.transact(
       [
--- a/packages/controller/src/lending/duty.ts
+++ b/packages/controller/src/lending/duty.ts
@@ -1,7 +1,7 @@
 /** Keeps the hint of who holds which weights. */
 import { Effect } from 'effect';
 import { supervise } from '@lilacvalve/runtime/supervise';
-import { TERM, WEIGHTS } from '../jobs/keys.js';
+import { TERM, IMAGE_WEIGHTS } from '../jobs/keys.js';
 import type { Job } from '../jobs/model.js';
 import { hintWriter } from '../state-store/hint.js';
 import type { StatePort } from '../state-store/port.js';
@@ -26,7 +26,7 @@
   /** Images of services, those seen last behind. */
   const images = new Set<string>();
   for (const list of p.jobState.weights.values()) for (const image of list) images.add(image);
-  const write = hintWriter(p.store, { key: TERM, stamp: p.leaderTerm.stamp }, WEIGHTS);
+  const write = hintWriter(p.store, { key: TERM, stamp: p.leaderTerm.stamp }, IMAGE_WEIGHTS);
   const look = Effect.suspend(() => {
     for (const { spec } of p.jobState.jobs.values()) {
       if (!mayBorrow(spec)) continue;
--- a/packages/controller/src/lending/give-back.ts
+++ b/packages/controller/src/lending/give-back.ts
@@ -48,7 +48,7 @@
   const owed = new Map<string, number>();
   for (const l of loans) {
     const lender = s.jobs.get(l.lender);
-    if (lender === undefined || lender.withdrawn) {
+    if (lender === undefined || lender.cancelled) {
       put(out, l.taker, { lender: l.lender, gpus: l.gpus, tasks: l.tasks });
       continue;
     }
--- a/packages/controller/src/lending/record.ts
+++ b/packages/controller/src/lending/record.ts
@@ -79,7 +79,7 @@
     ends: [
       ...of(over, taker).map((p) => {
         const lender = jobs.get(p.lender);
-        return end(taker, p, lender === undefined || lender.withdrawn ? 'lender over' : 'lender whole');
+        return end(taker, p, lender === undefined || lender.cancelled ? 'lender over' : 'lender whole');
       }),
       ...of(repaid, taker).map((p) => end(taker, p, 'repaid')),
     ],
--- a/packages/controller/src/node.ts
+++ b/packages/controller/src/node.ts
@@ -13,7 +13,7 @@
 import type { MachineType } from './provisioning/model.js';
 import { JobState } from './jobs/job-state.js';
 import { StoreWatcher } from './jobs/store-watcher.js';
-import { TERM, TYPES } from './jobs/keys.js';
+import { TERM, MACHINE_TYPES } from './jobs/keys.js';
 import { Contacts } from './leadership/contacts.js';
 import { mayLag } from './leadership/read-lease.js';
 import { Leadership } from './leadership/leadership.js';
@@ -175,10 +175,10 @@
    * what has ended to be placed still: joined as such, it would be placed, and booked, a second time.
    */
   const whole = (): boolean =>
-    compared && lossDetector.suspicion?.proven !== true && jobState.hole() === null;
+    compared && lossDetector.suspicion?.proven !== true && jobState.missingRecord() === null;
   /** This node's view is of an incarnation that is over. */
   const leaveView = (): void => {
-    if (lossDetector.incarnation !== null && (jobState.jobs.size > 0 || jobState.finals.size > 0))
+    if (lossDetector.incarnation !== null && (jobState.jobs.size > 0 || jobState.finalStates.size > 0))
       relics.keep(
         relics.viewOf(
           jobState,
@@ -191,7 +191,7 @@
     verified = false;
     compared = false;
     jobState.clear();
-    watcher.leave();
+    watcher.reset();
     lossDetector.leave();
   };
   const leadership: Leadership = new Leadership(
@@ -233,7 +233,7 @@
           yield* Effect.ignore(
             store.transact(
               [{ key: TERM, stamp: leaderTerm.stamp }],
-              [{ set: TYPES, value: types }],
+              [{ set: MACHINE_TYPES, value: types }],
               Priority.Commit,
               1500,
             ),
@@ -344,7 +344,7 @@
           ...(snapshots === null ? [] : [snapshots.run]),
           loadLine(leads),
           watcher.run,
-          watcher.history,
+          watcher.loadFinalStates,
           verify,
           dataLossTask(parts),
           auditTask(parts),
--- a/packages/controller/src/provisioning/autoscaler.ts
+++ b/packages/controller/src/provisioning/autoscaler.ts
@@ -132,7 +132,7 @@
   const remove = (candidates: readonly string[], reason: string, onlyEmpty = false) =>
     Effect.gen(function* () {
       if (candidates.length === 0 || !t.mayAct()) return;
-      const holds = (id: string): boolean => (t.jobState.byMachine.get(id)?.size ?? 0) > 0;
+      const holds = (id: string): boolean => (t.jobState.placementsByMachine.get(id)?.size ?? 0) > 0;
       const closed = candidates.slice(0, 100).filter((id) => !(onlyEmpty && holds(id)));
       for (const id of closed) {
         const m = t.registry.machines.get(id);
@@ -185,7 +185,7 @@
     const idle: Idle[] = [];
     const surplus: string[] = [];
     for (const m of t.registry.machines.values()) {
-      const on = t.jobState.byMachine.get(m.id)?.size ?? 0;
+      const on = t.jobState.placementsByMachine.get(m.id)?.size ?? 0;
       if (m.listed === 'failed') failed.push(m.id);
       else if (m.reported && at > t.registry.leaseEnd(m) + SILENT) dead.push(m.id);
       else if (isDeaf(m, t.settings.workers, at)) deaf.push(m.id);
@@ -239,7 +239,10 @@
     const result = view.result;
     if (result === null || !listedOnce) return;
     // Machines that are up report within a round or two of a new term.
-    if (t.jobState.byMachine.size > 0 && at - t.leaderTerm.began < t.settings.workers.report * 1.5 + 2e6)
+    if (
+      t.jobState.placementsByMachine.size > 0 &&
+      at - t.leaderTerm.began < t.settings.workers.report * 1.5 + 2e6
+    )
       return;
     const bins: Bin[] = [];
     const types = new Map(t.types().map((k) => [k.name, k]));
@@ -279,7 +282,7 @@
     const day = dayOf(t);
     const classes = shown?.value ?? new Map<string, readonly number[]>();
     const demand: Demand[] = result.unplaced
-      .filter((u) => !u.job.withdrawn)
+      .filter((u) => !u.job.cancelled)
       .map((u) => ({ u, by: pressing(u.job, current, day, classes) ?? Number.POSITIVE_INFINITY }))
       // What would miss its cutoff is worth a machine sooner, by cutoff; the rest in the order of submission.
       .sort(
@@ -307,7 +310,7 @@
       // A name is never used again: it carries the term, which only one node ever holds, and the store's incarnation.
       // A term that a loss has taken and nobody remembers may come again, the time that its attempts begin at does not.
       const name = (): string =>
-        `h-${t.lossDetector.incarnation?.id ?? ''}-${t.leaderTerm.number}.${t.jobState.attempts}-${++named}`;
+        `h-${t.lossDetector.incarnation?.id ?? ''}-${t.leaderTerm.number}.${t.jobState.attemptBase}-${++named}`;
       const hire = hires.ask({ ...w, count: Math.min(50, w.count) }, name, t.clock());
       t.fleet.news = { ...t.fleet.news, asked: hires.asked(t.clock()) };
       const got = yield* cloud.hire(hire, t.mayAct);
--- a/packages/controller/src/recovery/calendar-recovery.ts
+++ b/packages/controller/src/recovery/calendar-recovery.ts
@@ -3,7 +3,7 @@
 import { type Calendars, pagesOf, type Remembered } from '../calendar/fold.js';
 import { laterTally, type Tally } from '../calendar/model.js';
 import { decodeShown, encodeShown, type Shown } from '../calendar/shown.js';
-import { CALENDAR_HEAD, OCCURRENCE, SHOWN } from '../jobs/keys.js';
+import { CALENDAR_HEAD, OCCURRENCE, CLASS_DURATIONS } from '../jobs/keys.js';
 import type { Condition, Write } from '../state-store/client.js';
 
 /** Counts in one transaction. */
@@ -77,8 +77,8 @@
   }
   if (there.shown === null && best.shown.size > 0)
     steps.push({
-      when: [{ key: SHOWN, stamp: stampOf(SHOWN, undefined) }],
-      then: [{ set: SHOWN, value: encodeShown(best.shown) }],
+      when: [{ key: CLASS_DURATIONS, stamp: stampOf(CLASS_DURATIONS, undefined) }],
+      then: [{ set: CLASS_DURATIONS, value: encodeShown(best.shown) }],
     });
   return steps;
 };
--- a/packages/controller/src/recovery/codec.ts
+++ b/packages/controller/src/recovery/codec.ts
@@ -3,7 +3,7 @@
 import { decodeAccounts, encodeAccounts } from '../accounts/codec.js';
 import { type Accounts, NO_ACCOUNTS } from '../accounts/model.js';
 import { decodeJob, encodeJob } from '../jobs/codec.js';
-import { packFinal, unpackFinal } from '../jobs/finals.js';
+import { packFinalState, unpackFinalState } from '../jobs/finals.js';
 import type { FinalState } from '../jobs/model.js';
 import type { Remembered } from '../calendar/fold.js';
 import { decodeRemembered, encodeRemembered } from './calendar-recovery.js';
@@ -56,7 +56,7 @@
     pack([
       t.heads.map((h) => [h.id, h.lastSeq, h.term, h.led, encodeAccounts(h.accounts, ACCOUNTS_BYTES)]),
       t.claims.map((c): WireClaim => [c.job.spec.id, c.generation, c.revision, encodeJob(c.job, 0)]),
-      t.finals.map(([id, f]) => [id, packFinal(f)]),
+      t.finals.map(([id, f]) => [id, packFinalState(f)]),
       t.next,
       t.calendar === null ? null : encodeRemembered(t.calendar),
     ]),
@@ -83,7 +83,7 @@
         revision,
         job: decodeJob(id, job, 0),
       })),
-      finals: finals.map(([id, n]) => [id, unpackFinal(n)] as const),
+      finals: finals.map(([id, n]) => [id, unpackFinalState(n)] as const),
       next,
       calendar: decodeRemembered(calendar),
     };
--- a/packages/controller/src/recovery/detection-task.ts
+++ b/packages/controller/src/recovery/detection-task.ts
@@ -9,17 +9,17 @@
 import { JobState } from '../jobs/job-state.js';
 import type { StoreWatcher } from '../jobs/store-watcher.js';
 import {
-  ACTIVE,
+  ACTIVE_JOBS,
   CALENDAR,
   CALENDAR_HEAD,
   INCARNATION,
   LEADER,
-  LIFE,
-  PACK,
-  RECORD,
+  STORE_STATUS,
+  JOB_BUNDLES,
+  LOG_ENTRIES,
   ROOT,
   TERM,
-  TYPES,
+  MACHINE_TYPES,
 } from '../jobs/keys.js';
 import { contentOf } from './merge.js';
 import type { Entry, StateFailure } from '../state-store/client.js';
@@ -52,7 +52,7 @@
 }
 
 const look = (raw: StatePort): Effect.Effect<Probe, StateFailure> =>
-  Effect.map(Effect.all([raw.page(LIFE, null, 1000), raw.page(TERM, null, 1)]), ([life, term]) => ({
+  Effect.map(Effect.all([raw.page(STORE_STATUS, null, 1000), raw.page(TERM, null, 1)]), ([life, term]) => ({
     incarnations: life.entries
       .filter((e) => e.key.startsWith(INCARNATION))
       .map((e) => incarnationOf(e.key.slice(INCARNATION.length), e.value, e.stamp)),
@@ -63,11 +63,11 @@
 /** Everything that a view has, in one word a key: what two views of one revision must agree on. */
 const outline = (c: JobState): Map<string, string> => {
   const out = new Map<string, string>();
-  for (const [id, j] of c.jobs) out.set(`job ${id}`, `${j.stamp} ${contentOf(j)}`);
-  for (const [seq, r] of c.tail) out.set(`record ${seq}`, String(r.stamp));
-  for (const [key, p] of c.packs) out.set(`pack ${key}`, String(p.stamp));
+  for (const [id, j] of c.jobs) out.set(`job ${id}`, `${j.revision} ${contentOf(j)}`);
+  for (const [seq, r] of c.logTail) out.set(`record ${seq}`, String(r.revision));
+  for (const [key, p] of c.bundles) out.set(`pack ${key}`, String(p.stamp));
   for (const key of c.damaged.keys()) out.set(`damaged ${key}`, '');
-  out.set('term', `${c.term} ${c.termStamp}`);
+  out.set('term', `${c.term} ${c.termRevision}`);
   out.set('leader', JSON.stringify(c.leader));
   for (const [key, stamp] of c.calendars.keys()) out.set(key, String(stamp));
   return out;
@@ -78,7 +78,16 @@
   Effect.gen(function* () {
     const entries: Entry[] = [];
     let base = Number.POSITIVE_INFINITY;
-    for (const prefix of [LIFE, CALENDAR, RECORD, PACK, ACTIVE, LEADER, TERM, TYPES]) {
+    for (const prefix of [
+      STORE_STATUS,
+      CALENDAR,
+      LOG_ENTRIES,
+      JOB_BUNDLES,
+      ACTIVE_JOBS,
+      LEADER,
+      TERM,
+      MACHINE_TYPES,
+    ]) {
       let after: string | null = null;
       for (let more = true; more;) {
         const page: { entries: readonly Entry[]; more: boolean; revision: number } = yield* p.raw.page(
--- a/packages/controller/src/recovery/evidence-store.ts
+++ b/packages/controller/src/recovery/evidence-store.ts
@@ -6,7 +6,7 @@
 import { Effect } from 'effect';
 import { pack, unpack } from 'msgpackr';
 import { decodeJob } from '../jobs/codec.js';
-import { packFinal, unpackFinal } from '../jobs/finals.js';
+import { packFinalState, unpackFinalState } from '../jobs/finals.js';
 import type { FinalState } from '../jobs/model.js';
 import type { Peer } from '../settings/settings.js';
 import type { ViewPort } from './view-exchange.js';
@@ -41,7 +41,7 @@
 export const encodeFact = (f: JobEvidence): Buffer => {
   const wire: Wire =
     'final' in f.value
-      ? [f.id, f.revision, f.generation, f.incarnation, packFinal(f.value.final), null]
+      ? [f.id, f.revision, f.generation, f.incarnation, packFinalState(f.value.final), null]
       : [f.id, f.revision, f.generation, f.incarnation, null, f.value.stored];
   return Buffer.from(pack(wire));
 };
@@ -57,7 +57,7 @@
       revision,
       generation,
       incarnation,
-      value: final === null ? { stored } : { final: unpackFinal(final) },
+      value: final === null ? { stored } : { final: unpackFinalState(final) },
     };
   } catch {
     return null;
--- a/packages/controller/src/recovery/merge.ts
+++ b/packages/controller/src/recovery/merge.ts
@@ -20,7 +20,7 @@
 /** All that distinguishes two states of one job, whoever holds them. */
 export const contentOf = (job: Job): string =>
   [
-    job.withdrawn ? 'w' : isComplete(job) ? 'c' : 'o',
+    job.cancelled ? 'w' : isComplete(job) ? 'c' : 'o',
     job.attempt,
     encodeRanges(job.done),
     placements(job)
@@ -31,7 +31,7 @@
       .map(([lender, l]) => `${lender}:${l.gpus}/${l.tasks}@${l.since}`)
       .sort()
       .join(),
-    job.taken,
+    job.preemptedForServices,
   ].join('|');
 
 /** The later of two claims; of equal ones, the one whose content comes first, so that all nodes choose alike. */
@@ -64,21 +64,21 @@
     }
   const failed = new Set<string>();
   for (const c of claims) for (const m of c.job.failedOn) failed.add(m);
-  const told = claims.some((c) => !c.job.withdrawn && isComplete(c.job));
+  const told = claims.some((c) => !c.job.cancelled && isComplete(c.job));
   return {
     spec: { ...spec, submitted: first.submitted, tie: first.tie },
     // Who was told `done` was told so from a record that came before any withdrawal.
-    withdrawn: !told && claims.some((c) => c.job.withdrawn),
+    cancelled: !told && claims.some((c) => c.job.cancelled),
     attempt: Math.max(...claims.map((c) => c.job.attempt)),
     done,
     placed: new Map([...placed].sort((a, b) => a[0] - b[0])),
     failedOn: new Set([...failed].sort().slice(0, FAILURES_KEPT)),
     loans: new Map([...last.job.loans].sort((a, b) => (a[0] < b[0] ? -1 : 1))),
-    taken: Math.max(...claims.map((c) => c.job.taken)),
-    stamp: 0,
-    folded: 0,
-    touched: 0,
-    ...(last.job.said === undefined ? {} : { said: last.job.said }),
+    preemptedForServices: Math.max(...claims.map((c) => c.job.preemptedForServices)),
+    revision: 0,
+    compactedTo: 0,
+    lastSequence: 0,
+    ...(last.job.cutoffRisk === undefined ? {} : { cutoffRisk: last.job.cutoffRisk }),
   };
 };
 
--- a/packages/controller/src/recovery/orphaned-jobs.ts
+++ b/packages/controller/src/recovery/orphaned-jobs.ts
@@ -7,7 +7,7 @@
 import { seconds } from '@lilacvalve/runtime/micros';
 import { Effect } from 'effect';
 import type { OrphanedJob } from '../jobs/codec.js';
-import { activeKey, finalKey, TERM, wardKey } from '../jobs/keys.js';
+import { activeJobKey, finalStateKey, TERM, orphanedJobKey } from '../jobs/keys.js';
 import type { CycleContext } from '../scheduler/cycle-context.js';
 import { Priority } from '../state-store/budget.js';
 
@@ -20,7 +20,7 @@
   Effect.gen(function* () {
     const { registry, jobState } = t;
     const fresh = [...registry.unknownJobs]
-      .filter(([id]) => !jobState.wards.has(id) && !registry.givenUp.has(id))
+      .filter(([id]) => !jobState.orphanedJobs.has(id) && !registry.givenUp.has(id))
       .slice(0, MOST);
     const write = (
       when: { key: string; stamp: number }[],
@@ -36,21 +36,21 @@
       const value: OrphanedJob = { since: t.dayTime(), tasks: tasks.size };
       const written = yield* write(
         [
-          { key: wardKey(id), stamp: 0 },
-          { key: activeKey(id), stamp: 0 },
-          { key: finalKey(id), stamp: 0 },
+          { key: orphanedJobKey(id), stamp: 0 },
+          { key: activeJobKey(id), stamp: 0 },
+          { key: finalStateKey(id), stamp: 0 },
         ],
-        { set: wardKey(id), value },
+        { set: orphanedJobKey(id), value },
       );
       if (written)
         yield* info('job named by workers only', { term: t.leaderTerm.number, job: id, tasks: tasks.size });
     }
-    for (const [id, w] of jobState.wards) {
+    for (const [id, w] of jobState.orphanedJobs) {
       const old = t.dayTime() - w.since > WARD_FOR;
       if (!old && (registry.unknownJobs.has(id) || !registry.allLapsed(t.clock()))) continue;
       // Nobody has submitted it again, or nothing of it is left.
       if (old) registry.givenUp.add(id);
-      if (yield* write([{ key: wardKey(id), stamp: w.stamp }], { delete: wardKey(id) }))
+      if (yield* write([{ key: orphanedJobKey(id), stamp: w.stamp }], { delete: orphanedJobKey(id) }))
         yield* info('ward given up', {
           term: t.leaderTerm.number,
           job: id,
--- a/packages/controller/src/recovery/pre-loss-views.ts
+++ b/packages/controller/src/recovery/pre-loss-views.ts
@@ -38,7 +38,7 @@
       generation,
       revision: whole ? jobState.revision : -1,
       jobs: new Map(jobState.jobs),
-      lastSeq: jobState.lastSeq,
+      lastSeq: jobState.lastSequence,
       accounts: jobState.accounts,
       term: jobState.term,
       led,
--- a/packages/controller/src/recovery/rebuild-plan.ts
+++ b/packages/controller/src/recovery/rebuild-plan.ts
@@ -26,7 +26,7 @@
 
 /** Cancelled first, since their tasks must be gone in time; then what serves users now, what runs, what is urgent. */
 const rank = (j: Job): number =>
-  j.withdrawn ? 0 : j.spec.shape === 'service' ? 1 : j.placed.size > 0 ? 2 : 3;
+  j.cancelled ? 0 : j.spec.shape === 'service' ? 1 : j.placed.size > 0 ? 2 : 3;
 const byRank = (a: Job, b: Job): number =>
   rank(a) - rank(b) ||
   b.spec.urgency - a.spec.urgency ||
@@ -43,7 +43,7 @@
   const plan: Plan = { over: [], close: [], missing: [], differing: [] };
   const end = (id: string, final: FinalState): void => {
     const there = store.jobs.get(id);
-    const stamp = there?.stamp ?? store.damaged(id);
+    const stamp = there?.revision ?? store.damaged(id);
     if (stamp === undefined) plan.over.push([id, final]);
     else plan.close.push({ id, stamp, final });
   };
@@ -54,12 +54,12 @@
     const all = there
       ? [...list, { generation: store.generation, revision: store.revision, job: there }]
       : list;
-    const job: Job = { ...mergeClaims(all), folded: seq, touched: seq };
+    const job: Job = { ...mergeClaims(all), compactedTo: seq, lastSequence: seq };
     const final = finalState(job);
     const stamp = store.damaged(id);
     if (final !== null) end(id, final);
     else if (there) {
-      if (contentOf(job) !== contentOf(there)) plan.differing.push({ job, stamp: there.stamp });
+      if (contentOf(job) !== contentOf(there)) plan.differing.push({ job, stamp: there.revision });
     } else if (stamp !== undefined) plan.differing.push({ job, stamp });
     else plan.missing.push(job);
   }
--- a/packages/controller/src/recovery/rebuild.ts
+++ b/packages/controller/src/recovery/rebuild.ts
@@ -9,25 +9,31 @@
 import { encodeAccounts } from '../accounts/codec.js';
 import { joinAccounts } from '../accounts/fold.js';
 import type { DataLossDetector } from './data-loss-detector.js';
-import type { JobState, Rebuilding } from '../jobs/job-state.js';
-import { decodeOver, encodeFinal, encodeJob, encodeOver, encodePack } from '../jobs/codec.js';
+import type { JobState, RebuildStatus } from '../jobs/job-state.js';
+import {
+  decodeFinalStates,
+  encodeFinalState,
+  encodeJob,
+  encodeFinalStates,
+  encodeBundle,
+} from '../jobs/codec.js';
 import type { StoreWatcher } from '../jobs/store-watcher.js';
 import {
   accountsKey,
-  activeKey,
-  asKnown,
-  CALM,
-  FINAL,
-  finalKey,
-  OVER,
-  OVER_PART,
-  overKey,
-  PACK,
+  activeJobKey,
+  jobUnchanged,
+  QUIESCENT,
+  FINAL_STATES,
+  finalStateKey,
+  FINAL_STATE_PAGES,
+  FINAL_STATE_PARTS,
+  finalStatePageKey,
+  JOB_BUNDLES,
   REBUILD,
-  RECORD,
-  SETTLED,
+  LOG_ENTRIES,
+  RECOVERED,
   TERM,
-  wardKey,
+  orphanedJobKey,
 } from '../jobs/keys.js';
 import type { FinalState, Job } from '../jobs/model.js';
 import type { LeadershipTerm } from '../leadership/leadership.js';
@@ -103,7 +109,7 @@
 
   finalStates(own: Pick<Rebuild, 'jobState' | 'witness'>): Map<string, FinalState> {
     const out = new Map(this.finals);
-    joinFinals(out, own.jobState.finals.entries());
+    joinFinals(out, own.jobState.finalStates.entries());
     joinFinals(out, own.witness.finals());
     return out;
   }
@@ -167,34 +173,37 @@
   const closed = Math.max(1, Math.min(CLOSE_COUNT, Math.floor(txnOps / 3)));
   const steps: Step[] = [];
   for (const { job, stamp } of plan.differing) {
-    const key = activeKey(job.spec.id);
-    steps.push({ when: asKnown(job.spec.id, stamp), then: [{ set: key, value: encodeJob(job, seq) }] });
+    const key = activeJobKey(job.spec.id);
+    steps.push({ when: jobUnchanged(job.spec.id, stamp), then: [{ set: key, value: encodeJob(job, seq) }] });
   }
   // One that a user may be cancelling as a ward: a late cancellation must find its key, since a pack would not stop it.
-  const isWard = (j: Job): boolean => r.jobState.wards.has(j.spec.id);
+  const isWard = (j: Job): boolean => r.jobState.orphanedJobs.has(j.spec.id);
   for (const job of plan.missing.filter(isWard)) {
     const { id } = job.spec;
-    const then: Write[] = [{ set: activeKey(id), value: encodeJob(job, seq) }, { delete: wardKey(id) }];
-    steps.push({ when: asKnown(id, 0), then });
+    const then: Write[] = [
+      { set: activeJobKey(id), value: encodeJob(job, seq) },
+      { delete: orphanedJobKey(id) },
+    ];
+    steps.push({ when: jobUnchanged(id, 0), then });
   }
   const packable = plan.missing.filter((j) => !isWard(j));
   groups(packable, packed, bytes, (j) => encodeJob(j, seq)).forEach((jobs, n) => {
-    const key = `${PACK}${run}-${String(n).padStart(6, '0')}`;
+    const key = `${JOB_BUNDLES}${run}-${String(n).padStart(6, '0')}`;
     const free = jobs.flatMap((j) => [
-      { key: activeKey(j.spec.id), stamp: 0 },
-      { key: finalKey(j.spec.id), stamp: 0 },
+      { key: activeJobKey(j.spec.id), stamp: 0 },
+      { key: finalStateKey(j.spec.id), stamp: 0 },
     ]);
-    steps.push({ when: [{ key, stamp: 0 }, ...free], then: [{ set: key, value: encodePack(jobs) }] });
+    steps.push({ when: [{ key, stamp: 0 }, ...free], then: [{ set: key, value: encodeBundle(jobs) }] });
   });
   for (let i = 0; i < plan.close.length; i += closed) {
     const part = plan.close.slice(i, i + closed);
-    const packs = r.jobState.unpacking(part.map((c) => c.id));
+    const packs = r.jobState.removalFromBundles(part.map((c) => c.id));
     steps.push({
-      when: [...part.map((c) => ({ key: activeKey(c.id), stamp: c.stamp })), ...packs.when],
+      when: [...part.map((c) => ({ key: activeJobKey(c.id), stamp: c.stamp })), ...packs.when],
       then: [
         ...part.flatMap((c): Write[] => [
-          { delete: activeKey(c.id) },
-          { set: finalKey(c.id), value: encodeFinal(c.final) },
+          { delete: activeJobKey(c.id) },
+          { set: finalStateKey(c.id), value: encodeFinalState(c.final) },
         ]),
         ...packs.then,
       ],
@@ -202,19 +211,22 @@
   }
   if (quiet)
     groups(plan.over, OVER_COUNT, bytes, ([id]) => id).forEach((list, n) => {
-      const key = overKey(run, list[list.length - 1]![0]);
-      const first: Write[] = n === 0 ? [{ set: OVER_PART + run, value: 1 }] : [];
-      steps.push({ when: [{ key, stamp: 0 }], then: [...first, { set: key, value: encodeOver(list) }] });
+      const key = finalStatePageKey(run, list[list.length - 1]![0]);
+      const first: Write[] = n === 0 ? [{ set: FINAL_STATE_PARTS + run, value: 1 }] : [];
+      steps.push({
+        when: [{ key, stamp: 0 }],
+        then: [...first, { set: key, value: encodeFinalStates(list) }],
+      });
     });
   else
     for (let i = 0; i < plan.over.length; i += closed) {
       const part = plan.over.slice(i, i + closed);
       steps.push({
         when: part.flatMap(([id]) => [
-          { key: activeKey(id), stamp: 0 },
-          { key: finalKey(id), stamp: 0 },
+          { key: activeJobKey(id), stamp: 0 },
+          { key: finalStateKey(id), stamp: 0 },
         ]),
-        then: part.map(([id, f]) => ({ set: finalKey(id), value: encodeFinal(f) })),
+        then: part.map(([id, f]) => ({ set: finalStateKey(id), value: encodeFinalState(f) })),
       });
     }
   return steps;
@@ -240,8 +252,9 @@
 const durableFinals = (watcher: StoreWatcher): Effect.Effect<Set<string>, StateFailure> =>
   Effect.gen(function* () {
     const out = new Set<string>();
-    for (const e of (yield* watcher.all(FINAL)).entries) out.add(e.key.slice(FINAL.length));
-    for (const e of (yield* watcher.all(OVER)).entries) for (const [id] of decodeOver(e.value)) out.add(id);
+    for (const e of (yield* watcher.listAll(FINAL_STATES)).entries) out.add(e.key.slice(FINAL_STATES.length));
+    for (const e of (yield* watcher.listAll(FINAL_STATE_PAGES)).entries)
+      for (const [id] of decodeFinalStates(e.value)) out.add(id);
     return out;
   });
 
@@ -256,11 +269,13 @@
       const durable = yield* durableFinals(r.watcher);
       const heads = [...r.relics.all, ...[...g.heads.values()].flat()];
       // Beside others' records a job may include those that are known by now only.
-      const seq = quiet ? Math.max(r.jobState.lastSeq, ...heads.map((h) => h.lastSeq)) : r.jobState.lastSeq;
+      const seq = quiet
+        ? Math.max(r.jobState.lastSequence, ...heads.map((h) => h.lastSeq))
+        : r.jobState.lastSequence;
       const plan = planOf(
         {
           jobs: r.jobState.jobs,
-          damaged: (id) => r.jobState.damaged.get(activeKey(id)),
+          damaged: (id) => r.jobState.damaged.get(activeJobKey(id)),
           over: (id) => durable.has(id),
           // What is left after a loss may be of any time; what has gone on since a rebuild is the latest.
           generation: quiet ? -1 : Number.MAX_SAFE_INTEGER,
@@ -272,7 +287,7 @@
       );
       const run = `${r.leaderTerm.number}-${++runs}`;
       // A record that can't be read: what is known of it comes from the views.
-      const unreadable = [...r.jobState.damaged].filter(([key]) => key.startsWith(RECORD));
+      const unreadable = [...r.jobState.damaged].filter(([key]) => key.startsWith(LOG_ENTRIES));
       const steps = [
         ...calendarSteps(
           r.jobState.calendars,
@@ -311,10 +326,10 @@
     // Gone: an earlier copy of this was carried out. Said anew under "not there", a late one would hold for good.
     if (there === null) return Effect.succeed(true);
     const all = r.settings.peers.every((p) => g.heard.has(p.label));
-    const value: Omit<Rebuilding, 'stamp'> = { phase, heard: [...g.heard].sort() };
+    const value: Omit<RebuildStatus, 'revision'> = { phase, heard: [...g.heard].sort() };
     const then: Write[] = [phase === 'wait' && all ? { delete: REBUILD } : { set: REBUILD, value }, ...more];
     return Effect.zipLeft(
-      apply(r, { when: [{ key: REBUILD, stamp: there.stamp }], then }),
+      apply(r, { when: [{ key: REBUILD, stamp: there.revision }], then }),
       Effect.ignore(r.watcher.refresh),
     );
   });
@@ -353,7 +368,7 @@
 const accountsOf = (r: Rebuild, g: Gathered, whole: boolean): Write[] => {
   const heads = [...r.relics.all, ...[...g.heads.values()].flat()];
   const views = [r.jobState.accounts, ...heads.map((h) => h.accounts)];
-  const seq = Math.max(r.jobState.lastSeq, ...heads.map((h) => h.lastSeq));
+  const seq = Math.max(r.jobState.lastSequence, ...heads.map((h) => h.lastSeq));
   const joined = joinAccounts(views, r.jobState.incarnation?.generation ?? 0, seq, whole);
   return encodeAccounts(joined, r.settings.state.valueBytes * 0.9).map((value, n) => ({
     set: accountsKey(n),
@@ -389,7 +404,7 @@
         yield* Effect.sleep(ASK_AGAIN_MS);
         continue;
       }
-      const calm: Write[] = whole ? [{ set: CALM, value: r.lossDetector.incarnation?.id ?? '' }] : [];
+      const calm: Write[] = whole ? [{ set: QUIESCENT, value: r.lossDetector.incarnation?.id ?? '' }] : [];
       if (!(yield* say(r, g, 'wait', [...calm, ...accountsOf(r, g, whole)]))) continue;
       const missing = r.settings.peers.filter((p) => !g.heard.has(p.label)).map((p) => p.label);
       yield* info('rebuild durable', {
@@ -433,12 +448,14 @@
   });
 
 /** Says of the store, once and for all of this incarnation, that it is calm or settled. */
-export const declare = (r: Rebuild, what: typeof CALM | typeof SETTLED): Effect.Effect<void> =>
+export const declare = (r: Rebuild, what: typeof QUIESCENT | typeof RECOVERED): Effect.Effect<void> =>
   Effect.suspend(() => {
     const id = r.lossDetector.incarnation?.id;
     if (id === undefined) return Effect.void;
     return apply(r, { when: [], then: [{ set: what, value: id }] }).pipe(
       Effect.zipRight(Effect.ignore(r.watcher.refresh)),
-      Effect.zipRight(info(what === CALM ? 'store calm' : 'store settled', { term: r.leaderTerm.number })),
+      Effect.zipRight(
+        info(what === QUIESCENT ? 'store calm' : 'store settled', { term: r.leaderTerm.number }),
+      ),
     );
   });
--- a/packages/controller/src/recovery/view-exchange.ts
+++ b/packages/controller/src/recovery/view-exchange.ts
@@ -41,7 +41,7 @@
 ): ViewResponse => {
   const claims = claimsOf(relics, witness.claims());
   const merged: Job[] = [...claims.values()].map((list) => mergeClaims(list));
-  const finals = [...jobState.finals.entries(), ...witness.finals()];
+  const finals = [...jobState.finalStates.entries(), ...witness.finals()];
   const mine = digestOf(merged, finals);
   const heads: Head[] = relics.map((r) => ({
     id: r.id,
--- a/packages/controller/src/scheduler/commit.ts
+++ b/packages/controller/src/scheduler/commit.ts
@@ -5,9 +5,9 @@
 import { Booking } from '../accounts/booking.js';
 import { NOTHING_SPENT } from '../accounts/model.js';
 import { learn, logSaid, saidOf } from '../calendar/duty.js';
-import { encodeRecord } from '../jobs/codec.js';
-import { ACCOUNTS, ACTIVE, RECORD, recordKey, TERM } from '../jobs/keys.js';
-import type { CycleRecord, RecordHead } from '../jobs/model.js';
+import { encodeLogEntry } from '../jobs/codec.js';
+import { ACCOUNTS, ACTIVE_JOBS, LOG_ENTRIES, logEntryKey, TERM } from '../jobs/keys.js';
+import type { LogEntry, LogEntryHeader } from '../jobs/model.js';
 import type { Condition } from '../state-store/client.js';
 import { type Draft, draftOf } from './draft.js';
 import type { Start, Stop } from './model.js';
@@ -19,8 +19,12 @@
   const wanted = when.find((c) => c.key === key)?.stamp;
   if (wanted === undefined || wanted === 0) return false;
   if (key === ACCOUNTS) return t.jobState.checkpoint.stamp === wanted;
-  if (key.startsWith(ACTIVE)) return t.jobState.jobs.get(key.slice(ACTIVE.length))?.stamp === wanted;
-  return key.startsWith(RECORD) && t.jobState.tail.get(Number(key.slice(RECORD.length)))?.stamp === wanted;
+  if (key.startsWith(ACTIVE_JOBS))
+    return t.jobState.jobs.get(key.slice(ACTIVE_JOBS.length))?.revision === wanted;
+  return (
+    key.startsWith(LOG_ENTRIES) &&
+    t.jobState.logTail.get(Number(key.slice(LOG_ENTRIES.length)))?.revision === wanted
+  );
 };
 
 const NO_STOPS: readonly Stop[] = [];
@@ -34,18 +38,18 @@
 const NOTHING: Committed = { lent: NO_STOPS, behind: false };
 
 /** The draft's records as they follow the last one; the accounts' rows stand in the first one's head. */
-const recordsOf = (t: CycleContext, draft: Draft, head: RecordHead): Omit<CycleRecord, 'stamp'>[] =>
+const recordsOf = (t: CycleContext, draft: Draft, head: LogEntryHeader): Omit<LogEntry, 'revision'>[] =>
   draft.records.map((jobs, i) => ({
-    seq: t.jobState.lastSeq + 1 + i,
+    sequence: t.jobState.lastSequence + 1 + i,
     head: i === 0 ? head : { ...head, at: plus(head.at, i), spent: NOTHING_SPENT },
     jobs,
   }));
 
 /** Each record hangs on the one before it: one that a loss has taken is missed before another is written. */
 const chainOf = (t: CycleContext): Condition => {
-  const before = t.jobState.tail.get(t.jobState.lastSeq);
+  const before = t.jobState.logTail.get(t.jobState.lastSequence);
   return before
-    ? { key: recordKey(t.jobState.lastSeq), stamp: before.stamp }
+    ? { key: logEntryKey(t.jobState.lastSequence), stamp: before.revision }
     : // Without one it hangs on the checkpoint: it goes with that at the earliest, and a late copy must not bring it back.
       { key: ACCOUNTS, stamp: t.jobState.checkpoint.stamp };
 };
@@ -61,20 +65,22 @@
   });
 
 /** The records are durable: they take effect here. `revision` null: at which revision is not known. */
-const takeIn = (t: CycleContext, records: readonly Omit<CycleRecord, 'stamp'>[], revision: number | null) =>
+const takeIn = (t: CycleContext, records: readonly Omit<LogEntry, 'revision'>[], revision: number | null) =>
   Effect.gen(function* () {
     for (const r of records) {
       learn(t, r.jobs, r.head.at);
       // Without its revision it comes from the watch: whether it or a withdrawal was first decides what a job is.
-      if (revision !== null) t.jobState.addRecord({ ...r, stamp: revision });
-      else while (!t.jobState.tail.has(r.seq) && t.isCurrentTerm()) yield* Effect.ignore(t.watcher.refresh);
+      if (revision !== null) t.jobState.appendLogEntry({ ...r, revision });
+      else
+        while (!t.jobState.logTail.has(r.sequence) && t.isCurrentTerm())
+          yield* Effect.ignore(t.watcher.refresh);
       let started = 0;
       for (const [id, c] of r.jobs) {
         t.registry.settled(id, c.done ?? [], c.gone ?? []);
         for (const on of c.start?.on.values() ?? []) started += on.length;
       }
       yield* logSaid(t, r.jobs, r.head.at);
-      yield* debug('record', { term: t.leaderTerm.number, seq: r.seq, jobs: r.jobs.size, started });
+      yield* debug('record', { term: t.leaderTerm.number, sequence: r.sequence, jobs: r.jobs.size, started });
     }
   });
 
@@ -88,7 +94,7 @@
     const spent = booking.spent();
     const calendar = t.jobState.calendars.current?.version ?? 0;
     const records = recordsOf(t, draft, { at, calendar, spent });
-    const keys = records.map((r) => recordKey(r.seq));
+    const keys = records.map((r) => logEntryKey(r.sequence));
     const chain = chainOf(t);
     const outcome = yield* settle(
       t,
@@ -98,7 +104,7 @@
         chain,
         ...draft.when,
       ],
-      records.map((r, i) => ({ set: keys[i]!, value: encodeRecord(r.jobs, r.head) })),
+      records.map((r, i) => ({ set: keys[i]!, value: encodeLogEntry(r.jobs, r.head) })),
       keys[0]!,
     );
     if (outcome === null) return NOTHING;
--- a/packages/controller/src/scheduler/draft.ts
+++ b/packages/controller/src/scheduler/draft.ts
@@ -8,7 +8,7 @@
  */
 import type { Booking } from '../accounts/booking.js';
 import { encodeChange } from '../jobs/codec.js';
-import { asKnown } from '../jobs/keys.js';
+import { jobUnchanged } from '../jobs/keys.js';
 import { encodeRanges } from '../jobs/ranges.js';
 import type { Job, JobChange } from '../jobs/model.js';
 import { endings, type LoanEnd, loansMade } from '../lending/record.js';
@@ -211,7 +211,7 @@
       [...on.values()].reduce((n, tasks) => n + tasks.length, 0),
     );
     // Conditional on the job's key: a job withdrawn in this moment, or over by the time, is not started.
-    this.when.push(...asKnown(id, s.job.stamp));
+    this.when.push(...jobUnchanged(id, s.job.revision));
   }
 
   ends({ job, done, gone, failed }: EndedJob): void {
@@ -256,9 +256,10 @@
     const { id } = taker.spec;
     if (!d.add(id, (c) => ({ ...c, lend }))) continue;
     // A service that is withdrawn in this moment takes nothing.
-    d.when.push(...asKnown(id, taker.stamp));
+    d.when.push(...jobUnchanged(id, taker.revision));
     let all = true;
-    for (const [lender, n] of taken) all &&= d.add(lender, (c) => ({ ...c, taken: (c?.taken ?? 0) + n }));
+    for (const [lender, n] of taken)
+      all &&= d.add(lender, (c) => ({ ...c, preemptedForServices: (c?.preemptedForServices ?? 0) + n }));
     if (all) d.lent.push(...of);
   }
 };
@@ -275,7 +276,7 @@
   const ended = endedJobs(t);
   d.reserveRows(ended);
   for (const e of ended) d.ends(e);
-  for (const [id, say] of said) d.add(id, (c) => ({ ...c, said: say }));
+  for (const [id, say] of said) d.add(id, (c) => ({ ...c, cutoffRisk: say }));
   // The starts count on the room of every end: with one of these left out, they wait for the next record.
   if (d.whole) {
     // What runs already from before a loss is recorded before anything is started anew.
--- a/packages/controller/src/scheduler/largest.ts
+++ b/packages/controller/src/scheduler/largest.ts
@@ -5,7 +5,7 @@
  */
 import { Effect } from 'effect';
 import { supervise } from '@lilacvalve/runtime/supervise';
-import { LARGEST, TERM } from '../jobs/keys.js';
+import { LARGEST_JOBS, TERM } from '../jobs/keys.js';
 import type { JobSpec } from '../jobs/model.js';
 import { hintWriter } from '../state-store/hint.js';
 import type { StatePort } from '../state-store/port.js';
@@ -66,7 +66,7 @@
   readonly leaderTerm: { readonly stamp: number };
   readonly largest: Largest;
 }) => {
-  const write = hintWriter(p.store, { key: TERM, stamp: p.leaderTerm.stamp }, LARGEST);
+  const write = hintWriter(p.store, { key: TERM, stamp: p.leaderTerm.stamp }, LARGEST_JOBS);
   const look = Effect.suspend(() => (p.mayAct() ? write(p.largest.told()) : Effect.void));
   return supervise('largest', Effect.sleep(EVERY_MS).pipe(Effect.zipRight(look), Effect.forever));
 };
--- a/packages/controller/src/scheduler/replicas.ts
+++ b/packages/controller/src/scheduler/replicas.ts
@@ -115,7 +115,7 @@
       })
     )
       return false;
-    const taken = u.job.taken + (stopped.get(u.job) ?? 0);
+    const taken = u.job.preemptedForServices + (stopped.get(u.job) ?? 0);
     const bound = { gang: spec.shape === 'gang', tasks: spec.tasks, taken };
     if (spec.gpus > 0 && !mayTakeMore(bound, tasks)) return false;
     const w = weigh(u);
--- a/packages/controller/src/scheduler/run-cycle.ts
+++ b/packages/controller/src/scheduler/run-cycle.ts
@@ -27,14 +27,14 @@
     if (!m.reported) r.coming++;
     else {
       r.up++;
-      if (!t.jobState.byMachine.has(m.id)) r.empty++;
+      if (!t.jobState.placementsByMachine.has(m.id)) r.empty++;
     }
   }
   const classes = new Map<string, { on: number; waiting: number; jobs: number }>();
   for (const job of t.jobState.jobs.values()) {
     let c = classes.get(job.spec.jobClass);
     if (!c) classes.set(job.spec.jobClass, (c = { on: 0, waiting: 0, jobs: 0 }));
-    const waiting = job.withdrawn ? 0 : job.spec.tasks - job.done.size - job.placed.size;
+    const waiting = job.cancelled ? 0 : job.spec.tasks - job.done.size - job.placed.size;
     c.on += job.placed.size;
     c.waiting += waiting;
     if (waiting > 0) c.jobs++;
@@ -112,9 +112,9 @@
     for (const job of t.registry.halfTold(at))
       yield* info('gang half told to stop', { term: t.leaderTerm.number, job });
     for (const job of t.jobState.jobs.values()) {
-      if (job.placed.size > 0 && (job.withdrawn || t.registry.isBroken(job))) t.registry.clearAway(job);
+      if (job.placed.size > 0 && (job.cancelled || t.registry.isBroken(job))) t.registry.clearAway(job);
     }
-    if (!t.jobState.calm && !t.registry.allLapsed(at)) {
+    if (!t.jobState.quiescent && !t.registry.allLapsed(at)) {
       // After a loss somebody may be running what nobody here knows of: until all have shown themselves or their
       // leases have lapsed, only what ends and what is found running is recorded.
       yield* commit(t, []);
@@ -137,7 +137,7 @@
       companions: view.companions,
       surplus: view.surplus,
       avoid: (job) => t.registry.avoid(job),
-      attempts: Math.max(t.jobState.floor, t.jobState.attempts),
+      attempts: Math.max(t.jobState.attemptFloor, t.jobState.attemptBase),
       mostPlaces: mostPlaces(t.settings.state),
       lending: lendingOf(t, at, queued),
     };
--- a/packages/controller/src/scheduler/settle.ts
+++ b/packages/controller/src/scheduler/settle.ts
@@ -34,7 +34,7 @@
         if (!r.right.ok && unsure && r.right.failed.includes(probe) && !r.right.failed.includes(TERM)) {
           return { ok: true, revision: null } as const;
         }
-        if (r.right.ok) t.watcher.committed(r.right.revision);
+        if (r.right.ok) t.watcher.noteOwnCommit(r.right.revision);
         return r.right;
       }
       if (r.left._tag === 'NoAnswer') unsure = true;
--- a/packages/controller/src/scheduler/upkeep.ts
+++ b/packages/controller/src/scheduler/upkeep.ts
@@ -3,8 +3,8 @@
 import { info } from '@lilacvalve/runtime/log';
 import { checkpointWrites, joinOld, writePage } from '../accounts/upkeep.js';
 import { tallying, tendCalendar } from '../calendar/duty.js';
-import { encodeFinal, encodeJob } from '../jobs/codec.js';
-import { ACCOUNTS, activeKey, asKnown, finalKey, recordKey, TERM } from '../jobs/keys.js';
+import { encodeFinalState, encodeJob } from '../jobs/codec.js';
+import { ACCOUNTS, activeJobKey, jobUnchanged, finalStateKey, logEntryKey, TERM } from '../jobs/keys.js';
 import { finalState, type Job } from '../jobs/model.js';
 import { Priority } from '../state-store/budget.js';
 import type { Condition, Write } from '../state-store/client.js';
@@ -26,26 +26,34 @@
     for (const job of t.jobState.jobs.values()) {
       if (finalState(job) !== null && !t.registry.ends.has(job.spec.id)) over.push(job);
       // Two changes each, and a third where a pack lists it.
-      const each = t.jobState.packOf.size > 0 ? 3 : 2;
+      const each = t.jobState.bundleOf.size > 0 ? 3 : 2;
       // A tied job's occurrence has a count, which changes too.
       const tied = over.reduce((n, j) => n + (j.spec.tie === null ? 0 : 1), 0);
       if ((over.length + 1) * each + tied > Math.min(t.settings.state.txnOps, each === 3 ? 12 : UPKEEP_OPS))
         break;
     }
     if (over.length === 0) return false;
-    const finals = over.map((job) => ({ job, id: job.spec.id, stamp: job.stamp, final: finalState(job)! }));
+    const finals = over.map((job) => ({
+      job,
+      id: job.spec.id,
+      stamp: job.revision,
+      final: finalState(job)!,
+    }));
     const when: Condition[] = [{ key: TERM, stamp: t.leaderTerm.stamp }];
     const then: Write[] = [];
     for (const f of finals) {
-      when.push({ key: activeKey(f.id), stamp: f.stamp });
-      then.push({ delete: activeKey(f.id) }, { set: finalKey(f.id), value: encodeFinal(f.final) });
+      when.push({ key: activeJobKey(f.id), stamp: f.stamp });
+      then.push(
+        { delete: activeJobKey(f.id) },
+        { set: finalStateKey(f.id), value: encodeFinalState(f.final) },
+      );
     }
-    const packs = t.jobState.unpacking(finals.map((f) => f.id));
+    const packs = t.jobState.removalFromBundles(finals.map((f) => f.id));
     const counts = tallying(t.jobState, finals);
     when.push(...packs.when, ...counts.when);
     then.push(...packs.then, ...counts.then);
     const first = finals[0]!;
-    const probe = first.stamp > 0 ? activeKey(first.id) : (t.jobState.packOf.get(first.id) ?? '');
+    const probe = first.stamp > 0 ? activeJobKey(first.id) : (t.jobState.bundleOf.get(first.id) ?? '');
     const outcome = yield* settle(t, when, then, probe, Priority.Upkeep);
     if (outcome === null) return true;
     // Applied or not, the watch's view decides what became of each job.
@@ -64,8 +72,8 @@
 /** Shortens the tail: writes the jobs of the oldest records into their own keys, then deletes the records. */
 const fold = (t: CycleContext) =>
   Effect.gen(function* () {
-    if (t.jobState.tail.size <= (t.settings.state.tail ?? TAIL)) return;
-    const upTo = t.jobState.lastSeq;
+    if (t.jobState.logTail.size <= (t.settings.state.tail ?? TAIL)) return;
+    const upTo = t.jobState.lastSequence;
     const ops = t.settings.state.txnOps;
     const { checkpoint, accounts } = t.jobState;
     // No record goes whose rows the checkpoint lacks. It is written once in so many records: the next ones can go by it.
@@ -74,7 +82,7 @@
     const then: Write[] = [];
     const jobs = new Set<Job>();
     let bytes = 0;
-    const seqs = [...t.jobState.tail.keys()].sort((a, b) => a - b).slice(0, -1);
+    const seqs = [...t.jobState.logTail.keys()].sort((a, b) => a - b).slice(0, -1);
     if (seqs[0]! > checkpoint.upTo) {
       then.push(...checkpointWrites(t, accounts));
       bytes = JSON.stringify(then).length;
@@ -83,16 +91,16 @@
     for (const seq of seqs) {
       if (seq > covered) break;
       const more: Job[] = [];
-      for (const id of t.jobState.tail.get(seq)!.jobs.keys()) {
+      for (const id of t.jobState.logTail.get(seq)!.jobs.keys()) {
         const job = t.jobState.jobs.get(id);
-        if (job && job.folded < seq && !jobs.has(job)) more.push(job);
+        if (job && job.compactedTo < seq && !jobs.has(job)) more.push(job);
       }
       if (then.length + more.length + 1 > Math.min(ops, UPKEEP_OPS) && then.length > 0) break;
       const writes: Write[] = more.map((job) => ({
-        set: activeKey(job.spec.id),
+        set: activeJobKey(job.spec.id),
         // This view has every record up to the withdrawal. One that completes the job while this write is on its way must not
         // look as if it had come first, by the key's new revision: what users were told is cancelled would be done.
-        value: encodeJob({ ...job, withdrawnFirst: job.withdrawn }, upTo),
+        value: encodeJob({ ...job, cancelledFirst: job.cancelled }, upTo),
       }));
       const size = JSON.stringify(writes).length;
       if (bytes + size > 48 * 1024 && then.length > 0) break;
@@ -100,14 +108,14 @@
         // More jobs than one transaction takes: fold some, the record goes later.
         const some = writes.slice(0, ops);
         then.push(...some);
-        for (const job of more.slice(0, ops)) when.push(...asKnown(job.spec.id, job.stamp));
+        for (const job of more.slice(0, ops)) when.push(...jobUnchanged(job.spec.id, job.revision));
         break;
       }
       bytes += size;
-      then.push(...writes, { delete: recordKey(seq) });
+      then.push(...writes, { delete: logEntryKey(seq) });
       for (const job of more) {
         jobs.add(job);
-        when.push(...asKnown(job.spec.id, job.stamp));
+        when.push(...jobUnchanged(job.spec.id, job.revision));
       }
     }
     if (then.length === 0) return;
--- a/packages/controller/src/scheduler/views.ts
+++ b/packages/controller/src/scheduler/views.ts
@@ -55,7 +55,7 @@
   let last: Job | null = null;
   let known: OfJob = { leaves: false, ends: undefined };
   const stops = registry.stopping.size > 0;
-  for (const [machine, on] of t.jobState.byMachine) {
+  for (const [machine, on] of t.jobState.placementsByMachine) {
     const m = registry.machines.get(machine);
     const zone = m?.zone ?? null;
     const away = m === undefined || !m.confirmed;
@@ -64,7 +64,7 @@
       if (job !== last) {
         let of = jobs.get(job);
         if (of === undefined) {
-          of = { leaves: job.withdrawn || registry.isBroken(job), ends: registry.ends.get(job.spec.id) };
+          of = { leaves: job.cancelled || registry.isBroken(job), ends: registry.ends.get(job.spec.id) };
           jobs.set(job, of);
         }
         last = job;
@@ -83,7 +83,7 @@
 const fetchingWeights = (t: CycleContext): Set<string> => {
   const out = new Set<string>();
   for (const job of t.jobState.jobs.values()) {
-    if (!mayBorrow(job.spec) || job.withdrawn) continue;
+    if (!mayBorrow(job.spec) || job.cancelled) continue;
     for (const p of job.placed.values())
       if (t.registry.machines.get(p.machine)?.images.has(job.spec.image) === false) out.add(p.machine);
   }
@@ -144,7 +144,7 @@
   // What one job's key must be able to hold.
   const most = Math.max(50, Math.floor((t.settings.state.valueBytes * 0.5) / 12));
   for (const job of t.jobState.jobs.values()) {
-    if (job.withdrawn || isComplete(job) || at < t.registry.heldUntil(job, at)) continue;
+    if (job.cancelled || isComplete(job) || at < t.registry.heldUntil(job, at)) continue;
     const ends = t.registry.ends.get(job.spec.id);
     const on = job.placed.size - (ends ? [...job.placed.keys()].filter((i) => endsOf(ends, i)).length : 0);
     const tasks: number[] = [];
@@ -202,7 +202,7 @@
     if (on) return on;
     fetching.set(id, (on = new Map()));
     const m = registry.machines.get(id);
-    for (const [key, p] of jobState.byMachine.get(id) ?? []) {
+    for (const [key, p] of jobState.placementsByMachine.get(id) ?? []) {
       const status = m?.tasks.get(key)?.status;
       const { image } = p.job.spec;
       if ((status !== undefined && status !== 'fetching') || m?.images.has(image)) continue;
@@ -293,7 +293,7 @@
   for (const job of t.jobState.jobs.values()) {
     const { spec } = job;
     if (spec.gpus === 0) continue;
-    if (!job.withdrawn && job.done.size + job.placed.size < spec.tasks) waiting.add(spec.jobClass);
+    if (!job.cancelled && job.done.size + job.placed.size < spec.tasks) waiting.add(spec.jobClass);
     const slack = spec.deadline === null ? 0 : Math.max(0, spec.deadline - spec.estimate);
     const known = t.companions.get(spec.jobClass);
     t.companions.set(spec.jobClass, {
--- a/packages/controller/src/snapshots/duty.ts
+++ b/packages/controller/src/snapshots/duty.ts
@@ -56,7 +56,7 @@
     Effect.flatMap((c) => {
       if (c === null) return info('no snapshot');
       const view = viewOf(c);
-      for (const [id, f] of view.finals.entries()) p.jobState.finals.remember(id, f);
+      for (const [id, f] of view.finalStates.entries()) p.jobState.finalStates.remember(id, f);
       const relic = p.relics.viewOf(view, c.generation, null);
       p.relics.keep(relic);
       // A store of that incarnation that is at least as new has lost nothing of it.
--- a/packages/controller/src/snapshots/restore.ts
+++ b/packages/controller/src/snapshots/restore.ts
@@ -6,7 +6,7 @@
 import { Effect, Random } from 'effect';
 import type { Content } from '@lilacvalve/snapshot/read';
 import { floorOf } from '../recovery/model.js';
-import { CALM, INCARNATION, LEADER, REBUILD, ROOT, SETTLED, TERM } from '../jobs/keys.js';
+import { QUIESCENT, INCARNATION, LEADER, REBUILD, ROOT, RECOVERED, TERM } from '../jobs/keys.js';
 import { Priority } from '../state-store/budget.js';
 import type { StateFailure, Write } from '../state-store/client.js';
 import type { StatePort } from '../state-store/port.js';
@@ -33,7 +33,7 @@
   key === LEADER ||
   key === TERM ||
   key === RESTORE ||
-  [REBUILD, CALM, SETTLED].includes(key) ||
+  [REBUILD, QUIESCENT, RECOVERED].includes(key) ||
   key.startsWith(INCARNATION);
 
 /** A transaction's bytes: the protocol's limit, with room for what stands around the values. */
--- a/packages/controller/src/workers/worker-registry.ts
+++ b/packages/controller/src/workers/worker-registry.ts
@@ -220,9 +220,9 @@
     const key = taskKey(p.job.spec.id, p.task);
     return (
       m.recallAt === null &&
-      !p.job.withdrawn &&
+      !p.job.cancelled &&
       // Of a generation before: it may have ended and been forgotten, and is never started again.
-      p.attempt > this.jobState.floor &&
+      p.attempt > this.jobState.attemptFloor &&
       this.stopping.get(key)?.attempt !== p.attempt &&
       !this.broken(p.job)
     );
@@ -288,7 +288,7 @@
       m.list = r.tasks;
     }
 
-    const on = this.jobState.byMachine.get(m.id);
+    const on = this.jobState.placementsByMachine.get(m.id);
     const strangers = m.hasUnknownTasks;
     m.hasUnknownTasks = false;
     this.forgetStrays(m.id);
@@ -296,7 +296,7 @@
       const p = on?.get(t.key);
       if (p && p.attempt === t.attempt) this.observe(m, p, t, at);
       else {
-        if (t.attempt <= this.jobState.floor) this.stray(m, t);
+        if (t.attempt <= this.jobState.attemptFloor) this.stray(m, t);
         if (t.status !== 'exited') m.hasUnknownTasks = true;
       }
     }
@@ -334,13 +334,13 @@
     const task = Number(t.key.slice(slash + 1));
     const job = this.jobState.jobs.get(id);
     if (job === undefined) {
-      if ((t.status === 'exited' && t.cause !== 'done') || this.jobState.finals.has(id)) return;
+      if ((t.status === 'exited' && t.cause !== 'done') || this.jobState.finalStates.has(id)) return;
       const on = this.unknownJobs.get(id);
       if (on) on.add(`${task}@${m.id}`);
       else this.unknownJobs.set(id, new Set([`${task}@${m.id}`]));
       return;
     }
-    if (job.withdrawn || job.done.has(task) || task >= job.spec.tasks) return;
+    if (job.cancelled || job.done.has(task) || task >= job.spec.tasks) return;
     // Its result is kept there: it completed, whichever attempt that was.
     if (t.status === 'exited') {
       if (t.cause === 'done' && !this.isEnding(id, task)) this.end(job, task, 'done');
@@ -366,7 +366,7 @@
 
   /** Whether a reported task that no record knows of is left alone for now. */
   private kept(m: Machine, t: ReportedTask): boolean {
-    if (t.attempt > this.jobState.floor) return false;
+    if (t.attempt > this.jobState.attemptFloor) return false;
     const slash = t.key.indexOf('/');
     const id = t.key.slice(0, slash);
     if (this.unknownJobs.get(id)?.has(`${t.key.slice(slash + 1)}@${m.id}`) === true)
@@ -431,7 +431,7 @@
 
   /** What the answer to the machine's latest report should say; without `starts`, what is to begin waits for a later one. */
   orders(m: Machine, starts = true): Order[] {
-    const on = this.jobState.byMachine.get(m.id);
+    const on = this.jobState.placementsByMachine.get(m.id);
     const orders: Order[] = [];
     for (const t of m.tasks.values()) {
       const p = on?.get(t.key);
@@ -451,7 +451,7 @@
       }
       if (t.status === 'exited') continue;
       const stop = this.stopping.get(t.key);
-      if (p.job.withdrawn || this.broken(p.job)) {
+      if (p.job.cancelled || this.broken(p.job)) {
         orders.push({ op: 'stop', key: t.key, attempt: t.attempt, grace: ZERO });
       } else if (stop && stop.attempt === t.attempt && t.status !== 'saving') {
         orders.push({ op: 'stop', key: t.key, attempt: t.attempt, grace: stop.grace });
@@ -483,7 +483,7 @@
   }
 
   private lost(m: Machine, key: string, attempt: number): void {
-    const p = this.jobState.byMachine.get(m.id)?.get(key);
+    const p = this.jobState.placementsByMachine.get(m.id)?.get(key);
     if (p && p.attempt === attempt && !this.isEnding(p.job.spec.id, p.task)) this.gone(p.job, p.task);
   }
 
@@ -583,7 +583,7 @@
   lapse(at: Micros, acknowledged: boolean): string[] {
     const out: string[] = [];
     if (acknowledged) this.olderUntil ??= plus(at, CONFIRM);
-    for (const [id, on] of this.jobState.byMachine) {
+    for (const [id, on] of this.jobState.placementsByMachine) {
       // Also for machines this leader has never heard of: an older one that holds on may still renew them.
       if (at <= this.leaseEnd(this.machines.get(id))) continue;
       let any = false;
@@ -612,7 +612,7 @@
 
   /** The cloud has answered the delete: the machine and everything on it are gone. */
   removed(id: string): void {
-    for (const p of this.jobState.byMachine.get(id)?.values() ?? []) {
+    for (const p of this.jobState.placementsByMachine.get(id)?.values() ?? []) {
       if (!this.isEnding(p.job.spec.id, p.task)) this.gone(p.job, p.task);
     }
     const m = this.machines.get(id);
@@ -672,7 +672,7 @@
   }
 
   cancelled(job: string): boolean {
-    return this.jobState.jobs.get(job)?.withdrawn === true;
+    return this.jobState.jobs.get(job)?.cancelled === true;
   }
 
   /** Services with GPUs of which all replicas run, one of them started since `day`, and did not when last asked. */
@@ -682,7 +682,7 @@
     for (const job of this.jobState.jobs.values()) {
       const { id, shape, gpus, tasks } = job.spec;
       if (shape !== 'service' || gpus === 0) continue;
-      let all = job.placed.size === tasks && !job.withdrawn;
+      let all = job.placed.size === tasks && !job.cancelled;
       for (let i = 0; all && i < tasks; i++) all = this.running.has(taskKey(id, i));
       if (all && !this.serving.has(id) && [...job.placed.values()].some((p) => p.since >= day)) out.push(job);
       if (all) this.serving.add(id);
@@ -736,8 +736,8 @@
     for (const m of this.machines.values()) {
       for (const t of m.tasks.values()) {
         if (t.status !== 'saving' || this.stopping.has(t.key)) continue;
-        const p = this.jobState.byMachine.get(m.id)?.get(t.key);
-        if (p?.attempt !== t.attempt || p.job.withdrawn || p.job.spec.shape !== 'gang') continue;
+        const p = this.jobState.placementsByMachine.get(m.id)?.get(t.key);
+        if (p?.attempt !== t.attempt || p.job.cancelled || p.job.spec.shape !== 'gang') continue;
         const { id, save } = p.job.spec;
         for (const task of p.job.placed.keys()) this.stop(p.job, task, plus(save, seconds(2)), at);
         out.push(id);
@@ -751,7 +751,7 @@
     for (const m of this.machines.values()) {
       if (m.recallAt === null) continue;
       const left = m.recallAt - at;
-      for (const p of this.jobState.byMachine.get(m.id)?.values() ?? []) {
+      for (const p of this.jobState.placementsByMachine.get(m.id)?.values() ?? []) {
         const s = p.job.spec;
         const run = this.running.get(taskKey(s.id, p.task));
         if (s.checkpoint > 0) {
--- a/packages/operator-cli/src/accounts/read.ts
+++ b/packages/operator-cli/src/accounts/read.ts
@@ -7,7 +7,15 @@
 import { type Page, PAGES, pagesOf } from '@lilacvalve/controller/accounts/pages';
 import { listAll } from '@lilacvalve/controller/calendar/publish';
 import { JobState } from '@lilacvalve/controller/jobs/job-state';
-import { ACCOUNTS, ACTIVE, LIFE, PACK, RECORD, ROOT, TERM } from '@lilacvalve/controller/jobs/keys';
+import {
+  ACCOUNTS,
+  ACTIVE_JOBS,
+  STORE_STATUS,
+  JOB_BUNDLES,
+  LOG_ENTRIES,
+  ROOT,
+  TERM,
+} from '@lilacvalve/controller/jobs/keys';
 import type { StateFailure } from '@lilacvalve/controller/state-store/client';
 import { Effect } from 'effect';
 import { EXIT, Fail, type Store } from '../io.js';
@@ -70,7 +78,7 @@
       const first = yield* store.page(TERM, null, 1);
       const entries: Entry[] = [];
       // The accounts last, as controllers read them.
-      for (const prefix of [LIFE, RECORD, PACK, ACTIVE, PAGES, ACCOUNTS])
+      for (const prefix of [STORE_STATUS, LOG_ENTRIES, JOB_BUNDLES, ACTIVE_JOBS, PAGES, ACCOUNTS])
         entries.push(...(yield* listAll(store, prefix)));
       const c = yield* store.follow(ROOT, first.revision, 0);
       if (c.tooOld) continue;
--- a/packages/operator-cli/src/cutoffs.ts
+++ b/packages/operator-cli/src/cutoffs.ts
@@ -5,7 +5,15 @@
 import { isRisk, NO_TALLY, SAID, WHY } from '@lilacvalve/controller/calendar/model';
 import { listAll } from '@lilacvalve/controller/calendar/publish';
 import { JobState } from '@lilacvalve/controller/jobs/job-state';
-import { ACTIVE, CALENDAR, LIFE, PACK, RECORD, ROOT, TERM } from '@lilacvalve/controller/jobs/keys';
+import {
+  ACTIVE_JOBS,
+  CALENDAR,
+  STORE_STATUS,
+  JOB_BUNDLES,
+  LOG_ENTRIES,
+  ROOT,
+  TERM,
+} from '@lilacvalve/controller/jobs/keys';
 import { isComplete } from '@lilacvalve/controller/jobs/model';
 import type { StateFailure } from '@lilacvalve/controller/state-store/client';
 import { Fail, type Io, type StateOptions, stateOptions, type Store } from './io.js';
@@ -18,8 +26,9 @@
   Effect.gen(function* () {
     for (let n = 0; n < READS; n++) {
       const base = (yield* store.page(ROOT, null, 1)).revision;
-      const lists = yield* Effect.forEach([LIFE, CALENDAR, RECORD, PACK, ACTIVE, TERM], (prefix) =>
-        listAll(store, prefix),
+      const lists = yield* Effect.forEach(
+        [STORE_STATUS, CALENDAR, LOG_ENTRIES, JOB_BUNDLES, ACTIVE_JOBS, TERM],
+        (prefix) => listAll(store, prefix),
       );
       const since = yield* store.follow(ROOT, base, 0);
       if (since.tooOld) continue;
@@ -86,17 +95,17 @@
     if (tie === null) continue;
     const r = rowOf(tie);
     r.tied++;
-    const done = !job.withdrawn && isComplete(job);
+    const done = !job.cancelled && isComplete(job);
     if (done) r.done++;
-    else if (job.withdrawn) r.cancelled++;
+    else if (job.cancelled) r.cancelled++;
     else if (job.placed.size > 0) r.running++;
     else r.waiting++;
-    const late = job.said === SAID.missed || (!done && !job.withdrawn && r.at !== null && r.at < day);
-    if (late && !job.withdrawn) {
+    const late = job.cutoffRisk === SAID.missed || (!done && !job.cancelled && r.at !== null && r.at < day);
+    if (late && !job.cancelled) {
       r.missed++;
       if (r.jobs.length < names) r.jobs.push({ id, why: 'missed' });
-    } else if (!done && !job.withdrawn && r.state === 'coming' && isRisk(job.said)) {
-      const why = WHY[job.said!]!;
+    } else if (!done && !job.cancelled && r.state === 'coming' && isRisk(job.cutoffRisk)) {
+      const why = WHY[job.cutoffRisk!]!;
       r.atRisk++;
       r.why[why] = (r.why[why] ?? 0) + 1;
       if (r.jobs.length < names) r.jobs.push({ id, why });
--- a/packages/operator-cli/src/loans.ts
+++ b/packages/operator-cli/src/loans.ts
@@ -3,7 +3,7 @@
 import { Effect } from 'effect';
 import { listAll } from '@lilacvalve/controller/calendar/publish';
 import { JobState } from '@lilacvalve/controller/jobs/job-state';
-import { ACTIVE, PACK, RECORD } from '@lilacvalve/controller/jobs/keys';
+import { ACTIVE_JOBS, JOB_BUNDLES, LOG_ENTRIES } from '@lilacvalve/controller/jobs/keys';
 import { loansOf } from '@lilacvalve/controller/lending/loans';
 import type { Entry } from '@lilacvalve/controller/state-store/client';
 import { type Io, type StateOptions, stateOptions, type Store } from './io.js';
@@ -39,7 +39,8 @@
 export const readJobs = (store: Store) =>
   Effect.gen(function* () {
     const entries: Entry[] = [];
-    for (const prefix of [RECORD, PACK, ACTIVE]) entries.push(...(yield* listAll(store, prefix)));
+    for (const prefix of [LOG_ENTRIES, JOB_BUNDLES, ACTIVE_JOBS])
+      entries.push(...(yield* listAll(store, prefix)));
     const jobState = new JobState();
     jobState.load(entries, 0);
     return jobState;
--- a/packages/simulation/src/world/meetings/answerLost.ts
+++ b/packages/simulation/src/world/meetings/answerLost.ts
@@ -1,13 +1,13 @@
 import {
-  ACTIVE,
+  ACTIVE_JOBS,
   CALENDAR,
-  FINAL,
+  FINAL_STATES,
   INCARNATION,
   LEADER,
-  LIFE,
-  RECORD,
-  SHOWN,
-  TYPES,
+  STORE_STATUS,
+  LOG_ENTRIES,
+  CLASS_DURATIONS,
+  MACHINE_TYPES,
 } from '@lilacvalve/controller/jobs/keys';
 import type { Condition, Write } from '@lilacvalve/controller/state-store/client';
 import { PLAIN, type Shared, type Trouble } from './stage.js';
@@ -20,16 +20,16 @@
   const drops = (prefix: string): boolean => then.some((w) => 'delete' in w && w.delete.startsWith(prefix));
   if (sets(INCARNATION)) return 'incarnation';
   if (sets(LEADER)) return 'campaign';
-  if (sets(RECORD)) return /"l":|"r":|"y":/.test(JSON.stringify(then)) ? 'record with loans' : 'record';
-  if (sets(FINAL)) return sets(CALENDAR) ? 'closing of tied jobs' : 'closing';
-  if (drops(RECORD)) return 'folding';
+  if (sets(LOG_ENTRIES)) return /"l":|"r":|"y":/.test(JSON.stringify(then)) ? 'record with loans' : 'record';
+  if (sets(FINAL_STATES)) return sets(CALENDAR) ? 'closing of tied jobs' : 'closing';
+  if (drops(LOG_ENTRIES)) return 'folding';
   if (sets(PAGES)) return 'page of the accounts';
-  if (sets(ACTIVE))
-    return when.some((c) => c.key.startsWith(ACTIVE) && c.stamp > 0) ? 'withdrawal' : 'submission';
-  if (sets(SHOWN)) return 'what classes have shown';
+  if (sets(ACTIVE_JOBS))
+    return when.some((c) => c.key.startsWith(ACTIVE_JOBS) && c.stamp > 0) ? 'withdrawal' : 'submission';
+  if (sets(CLASS_DURATIONS)) return 'what classes have shown';
   if (sets(CALENDAR)) return 'calendar';
-  if (sets(TYPES)) return 'hint';
-  return sets(LIFE) ? 'calm or settled' : 'other';
+  if (sets(MACHINE_TYPES)) return 'hint';
+  return sets(STORE_STATUS) ? 'calm or settled' : 'other';
 };
 
 /** Transactions are carried out at once and nothing is heard of them; the lead changes, so that campaigns are among them. */
--- a/packages/simulation/src/world/scenario-host.ts
+++ b/packages/simulation/src/world/scenario-host.ts
@@ -69,14 +69,16 @@
     heardFrom: (machine) => controllers.leading()?.node.registry()?.machines.get(machine)?.reported === true,
     counted: (team) => countedAgainstLimit(controllers, team),
     places: (label, job) => (controllers.process(label)?.node.jobState.jobs.get(job)?.placed.size ?? 0) > 0,
-    placedOn: (machine) => [...(controllers.leading()?.node.jobState.byMachine.get(machine)?.keys() ?? [])],
+    placedOn: (machine) => [
+      ...(controllers.leading()?.node.jobState.placementsByMachine.get(machine)?.keys() ?? []),
+    ],
     isDeleted: (machine) => cloud.isDeleted(machine),
     node: () => controllers.any(),
     caches: () =>
       controllers.up().map(({ node: { jobState } }) => ({
         jobs: jobState.jobs.size,
-        tail: jobState.tail.size,
-        finals: jobState.finals.size,
+        tail: jobState.logTail.size,
+        finals: jobState.finalStates.size,
       })),
     crash: (label, back) => controllers.crash(label, back),
     freeze: (label, lasts) => {
