--- a/packages/scale-test/src/capacity/capacity.ts
+++ b/packages/scale-test/src/capacity/capacity.ts
@@ -21,6 +21,6 @@
   const tables = capacityTables(readCapacityInput(options.size, options.slopes));
   if (options.write === undefined) process.stdout.write(tables);
   else writeFileSync(options.write, withTables(readFileSync(options.write, 'utf8'), tables));
-} catch (e) {
-  cli.error(`capacity: ${(e as Error).message.split('\n')[0]}`, { exitCode: 2 });
+} catch (error) {
+  cli.error(`capacity: ${(error as Error).message.split('\n')[0]}`, { exitCode: 2 });
 }
--- a/packages/scale-test/src/capacity/rows.ts
+++ b/packages/scale-test/src/capacity/rows.ts
@@ -1,6 +1,7 @@
 /** The rows of the capacity table: what each role of one region has to carry at the size's peak, and its limit. */
 import type { CapacityInput } from './model.js';
 
+/** One thing that a role has to carry. */
 export interface CapacityRow {
   readonly role: string;
   readonly what: string;
@@ -17,16 +18,16 @@
 const SECONDS_A_DAY = 86_400;
 /** The protocol lets a worker report a change this often. */
 const MOST_REPORTS_A_WORKER = 2;
-/** What a turn's computing may take of the leader's time, and the gap after one that left something (reign/session.ts). */
+/** What a turn's computing may take of the leader's time, and the gap after one that left something. */
 const TURN_PART = 0.25;
 const TURN_GAP_S = 0.25;
-/** A transaction's part that records may fill, and a value's (scheduler/draft.ts). */
+/** A transaction's part that records may fill, and a value's. */
 const TRANSACTION_BYTES = 64 * 1024 * 0.92;
 const VALUE_PART = 0.85;
 const BYTES_A_KB = 1024;
 /** Changes of a job that is not a record's: accepted, and moved to its final key. */
 const CHANGES_A_JOB = 3;
-/** Of a controller's sockets, what users and workers may have (main.ts). */
+/** Of a controller's sockets, what users and workers may have. */
 const SOCKETS_FOR_USERS = 0.8;
 /** The leader lists the cloud's machines so often, so many at a time. */
 const LIST_EVERY_S = 3;
@@ -47,11 +48,8 @@
 
 const leaderRows = (input: CapacityInput): CapacityRow[] => {
   const { size, slope } = input;
-  const { workers, starts, tasks, jobs } = regionOf(input);
+  const { workers, starts, tasks } = regionOf(input);
   const reports = workers * slope('reports_a_worker');
-  const turnS = TURN_GAP_S + slope('turn_ms') / 1000;
-  const valueBytes = size('state_value_kb') * BYTES_A_KB * VALUE_PART;
-  const recordsATurn = Math.ceil((starts * turnS * slope('record_bytes_a_start')) / valueBytes);
   return [
     {
       role: 'leader',
@@ -96,6 +94,16 @@
       mechanism: 'heap by the settings; near its limit no new jobs, then no starts',
       state: 'there',
     },
+  ];
+};
+
+const stateServiceRows = (input: CapacityInput): CapacityRow[] => {
+  const { size, slope } = input;
+  const { starts, jobs } = regionOf(input);
+  const turnS = TURN_GAP_S + slope('turn_ms') / 1000;
+  const valueBytes = size('state_value_kb') * BYTES_A_KB * VALUE_PART;
+  const recordsATurn = Math.ceil((starts * turnS * slope('record_bytes_a_start')) / valueBytes);
+  return [
     {
       role: 'state service',
       what: 'bytes of one turn',
@@ -136,6 +144,13 @@
       mechanism: 'every controller reads every record',
       state: 'there',
     },
+  ];
+};
+
+const cloudRows = (input: CapacityInput): CapacityRow[] => {
+  const { size } = input;
+  const { workers } = regionOf(input);
+  return [
     {
       role: 'cloud',
       what: 'calls for the list',
@@ -149,7 +164,7 @@
   ];
 };
 
-const otherRows = (input: CapacityInput): CapacityRow[] => {
+const followerRows = (input: CapacityInput): CapacityRow[] => {
   const { size, slope } = input;
   const { workers, tasks, jobs } = regionOf(input);
   const followers = size('controllers_a_region') - 1;
@@ -187,63 +202,71 @@
       mechanism: 'workers spread over the controllers by name',
       state: 'there',
     },
-    {
-      role: 'worker',
-      what: 'bytes at most',
-      formula: '2 a second x report_bytes',
-      value: MOST_REPORTS_A_WORKER * slope('report_bytes'),
-      unit: 'bytes a second',
-      limit: size('worker_bytes_a_second'),
-      mechanism: 'one connection, one report in flight',
-      state: 'there',
-    },
-    {
-      role: 'worker',
-      what: 'bytes, tasks of 80 s',
-      formula: 'worker_bytes_calm',
-      value: slope('worker_bytes_calm'),
-      unit: 'bytes a second',
-      limit: size('worker_bytes_a_second'),
-      mechanism: 'one connection, one report in flight',
-      state: 'there',
-    },
-    {
-      role: 'worker',
-      what: 'processor time and memory',
-      formula: 'not measured: workers are not ours',
-      value: null,
-      unit: 'cores, MB',
-      limit: size('worker_cores'),
-      mechanism: 'the protocol asks for a report and its answer',
-      state: 'there',
-    },
-    {
-      role: 'regions',
-      what: 'limits of teams over regions',
-      formula: 'not measured: there is one region',
-      value: null,
-      unit: '',
-      limit: null,
-      mechanism: 'quota shares moved by durable steps, the giver first (docs/scale.md)',
-      state: 'missing',
-    },
-    {
-      role: 'regions',
-      what: 'changes of configuration',
-      formula: 'configuration_changes_a_day',
-      value: null,
-      unit: 'in force within 4 s',
-      limit: size('configuration_within_s'),
-      mechanism: 'configuration versions in the state service (docs/scale.md)',
-      state: 'missing',
-    },
   ];
 };
 
+const workerRows = ({ size, slope }: CapacityInput): CapacityRow[] => [
+  {
+    role: 'worker',
+    what: 'bytes at most',
+    formula: '2 a second x report_bytes',
+    value: MOST_REPORTS_A_WORKER * slope('report_bytes'),
+    unit: 'bytes a second',
+    limit: size('worker_bytes_a_second'),
+    mechanism: 'one connection, one report in flight',
+    state: 'there',
+  },
+  {
+    role: 'worker',
+    what: 'bytes, tasks of 80 s',
+    formula: 'worker_bytes_calm',
+    value: slope('worker_bytes_calm'),
+    unit: 'bytes a second',
+    limit: size('worker_bytes_a_second'),
+    mechanism: 'one connection, one report in flight',
+    state: 'there',
+  },
+  {
+    role: 'worker',
+    what: 'processor time and memory',
+    formula: 'not measured: workers are not ours',
+    value: null,
+    unit: 'cores, MB',
+    limit: size('worker_cores'),
+    mechanism: 'the protocol asks for a report and its answer',
+    state: 'there',
+  },
+];
+
+const regionRows = ({ size }: CapacityInput): CapacityRow[] => [
+  {
+    role: 'regions',
+    what: 'limits of teams over regions',
+    formula: 'not measured: there is one region',
+    value: null,
+    unit: '',
+    limit: null,
+    mechanism: 'quota shares moved by durable steps, the giver first (docs/scale.md)',
+    state: 'missing',
+  },
+  {
+    role: 'regions',
+    what: 'changes of configuration',
+    formula: 'configuration_changes_a_day',
+    value: null,
+    unit: 'in force within 4 s',
+    limit: size('configuration_within_s'),
+    mechanism: 'configuration versions in the state service (docs/scale.md)',
+    state: 'missing',
+  },
+];
+
 /** How many times the limit; null: that is not known. */
 export const timesOver = ({ value, limit }: CapacityRow): number | null =>
   value === null || limit === null ? null : value / limit;
 
 /** All rows, those that are furthest over their limit first; then what has no figure. */
 export const capacityRows = (input: CapacityInput): CapacityRow[] =>
-  [...leaderRows(input), ...otherRows(input)].sort((a, b) => (timesOver(b) ?? -1) - (timesOver(a) ?? -1));
+  [leaderRows, stateServiceRows, cloudRows, followerRows, workerRows, regionRows]
+    .flatMap((rowsOf) => rowsOf(input))
+    .sort((a, b) => (timesOver(b) ?? -1) - (timesOver(a) ?? -1));
--- a/packages/scale-test/src/capacity/table.ts
+++ b/packages/scale-test/src/capacity/table.ts
@@ -1,12 +1,15 @@
 /** The capacity table as Markdown, and its place in a page. */
+import { Data } from 'effect';
 import type { CapacityInput } from './model.js';
 import { type CapacityRow, capacityRows, timesOver } from './rows.js';
 
 const BEGIN = '<!-- npm run capacity: begin -->';
 const END = '<!-- npm run capacity: end -->';
 
-const figure = (n: number): string =>
-  n >= 100 ? Math.round(n).toLocaleString('en-US') : n >= 10 ? n.toFixed(1) : n.toFixed(2);
+const figure = (value: number): string => {
+  if (value >= 100) return Math.round(value).toLocaleString('en-US');
+  return value >= 10 ? value.toFixed(1) : value.toFixed(2);
+};
 
 const cells = (row: CapacityRow): string[] => {
   const times = timesOver(row);
@@ -40,10 +43,20 @@
   );
 };
 
-/** The page with the tables in their place; throws where it has none. */
+/** A page has no place for the tables. */
+export class MissingTablePlace extends Data.TaggedError('MissingTablePlace')<{
+  readonly begin: string;
+  readonly end: string;
+}> {
+  override get message(): string {
+    return `the page lacks "${this.begin}" and "${this.end}"`;
+  }
+}
+
+/** The page with the tables in their place. Throws `MissingTablePlace`. */
 export const withTables = (page: string, tables: string): string => {
   const from = page.indexOf(BEGIN);
   const to = page.indexOf(END);
-  if (from < 0 || to < from) throw new Error(`the page lacks "${BEGIN}" and "${END}"`);
+  if (from < 0 || to < from) throw new MissingTablePlace({ begin: BEGIN, end: END });
   return `${page.slice(0, from + BEGIN.length)}\n\n${tables}\n${page.slice(to)}`;
 };
--- a/packages/scale-test/src/child-process.ts
+++ b/packages/scale-test/src/child-handle.ts
@@ -1,10 +1,12 @@
 /** The parent's end of a child process of a run. */
 import { type ChildProcess, fork } from 'node:child_process';
-import { CHILD_MARK, type ChildSetup, type FromChild, type ToChild } from './messages.js';
+import { CHILD_ENVIRONMENT_KEY, type ChildSetup, type FromChild, type ToChild } from './messages.js';
 
+/** Kinds of messages of children. */
 export type FromChildKind = FromChild['kind'];
 
-export class RunChild {
+/** Forks its process at construction; the process ends with `end`, or with its parent. */
+export class ChildHandle {
   private readonly process: ChildProcess;
   private readonly waiting = new Map<FromChildKind, ((message: FromChild) => void)[]>();
   /** Messages that nobody waits for. */
@@ -12,7 +14,7 @@
 
   constructor(program: string) {
     this.process = fork(program, [], {
-      env: { ...process.env, [CHILD_MARK]: '1' },
+      env: { ...process.env, [CHILD_ENVIRONMENT_KEY]: '1' },
       serialization: 'advanced',
       execArgv: [],
     });
--- a/packages/scale-test/src/child.ts
+++ b/packages/scale-test/src/child.ts
@@ -54,7 +54,7 @@
 };
 
 /** Serves the parent until it says so or goes away. */
-export const runChild = (): void => {
+export const serveParent = (): void => {
   let child: Child | null = null;
   process.on('disconnect', () => process.exit(0));
   process.on('message', (message: ToChild) => {
--- a/packages/scale-test/src/cloud.ts
+++ b/packages/scale-test/src/cloud.ts
@@ -8,7 +8,7 @@
 /** No worker listens there: direct orders reach workers at the address of their reports. */
 const UNKNOWN_ADDRESS = '127.0.0.1:9';
 
-interface Rented extends MachineDescription {
+interface RentedMachine extends MachineDescription {
   readonly rentedAt: number;
   up: boolean;
   timer: NodeJS.Timeout | null;
@@ -21,6 +21,7 @@
   readonly howMany: number;
 }
 
+/** What the cloud rents, and who is told of machines that come and go. */
 export interface CloudParts {
   readonly kinds: readonly MachineKind[];
   readonly bootMs: number;
@@ -29,25 +30,22 @@
   readonly down: (id: string) => void;
 }
 
+/** Machines by id, in the order in which they were rented. */
 export class Cloud {
   calls = 0;
-  private readonly machines = new Map<string, Rented>();
+  private readonly machines = new Map<string, RentedMachine>();
   private readonly rentals = new Map<string, readonly string[]>();
-  private readonly left: Map<string, number>;
+  private readonly available: Map<string, number>;
   private nextId = 0;
 
   constructor(private readonly parts: CloudParts) {
-    this.left = new Map(parts.kinds.map((k) => [k.label, k.count]));
+    this.available = new Map(parts.kinds.map((k) => [k.label, k.count]));
   }
 
   get size(): number {
     return this.machines.size;
   }
 
-  machine(id: string): MachineDescription | undefined {
-    return this.machines.get(id);
-  }
-
   handle({ method, url, body }: JsonRequest, respond: Respond): void {
     this.calls++;
     if (url.pathname === '/flavors') return void respond(200, { hostsKinds: this.offers() });
@@ -60,7 +58,7 @@
   }
 
   end(): void {
-    for (const m of this.machines.values()) clearTimeout(m.timer ?? undefined);
+    for (const machine of this.machines.values()) clearTimeout(machine.timer ?? undefined);
   }
 
   private offers(): unknown[] {
@@ -81,10 +79,10 @@
   private rent(rental: WireRental, respond: Respond): void {
     const known = this.rentals.get(rental.hire);
     if (known !== undefined) return void respond(200, { hosts: known });
-    const left = this.left.get(rental.hostKind) ?? 0;
+    const left = this.available.get(rental.hostKind) ?? 0;
     const count = rental.borrowed ? 0 : Math.min(rental.howMany, left);
     if (count === 0) return void respond(503, { error: 'no capacity' });
-    this.left.set(rental.hostKind, left - count);
+    this.available.set(rental.hostKind, left - count);
     const hosts = Array.from({ length: count }, () => this.boot(rental));
     this.rentals.set(rental.hire, hosts);
     respond(200, { hosts });
@@ -92,7 +90,7 @@
 
   private boot({ hostKind, room }: WireRental): string {
     const id = `vm-${String(++this.nextId).padStart(6, '0')}`;
-    const machine: Rented = {
+    const machine: RentedMachine = {
       id,
       kind: hostKind,
       zone: room,
@@ -117,21 +115,21 @@
     if (machine === undefined) return;
     clearTimeout(machine.timer ?? undefined);
     this.machines.delete(id);
-    this.left.set(machine.kind, (this.left.get(machine.kind) ?? 0) + 1);
+    this.available.set(machine.kind, (this.available.get(machine.kind) ?? 0) + 1);
     if (machine.up) this.parts.down(id);
   }
 
   private page(after: string): unknown {
     const later = [...this.machines.values()].filter((m) => m.id > after);
     return {
-      hosts: later.slice(0, PAGE).map((m) => ({
-        id: m.id,
+      hosts: later.slice(0, PAGE).map((machine) => ({
+        id: machine.id,
         addr: UNKNOWN_ADDRESS,
-        hostKind: m.kind,
-        room: m.zone,
+        hostKind: machine.kind,
+        room: machine.zone,
         borrowed: false,
-        status: m.up ? 'running' : 'booting',
-        heldS: (performance.now() - m.rentedAt) / 1000,
+        status: machine.up ? 'running' : 'booting',
+        heldS: (performance.now() - machine.rentedAt) / 1000,
       })),
       more: later.length > PAGE,
     };
--- a/packages/scale-test/src/controllers.ts
+++ b/packages/scale-test/src/controllers.ts
@@ -6,7 +6,6 @@
 import { join } from 'node:path';
 import { parse, stringify } from 'smol-toml';
 import type { ControllerAddress, Timing } from './model.js';
-import { type ProcessUsage, usageOf } from './process-usage.js';
 
 /** A team as the settings files name it: without guarantees and limits. */
 export interface TeamOfSettings {
@@ -19,20 +18,15 @@
   readonly gpus: number;
   readonly gpus_max: number;
 }
+/** A service-level objective as the settings files have it. */
 export interface ObjectiveOfSettings {
   readonly kind: string;
   readonly class: string;
   readonly within_s: number;
   readonly share: number;
 }
-/** What the settings files say, beside addresses. */
-export interface ClusterSettings {
-  readonly cloud: string;
-  readonly state: string;
-  readonly zones: readonly string[];
-  readonly teams: readonly TeamOfSettings[];
-  readonly objectives: readonly ObjectiveOfSettings[];
-  readonly timing: Timing;
+/** What the state service takes, and what each controller may use of its machine. */
+export interface ClusterLimits {
   readonly requestsPerS: number;
   readonly writesPerS: number;
   readonly valueKb: number;
@@ -41,48 +35,60 @@
   readonly memoryMb: number;
   readonly connections: number;
 }
+/** What the settings files say, beside the controllers' addresses. */
+export interface ClusterSettings {
+  readonly cloud: string;
+  readonly state: string;
+  readonly zones: readonly string[];
+  readonly teams: readonly TeamOfSettings[];
+  readonly objectives: readonly ObjectiveOfSettings[];
+  readonly timing: Timing;
+  readonly limits: ClusterLimits;
+}
 
 const CLOUD_CALLS_PER_S = 12;
 const CLOUD_LIST_LAG_S = 4;
 const SKEW_MS = 5;
 
-/** TOML writes a whole number as an integer; the platform writes amounts as decimals, which are read alike. */
+/** The settings file of one controller. TOML writes a whole number as an integer; the platform writes amounts as decimals, which are read alike. */
 export const settingsText = (
   self: ControllerAddress,
   all: readonly ControllerAddress[],
-  s: ClusterSettings,
+  { cloud, state, zones, teams, objectives, timing, limits }: ClusterSettings,
 ): string =>
   stringify({
     label: self.label,
     zone: self.zone,
     listen: self.listen,
     cluster_listen: self.peer,
-    others: all.filter((c) => c !== self).map((c) => ({ label: c.label, zone: c.zone, peer_addr: c.peer })),
-    services: { cloud: s.cloud, state: s.state },
+    others: all
+      .filter((other) => other !== self)
+      .map(({ label, zone, peer }) => ({ label, zone, peer_addr: peer })),
+    services: { cloud, state },
     cluster: {
       nodes: all.length,
-      zones: s.zones,
+      zones,
       skew_ms: SKEW_MS,
-      teams: s.teams,
-      objectives: s.objectives,
+      teams,
+      objectives,
       workers: {
-        report_s: s.timing.reportMs / 1000,
-        lease_s: s.timing.leaseMs / 1000,
-        gang_wait_s: s.timing.gangWaitMs / 1000,
-        gang_peer_s: s.timing.gangPeerMs / 1000,
-        cancel_s: s.timing.cancelMs / 1000,
+        report_s: timing.reportMs / 1000,
+        lease_s: timing.leaseMs / 1000,
+        gang_wait_s: timing.gangWaitMs / 1000,
+        gang_peer_s: timing.gangPeerMs / 1000,
+        cancel_s: timing.cancelMs / 1000,
       },
       state: {
-        rps: s.requestsPerS,
-        write_rps: s.writesPerS,
-        value_kb: s.valueKb,
-        txn_ops: s.transactionOps,
+        rps: limits.requestsPerS,
+        write_rps: limits.writesPerS,
+        value_kb: limits.valueKb,
+        txn_ops: limits.transactionOps,
       },
       cloud: { rps: CLOUD_CALLS_PER_S, list_lag_s: CLOUD_LIST_LAG_S },
       machine_limits: {
-        cores: s.cores,
-        memory_mb: s.memoryMb,
-        max_connections: s.connections,
+        cores: limits.cores,
+        memory_mb: limits.memoryMb,
+        max_connections: limits.connections,
       },
     },
   });
@@ -132,17 +138,20 @@
   );
 };
 
+/** How a controller process is started. */
 export interface ControllerOptions {
   readonly program: string;
   readonly flags: readonly string[];
   readonly logLevel: string;
   /** Where processor profiles are written; undefined: none are. */
   readonly profileDir?: string;
+  /** Of the program, before its settings file. */
   readonly arguments?: readonly string[];
   /** A controller has ended without having been told to. */
   readonly onUnexpectedEnd: (label: string, code: number | null) => void;
 }
 
+/** One controller; it can be started, killed and started again. */
 export class ControllerProcess {
   private process: ChildProcess | null = null;
   private readonly file: string;
@@ -166,6 +175,7 @@
     return this.process?.pid ?? null;
   }
 
+  /** Starts it; a former process of it that still ends is not told of any more. */
   start(): void {
     const { program, flags, profileDir, logLevel } = this.options;
     const { label } = this.address;
@@ -187,12 +197,13 @@
     });
   }
 
+  /** Its end is expected from here on. */
   kill(signal: NodeJS.Signals): void {
     this.ending = true;
     this.process?.kill(signal);
   }
 
-  /** It has ended; it is killed where that takes too long. */
+  /** Resolves once it has ended; it is killed where that takes more than `withinMs`. */
   async ended(withinMs: number): Promise<void> {
     const child = this.process;
     if (child === null) return;
@@ -201,10 +212,6 @@
     await over;
     clearTimeout(late);
   }
-
-  usage(): ProcessUsage | null {
-    return this.pid === null ? null : usageOf(this.pid);
-  }
 }
 
 /** A directory for the settings files of one run. */
--- a/packages/scale-test/src/http-line.ts
+++ b/packages/scale-test/src/http-connection.ts
@@ -4,6 +4,7 @@
  */
 import * as net from 'node:net';
 
+/** A whole reply. */
 export interface HttpReply {
   readonly status: number;
   readonly body: string;
@@ -21,7 +22,8 @@
 const STATUS_FROM = 'HTTP/1.1 '.length;
 const STATUS_DIGITS = 3;
 
-export class HttpLine {
+/** Connects at the first request, and anew when the address changes or the connection failed. */
+export class HttpConnection {
   private socket: net.Socket | null = null;
   private address: string | null = null;
   private waiting: ((reply: HttpReply | null) => void) | null = null;
@@ -37,7 +39,7 @@
   }
 
   /** The reply; null: the connection failed, or none came within `timeoutMs`. One request at a time. */
-  ask(
+  request(
     address: string,
     method: string,
     path: string,
--- a/packages/scale-test/src/json-server.ts
+++ b/packages/scale-test/src/json-server.ts
@@ -2,6 +2,7 @@
 import * as http from 'node:http';
 import type { AddressInfo } from 'node:net';
 
+/** A request with its parsed body. */
 export interface JsonRequest {
   readonly method: string;
   readonly url: URL;
@@ -11,6 +12,7 @@
 /** Sends the answer once, at once or later, and returns the bytes of its body. */
 export type Respond = (status: number, value: unknown) => number;
 
+/** A server that listens. */
 export interface JsonServer {
   /** `127.0.0.1:port`. */
   readonly address: string;
--- a/packages/scale-test/src/losses/job-users.ts
+++ b/packages/scale-test/src/losses/job-users.ts
@@ -1,6 +1,6 @@
 /** Users who submit jobs at a steady rate and poll them until long after they are done: what they were told must hold. */
 import { sleepMs } from '../clock.js';
-import { HttpLine, type HttpReply } from '../http-line.js';
+import { HttpConnection, type HttpReply } from '../http-connection.js';
 import type { ControllerAddress, JobDescription } from '../model.js';
 import type { Random } from '../random.js';
 import { writeSubmission } from '../users.js';
@@ -76,21 +76,21 @@
   }
 
   private async play(): Promise<void> {
-    const line = new HttpLine();
+    const connection = new HttpConnection();
     const id = `job-${String(this.jobs.length + 1).padStart(6, '0')}`;
     const job: ToldJob = { id, told: null, doneTasks: 0 };
     this.jobs.push(job);
     const description = renderJob(id, this.parts.tasks, this.parts.runMs);
     this.parts.upload(description);
-    if (await this.submit(line, description)) {
+    if (await this.submit(connection, description)) {
       job.told = 'accepted';
-      await this.poll(line, job);
+      await this.poll(connection, job);
     }
-    line.close();
+    connection.close();
   }
 
   private ask(
-    line: HttpLine,
+    connection: HttpConnection,
     method: string,
     path: string,
     body: string,
@@ -98,14 +98,14 @@
   ): Promise<HttpReply | null> {
     const { random, controllers } = this.parts;
     const { listen } = controllers[random.below(controllers.length)]!;
-    return line.ask(listen, method, path, body, timeoutMs);
+    return connection.request(listen, method, path, body, timeoutMs);
   }
 
   /** false: the run is over. */
-  private async submit(line: HttpLine, description: JobDescription): Promise<boolean> {
+  private async submit(connection: HttpConnection, description: JobDescription): Promise<boolean> {
     const body = writeSubmission(description, DUE_S);
     while (!this.stopped) {
-      const reply = await this.ask(line, 'POST', '/work', body, SUBMIT_TIMEOUT_MS);
+      const reply = await this.ask(connection, 'POST', '/work', body, SUBMIT_TIMEOUT_MS);
       if (reply?.status === 201 || reply?.status === 200) return true;
       await sleepMs(Math.max(1, reply?.retryAfterS ?? 1) * 1000);
     }
@@ -113,12 +113,12 @@
   }
 
   /** Until long after it is done: what was told must not go back. */
-  private async poll(line: HttpLine, job: ToldJob): Promise<void> {
+  private async poll(connection: HttpConnection, job: ToldJob): Promise<void> {
     const { random, watch, onViolation } = this.parts;
     let pollsLeft = POLLS_AFTER_DONE;
     while (pollsLeft > 0 && !this.stopped) {
       await sleepMs(random.between(POLL_EVERY_MS.least, POLL_EVERY_MS.most));
-      const reply = await this.ask(line, 'GET', `/work/${job.id}`, '', POLL_TIMEOUT_MS);
+      const reply = await this.ask(connection, 'GET', `/work/${job.id}`, '', POLL_TIMEOUT_MS);
       const silence = watch.polled(job.id, reply?.status === 200 || reply?.status === 404);
       if (silence !== null && !this.stopped) onViolation(silence);
       if (reply === null || reply.status === 503) continue;
--- a/packages/scale-test/src/losses/loss-run.ts
+++ b/packages/scale-test/src/losses/loss-run.ts
@@ -1,7 +1,13 @@
 /** One run of losses: real controllers beside stand-ins, faults while users work, then the end of all accepted jobs. */
 import { sleepMs } from '../clock.js';
 import { Cloud } from '../cloud.js';
-import { controllerAddresses, ControllerProcess, settingsDirectory, settingsText } from '../controllers.js';
+import {
+  type ClusterLimits,
+  controllerAddresses,
+  ControllerProcess,
+  settingsDirectory,
+  settingsText,
+} from '../controllers.js';
 import { serveJson } from '../json-server.js';
 import type { JobDescription, MachineKind, Timing } from '../model.js';
 import { seededRandom } from '../random.js';
@@ -52,7 +58,15 @@
 }
 
 const ZONES = ['zone-0', 'zone-1'];
-const LIMITS = { requestsPerS: 180, writesPerS: 60 };
+const LIMITS: ClusterLimits = {
+  requestsPerS: 180,
+  writesPerS: 60,
+  valueKb: 32,
+  transactionOps: 24,
+  cores: 0.5,
+  memoryMb: 350,
+  connections: 1945,
+};
 const TIMING: Timing = {
   reportMs: 1500,
   leaseMs: 11_000,
@@ -180,12 +194,7 @@
         teams: [{ name: 'crew' }],
         objectives: [{ kind: 'finished', class: 'render', within_s: 350, share: 0.99 }],
         timing: TIMING,
-        ...LIMITS,
-        valueKb: 32,
-        transactionOps: 24,
-        cores: 0.5,
-        memoryMb: 350,
-        connections: 1945,
+        limits: LIMITS,
       });
       const controller: ControllerProcess = new ControllerProcess(address, settings, directory, {
         program: options.program,
--- a/packages/scale-test/src/losses/store-losses.ts
+++ b/packages/scale-test/src/losses/store-losses.ts
@@ -53,12 +53,12 @@
     const outageS = random.below(2) * random.between(OUTAGE_S.least, OUTAGE_S.most);
     const lostMs = LOST_MS[random.below(LOST_MS.length)] ?? null;
     this.killNear(outageS);
-    store.outage(true);
+    store.setOutage(true);
     onFault(outageS);
     await sleepMs(outageS * 1000);
     const before = this.incarnation();
-    store.lose(lostMs);
-    store.outage(false);
+    store.loseData(lostMs);
+    store.setOutage(false);
     const recoveredS = await this.recovery(before);
     if (recoveredS !== null) this.recoveriesS.push(recoveredS);
     // What was lost may have been nothing that anybody had seen, unless it was everything.
--- a/packages/scale-test/src/model.ts
+++ b/packages/scale-test/src/model.ts
@@ -1,5 +1,6 @@
 /** What the stand-ins of a run share: machines, jobs, and what happens to tasks on machines. Times are milliseconds. */
 
+/** A kind of machines that can be rented. */
 export interface MachineKind {
   readonly label: string;
   readonly vcpus: number;
@@ -13,8 +14,10 @@
 
 /** Speed of image fetches and room for images, the same for all machines. */
 export const IMAGE_FETCH_GB_PER_S = 1;
+/** See `IMAGE_FETCH_GB_PER_S`. */
 export const IMAGE_CACHE_GB = 100;
 
+/** An array's tasks run each by itself, an ensemble's as a gang. */
 export type JobShape = 'array' | 'ensemble';
 
 /** A job as its user knows it; workers fetch it when they are told to run a task of it. */
@@ -41,6 +44,7 @@
   readonly saveTakesMs: number;
 }
 
+/** A rented machine. */
 export interface MachineDescription {
   readonly id: string;
   readonly kind: string;
@@ -90,6 +94,7 @@
   readonly cancelMs: number;
 }
 
+/** Where a controller is; `listen` for users and workers, `peer` for other controllers, both `host:port`. */
 export interface ControllerAddress {
   readonly label: string;
   readonly zone: string;
@@ -97,12 +102,15 @@
   readonly peer: string;
 }
 
+/** A task's name on the wire. */
 export const taskName = (job: string, task: number): string => `${job}/${task}`;
 
+/** The parts of a task's name. */
 export interface TaskName {
   readonly job: string;
   readonly task: number;
 }
+/** The parts of a name that `taskName` made. */
 export const parseTaskName = (name: string): TaskName => {
   const slash = name.lastIndexOf('/');
   return { job: name.slice(0, slash), task: Number(name.slice(slash + 1)) };
--- a/packages/scale-test/src/process-usage.ts
+++ b/packages/scale-test/src/process-usage.ts
@@ -1,6 +1,7 @@
 /** What a process has spent and holds, by the kernel's accounts. */
 import { readFileSync } from 'node:fs';
 
+/** Usage of one process at one moment. */
 export interface ProcessUsage {
   /** Processor time since its start, milliseconds. */
   readonly cpuMs: number;
@@ -15,7 +16,7 @@
 const field = (status: string, name: string): number =>
   Number(new RegExp(`${name}:\\s+(\\d+)`).exec(status)?.[1] ?? 0) / KB_PER_MB;
 
-/** null: there is no such process. */
+/** Usage of a process by its id; null: there is none. */
 export const usageOf = (pid: number): ProcessUsage | null => {
   try {
     const stat = readFileSync(`/proc/${pid}/stat`, 'utf8');
@@ -32,7 +33,7 @@
 };
 
 /** Open files that this process may have; sockets are files. */
-export const openFilesLimit = (): number => {
+export const openFileLimit = (): number => {
   const limits = readFileSync('/proc/self/limits', 'utf8');
   const soft = /Max open files\s+(\S+)/.exec(limits)?.[1] ?? '0';
   return soft === 'unlimited' ? Number.POSITIVE_INFINITY : Number(soft);
--- a/packages/scale-test/src/random.ts
+++ b/packages/scale-test/src/random.ts
@@ -3,6 +3,7 @@
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
+/** Draws are uniform. */
 export interface Random {
   /** A whole number from 0 to below `n`. */
   below(n: number): number;
@@ -12,6 +13,7 @@
   chance(probability: number): boolean;
 }
 
+/** The same seed gives the same draws. */
 export const seededRandom = (seed: number): Random => {
   const generator = xoroshiro128plus(seed);
   const unit = (): number => uniformFloat64(generator);
--- a/packages/scale-test/src/refusal.ts
+++ b/packages/scale-test/src/refusal.ts
@@ -1,8 +1,9 @@
 /** What a scale run may take of the machine, and which flags it refuses. */
-import type { RunOptions } from './run.js';
+import type { RunOptions } from './run-model.js';
 
 /** Under half of the memory of the machines that this is meant for, and a few hundred processes. */
 export const MOST_MEMORY_MB = 12_000;
+/** See `MOST_MEMORY_MB`. */
 export const MOST_PROCESSES = 300;
 /** Each hollow worker has a connection and an address of its own. */
 const FILES_PER_WORKER = 2;
@@ -16,17 +17,17 @@
 >;
 
 /** What is wrong with the flags, or with the machine for them; null: nothing. `openFiles`: how many a process may open. */
-export const refusal = (o: Asked, openFiles: number): string | null => {
-  if (o.gangs + o.urgent + o.accelerated > 1)
+export const flagsFault = (asked: Asked, openFiles: number): string | null => {
+  if (asked.gangs + asked.urgent + asked.accelerated > 1)
     return '--gangs, --urgent and --accelerated are over 1 together';
-  const workers = Math.min(o.machines, o.workersPerProcess);
+  const workers = Math.min(asked.machines, asked.workersPerProcess);
   const files = workers * FILES_PER_WORKER + FILES_BESIDE;
   if (files > openFiles)
     return (
       `${workers} workers in one process need ${files} sockets, and ${openFiles} may be open: ` +
       'lower --workers-per-process or raise the limit'
     );
-  const processes = Math.ceil(o.machines / o.workersPerProcess) + o.controllers + OTHER_PROCESSES;
+  const processes = Math.ceil(asked.machines / asked.workersPerProcess) + asked.controllers + OTHER_PROCESSES;
   if (processes > MOST_PROCESSES) return `${processes} processes, at most ${MOST_PROCESSES}`;
   return null;
 };
--- a/packages/scale-test/src/report.ts
+++ b/packages/scale-test/src/report.ts
@@ -1,82 +1,96 @@
 /** What a scale run prints: progress while it goes on, then a table, or one line of JSON. */
 import type { Histogram } from 'hdr-histogram-js';
-import type { Progress, RunResult } from './run.js';
+import type { Progress, RunResult } from './run-model.js';
 
 const PERCENTILES = [50, 90, 99, 100] as const;
 
-const percentiles = (h: Histogram): string =>
-  h.totalCount === 0
+const percentiles = (histogram: Histogram): string =>
+  histogram.totalCount === 0
     ? 'none'
-    : PERCENTILES.map((p) => `p${p} ${(h.getValueAtPercentile(p) / 1000).toFixed(2)} s`).join(', ');
+    : PERCENTILES.map((p) => `p${p} ${(histogram.getValueAtPercentile(p) / 1000).toFixed(2)} s`).join(', ');
 
-const percentileFields = (h: Histogram): Record<string, number> =>
-  Object.fromEntries(PERCENTILES.map((p) => [`p${p}Ms`, h.totalCount === 0 ? 0 : h.getValueAtPercentile(p)]));
+const percentileFields = (histogram: Histogram): Record<string, number> =>
+  Object.fromEntries(
+    PERCENTILES.map((p) => [`p${p}Ms`, histogram.totalCount === 0 ? 0 : histogram.getValueAtPercentile(p)]),
+  );
 
-export const progressLine = (p: Progress): string =>
-  `${p.phase}, ${p.secondsLeft} s left: ${p.machines} machines, ${p.tasks} tasks on them, ${p.started} started`;
+/** One line while the run goes on. */
+export const progressLine = ({ phase, secondsLeft, machines, tasks, started }: Progress): string =>
+  `${phase}, ${secondsLeft} s left: ${machines} machines, ${tasks} tasks on them, ${started} started`;
 
 const LABEL_WIDTH = 26;
 const row = (label: string, value: string): string => `${label.padEnd(LABEL_WIDTH)} ${value}\n`;
 
-export const asTable = (r: RunResult): string => {
-  const { counters } = r.workers;
-  const perS = (n: number): string => (n / r.lengthS).toFixed(1);
+/** The result for people: one line a figure. */
+export const asTable = (result: RunResult): string => {
+  const { counters } = result.workers;
+  const perS = (n: number): string => (n / result.lengthS).toFixed(1);
   return [
-    row('measured', `${r.lengthS.toFixed(0)} s, ${r.machines} machines, ${r.tasksHeld} tasks held`),
-    row('task starts, ends', `${r.startsPerS.toFixed(0)}, ${r.endsPerS.toFixed(0)} a second; longest pause without a start ${(r.longestPauseMs / 1000).toFixed(2)} s`), // prettier-ignore
-    row('urgent work waits', `${percentiles(r.users.urgentWaitMs)} (${r.users.urgentStarted} of ${r.users.urgentTasks} tasks started)`), // prettier-ignore
-    row('answers to reports', `${percentiles(r.answerMs)}; ${perS(counters.reports)} reports a second`),
+    row(
+      'measured',
+      `${result.lengthS.toFixed(0)} s, ${result.machines} machines, ${result.tasksHeld} tasks held`,
+    ),
+    row('task starts, ends', `${result.startsPerS.toFixed(0)}, ${result.endsPerS.toFixed(0)} a second; longest pause without a start ${(result.longestPauseMs / 1000).toFixed(2)} s`), // prettier-ignore
+    row('urgent work waits', `${percentiles(result.users.urgentWaitMs)} (${result.users.urgentStarted} of ${result.users.urgentTasks} tasks started)`), // prettier-ignore
+    row('answers to reports', `${percentiles(result.answerMs)}; ${perS(counters.reports)} reports a second`),
     row('reports not answered', `${counters.unanswered} without, ${counters.refused} refused`),
-    row('answers to submissions', `${percentiles(r.users.submitMs)}; ${r.users.accepted} of ${r.users.submitted} accepted, ${r.users.retries} retries`), // prettier-ignore
-    row('answers to polls', `${percentiles(r.users.pollMs)}; ${r.users.polls}, ${r.users.pollsRefused} refused, ${r.users.pollsUnanswered} without`), // prettier-ignore
-    ...r.roles.map(
-      (u) =>
-      row(u.role, `${u.cores.toFixed(3)} cores in ${u.processes}, ${u.residentMb.toFixed(0)} MB (peak ${u.peakMb.toFixed(0)}) in the largest`), // prettier-ignore
+    row('answers to submissions', `${percentiles(result.users.submitMs)}; ${result.users.accepted} of ${result.users.submitted} accepted, ${result.users.retries} retries`), // prettier-ignore
+    row('answers to polls', `${percentiles(result.users.pollMs)}; ${result.users.polls}, ${result.users.pollsRefused} refused, ${result.users.pollsUnanswered} without`), // prettier-ignore
+    ...result.roles.map(
+      (usage) =>
+      row(usage.role, `${usage.cores.toFixed(3)} cores in ${usage.processes}, ${usage.residentMb.toFixed(0)} MB (peak ${usage.peakMb.toFixed(0)}) in the largest`), // prettier-ignore
     ),
-    row('bytes of a worker', `median ${r.workerBytesPerS.median.toFixed(0)}, p99 ${r.workerBytesPerS.p99.toFixed(0)} a second`), // prettier-ignore
+    row('bytes of a worker', `median ${result.workerBytesPerS.median.toFixed(0)}, p99 ${result.workerBytesPerS.p99.toFixed(0)} a second`), // prettier-ignore
     row('leases lost', `${counters.leasesLost}, with ${counters.tasksKilled} tasks`),
-    row('state service', `${perS(r.state.requests)} requests, ${perS(r.state.changes)} changes, ${perS(r.state.writtenBytes)} bytes written a second, ${r.state.refused} refused`), // prettier-ignore
-    row('cloud', `${r.cloudCalls} calls`),
-    row('jobs', `${r.users.done} done, ${r.users.cancelled} cancelled, ${r.users.rejected} rejected`),
-    row('controllers that ended', r.unexpectedEnds.length === 0 ? 'none' : r.unexpectedEnds.join('; ')),
-    row('rules broken', r.violations.length === 0 ? 'none' : String(r.violations.length)),
-    ...r.violations.slice(0, 10).map((v) => row(`  ${v.rule}`, v.detail)),
-    ...(r.stopped === null ? [] : [row('stopped early', r.stopped)]),
+    row('state service', `${perS(result.state.requests)} requests, ${perS(result.state.changes)} changes, ${perS(result.state.writtenBytes)} bytes written a second, ${result.state.refused} refused`), // prettier-ignore
+    row('cloud', `${result.cloudCalls} calls`),
+    row(
+      'jobs',
+      `${result.users.done} done, ${result.users.cancelled} cancelled, ${result.users.rejected} rejected`,
+    ),
+    row(
+      'controllers that ended',
+      result.unexpectedEnds.length === 0 ? 'none' : result.unexpectedEnds.join('; '),
+    ),
+    row('rules broken', result.violations.length === 0 ? 'none' : String(result.violations.length)),
+    ...result.violations.slice(0, 10).map((v) => row(`  ${v.rule}`, v.detail)),
+    ...(result.stopped === null ? [] : [row('stopped early', result.stopped)]),
   ].join('');
 };
 
-export const asJson = (r: RunResult): string =>
+/** The result for programs: one line of JSON. */
+export const asJson = (result: RunResult): string =>
   `${JSON.stringify({
-    lengthS: r.lengthS,
-    machines: r.machines,
-    tasksHeld: r.tasksHeld,
-    startsPerS: r.startsPerS,
-    endsPerS: r.endsPerS,
-    longestPauseMs: r.longestPauseMs,
-    urgentWait: percentileFields(r.users.urgentWaitMs),
-    urgentTasks: r.users.urgentTasks,
-    urgentStarted: r.users.urgentStarted,
-    answers: percentileFields(r.answerMs),
-    reportsPerS: r.workers.counters.reports / r.lengthS,
-    counters: r.workers.counters,
-    submissions: percentileFields(r.users.submitMs),
-    polls: percentileFields(r.users.pollMs),
-    roles: r.roles,
-    workerBytesPerS: r.workerBytesPerS,
-    state: r.state,
-    cloudCalls: r.cloudCalls,
+    lengthS: result.lengthS,
+    machines: result.machines,
+    tasksHeld: result.tasksHeld,
+    startsPerS: result.startsPerS,
+    endsPerS: result.endsPerS,
+    longestPauseMs: result.longestPauseMs,
+    urgentWait: percentileFields(result.users.urgentWaitMs),
+    urgentTasks: result.users.urgentTasks,
+    urgentStarted: result.users.urgentStarted,
+    answers: percentileFields(result.answerMs),
+    reportsPerS: result.workers.counters.reports / result.lengthS,
+    counters: result.workers.counters,
+    submissions: percentileFields(result.users.submitMs),
+    polls: percentileFields(result.users.pollMs),
+    roles: result.roles,
+    workerBytesPerS: result.workerBytesPerS,
+    state: result.state,
+    cloudCalls: result.cloudCalls,
     users: {
-      submitted: r.users.submitted,
-      accepted: r.users.accepted,
-      rejected: r.users.rejected,
-      done: r.users.done,
-      cancelled: r.users.cancelled,
-      retries: r.users.retries,
-      polls: r.users.polls,
-      pollsRefused: r.users.pollsRefused,
-      pollsUnanswered: r.users.pollsUnanswered,
+      submitted: result.users.submitted,
+      accepted: result.users.accepted,
+      rejected: result.users.rejected,
+      done: result.users.done,
+      cancelled: result.users.cancelled,
+      retries: result.users.retries,
+      polls: result.users.polls,
+      pollsRefused: result.users.pollsRefused,
+      pollsUnanswered: result.users.pollsUnanswered,
     },
-    unexpectedEnds: r.unexpectedEnds,
-    violations: r.violations,
-    stopped: r.stopped,
+    unexpectedEnds: result.unexpectedEnds,
+    violations: result.violations,
+    stopped: result.stopped,
   })}\n`;
--- a/packages/scale-test/src/resource-guard.ts
+++ b/packages/scale-test/src/resource-guard.ts
@@ -1,10 +1,12 @@
 /** Keeps a run within its part of the machine: it is stopped once it holds too much memory or too many processes. */
 import { usageOf } from './process-usage.js';
 
+/** What a run may hold at most. */
 export interface ResourceLimits {
   readonly memoryMb: number;
   readonly processes: number;
 }
+/** What it holds. */
 export interface ResourceUse {
   readonly memoryMb: number;
   readonly processes: number;
--- a/packages/scale-test/src/truth.ts
+++ b/packages/scale-test/src/rule-checker.ts
@@ -1,11 +1,11 @@
 /**
  * The protocol's rules, checked against what really happened on the hollow workers and what users were told. Every event
- * costs a constant time, since thousands come in a second; the lab's checker (`packages/simulation`, `world/rules.ts`) walks over
- * all running tasks instead. Events of several processes are taken in the order of their times.
+ * costs a constant time, since thousands come in a second; the simulation's checker walks over all running tasks instead. Events of several processes are taken in the order of their times.
  */
 import type { JobDescription, MachineDescription, WorkerEvent } from './model.js';
 import { taskName } from './model.js';
 
+/** The rules that are checked. */
 export type RuleName =
   | 'ran_twice'
   | 'attempt_reused'
@@ -17,23 +17,26 @@
   | 'not_done'
   | 'went_back';
 
+/** A rule that was broken, and by what. */
 export interface Violation {
   readonly rule: RuleName;
   readonly detail: string;
 }
 
+/** What a team may use; 0: any amount. */
 export interface TeamLimit {
   readonly vcpus: number;
   readonly accelerators: number;
 }
 
-export type ToldState = 'pending' | 'running' | 'done' | 'aborted';
+/** The states of a job that users are told. */
+export type ReportedState = 'pending' | 'running' | 'done' | 'aborted';
 
 interface Usage {
   vcpus: number;
   accelerators: number;
 }
-interface JobTruth {
+interface CheckedJob {
   readonly description: JobDescription;
   readonly completed: Set<number>;
   /** Machines with present tasks of it, by zone. */
@@ -41,7 +44,7 @@
   present: number;
   accepted: boolean;
   ended: 'done' | 'aborted' | null;
-  cancelAsked: boolean;
+  cancelRequested: boolean;
   /** When its user was told that it is cancelled. */
   cancelledAt: number | null;
 }
@@ -50,31 +53,34 @@
 /** More would only repeat the first ones. */
 const MOST_VIOLATIONS = 100;
 
-export interface TruthParts {
+/** What the rules need to know beside events and answers. */
+export interface RuleCheckerParts {
   readonly limits: ReadonlyMap<string, TeamLimit>;
   readonly cancelMs: number;
   readonly machine: (id: string) => MachineDescription | undefined;
 }
 
-export class Truth {
+/** Keeps the first violations; the same state for the whole run. */
+export class RuleChecker {
   readonly violations: Violation[] = [];
   started = 0;
   completed = 0;
   /** The longest time between two starts, milliseconds, since it was last set to 0. */
   longestPauseMs = 0;
   private startedAt = 0;
-  private readonly jobs = new Map<string, JobTruth>();
+  private readonly jobs = new Map<string, CheckedJob>();
   private readonly machineOf = new Map<string, string>();
   private readonly attemptOn = new Map<string, string>();
   private readonly used = new Map<string, Usage>();
   private readonly overLimit = new Set<string>();
-  private readonly cancelled = new Set<JobTruth>();
+  private readonly cancelled = new Set<CheckedJob>();
   /** A task of an accepted job has its image: the job's first ones are what users wait for. */
   onStarted: (job: JobDescription, event: WorkerEvent) => void = () => undefined;
 
-  constructor(private readonly parts: TruthParts) {}
+  constructor(private readonly parts: RuleCheckerParts) {}
 
-  submitted(description: JobDescription): void {
+  /** A user begins to submit a job. */
+  jobSubmitted(description: JobDescription): void {
     this.jobs.set(description.id, {
       description,
       completed: new Set(),
@@ -82,20 +88,23 @@
       present: 0,
       accepted: false,
       ended: null,
-      cancelAsked: false,
+      cancelRequested: false,
       cancelledAt: null,
     });
   }
 
+  /** A job as it was submitted. */
   description(id: string): JobDescription | undefined {
     return this.jobs.get(id)?.description;
   }
 
+  /** Tasks on machines now. */
   get presentTasks(): number {
     return this.machineOf.size;
   }
 
-  take(event: WorkerEvent): void {
+  /** An event of a worker; events come in the order of their times. */
+  handleEvent(event: WorkerEvent): void {
     const job = this.jobs.get(event.job);
     const name = taskName(event.job, event.task);
     if (job === undefined) return this.violate('invented', `${name} was started, which nobody submitted`);
@@ -112,12 +121,13 @@
       this.violate('forgotten', `${id} was accepted and then refused with ${status}`);
   }
 
-  cancelAsked(id: string): void {
-    this.jobs.get(id)!.cancelAsked = true;
+  /** The user has asked for the job's cancellation. */
+  cancelRequested(id: string): void {
+    this.jobs.get(id)!.cancelRequested = true;
   }
 
   /** The answer to a poll or a cancellation; `state` is absent with 404. */
-  told(id: string, status: number, state: ToldState | undefined, at: number): void {
+  jobReported(id: string, status: number, state: ReportedState | undefined, at: number): void {
     const job = this.jobs.get(id);
     if (job === undefined) {
       if (status === 200) this.violate('invented', `${id} is known`);
@@ -141,15 +151,15 @@
     }
   }
 
-  private toldDone(job: JobTruth): void {
+  private toldDone(job: CheckedJob): void {
     job.ended = 'done';
     const { id, tasks } = job.description;
     if (job.completed.size < tasks)
       this.violate('not_done', `${id} was called done with ${job.completed.size} of ${tasks} tasks`);
   }
 
-  private toldAborted(job: JobTruth, at: number): void {
-    if (!job.cancelAsked) this.violate('went_back', `${job.description.id} was cancelled by nobody`);
+  private toldAborted(job: CheckedJob, at: number): void {
+    if (!job.cancelRequested) this.violate('went_back', `${job.description.id} was cancelled by nobody`);
     if (job.ended !== 'aborted') {
       job.cancelledAt = at;
       this.cancelled.add(job);
@@ -165,7 +175,7 @@
     this.attemptOn.set(key, machine);
   }
 
-  private start(job: JobTruth, name: string, event: WorkerEvent): void {
+  private start(job: CheckedJob, name: string, event: WorkerEvent): void {
     const { description } = job;
     this.started++;
     if (this.startedAt > 0) this.longestPauseMs = Math.max(this.longestPauseMs, event.at - this.startedAt);
@@ -181,7 +191,7 @@
     this.onStarted(description, event);
   }
 
-  private leave(job: JobTruth, name: string, event: WorkerEvent & { readonly kind: 'left' }): void {
+  private leave(job: CheckedJob, name: string, event: WorkerEvent & { readonly kind: 'left' }): void {
     if (event.completed) {
       this.completed++;
       job.completed.add(event.task);
@@ -194,7 +204,7 @@
     this.use(job.description, -1);
   }
 
-  private checkPlace(job: JobTruth, name: string, machineId: string): void {
+  private checkPlace(job: CheckedJob, name: string, machineId: string): void {
     const machine = this.parts.machine(machineId);
     if (machine === undefined) return;
     const { kinds, zone, samePlace, scatter, tasks } = job.description;
--- a/packages/scale-test/src/scale-test.ts
+++ b/packages/scale-test/src/scale-test.ts
@@ -6,13 +6,14 @@
 import { endOnClosedPipe } from '@lilacvalve/runtime/closed-pipe';
 import { positive, share, wholeNumber } from '@lilacvalve/runtime/flag-values';
 import { Command, Option } from 'commander';
-import { runChild } from './child.js';
+import { serveParent } from './child.js';
 import { deployedFlags } from './controllers.js';
-import { CHILD_MARK } from './messages.js';
-import { openFilesLimit } from './process-usage.js';
-import { MOST_MEMORY_MB, MOST_PROCESSES, refusal } from './refusal.js';
+import { CHILD_ENVIRONMENT_KEY } from './messages.js';
+import { openFileLimit } from './process-usage.js';
+import { MOST_MEMORY_MB, MOST_PROCESSES, flagsFault } from './refusal.js';
 import { asJson, asTable, progressLine } from './report.js';
-import { type Fault, FAULTS, type RunOptions, ScaleRun } from './run.js';
+import { FAULTS, type RunOptions } from './run-model.js';
+import { ScaleRun } from './scale-run.js';
 
 /** Exit status for flags that make no run. */
 const BAD_FLAGS = 2;
@@ -80,16 +81,15 @@
     .exitOverride((e) => process.exit(e.exitCode === 0 ? 0 : BAD_FLAGS))
     .parse();
   const flags = cli.opts<Flags>();
-  const refused = refusal(flags, openFilesLimit());
+  const refused = flagsFault(flags, openFileLimit());
   if (refused !== null) cli.error(`scale: ${refused}`, { exitCode: BAD_FLAGS });
   const { zoneCount, prof, deploy, json, ...rest } = flags;
   const options: RunOptions = {
     ...rest,
-    fault: rest.fault as Fault,
     zones: Array.from({ length: zoneCount }, (_, i) => `zone-${i}`),
     flags: deployedFlags(deploy),
     ...(prof === undefined ? {} : { profileDir: prof }),
-    limits: { memoryMb: MOST_MEMORY_MB, processes: MOST_PROCESSES },
+    resourceLimits: { memoryMb: MOST_MEMORY_MB, processes: MOST_PROCESSES },
   };
   const result = await new ScaleRun(options, __filename, reportProgress()).play();
   if (process.stderr.isTTY) process.stderr.write('\n');
@@ -99,5 +99,5 @@
   setTimeout(() => process.exit(), 200);
 };
 
-if (process.env[CHILD_MARK] === undefined) void main();
-else runChild();
+if (process.env[CHILD_ENVIRONMENT_KEY] === undefined) void main();
+else serveParent();
--- a/packages/scale-test/src/state-service.ts
+++ b/packages/scale-test/src/state-service.ts
@@ -13,10 +13,12 @@
 /** A lease may end this much late. */
 const LEASE_LATE_MS = 50;
 
+/** Rates that the service takes; more is answered 429. */
 export interface StateLimits {
   readonly requestsPerS: number;
   readonly writesPerS: number;
 }
+/** Counts since the service's start. */
 export interface StateCounts {
   requests: number;
   changes: number;
@@ -26,16 +28,16 @@
   /** Bytes of the values that were set. */
   writtenBytes: number;
 }
-interface Stored {
+interface StoredValue {
   readonly value: unknown;
-  readonly stamp: number;
+  readonly revision: number;
   readonly lease: number | null;
 }
-interface Logged {
+interface Change {
   readonly key: string;
   /** undefined: deleted. */
   readonly value: unknown;
-  readonly stamp: number;
+  readonly revision: number;
   readonly lease: number | null;
   readonly at: number;
 }
@@ -78,16 +80,17 @@
   }
 }
 
+/** One service; whoever serves it over HTTP hands requests to `handle`. */
 export class StateService {
   readonly counts: StateCounts = { requests: 0, changes: 0, refused: 0, followBytes: 0, writtenBytes: 0 };
-  private keys = new Map<string, Stored>();
+  private keys = new Map<string, StoredValue>();
   private sorted: string[] | null = null;
-  private log: Logged[] = [];
+  private log: Change[] = [];
   private revision = 0;
   private readonly leases = new Map<number, Lease>();
   private nextLease = 1;
   private readonly watchers = new Set<() => void>();
-  private out = false;
+  private isDown = false;
   private readonly requests: RateLimit;
   private readonly writes: RateLimit;
 
@@ -101,13 +104,14 @@
     return this.keys.get(key)?.value;
   }
 
+  /** Keys with a prefix, in the order in which they were first set. */
   keysUnder(prefix: string): string[] {
     return [...this.keys.keys()].filter((k) => k.startsWith(prefix));
   }
 
-  /** true: down. After an outage every lease has its full time again. */
-  outage(on: boolean): void {
-    this.out = on;
+  /** true: it is down and answers 503. After an outage every lease has its full time again. */
+  setOutage(on: boolean): void {
+    this.isDown = on;
     for (const [id, lease] of [...this.leases]) {
       if (on) clearTimeout(lease.timer);
       else this.arm(id, lease.ttlMs);
@@ -116,27 +120,28 @@
   }
 
   /** Loses everything (`lastMs` null), or what came in the last so many milliseconds; leases go with their keys. */
-  lose(lastMs: number | null): void {
+  loseData(lastMs: number | null): void {
     const until = lastMs === null ? Number.NEGATIVE_INFINITY : performance.now() - lastMs;
     for (const lease of this.leases.values()) clearTimeout(lease.timer);
     this.leases.clear();
     if (lastMs === null) this.nextLease = 1;
     // Further back than the history reaches, nothing is left.
-    const whole = this.log.length > 0 && this.log[0]!.stamp <= 1;
+    const whole = this.log.length > 0 && this.log[0]!.revision <= 1;
     const kept = whole ? this.log.filter((e) => e.at <= until) : [];
     this.keys = new Map();
     this.sorted = null;
     this.log = kept;
-    this.revision = kept[kept.length - 1]?.stamp ?? 0;
-    for (const e of kept) {
-      if (e.value === undefined || e.lease !== null) this.keys.delete(e.key);
-      else this.keys.set(e.key, { value: e.value, stamp: e.stamp, lease: null });
+    this.revision = kept.at(-1)?.revision ?? 0;
+    for (const { key, value, revision, lease } of kept) {
+      if (value === undefined || lease !== null) this.keys.delete(key);
+      else this.keys.set(key, { value, revision, lease: null });
     }
     this.notify();
   }
 
+  /** One request; a watch is answered later. */
   handle({ method, url, body }: JsonRequest, respond: Respond): void {
-    if (this.out) return void respond(503, { error: 'trouble' });
+    if (this.isDown) return void respond(503, { error: 'trouble' });
     this.counts.requests++;
     if (!this.requests.take(1)) {
       this.counts.refused++;
@@ -175,7 +180,7 @@
     const stored = this.keys.get(key);
     return stored === undefined
       ? [404, { ledgerRev: this.revision }]
-      : [200, { k: key, value: stored.value, stamp: stored.stamp }];
+      : [200, { k: key, value: stored.value, stamp: stored.revision }];
   }
 
   private page(url: URL): unknown {
@@ -192,7 +197,7 @@
         more = true;
         break;
       }
-      const { value, stamp } = this.keys.get(key)!;
+      const { value, revision: stamp } = this.keys.get(key)!;
       size += JSON.stringify(value).length + key.length + 40;
       entries.push({ k: key, value, stamp });
     }
@@ -205,29 +210,29 @@
       return [429, { error: 'changes' }];
     }
     this.counts.changes += then.length;
-    for (const w of then)
-      if (w.tenancy !== undefined && !this.leases.has(w.tenancy)) return [400, { error: 'no such lease' }];
-    const failed = when.filter((c) => (this.keys.get(c.k)?.stamp ?? 0) !== c.stamp).map((c) => c.k);
+    for (const { tenancy } of then)
+      if (tenancy !== undefined && !this.leases.has(tenancy)) return [400, { error: 'no such lease' }];
+    const failed = when.filter((c) => (this.keys.get(c.k)?.revision ?? 0) !== c.stamp).map((c) => c.k);
     if (failed.length > 0) return [409, { failed, ledgerRev: this.revision }];
     if (then.length === 0) return [200, { ledgerRev: this.revision }];
     this.revision++;
-    for (const w of then) this.write(w);
+    for (const operation of then) this.write(operation);
     this.notify();
     return [200, { ledgerRev: this.revision }];
   }
 
-  private write(w: WireWrite): void {
-    if (w.set !== undefined) {
-      this.counts.writtenBytes += JSON.stringify(w.value).length;
-      this.put(w.set, w.value, w.tenancy ?? null);
-    } else if (w.delete !== undefined && this.keys.has(w.delete)) this.put(w.delete, undefined, null);
+  private write({ set, delete: removed, value, tenancy }: WireWrite): void {
+    if (set !== undefined) {
+      this.counts.writtenBytes += JSON.stringify(value).length;
+      this.put(set, value, tenancy ?? null);
+    } else if (removed !== undefined && this.keys.has(removed)) this.put(removed, undefined, null);
   }
 
   private put(key: string, value: unknown, lease: number | null): void {
     if (value === undefined) this.keys.delete(key);
-    else this.keys.set(key, { value, stamp: this.revision, lease });
+    else this.keys.set(key, { value, revision: this.revision, lease });
     this.sorted = null;
-    this.log.push({ key, value, stamp: this.revision, lease, at: performance.now() });
+    this.log.push({ key, value, revision: this.revision, lease, at: performance.now() });
     if (this.log.length > HISTORY_KEPT) this.log.splice(0, HISTORY);
   }
 
@@ -253,10 +258,10 @@
   /** Changes of keys with a prefix after a revision; null: the history does not reach so far back. */
   private changes(prefix: string, after: number): unknown[] | null {
     const oldest = this.log[Math.max(0, this.log.length - HISTORY)];
-    if (oldest !== undefined && after < oldest.stamp - 1) return null;
+    if (oldest !== undefined && after < oldest.revision - 1) return null;
     const out: unknown[] = [];
-    for (let i = this.log.length - 1; i >= 0 && this.log[i]!.stamp > after; i--) {
-      const { key, value, stamp } = this.log[i]!;
+    for (let i = this.log.length - 1; i >= 0 && this.log[i]!.revision > after; i--) {
+      const { key, value, revision: stamp } = this.log[i]!;
       if (!key.startsWith(prefix)) continue;
       out.push(value === undefined ? { delete: key, stamp } : { set: key, value, stamp });
     }
@@ -279,7 +284,7 @@
       say(this.changes(prefix, after));
     };
     const check = (): void => {
-      if (!this.out && this.changes(prefix, after)?.length !== 0) end();
+      if (!this.isDown && this.changes(prefix, after)?.length !== 0) end();
     };
     const timer = setTimeout(end, blockMs);
     this.watchers.add(check);
--- a/packages/scale-test/src/users.ts
+++ b/packages/scale-test/src/users.ts
@@ -1,23 +1,26 @@
 /**
  * Users of a run: each submits a job until it is accepted, asks for it until it is done, and some cancel theirs. What they
- * are told goes to the truth; what they waited for, into histograms.
+ * are told goes to the rule checker; what they waited for, into histograms.
  */
 import type { Histogram } from 'hdr-histogram-js';
 import { nowMs, sleepMs } from './clock.js';
-import { HttpLine, type HttpReply } from './http-line.js';
+import { HttpConnection, type HttpReply } from './http-connection.js';
 import type { ControllerAddress, JobDescription } from './model.js';
 import type { Random } from './random.js';
-import type { ToldState, Truth } from './truth.js';
-import { newHistogram } from './worker-counts.js';
+import type { ReportedState, RuleChecker } from './rule-checker.js';
+import { newHistogram } from './worker-figures.js';
 
 /** What users wait for, by the protocol. */
 const SUBMIT_TIMEOUT_MS = 5000;
 const POLL_TIMEOUT_MS = 2000;
 const POLL_EVERY_MS = 5000;
 const POLL_SPREAD = 0.1;
+/** Longer than events wait for their order. */
+const TOLD_LATER_MS = 1500;
 /** A cancelling user lets a job run for so long. */
 const CANCEL_AFTER_MS = { least: 1000, most: 8000 };
 
+/** What users did and waited for since the measurement began. */
 export interface UserFigures {
   submitted: number;
   accepted: number;
@@ -54,15 +57,17 @@
   urgentStarted: 0,
 });
 
+/** What users need. */
 export interface UserParts {
   readonly controllers: readonly ControllerAddress[];
   readonly isUp: (label: string) => boolean;
   readonly random: Random;
-  readonly truth: Truth;
+  readonly checker: RuleChecker;
   /** Workers fetch the job from now on. */
   readonly upload: (job: JobDescription) => void;
 }
 
+/** Its wait is measured. */
 export const isUrgent = (job: JobDescription): boolean =>
   job.urgency === 'high' || job.urgency === 'production';
 
@@ -91,6 +96,7 @@
     dueS,
   });
 
+/** All users of a run. */
 export class Users {
   figures = noFigures();
   private stopping = false;
@@ -99,7 +105,7 @@
   private measuredFrom = 0;
 
   constructor(private readonly parts: UserParts) {
-    parts.truth.onStarted = (job, event) => {
+    parts.checker.onStarted = (job, event) => {
       const since = this.urgentSince.get(job.id);
       if (since === undefined || since < this.measuredFrom) return;
       this.figures.urgentStarted++;
@@ -113,28 +119,29 @@
     this.measuredFrom = nowMs();
   }
 
+  /** Users ask nothing any more. */
   stop(): void {
     this.stopping = true;
   }
 
   /** Plays one user from the first attempt to submit until the job is over. */
   async play(job: JobDescription, cancels: boolean): Promise<void> {
-    const line = new HttpLine();
-    this.parts.truth.submitted(job);
+    const connection = new HttpConnection();
+    this.parts.checker.jobSubmitted(job);
     this.parts.upload(job);
     if (isUrgent(job)) {
       this.urgentSince.set(job.id, nowMs());
       this.figures.urgentTasks += job.tasks;
     }
-    if (await this.submit(line, job)) {
-      if (cancels) await this.cancel(line, job);
-      await this.watch(line, job);
+    if (await this.submit(connection, job)) {
+      if (cancels) await this.cancel(connection, job);
+      await this.watch(connection, job);
     }
-    line.close();
+    connection.close();
   }
 
   private ask(
-    line: HttpLine,
+    connection: HttpConnection,
     method: string,
     path: string,
     body: string,
@@ -143,17 +150,17 @@
     const up = this.parts.controllers.filter((c) => this.parts.isUp(c.label));
     if (up.length === 0) return Promise.resolve(null);
     const to = up[this.parts.random.below(up.length)]!;
-    return line.ask(to.listen, method, path, body, timeoutMs);
+    return connection.request(to.listen, method, path, body, timeoutMs);
   }
 
   /** false: it was rejected, or the run is over. */
-  private async submit(line: HttpLine, job: JobDescription): Promise<boolean> {
+  private async submit(connection: HttpConnection, job: JobDescription): Promise<boolean> {
     const body = writeSubmission(job);
     const began = nowMs();
     this.figures.submitted++;
     while (!this.stopping) {
-      const reply = await this.ask(line, 'POST', '/work', body, SUBMIT_TIMEOUT_MS);
-      if (reply !== null) this.parts.truth.submissionAnswered(job.id, reply.status);
+      const reply = await this.ask(connection, 'POST', '/work', body, SUBMIT_TIMEOUT_MS);
+      if (reply !== null) this.parts.checker.submissionAnswered(job.id, reply.status);
       if (reply?.status === 200 || reply?.status === 201) {
         this.figures.accepted++;
         this.figures.submitMs.recordValue(Math.round(nowMs() - began));
@@ -169,11 +176,11 @@
     return false;
   }
 
-  private async cancel(line: HttpLine, job: JobDescription): Promise<void> {
+  private async cancel(connection: HttpConnection, job: JobDescription): Promise<void> {
     await sleepMs(this.parts.random.between(CANCEL_AFTER_MS.least, CANCEL_AFTER_MS.most));
-    this.parts.truth.cancelAsked(job.id);
+    this.parts.checker.cancelRequested(job.id);
     while (!this.stopping) {
-      const reply = await this.ask(line, 'POST', `/work/${job.id}/withdraw`, '', SUBMIT_TIMEOUT_MS);
+      const reply = await this.ask(connection, 'POST', `/work/${job.id}/withdraw`, '', SUBMIT_TIMEOUT_MS);
       if (reply?.status === 200) {
         this.told(job, reply);
         return;
@@ -182,12 +189,12 @@
     }
   }
 
-  private async watch(line: HttpLine, job: JobDescription): Promise<void> {
+  private async watch(connection: HttpConnection, job: JobDescription): Promise<void> {
     while (!this.stopping) {
       await sleepMs(POLL_EVERY_MS * this.parts.random.between(1 - POLL_SPREAD, 1 + POLL_SPREAD));
       if (this.stopping) return;
       const asked = nowMs();
-      const reply = await this.ask(line, 'GET', `/work/${job.id}`, '', POLL_TIMEOUT_MS);
+      const reply = await this.ask(connection, 'GET', `/work/${job.id}`, '', POLL_TIMEOUT_MS);
       this.figures.polls++;
       if (reply === null) this.figures.pollsUnanswered++;
       else if (reply.status !== 200 && reply.status !== 404) this.figures.pollsRefused++;
@@ -200,15 +207,12 @@
     }
   }
 
-  private told(job: JobDescription, reply: HttpReply): ToldState | undefined {
+  private told(job: JobDescription, reply: HttpReply): ReportedState | undefined {
     const state =
-      reply.status === 200 ? (JSON.parse(reply.body) as { status?: ToldState }).status : undefined;
+      reply.status === 200 ? (JSON.parse(reply.body) as { status?: ReportedState }).status : undefined;
     // Events of the hollow workers' processes come a little later than what users are told of them.
     const at = nowMs();
-    setTimeout(() => this.parts.truth.told(job.id, reply.status, state, at), TOLD_LATER_MS);
+    setTimeout(() => this.parts.checker.jobReported(job.id, reply.status, state, at), TOLD_LATER_MS);
     return state;
   }
 }
-
-/** Longer than events wait for their order. */
-const TOLD_LATER_MS = 1500;
--- a/packages/scale-test/src/worker-counts.ts
+++ b/packages/scale-test/src/worker-figures.ts
@@ -6,6 +6,7 @@
   type Histogram,
 } from 'hdr-histogram-js';
 
+/** Counts since the measurement began. */
 export interface WorkerCounters {
   reports: number;
   renewed: number;
@@ -17,6 +18,7 @@
   completed: number;
 }
 
+/** The counts of a group, with histograms. */
 export interface WorkerFigures {
   readonly counters: WorkerCounters;
   readonly workers: number;
@@ -26,6 +28,7 @@
   readonly workerBytes: string;
 }
 
+/** All counts at 0. */
 export const emptyCounters = (): WorkerCounters => ({
   reports: 0,
   renewed: 0,
@@ -38,25 +41,29 @@
 });
 
 const DIGITS = 3;
+/** A histogram of whole numbers from 0 on that grows as it needs. */
 export const newHistogram = (): Histogram =>
   build({ numberOfSignificantValueDigits: DIGITS, autoResize: true });
 
-export const packHistogram = (h: Histogram): string => encodeIntoCompressedBase64(h);
+/** A histogram as text that passes between processes. */
+export const packHistogram = (histogram: Histogram): string => encodeIntoCompressedBase64(histogram);
+/** A histogram from its text. */
 export const unpackHistogram = (text: string): Histogram => decodeFromCompressedBase64(text);
 
 /** The sum of what several groups have counted. */
-export const joinFigures = (all: readonly WorkerFigures[]): WorkerFigures => {
+export const mergeFigures = (all: readonly WorkerFigures[]): WorkerFigures => {
   const counters = emptyCounters();
   const answers = newHistogram();
   const bytes = newHistogram();
   let workers = 0;
   let tasksHeld = 0;
-  for (const f of all) {
-    for (const name of Object.keys(counters) as (keyof WorkerCounters)[]) counters[name] += f.counters[name];
-    workers += f.workers;
-    tasksHeld += f.tasksHeld;
-    answers.add(unpackHistogram(f.answerMs));
-    bytes.add(unpackHistogram(f.workerBytes));
+  for (const figures of all) {
+    for (const name of Object.keys(counters) as (keyof WorkerCounters)[])
+      counters[name] += figures.counters[name];
+    workers += figures.workers;
+    tasksHeld += figures.tasksHeld;
+    answers.add(unpackHistogram(figures.answerMs));
+    bytes.add(unpackHistogram(figures.workerBytes));
   }
   return {
     counters,
--- a/packages/scale-test/src/worker-group.ts
+++ b/packages/scale-test/src/worker-group.ts
@@ -1,6 +1,6 @@
 /** Hollow workers that share a process: carries out the run's commands and gathers what they count. */
 import type { Histogram } from 'hdr-histogram-js';
-import { HollowWorker, type WorkerHost } from './hollow-worker.js';
+import { HollowWorker } from './hollow-worker.js';
 import {
   type ControllerAddress,
   type JobDescription,
@@ -11,8 +11,10 @@
   type WorkerEvent,
 } from './model.js';
 import type { Random } from './random.js';
-import { emptyCounters, newHistogram, packHistogram, type WorkerFigures } from './worker-counts.js';
+import { emptyCounters, newHistogram, packHistogram, type WorkerFigures } from './worker-figures.js';
+import type { WorkerHost } from './worker-host.js';
 
+/** What a group is made of, and whom it tells. */
 export interface WorkerGroupParts {
   readonly kinds: readonly MachineKind[];
   readonly controllers: readonly ControllerAddress[];
@@ -24,6 +26,7 @@
   readonly jobOf?: (id: string) => JobDescription | undefined;
 }
 
+/** Workers by machine, in the order in which their machines came up. */
 export class WorkerGroup {
   private readonly workers = new Map<string, HollowWorker>();
   private readonly jobs = new Map<string, JobDescription>();
@@ -48,6 +51,7 @@
     };
   }
 
+  /** Carries out a command of the run. */
   apply(command: WorkerCommand): void {
     switch (command.kind) {
       case 'job':
@@ -61,13 +65,15 @@
         this.workers.delete(command.id);
         return;
       case 'restart-share':
-        for (const w of this.workers.values()) if (this.parts.random.chance(command.share)) w.restart();
+        for (const worker of this.workers.values())
+          if (this.parts.random.chance(command.share)) worker.restart();
         return;
       case 'gang-runs':
-        for (const w of this.workers.values()) w.gangRuns(command.job, command.attempt);
+        for (const worker of this.workers.values()) worker.gangRuns(command.job, command.attempt);
         return;
       case 'gang-ends':
-        for (const w of this.workers.values()) w.gangEnds(command.job, command.attempt, command.cause);
+        for (const worker of this.workers.values())
+          worker.gangEnds(command.job, command.attempt, command.cause);
         return;
       case 'progress':
         this.progress.set(taskName(command.job, command.task), command.progressMs);
@@ -93,12 +99,13 @@
     }
   }
 
+  /** What the group has counted since the measurement began. */
   figures(): WorkerFigures {
     const bytes = newHistogram();
     let tasksHeld = 0;
-    for (const w of this.workers.values()) {
-      bytes.recordValue(w.bytes.sent + w.bytes.received);
-      tasksHeld += w.tasksHeld;
+    for (const worker of this.workers.values()) {
+      bytes.recordValue(worker.bytes.sent + worker.bytes.received);
+      tasksHeld += worker.tasksHeld;
     }
     return {
       counters: { ...this.host.counters },
@@ -109,8 +116,9 @@
     };
   }
 
+  /** All machines are gone. */
   end(): void {
-    for (const w of this.workers.values()) w.end();
+    for (const worker of this.workers.values()) worker.end();
     this.workers.clear();
   }
 }
--- a/packages/scale-test/src/workload.ts
+++ b/packages/scale-test/src/workload.ts
@@ -3,6 +3,7 @@
 import type { JobDescription, MachineKind } from './model.js';
 import type { Random } from './random.js';
 
+/** The size of the cluster and what its users ask for. */
 export interface WorkloadOptions {
   readonly machines: number;
   /** Tasks of one CPU that a machine has room for. */
@@ -35,40 +36,48 @@
 const IMAGE_GB = 1;
 const RUN_SPREAD = { least: 0.5, most: 1.5 };
 
+/** Job classes of a run. */
 export const BULK = 'bulk';
+/** See `BULK`. */
 export const GANG = 'gang';
+/** See `BULK`. */
 export const URGENT = 'urgent';
+/** See `BULK`. */
 export const ACCELERATED = 'accelerated';
 type JobClass = typeof BULK | typeof GANG | typeof URGENT | typeof ACCELERATED;
 
-export const machineKinds = (o: WorkloadOptions): MachineKind[] => {
-  const accelerated = Math.round(o.machines * ACCELERATED_MACHINES);
+/** The machines that can be rented: with a share of accelerated starts, two kinds. */
+export const machineKinds = (options: WorkloadOptions): MachineKind[] => {
+  const accelerated = Math.round(options.machines * ACCELERATED_MACHINES);
   const kind = (label: string, accelerators: number, count: number, hourly: number): MachineKind => ({
     label,
-    vcpus: o.slots,
+    vcpus: options.slots,
     accelerators,
-    memGb: o.slots * MEM_GB_PER_SLOT,
+    memGb: options.slots * MEM_GB_PER_SLOT,
     hourly,
-    zones: o.zones,
+    zones: options.zones,
     count,
   });
-  return o.accelerated === 0
-    ? [kind('box', 0, o.machines, 0.8)]
-    : [kind('box', 0, o.machines - accelerated, 0.8), kind('gpu', ACCELERATORS, accelerated, 1.6)];
+  return options.accelerated === 0
+    ? [kind('box', 0, options.machines, 0.8)]
+    : [kind('box', 0, options.machines - accelerated, 0.8), kind('gpu', ACCELERATORS, accelerated, 1.6)];
 };
 
-export const teamSettings = (o: WorkloadOptions): LimitedTeamOfSettings[] => {
-  const cpus = o.machines * o.slots;
-  const gpus = o.accelerated === 0 ? 0 : Math.round(o.machines * ACCELERATED_MACHINES) * ACCELERATORS;
-  return Array.from({ length: o.teams }, (_, i) => ({
+/** Each team is guaranteed its part of a half of the room, and may use up to its limit. */
+export const teamSettings = (options: WorkloadOptions): LimitedTeamOfSettings[] => {
+  const cpus = options.machines * options.slots;
+  const gpus =
+    options.accelerated === 0 ? 0 : Math.round(options.machines * ACCELERATED_MACHINES) * ACCELERATORS;
+  return Array.from({ length: options.teams }, (_, i) => ({
     name: `team-${i}`,
-    cpus: Math.floor(cpus / o.teams / 2),
-    cpus_max: Math.max(o.slots, Math.ceil(cpus * o.teamLimit)),
-    gpus: Math.floor(gpus / o.teams / 2),
-    gpus_max: Math.ceil(gpus * o.teamLimit),
+    cpus: Math.floor(cpus / options.teams / 2),
+    cpus_max: Math.max(options.slots, Math.ceil(cpus * options.teamLimit)),
+    gpus: Math.floor(gpus / options.teams / 2),
+    gpus_max: Math.ceil(gpus * options.teamLimit),
   }));
 };
 
+/** One service-level objective for each job class. */
 export const objectives = (): ObjectiveOfSettings[] => [
   { kind: 'wait', class: URGENT, within_s: 7.2, share: 0.99 },
   { kind: 'wait', class: GANG, within_s: 60, share: 0.95 },
@@ -76,6 +85,7 @@
   { kind: 'finished', class: ACCELERATED, within_s: 350, share: 0.99 },
 ];
 
+/** A job that a user will submit. */
 export interface PlannedJob {
   readonly job: JobDescription;
   readonly cancels: boolean;
