--- a/packages/simulation/src/experiment.ts
+++ b/packages/simulation/src/experiment.ts
@@ -2,9 +2,9 @@
 import { Schema } from 'effect';
 import { checkedToml } from '@lilacvalve/runtime/toml';
 import { LINK_STATES } from './world/links.js';
-import { MEETINGS } from './world/scenarios/scenarios.js';
+import { SCENARIO_NAMES } from './world/scenarios/scenario-names.js';
 import type { Loss } from './world/state-service/store.js';
-import { CROWDED, GROWN, type Size, SMALL } from './world/deployment-size.js';
+import { LOAD_BURST, GROWN, type Size, SMALL } from './world/deployment-size.js';
 import type { Faults, LinkPlan, LossPlan } from './world/faults.js';
 
 const FLAGS = [
@@ -33,10 +33,38 @@
   'lending',
   'cutoffs',
   'clockSteps',
-  'meetings',
-  ...MEETINGS,
+  'compoundFaults',
+  ...SCENARIO_NAMES,
 ] as const satisfies readonly (keyof Faults)[];
 
+/** Names that experiment files were written with, and still are: read as the fault's name. */
+const OLD_NAMES = {
+  meetings: 'compoundFaults',
+  lateReports: 'lateHeartbeats',
+  machineDeaf: 'inboundLoss',
+  gap: 'rollingRefusal',
+  leaderAlone: 'isolatedLeader',
+  farEnds: 'staggeredCompletions',
+  heldMachine: 'stalledMachine',
+  closeLooks: 'concurrentReads',
+  cancelAtEnd: 'cancelAtCompletion',
+  cancelNow: 'cancelAndHang',
+  cancelInHandover: 'cancelDuringHandover',
+  answerLost: 'lostResponses',
+  manySmall: 'manySmallJobs',
+  machineMute: 'outboundLoss',
+  reportForNext: 'staleHeartbeats',
+  manyLeaders: 'leaderChurn',
+  zoneCutLong: 'zonePartition',
+  allAway: 'totalOutage',
+  oneZoneLoss: 'zoneMachineLoss',
+  overfull: 'overload',
+  oddRequests: 'invalidRequests',
+} as const satisfies Readonly<Record<string, keyof Faults>>;
+
+type OldName = keyof typeof OLD_NAMES;
+const isOldName = (name: string): name is OldName => Object.hasOwn(OLD_NAMES, name);
+
 const Seconds = Schema.Finite.pipe(Schema.nonNegative());
 const Between = Schema.Tuple(Schema.Finite, Schema.Finite);
 const or = <A, I>(s: Schema.Schema<A, I>, value: A) => Schema.optionalWith(s, { default: () => value });
@@ -50,7 +78,7 @@
   quiet_s: or(Seconds, 300),
   /** There is room for all: of each class's largest jobs at least half must begin within four minutes. */
   room: or(Schema.Boolean, false),
-  troubles: or(Schema.Array(Schema.Literal(...FLAGS)), []),
+  troubles: or(Schema.Array(Schema.Literal(...FLAGS, ...(Object.keys(OLD_NAMES) as OldName[]))), []),
   loss: or(
     Schema.Array(
       Schema.Struct({
@@ -137,12 +165,16 @@
   }));
   const experiment: Experiment = {
     name: f.name,
-    size: { small: SMALL, grown: GROWN, crowded: CROWDED }[f.size],
+    size: { small: SMALL, grown: GROWN, crowded: LOAD_BURST }[f.size],
     jobs: f.jobs,
     room: f.room,
     troubledUs: us(f.troubled_s),
     quietUs: us(f.quiet_s),
-    troubles: { ...Object.fromEntries(f.troubles.map((t) => [t, true])), losses, links },
+    troubles: {
+      ...Object.fromEntries(f.troubles.map((name) => [isOldName(name) ? OLD_NAMES[name] : name, true])),
+      losses,
+      links,
+    },
   };
   return { _tag: 'Right' as const, right: experiment };
 };
--- a/packages/simulation/src/play.ts
+++ b/packages/simulation/src/play.ts
@@ -138,7 +138,7 @@
     least: world.least(),
     room: x.room,
     struck: { ...world.log.struck },
-    met: { ...world.meetings?.met },
+    met: { ...world.scenarios?.occurred },
     recovery: { ...took },
     lending: world.loans && {
       loans: world.loans.made,
--- a/packages/simulation/src/world/accounts-check.ts
+++ b/packages/simulation/src/world/accounts-check.ts
@@ -2,7 +2,7 @@
 import { encodeRows } from '@lilacvalve/controller/accounts/codec';
 import type { Node } from '@lilacvalve/controller/node';
 import type { Controllers } from './controllers.js';
-import { beyondGaps, type Count, differences, type Held, pagesWrong, sumsOf } from './usage-count.js';
+import { beyondGaps, type UsageCount, differences, type Held, pagesWrong, sumsOf } from './usage-count.js';
 import type { StateService } from './state-service/state-service.js';
 
 type Named = ReturnType<Controllers['up']>[number];
@@ -12,7 +12,7 @@
   constructor(
     private readonly controllers: Controllers,
     private readonly state: StateService,
-    private readonly count: Count,
+    private readonly count: UsageCount,
     private readonly kindOf: (machine: string) => string,
   ) {}
 
--- a/packages/simulation/src/world/capacity-check.ts
+++ b/packages/simulation/src/world/capacity-check.ts
@@ -1,9 +1,16 @@
 /** Looks at who waits although there is room, and at machines that are paid for and not used. */
-import { Charged } from './cost-check.js';
+import { CostCheck } from './cost-check.js';
 import type { Cloud } from './cloud.js';
 import type { Rules } from './rules.js';
 import type { Time } from './time.js';
-import { type Amounts, amounts, type Limit, type RoomOn, Waiting, type Wanted } from './starvation-check.js';
+import {
+  type Amounts,
+  amounts,
+  type Limit,
+  type RoomOn,
+  StarvationCheck,
+  type Wanted,
+} from './starvation-check.js';
 import { type JobTruth, TASK_MEM_GB } from './job-truth.js';
 import type { Worker } from './worker/worker.js';
 
@@ -35,13 +42,13 @@
 
 /** Feeds the starvation check and, on some days, the cost check with what is true of machines and jobs. */
 export class CapacityCheck {
-  readonly waiting: Waiting;
-  readonly charged: Charged;
+  readonly waiting: StarvationCheck;
+  readonly charged: CostCheck;
 
   constructor(private readonly options: CapacityCheckOptions) {
     const broke = (what: string): void => void options.rules.broken.push(what);
-    this.waiting = new Waiting(broke);
-    this.charged = new Charged(broke);
+    this.waiting = new StarvationCheck(broke);
+    this.charged = new CostCheck(broke);
   }
 
   /** Machines are charged still, and that is checked. */
@@ -59,7 +66,7 @@
   /** Once the faults are over: who waits although there is room; and at any time what is paid for. */
   look(): void {
     const { checksCost, jobs, limits, remembers, rules, time } = this.options;
-    const calm = time.now >= rules.calmAt;
+    const calm = time.now >= rules.quiescentAt;
     if (!calm) this.waiting.troubled();
     if (!calm && !checksCost) return;
     const occupancy = this.occupancy();
@@ -114,7 +121,7 @@
       });
     this.charged.look(
       now,
-      rules.calmAt,
+      rules.quiescentAt,
       paid.map((machine) => ({
         id: machine.id,
         rentedAt: machine.at,
--- a/packages/simulation/src/world/cloud.ts
+++ b/packages/simulation/src/world/cloud.ts
@@ -7,8 +7,8 @@
 import type { Luck } from '@lilacvalve/controller/support/luck';
 import { TYPES } from '@lilacvalve/controller/support/settings';
 import type { FaultLog } from './fault-log.js';
-import type { Meetings } from './scenarios/scenarios.js';
-import type { CloudWays } from './scenarios/scenario-kit.js';
+import type { Scenarios } from './scenarios/scenarios.js';
+import type { BootWays } from './scenarios/scenario-kit.js';
 import type { Place, Rules } from './rules.js';
 import type { Time } from './time.js';
 import type { Worker } from './worker/worker.js';
@@ -46,7 +46,7 @@
   readonly workers: Map<string, Worker>;
   /** A machine is up: its worker begins. */
   readonly startWorker: (place: Place, type: MachineType) => Worker;
-  readonly scenarios: () => Meetings | null;
+  readonly scenarios: () => Scenarios | null;
   /** Machines are about to be rented as usual, without a delay that a scenario asked for. */
   readonly onRent: (count: number) => void;
 }
@@ -58,7 +58,7 @@
   /** Until then machines boot several times as late as they should, or never. */
   lateUntil = 0;
   /** How machines come, as scenarios ask for it. */
-  readonly ways: CloudWays = { fastUntil: 0, muteUntil: 0 };
+  readonly ways: BootWays = { fastUntil: 0, muteUntil: 0 };
   private readonly machines = new Map<string, RentedMachine>();
   /** By request name: the machines it was answered with, so that a repeated request rents none. */
   private readonly requests = new Map<string, string[]>();
@@ -146,7 +146,7 @@
 
   private hire(request: RentRequest, still: () => boolean): ReturnType<CloudPort['hire']> {
     const { random, scenarios, time } = this.options;
-    const way = scenarios()?.hires() ?? null;
+    const way = scenarios()?.rentalWay() ?? null;
     const rent = (): readonly string[] | null => this.rent(request, way);
     const entitled = <A>(go: () => A): A | CloudRefused =>
       still() ? go() : new CloudRefused({ status: 0, reason: 'no longer entitled' });
@@ -164,7 +164,7 @@
   }
 
   /** Carries out a request; null: there is no room. A repeated request gets the first one's answer. */
-  private rent(request: RentRequest, way: ReturnType<Meetings['hires']>): readonly string[] | null {
+  private rent(request: RentRequest, way: ReturnType<Scenarios['rentalWay']>): readonly string[] | null {
     const { onRent, rules, scenarios } = this.options;
     rules.hired(request.name, `${request.type} ${request.zone} ${request.spot} ${request.count}`);
     const before = this.requests.get(request.name);
@@ -203,6 +203,6 @@
     const { id, type, zone, spot } = machine;
     const worker = this.options.startWorker({ id, type: type.name, zone, spot }, type);
     this.options.workers.set(id, worker);
-    this.options.scenarios()?.came(worker);
+    this.options.scenarios()?.workerStarted(worker);
   }
 }
--- a/packages/simulation/src/world/controllers.ts
+++ b/packages/simulation/src/world/controllers.ts
@@ -162,7 +162,7 @@
     const process = this.running.get(label);
     if (!process) return;
     const { time, log, duplicates, onCrash } = this.options;
-    log.troubled(back);
+    log.disturbed(back);
     duplicates.senderEnded(label);
     this.running.delete(label);
     onCrash(process.node);
--- a/packages/simulation/src/world/deployment-size.ts
+++ b/packages/simulation/src/world/deployment-size.ts
@@ -33,4 +33,4 @@
 export const CLOSE: Size = { ...SMALL, workers: { lease: seconds(20), cancel: seconds(23) } };
 
 /** Three controllers and the load burst's arrivals. */
-export const CROWDED: Size = { ...SMALL, crowd: true };
+export const LOAD_BURST: Size = { ...SMALL, crowd: true };
--- a/packages/simulation/src/world/faults.ts
+++ b/packages/simulation/src/world/faults.ts
@@ -1,10 +1,10 @@
 /** The faults of a day: the kinds that are drawn by chance, and those that are planned. All times are in microseconds. */
 import type { LinkState } from './links.js';
-import type { Meeting } from './scenarios/scenarios.js';
+import type { ScenarioName } from './scenarios/scenario-names.js';
 import type { Loss } from './state-service/store.js';
 
 /** Which faults a day may draw, by name, and the planned ones. A scenario of compound faults is a fault by its name. */
-export interface Faults extends Readonly<Partial<Record<Meeting, boolean>>> {
+export interface Faults extends Readonly<Partial<Record<ScenarioName, boolean>>> {
   readonly nodeCrash?: boolean;
   readonly stateOutage?: boolean;
   readonly stateCut?: boolean;
@@ -52,7 +52,7 @@
   /** A team without guarantee submits one huge array and many tiny jobs. */
   readonly guests?: boolean;
   /** Two to four of the compound-fault scenarios, overlapping, twice in the day. */
-  readonly meetings?: boolean;
+  readonly compoundFaults?: boolean;
   /** Services on GPUs, fine-tuning and batch beside them, and leaders that die between the steps of a loan. */
   readonly lending?: boolean;
 }
--- a/packages/simulation/src/world/load-burst.ts
+++ b/packages/simulation/src/world/load-burst.ts
@@ -19,7 +19,7 @@
   return median * Math.exp((Math.log(p95 / median) / 1.645) * normal);
 };
 
-export const crowdArrival = (luck: Luck): Arrival => {
+export const loadBurstArrival = (luck: Luck): Arrival => {
   const common = { types: null, zone: null, oneZone: false, spread: false, spot: true, broken: false };
   const kind = luck.next();
   if (kind < 0.25) {
--- a/packages/simulation/src/world/rules.ts
+++ b/packages/simulation/src/world/rules.ts
@@ -2,7 +2,7 @@
 import type { Fact, Process } from './memory.js';
 
 /** What a user got, and from whom, for rules that rest on what controllers remember. */
-export interface Got {
+export interface Observation {
   /** As a job's acceptance or withdrawal is told, and as its end is. */
   readonly fact: Fact;
   readonly end: Fact;
@@ -70,7 +70,7 @@
   /** When each accepted job's polls were last answered, or first asked. */
   private readonly heardAt = new Map<string, number>();
   /** When the last trouble known of is over. */
-  calmAt = 0;
+  quiescentAt = 0;
   /** The longest that a job went without an answered poll after that. */
   silence = 0;
   started = 0;
@@ -94,7 +94,13 @@
   }
 
   /** Whoever was told `what` of a job is told otherwise. */
-  private contradict(rule: string, text: string, told: string, now: number, got: Got | undefined): void {
+  private contradict(
+    rule: string,
+    text: string,
+    told: string,
+    now: number,
+    got: Observation | undefined,
+  ): void {
     const facts = this.facts.get(told);
     if (got === undefined || facts === undefined) return this.break(rule, text);
     this.doubtful.push({ what: `${rule}: ${text}`, facts, at: now, present: got.present });
@@ -208,7 +214,7 @@
     return { told: this.told.get(id), done: this.doneTold.get(id) ?? 0 };
   }
 
-  submitted(id: string, status: number, now: number, got?: Got): void {
+  submitted(id: string, status: number, now: number, got?: Observation): void {
     if (status === 200 || status === 201) {
       if (!this.told.has(id)) this.told.set(id, 'accepted');
       this.note(`${id} accepted`, got?.fact);
@@ -222,7 +228,7 @@
     state: string | undefined,
     now: number,
     done?: number,
-    got?: Got,
+    got?: Observation,
   ): void {
     const last = this.told.get(id);
     const known = got?.known ?? this.asOf(id);
@@ -263,7 +269,7 @@
 
   /** A poll for an accepted job has ended: with an answer, or refused, reset, or without one in the user's patience. */
   polled(id: string, answered: boolean, now: number): void {
-    const since = Math.max(this.heardAt.get(id) ?? now, this.calmAt);
+    const since = Math.max(this.heardAt.get(id) ?? now, this.quiescentAt);
     this.silence = Math.max(this.silence, now - since);
     if (!answered && now - since > FORGOTTEN_AFTER)
       this.break('unanswered', `${id} for ${Math.round((now - since) / 1e6)} s at ${now}`);
--- a/packages/simulation/src/world/scenario-host.ts
+++ b/packages/simulation/src/world/scenario-host.ts
@@ -6,7 +6,7 @@
 import type { FaultInjector } from './fault-injector.js';
 import type { FaultLog } from './fault-log.js';
 import type { Links } from './links.js';
-import type { Stage } from './scenarios/scenario-kit.js';
+import type { ScenarioWorld } from './scenarios/scenario-kit.js';
 import type { Rules } from './rules.js';
 import type { StateService } from './state-service/state-service.js';
 import type { Time } from './time.js';
@@ -46,12 +46,12 @@
 };
 
 /** Joins the parts to what a scenario sees. */
-export const hostScenarios = (parts: ScenarioHostParts): Stage => {
+export const hostScenarios = (parts: ScenarioHostParts): ScenarioWorld => {
   const { cloud, controllers, links, log, random, rules, settings, state, time, users, workers } = parts;
   return {
     cloud: cloud.ways,
     time,
-    luck: random,
+    random,
     state,
     rules,
     jobs: users.jobs,
@@ -61,18 +61,18 @@
     lease: settings.lease,
     cancelWithin: settings.cancel,
     strike: (what) => log.strike(what),
-    troubled: (lasts) => log.troubled(lasts),
+    disturbed: (lasts) => log.disturbed(lasts),
     leader: () => controllers.leader(),
     term: () => controllers.leading()?.node.leadership.leads() ?? null,
     process: (label) => controllers.process(label),
     answering: (label) => (controllers.process(label)?.node.leadership.answering() ?? null) !== null,
     heardFrom: (machine) => controllers.leading()?.node.book()?.machines.get(machine)?.reported === true,
-    counted: (team) => countedAgainstLimit(controllers, team),
-    places: (label, job) => (controllers.process(label)?.node.cache.jobs.get(job)?.placed.size ?? 0) > 0,
+    countedAgainstLimit: (team) => countedAgainstLimit(controllers, team),
+    hasPlaced: (label, job) => (controllers.process(label)?.node.cache.jobs.get(job)?.placed.size ?? 0) > 0,
     placedOn: (machine) => [...(controllers.leading()?.node.cache.byMachine.get(machine)?.keys() ?? [])],
     isDeleted: (machine) => cloud.isDeleted(machine),
-    node: () => controllers.any(),
-    caches: () =>
+    anyNode: () => controllers.any(),
+    cacheSizes: () =>
       controllers.up().map(({ node: { cache } }) => ({
         jobs: cache.jobs.size,
         tail: cache.tail.size,
@@ -80,21 +80,21 @@
       })),
     crash: (label, back) => controllers.crash(label, back),
     freeze: (label, lasts) => {
-      log.troubled(lasts);
+      log.disturbed(lasts);
       controllers.freeze(label, lasts);
     },
-    giveWay: (label, forMicros) => {
+    stepDown: (label, forMicros) => {
       const process = controllers.process(label);
       if (process) time.fork(process.node.leadership.giveWay('handover', forMicros), process.host);
     },
     cut: (one, other, linkState, lasts) => parts.injector().cut(one, other, linkState, lasts),
     link: (from, to, linkState, lasts) => {
-      log.troubled(lasts);
+      log.disturbed(lasts);
       links.set(from, to, linkState, lasts);
     },
-    take: (machine) => cloud.lose(machine),
+    loseMachine: (machine) => cloud.lose(machine),
     submit: (arrival, via) => users.submit({ arrival, via }),
-    bodies: users.bodies,
+    submissions: users.bodies,
     call: (label, method, path, body, then) => users.call(label, method, path, body, then),
     cancel: (id, via, confirmed) => users.cancel(id, via, confirmed),
     ask: (what, id, label, then) => users.ask(what, id, label, then),
--- a/packages/simulation/src/world/start-latency-check.ts
+++ b/packages/simulation/src/world/start-latency-check.ts
@@ -31,7 +31,7 @@
   readonly need: number;
 }
 
-export class Begun {
+export class StartLatencyCheck {
   readonly submitted = new Map<string, Submitted>();
   private readonly ran = new Map<string, Map<string, number>>();
 
--- a/packages/simulation/src/world/starvation-check.ts
+++ b/packages/simulation/src/world/starvation-check.ts
@@ -66,7 +66,7 @@
   return (limit ?? [0, 0]).every((l, i) => l === 0 || used[i]! + job.need[i]! * count <= thousandths(l));
 };
 
-export class Waiting {
+export class StarvationCheck {
   /** By job: since when it waits with room, and which of its tasks were on machines then. */
   private readonly since = new Map<string, { at: number; tasks: ReadonlySet<string> }>();
   /** By machine: what was free at each of the last looks. */
--- a/packages/simulation/src/world/state-service/state-service.ts
+++ b/packages/simulation/src/world/state-service/state-service.ts
@@ -30,7 +30,7 @@
   /** This share of transactions gets no answer and is carried out 2 to 12 s later. */
   lateShare = 0;
   /** This share of transactions is carried out at once, and nothing is heard of it. */
-  unheardShare = 0;
+  unansweredShare = 0;
   /** Until then answers come late, beyond the callers' time-outs and out of order; requests are carried out. */
   slowUntil = 0;
   /** A watch whose time is over while its controller is not served ends with no answer. */
@@ -43,7 +43,7 @@
   /** A value can't be read any more. */
   onSpoilt: (key: string) => void = () => undefined;
   /** A transaction was carried out of which its sender hears nothing. */
-  onUnheard: (
+  onUnanswered: (
     by: string,
     when: readonly { readonly key: string; readonly stamp: number }[],
     then: readonly Write[],
@@ -54,7 +54,7 @@
   /** A transaction that will be carried out late is sent; what it returns is called when that happens. */
   onLate: (key: string) => () => void = () => () => undefined;
   /** What scenarios wait for has happened. */
-  onMet: (what: string) => void = () => undefined;
+  onOccurred: (what: string) => void = () => undefined;
 
   readonly leases: Leases;
   /** Called at every change: the watches that wait. */
--- a/packages/simulation/src/world/usage-count.ts
+++ b/packages/simulation/src/world/usage-count.ts
@@ -96,7 +96,7 @@
   }
 }
 
-export class Count {
+export class UsageCount {
   private records: Seen[] = [];
   private life = 0;
   /** The last record that the checkpoint in the store includes. */
--- a/packages/simulation/src/world/users.ts
+++ b/packages/simulation/src/world/users.ts
@@ -2,16 +2,16 @@
 import { Exit } from 'effect';
 import type { Answer } from '@lilacvalve/runtime/http-server';
 import type { Luck } from '@lilacvalve/controller/support/luck';
-import type { Begun } from './start-latency-check.js';
+import type { StartLatencyCheck } from './start-latency-check.js';
 import type { Controllers } from './controllers.js';
 import type { Arrival } from './load-burst.js';
 import type { Size } from './deployment-size.js';
 import type { FaultLog } from './fault-log.js';
 import type { Answered, Ask, Asked, History, Open } from './history.js';
 import type { Links } from './links.js';
-import type { Meetings } from './scenarios/scenarios.js';
+import type { Scenarios } from './scenarios/scenarios.js';
 import type { Fact, Memory, Process } from './memory.js';
-import type { Got, Rules } from './rules.js';
+import type { Observation, Rules } from './rules.js';
 import type { Time } from './time.js';
 import { type JobTruth, TASK_MEM_GB } from './job-truth.js';
 
@@ -48,7 +48,7 @@
 };
 
 /** An answer to a user, null if there was none, and who took part in it. */
-export type Received = (answer: Answer | null, got: Got | undefined) => void;
+export type Received = (answer: Answer | null, got: Observation | undefined) => void;
 
 /** What a job is to be like; everything else is drawn. */
 export interface Submission {
@@ -76,8 +76,8 @@
   readonly brokenShare: number;
   /** CPUs that a team may use at once; 0 or undefined: without limit. */
   readonly cpuLimit: (team: string) => number | undefined;
-  readonly begun: Begun;
-  readonly scenarios: () => Meetings | null;
+  readonly begun: StartLatencyCheck;
+  readonly scenarios: () => Scenarios | null;
 }
 
 /** Submits, polls and cancels, and keeps what is true of each job. */
@@ -104,7 +104,7 @@
     const [ask, id] = askedOf(method, path, body);
     const asked = history?.begins(ask, id, node, time.now);
     const known = rules.asOf(id);
-    const finish = (answer: Answer | null, got?: Got): void => {
+    const finish = (answer: Answer | null, got?: Observation): void => {
       if (over) return;
       over = true;
       if (asked) this.compare(asked, answer);
@@ -275,7 +275,7 @@
       const running = scenarios();
       // What is over is asked about to the day's end.
       if (running) time.after(POLL_OVER_EVERY, () => this.poll(id));
-      if (running?.overBefore(id)) return;
+      if (running?.reportedOverBefore(id)) return;
       this.over++;
       this.pollOnceMore(id);
     });
@@ -305,7 +305,7 @@
    * An answer leaves a controller now. Of what is changed it tells two others first, or a leader of an end; whoever else
    * says that a job is over has read so, and the leader knows.
    */
-  private witnesses(by: Process, method: string): Got {
+  private witnesses(by: Process, method: string): Observation {
     const { controllers, memory, time } = this.options;
     const leader = controllers.leader();
     const fact = (among: (process: Process) => boolean): Fact => memory.fact(time.now, by, among);
--- a/packages/simulation/src/world/worker/task-runner.ts
+++ b/packages/simulation/src/world/worker/task-runner.ts
@@ -1,6 +1,6 @@
 /** The tasks of one machine: images are fetched, gangs gather, tasks run, save and end. */
 import type { Luck } from '@lilacvalve/controller/support/luck';
-import type { Begun } from '../start-latency-check.js';
+import type { StartLatencyCheck } from '../start-latency-check.js';
 import { jobIdOf, type JobTruth, TASK_MEM_GB, taskNumberOf } from '../job-truth.js';
 import type { Step } from '../lending.js';
 import type { Place, Rules } from '../rules.js';
@@ -38,7 +38,7 @@
 /** What the tasks of a machine need to know of all others. */
 export interface TaskWorld {
   readonly jobs: ReadonlyMap<string, JobTruth>;
-  readonly begun: Begun;
+  readonly begun: StartLatencyCheck;
   readonly workers: ReadonlyMap<string, { readonly alive: boolean; readonly runner: TaskRunner }>;
   /** A step of a loan has been taken on a machine. */
   step(what: Step, machine: string): void;
--- a/packages/simulation/src/world/worker/worker.ts
+++ b/packages/simulation/src/world/worker/worker.ts
@@ -20,7 +20,7 @@
 const HANGING_LOOKS_EVERY = 500_000;
 
 /** The network as a worker sees it, and who is told of what happens on it. */
-export interface Net {
+export interface WorkerNet {
   readonly links: Links;
   /** The controllers' labels. */
   readonly nodes: readonly string[];
@@ -29,11 +29,11 @@
   /** A copy of a request that has been sent may arrive later, once more. */
   echo(from: string, again: () => void): void;
   /** A heartbeat has been sent to a controller. */
-  reported(by: Worker, node: string, body: Buffer): void;
+  heartbeatSent(by: Worker, node: string, body: Buffer): void;
   /** An order or an answer has reached a machine: for so long it stands still before it acts. */
-  holds(by: Worker): number;
+  stallFor(by: Worker): number;
   /** A machine has gone on; `order`: with a direct order, else with an answer. */
-  wentOn(lapsed: boolean, order: boolean): void;
+  resumed(lapsed: boolean, order: boolean): void;
   /** An order to its address has stopped a task. */
   stoppedDirectly(by: Worker, task: string): void;
   /** An ended task is forgotten by its machine; `done`: it had completed. */
@@ -52,7 +52,7 @@
   readonly room: { readonly cpus: number; readonly gpus: number; readonly memGb: number };
   readonly time: Time;
   readonly random: Luck;
-  readonly net: Net;
+  readonly net: WorkerNet;
   readonly rules: Rules;
   readonly world: TaskWorld;
   readonly timing: Timing;
@@ -271,7 +271,7 @@
     };
     time.after(HEARTBEAT_TIMEOUT, () => finish(null));
     net.echo(this.place.id, () => this.deliver(reportsTo, body, () => undefined));
-    net.reported(this, reportsTo, body);
+    net.heartbeatSent(this, reportsTo, body);
     if (this.mute) return void time.after(1000, () => finish(null));
     this.sendOverLinks(reportsTo, body, finish);
   }
@@ -330,14 +330,14 @@
   private whenAwake(act: () => void, order = false): void {
     if (this.arrived !== null) return void this.arrived.push(act);
     const { net, time } = this.options;
-    const still = this.alive && !this.hanging ? net.holds(this) : 0;
+    const still = this.alive && !this.hanging ? net.stallFor(this) : 0;
     if (still === 0) return act();
     const { incarnation } = this;
     this.hanging = true;
     time.after(still, () => {
       this.hanging = false;
       if (!this.alive) return;
-      net.wentOn(incarnation !== this.incarnation, order);
+      net.resumed(incarnation !== this.incarnation, order);
       act();
     });
   }
