--- a/packages/simulation/src/play.ts
+++ b/packages/simulation/src/play.ts
@@ -33,7 +33,7 @@
   readonly losses: number;
   /** Losses through which no controller lived that had read the store: what only they knew is gone. */
   readonly unwitnessed: number;
-  /** The longest that a job went without an answered poll after the last trouble, seconds. */
+  /** The longest that a job went without an answered poll after the last fault, seconds. */
   readonly silence: number;
   /** Answers that lacked what all who were promised to know it took along. */
   readonly excused: number;
@@ -43,7 +43,7 @@
   /** There was room for all. */
   readonly room: boolean;
   readonly struck: Readonly<Record<string, number>>;
-  /** What met what; see world/meetings.ts. */
+  /** How often each thing that the scenarios are about has happened. */
   readonly met: Readonly<Record<string, number>>;
   readonly recovery: Recovery;
   /** Loans made, and how services fared: seconds of replicas wanted and up, services in all and complete within 60 s. */
--- a/packages/simulation/src/world/cost-check.ts
+++ b/packages/simulation/src/world/cost-check.ts
@@ -33,7 +33,7 @@
 
   constructor(private readonly broke: (what: string) => void) {}
 
-  /** `rooms`: on machines that are up, and of those that boot and are not overdue. `calmAt`: when the last trouble is over. */
+  /** `rooms`: on machines that are up, and of those that boot and are not overdue. `quiescentAt`: when the last fault is over. */
   look(
     now: number,
     quiescentAt: number,
--- a/packages/simulation/src/world/starvation-check.ts
+++ b/packages/simulation/src/world/starvation-check.ts
@@ -1,5 +1,5 @@
 /**
- * Waiting with room: once the troubles are over, no job waits for 90 s while a machine that fits has room and its team is
+ * Starvation: once the faults are over, no job waits for 90 s while a machine that fits has room and its team is
  * under its limit. By a plain search over what is true in the world, with no code of the controllers'.
  */
 import type { Spec } from './rules.js';
@@ -77,7 +77,7 @@
 
   constructor(private readonly broke: (what: string) => void) {}
 
-  /** Troubles go on: nothing counts from before now. */
+  /** Faults go on: nothing counts from before now. */
   troubled(): void {
     this.since.clear();
     this.lately.clear();
