--- a/packages/controller/src/leadership/leader-session.ts
+++ b/packages/controller/src/leadership/leader-session.ts
@@ -5,7 +5,7 @@
 import { type Micros, millis, seconds, toMillis } from '@lilacvalve/runtime/micros';
 import { tick } from '@lilacvalve/runtime/tick';
 import { Effect, Queue } from 'effect';
-import { Learned } from '../calendar/duty.js';
+import { ClassSamples } from '../calendar/class-samples.js';
 import type { DataLossDetector } from '../recovery/data-loss-detector.js';
 import type { CloudPort } from '../provisioning/cloud.js';
 import { autoscaler } from '../provisioning/autoscaler.js';
@@ -13,7 +13,7 @@
 import type { JobState } from '../jobs/job-state.js';
 import type { StoreWatcher } from '../jobs/store-watcher.js';
 import { QUIESCENT, RECOVERED } from '../jobs/keys.js';
-import { weightsDuty } from '../lending/duty.js';
+import { imageWeightsTask } from '../lending/image-weights-task.js';
 import type { Leadership, LeadershipTerm } from './leadership.js';
 import type { Peers } from './peers.js';
 import type { Admission } from '../overload/admission.js';
@@ -28,21 +28,17 @@
 import type { PreLossViews } from '../recovery/pre-loss-views.js';
 import type { EvidenceStore } from '../recovery/evidence-store.js';
 import { reconcileOrphanedJobs } from '../recovery/orphaned-jobs.js';
-import { Largest, largestDuty } from '../scheduler/largest.js';
+import { LargestJobs, largestJobsTask } from '../scheduler/largest-jobs.js';
 import { summary, runCycle } from '../scheduler/run-cycle.js';
 import { upkeep } from '../scheduler/upkeep.js';
-import { Waits } from '../scheduler/waits.js';
+import { StartWaits } from '../scheduler/start-waits.js';
 import type { CycleState, CycleContext } from '../scheduler/cycle-context.js';
 import type { Settings } from '../settings/settings.js';
 import type { StatePort } from '../state-store/port.js';
 import { WorkerRegistry } from '../workers/worker-registry.js';
-import {
-  type Desk,
-  Gate,
-  type RenewalDesk,
-  sendUrgent,
-  type WorkerPort,
-} from '../workers/heartbeat-handler.js';
+import { CycleGate } from '../workers/cycle-gate.js';
+import type { HeartbeatService, LeaseRenewalService } from '../workers/heartbeat-handler.js';
+import { sendUrgentOrders, type WorkerPort } from '../workers/worker-client.js';
 
 /** Between two scheduling cycles: each costs writes of a budget that all controllers share. */
 const MIN_GAP_MS = 250;
@@ -98,14 +94,14 @@
 /** Runs one session after another, each for one of this node's terms as leader. */
 export class LeaderSessions {
   /** What the present session offers to whoever takes heartbeats in; null: there is no session. */
-  desk: Desk | RenewalDesk | null = null;
+  desk: HeartbeatService | LeaseRenewalService | null = null;
   readonly fleet: { news: ProvisioningNews; listed: boolean } = { news: NO_NEWS, listed: false };
   /** Jobs that a rebuild has gathered and not written yet; null: that is not known here. */
   private pendingRestore: ((id: string) => boolean) | null = null;
   private readonly wake = Effect.runSync(Queue.sliding<void>(1));
 
   constructor(private readonly parts: LeaderSessionParts) {
-    parts.jobState.onJobs = () => Queue.unsafeOffer(this.wake, undefined);
+    parts.jobState.onJobsChanged = () => Queue.unsafeOffer(this.wake, undefined);
   }
 
   /** The workers, as this node knows them as leader; null: it does not lead, or is still restoring the store. */
@@ -149,7 +145,7 @@
       Effect.ensuring(
         Effect.sync(() => {
           this.desk = null;
-          jobState.letMachinesGo();
+          jobState.dropPlacementIndex();
         }),
       ),
       Effect.zipRight(info('leadership term ended', { term: leaderTerm.number })),
@@ -184,9 +180,9 @@
       if (jobState.rebuild === null || jobState.rebuild.phase === 'wait') return Effect.void;
       this.desk = {
         term: context.leaderTerm.number,
-        cancelled: (id) =>
-          jobState.jobs.get(id)?.withdrawn === true ||
-          preLossViews.all.some((view) => view.jobs.get(id)?.withdrawn === true),
+        isCancelled: (id) =>
+          jobState.jobs.get(id)?.cancelled === true ||
+          preLossViews.all.some((view) => view.jobs.get(id)?.cancelled === true),
       };
       this.pendingRestore = (id) =>
         gathered.versionsByJob(context).has(id) || gathered.finalStates(context).has(id);
@@ -203,21 +199,27 @@
     return Effect.suspend(() => {
       const t = this.cycleContext(context);
       const { registry } = t;
-      const state: CycleState = { result: null, surplus: new Set(), companions: [], cost: 0, behind: false };
-      const gate = new Gate(parts.clock);
+      const state: CycleState = {
+        result: null,
+        idleNodes: new Set(),
+        coLocatedDemand: [],
+        computeTime: 0,
+        hasBacklog: false,
+      };
+      const gate = new CycleGate(parts.clock);
       this.desk = {
         registry,
-        nextTurn: (then) => {
+        afterNextCycle: (then) => {
           gate.wait(then);
           Queue.unsafeOffer(wake, undefined);
         },
       };
-      const relieve = Effect.sync(() => gate.relieve(MAX_CYCLE_WAIT)).pipe(
+      const relieve = Effect.sync(() => gate.releaseOverdue(MAX_CYCLE_WAIT)).pipe(
         Effect.zipRight(tick(TERM_CHECK_MS)),
         Effect.forever,
       );
       const tidy = supervise('upkeep', upkeep(t).pipe(Effect.zipRight(tick(UPKEEP_GAP_MS)), Effect.forever));
-      const weights = weightsDuty({ ...t, machines: () => registry.machines.values() });
+      const weights = imageWeightsTask({ ...t, machines: () => registry.machines.values() });
       const fleet = autoscaler(t, state, parts.cloud);
       return Effect.all(
         [
@@ -228,10 +230,10 @@
           relieve,
           this.finishRecoveryForever(t, context, gathered),
           weights,
-          largestDuty(t),
+          largestJobsTask(t),
         ],
         { concurrency: 'unbounded', discard: true },
-      ).pipe(Effect.ensuring(Effect.sync(() => gate.relieve(seconds(0)))));
+      ).pipe(Effect.ensuring(Effect.sync(() => gate.releaseOverdue(seconds(0)))));
     });
   }
 
@@ -243,7 +245,7 @@
     const registry = new WorkerRegistry(parts.settings, parts.jobState, leaderTerm.number, began);
     // What the last leader said of its machines, with the time passed since.
     const heard = parts.peers.lastProvisioning();
-    if (heard !== null) registry.warm(heard.news, heard.at);
+    if (heard !== null) registry.applyProvisioningNews(heard.news, heard.at);
     this.fleet.news = heard?.news ?? NO_NEWS;
     this.fleet.listed = false;
     return {
@@ -263,25 +265,25 @@
       fleet: this.fleet,
       clock: parts.clock,
       dayTime: parts.dayTime,
-      learned: new Learned(),
-      companions: new Map(),
-      waits: new Waits(),
-      largest: new Largest(parts.jobState.largest),
+      classSamples: new ClassSamples(),
+      coLocatedDemand: new Map(),
+      startWaits: new StartWaits(),
+      largestJobs: new LargestJobs(parts.jobState.largest),
     };
   }
 
   /** One scheduling cycle after another: when something has changed, and at least every `CYCLE_EVERY_MS`. */
-  private scheduleForever(t: CycleContext, state: CycleState, gate: Gate): Effect.Effect<never> {
+  private scheduleForever(t: CycleContext, state: CycleState, gate: CycleGate): Effect.Effect<never> {
     const { parts, wake } = this;
     const { registry } = t;
     return Effect.gen(function* () {
       yield* Queue.take(wake).pipe(Effect.timeoutOption(CYCLE_EVERY_MS));
-      gate.begin();
+      gate.cycleBegan();
       yield* (t.mayAct() ? runCycle(t, state) : Effect.void).pipe(
-        Effect.ensuring(Effect.sync(() => gate.open())),
+        Effect.ensuring(Effect.sync(() => gate.cycleEnded())),
       );
-      if (t.mayAct()) yield* sendUrgent(registry, parts.workers, parts.admission);
-      yield* Effect.sleep(cycleGapMs(registry.machines.size, toMillis(state.cost), state.behind));
+      if (t.mayAct()) yield* sendUrgentOrders(registry, parts.workers, parts.admission);
+      yield* Effect.sleep(cycleGapMs(registry.machines.size, toMillis(state.computeTime), state.hasBacklog));
     }).pipe(Effect.forever);
   }
 
@@ -310,10 +312,10 @@
       yield* Effect.ignore(addLateViews(context, gathered, this.parts.peers.withPreLossViews()));
       const generation = jobState.incarnation?.generation ?? 0;
       const at = t.clock();
-      if (!jobState.quiescent && registry.allLapsed(at)) yield* declareMilestone(context, QUIESCENT);
+      if (!jobState.quiescent && registry.priorLeasesExpired(at)) yield* declareMilestone(context, QUIESCENT);
       const allAccountedFor =
         generation === 0
-          ? (t.fleet.listed && registry.accounted()) || registry.allLapsed(at)
+          ? (t.fleet.listed && registry.allMachinesConfirmed()) || registry.priorLeasesExpired(at)
           : jobState.quiescent;
       if (!jobState.recovered && jobState.rebuild === null && allAccountedFor)
         yield* declareMilestone(context, RECOVERED);
--- a/packages/controller/src/leadership/store-founding.ts
+++ b/packages/controller/src/leadership/store-founding.ts
@@ -59,7 +59,7 @@
     const outcome = yield* parts.unguardedStore.transact(
       [
         { key: FOUNDED, stamp: 0 },
-        { key: TERM, stamp: jobState.termStamp },
+        { key: TERM, stamp: jobState.termRevision },
         { key: incarnationKey, stamp: 0 },
       ],
       [
--- a/packages/controller/src/recovery/orphaned-jobs.ts
+++ b/packages/controller/src/recovery/orphaned-jobs.ts
@@ -7,7 +7,7 @@
 import { seconds } from '@lilacvalve/runtime/micros';
 import { Effect } from 'effect';
 import type { OrphanedJob } from '../jobs/codec.js';
-import { activeKey, finalKey, TERM, orphanedJobKey } from '../jobs/keys.js';
+import { activeJobKey, finalStateKey, TERM, orphanedJobKey } from '../jobs/keys.js';
 import type { CycleContext } from '../scheduler/cycle-context.js';
 import { Priority } from '../state-store/budget.js';
 
@@ -20,7 +20,7 @@
   Effect.gen(function* () {
     const { registry, jobState } = t;
     const fresh = [...registry.unknownJobs]
-      .filter(([id]) => !jobState.orphanedJobs.has(id) && !registry.givenUp.has(id))
+      .filter(([id]) => !jobState.orphanedJobs.has(id) && !registry.abortedUnknownJobs.has(id))
       .slice(0, MAX_WRITES);
     const write = (
       when: { key: string; stamp: number }[],
@@ -37,8 +37,8 @@
       const written = yield* write(
         [
           { key: orphanedJobKey(id), stamp: 0 },
-          { key: activeKey(id), stamp: 0 },
-          { key: finalKey(id), stamp: 0 },
+          { key: activeJobKey(id), stamp: 0 },
+          { key: finalStateKey(id), stamp: 0 },
         ],
         { set: orphanedJobKey(id), value },
       );
@@ -47,9 +47,9 @@
     }
     for (const [id, w] of jobState.orphanedJobs) {
       const old = t.dayTime() - w.since > KEEP_ORPHANED_FOR;
-      if (!old && (registry.unknownJobs.has(id) || !registry.allLapsed(t.clock()))) continue;
+      if (!old && (registry.unknownJobs.has(id) || !registry.priorLeasesExpired(t.clock()))) continue;
       // Nobody has submitted it again, or nothing of it is left.
-      if (old) registry.givenUp.add(id);
+      if (old) registry.abortedUnknownJobs.add(id);
       if (yield* write([{ key: orphanedJobKey(id), stamp: w.stamp }], { delete: orphanedJobKey(id) }))
         yield* info('ward given up', {
           term: t.leaderTerm.number,
