--- /dev/null
+++ b/packages/controller/src/api/admissibility.ts
@@ -0,0 +1,54 @@
+/** Whether a job could ever run on this deployment. Pure. */
+import type { JobSpec } from '../jobs/model.js';
+import type { MachineType } from '../provisioning/model.js';
+import type { Settings } from '../settings/settings.js';
+
+/** Tolerance of sums of decimal fractions, in CPUs, GPUs or GB. */
+const EPSILON = 1e-9;
+
+/**
+ * Why a job can never run here; null if it can. Without the machine types (null) only what does not depend on them is
+ * checked, and null then does not mean that the job can run.
+ */
+export const rejectionReason = (
+  spec: JobSpec,
+  settings: Settings,
+  types: readonly MachineType[] | null,
+): string | null => {
+  const team = settings.teams.find((candidate) => candidate.name === spec.team);
+  if (!team) return 'unknown team';
+  if (exceedsLimit(spec, team.limit)) return 'needs more than the limit of its team';
+  // All tasks of a gang run at once, and no zone may have more than half of them: accepted, it would wait for ever. An
+  // array or a service runs with those that may be there.
+  const mustSpread = spec.shape === 'gang' && spec.spread && spec.tasks > 1;
+  if (mustSpread && (spec.oneZone || spec.zone !== null)) return 'a gang of one zone may not be in one zone';
+  if (types === null) return null;
+  const zones = zonesThatFit(spec, types);
+  if (zones.size === 0) return 'a task fits no allowed machine type';
+  if (mustSpread && zones.size === 1)
+    return 'only one zone offers what fits, and a gang may not be in one zone';
+  return null;
+};
+
+/** Whether what must run at once is more than the team may have; a limit of 0 is none. */
+const exceedsLimit = (spec: JobSpec, limit: { readonly cpus: number; readonly gpus: number }): boolean => {
+  const atOnce = spec.shape === 'array' ? 1 : spec.tasks;
+  return (
+    (limit.cpus > 0 && spec.cpus * atOnce > limit.cpus + EPSILON) ||
+    (limit.gpus > 0 && spec.gpus * atOnce > limit.gpus + EPSILON)
+  );
+};
+
+const fitsType = (spec: JobSpec, type: MachineType): boolean =>
+  (spec.types === null || spec.types.includes(type.name)) &&
+  spec.cpus <= type.cpus + EPSILON &&
+  spec.gpus <= type.gpus + EPSILON &&
+  spec.memGb <= type.memGb + EPSILON;
+
+/** Zones that offer a type on which a task fits: a type that no zone offers can't be rented. */
+const zonesThatFit = (spec: JobSpec, types: readonly MachineType[]): ReadonlySet<string> =>
+  new Set(
+    types
+      .filter((type) => fitsType(spec, type))
+      .flatMap((type) => (spec.zone === null ? type.zones : type.zones.filter((zone) => zone === spec.zone))),
+  );
--- /dev/null
+++ b/packages/controller/src/api/responses.ts
@@ -0,0 +1,49 @@
+/** The bodies that users get; field names are the protocol's. */
+import { type Answer, json, retryLater } from '@lilacvalve/runtime/http-server';
+import { debug } from '@lilacvalve/runtime/log';
+import { Effect } from 'effect';
+import { STATUS_WORDS } from '../jobs/codec.js';
+import { type FinalState, isComplete, type Job } from '../jobs/model.js';
+import type { StateFailure } from '../state-store/client.js';
+import type { JobLookupResult } from './job-lookup.js';
+
+const finalResponse = (id: string, final: FinalState): Answer =>
+  json(200, {
+    id,
+    status: STATUS_WORDS[final.status],
+    done: final.status === 'done' ? final.tasks : undefined,
+    running: 0,
+  });
+
+const activeResponse = (job: Job): Answer => {
+  const { id } = job.spec;
+  const counts = { done: job.done.size, running: job.placed.size };
+  if (job.cancelled) return json(200, { id, status: STATUS_WORDS.cancelled, ...counts });
+  // Its last completion stands in a committed log entry; moving it to its final key is only compaction.
+  if (isComplete(job)) return finalResponse(id, { status: 'done', tasks: job.spec.tasks });
+  const status = job.placed.size > 0 ? STATUS_WORDS.running : STATUS_WORDS.queued;
+  return json(200, { id, status, ...counts });
+};
+
+/** A new job was accepted. */
+export const acceptedResponse = (id: string): Answer => json(201, { id, status: STATUS_WORDS.queued });
+
+/** The state of a job that was looked up. */
+export const jobResponse = (id: string, found: JobLookupResult): Answer => {
+  switch (found.kind) {
+    case 'unknown':
+      return json(404, { error: 'no such job' });
+    case 'final':
+      return finalResponse(id, found.final);
+    case 'orphaned':
+      return json(200, { id, status: STATUS_WORDS.running, running: found.orphan.tasks });
+    case 'active':
+      return activeResponse(found.job);
+  }
+};
+
+/** The state service did not serve this controller: the user is asked to come back. */
+export const stateUnavailable = (failure: StateFailure): Effect.Effect<Answer> =>
+  debug('store unavailable', {
+    reason: failure._tag === 'Refused' ? `${failure.status}` : failure.reason,
+  }).pipe(Effect.as(retryLater('state unavailable')));
--- /dev/null
+++ b/packages/controller/src/api/router.ts
@@ -0,0 +1,57 @@
+/** Paths and methods of the users' and workers' address; heartbeats are taken before they get here. */
+import { type Answer, type Incoming, json, retryLater } from '@lilacvalve/runtime/http-server';
+import { Effect } from 'effect';
+import { JOB_ID } from '../jobs/codec.js';
+import { countMetric } from '../metrics.js';
+import type { Work } from '../overload/model.js';
+import { HEARTBEAT_PATH } from '../workers/codec.js';
+import type { UserHandlers } from './handlers.js';
+
+const READY_PATH = '/ready';
+/** Where new jobs are submitted. */
+export const SUBMIT_PATH = '/work';
+/** What a poll's path begins with; the job's id follows. */
+export const POLL_PREFIX = '/work/';
+const JOB_PATH = /^\/work\/([^/]+)(\/withdraw)?$/;
+
+/** The kind of work that admission control counts a request as; null: it is answered whatever the load. */
+export const workOf = (request: Incoming): Work | null => {
+  if (!request.path.startsWith(SUBMIT_PATH)) return null;
+  // A cancellation is a change like a submission, and stops work that is of no use to anybody.
+  return request.method === 'POST' ? 'submission' : 'poll';
+};
+
+const metricOf = (path: string) =>
+  path === READY_PATH ? 'probes' : path === SUBMIT_PATH ? 'submissions' : 'polls';
+
+const methodNotAllowed = (allow: string): Effect.Effect<Answer> =>
+  Effect.succeed(json(405, { error: 'method not allowed' }, { Allow: allow }));
+
+const readiness = (unready: () => string | null): Answer => {
+  const reason = unready();
+  return reason === null ? json(200, { ready: true }) : retryLater(reason);
+};
+
+/** Answers requests by path. `unready`: why this controller can't take requests, null if it can. */
+export const route =
+  (users: UserHandlers, unready: () => string | null) =>
+  (request: Incoming): Effect.Effect<Answer> => {
+    const { method, path } = request;
+    countMetric(metricOf(path));
+    if (path === HEARTBEAT_PATH) return methodNotAllowed('POST');
+    if (path === READY_PATH)
+      return method === 'GET' ? Effect.succeed(readiness(unready)) : methodNotAllowed('GET');
+    if (path === SUBMIT_PATH) return method === 'POST' ? users.submit(request) : methodNotAllowed('POST');
+    return routeJob(users, method, path);
+  };
+
+/** The paths below a job: its state, and its cancellation. */
+const routeJob = (users: UserHandlers, method: string, path: string): Effect.Effect<Answer> => {
+  const match = JOB_PATH.exec(path);
+  if (!match?.[1]) return Effect.succeed(json(404, { error: 'no such path' }));
+  const [, id, cancellation] = match;
+  const expected = cancellation ? 'POST' : 'GET';
+  if (method !== expected) return methodNotAllowed(expected);
+  if (!JOB_ID.test(id)) return Effect.succeed(json(404, { error: 'no such job' }));
+  return cancellation ? users.cancel(id) : users.poll(id);
+};
--- a/packages/controller/src/health-check.ts
+++ b/packages/controller/src/health-check.ts
@@ -10,15 +10,15 @@
 import type { StatePort } from './state-store/port.js';
 import { listenToAnomalies, takeMetrics } from './metrics.js';
 
-const PULSE = millis(500);
-const QUICK_PULSE = millis(100);
+const CHECK_EVERY = millis(500);
+const QUICK_CHECK_EVERY = millis(100);
 const LATE = millis(300);
 /** A pulse so much too late is worth a line in the log. */
 const STILL_MS = 1500;
 const LOAD_EVERY_MS = 10_000;
 
 /** Whether the state service serves this node, as far as its own requests tell. */
-export const servedBy =
+export const isServedBy =
   (store: Pick<StatePort, 'lastServed' | 'lastRefused'>, clock: () => Micros) => (): boolean => {
     const at = clock();
     if (at - store.lastServed > 2.5e6) return false;
@@ -39,7 +39,7 @@
   );
 
 /** Operators should see in the log that a node nears its memory's limit and takes no more jobs, and when that is over. */
-export const watchMemory = (admission: Admission) => {
+export const memoryCheck = (admission: Admission) => {
   let short = false;
   return supervise(
     'memory',
@@ -52,17 +52,17 @@
           : info(now ? 'memory short' : 'memory suffices', { part: part.toFixed(2) });
       short = now;
       return said;
-    }).pipe(Effect.zipRight(tick(toMillis(PULSE))), Effect.forever),
+    }).pipe(Effect.zipRight(tick(toMillis(CHECK_EVERY))), Effect.forever),
   );
 };
 
 /** Operators should see in the log that this node stood still: its clocks ran on, and its right may be gone. */
 export const eventLoopCheck = (admission: Admission, leads: () => boolean) =>
   supervise(
-    'pulse',
+    'event-loop-check',
     Effect.suspend(() => {
       // One that was late is looked at again soon: the node may have caught up at once.
-      const beat = admission.lag() > LATE ? QUICK_PULSE : PULSE;
+      const beat = admission.lag() > LATE ? QUICK_CHECK_EVERY : CHECK_EVERY;
       return Effect.flatMap(Clock.currentTimeMillis, (at) => {
         const ms = untilTick(at, toMillis(beat));
         admission.sleeps(millis(ms));
@@ -71,7 +71,7 @@
         Effect.zipRight(
           Effect.suspend(() => {
             const gap = toMillis(admission.woke());
-            return gap < STILL_MS ? Effect.void : info('stood still', { ms: gap, leads: leads() });
+            return gap < STILL_MS ? Effect.void : info('event loop stalled', { ms: gap, leads: leads() });
           }),
         ),
       );
@@ -86,7 +86,7 @@
 });
 
 /** What this node did, whether it leads or not. */
-export const loadLine = (leads: () => boolean) =>
+export const loadReport = (leads: () => boolean) =>
   supervise(
     'load',
     oddLines.pipe(
--- a/packages/controller/src/leadership/leader-session.ts
+++ b/packages/controller/src/leadership/leader-session.ts
@@ -90,7 +90,7 @@
 /** Runs one session after another, each for one of this node's terms as leader. */
 export class LeaderSessions {
   /** What the present session offers to whoever takes heartbeats in; null: there is no session. */
-  desk: HeartbeatService | LeaseRenewalService | null = null;
+  heartbeatService: HeartbeatService | LeaseRenewalService | null = null;
   readonly fleet: { news: ProvisioningNews; listed: boolean } = { news: NO_NEWS, listed: false };
   /** Jobs that a rebuild has gathered and not written yet; null: that is not known here. */
   private pendingRestore: ((id: string) => boolean) | null = null;
@@ -102,7 +102,9 @@
 
   /** The workers, as this node knows them as leader; null: it does not lead, or is still restoring the store. */
   registry(): WorkerRegistry | null {
-    return this.desk !== null && 'registry' in this.desk ? this.desk.registry : null;
+    return this.heartbeatService !== null && 'registry' in this.heartbeatService
+      ? this.heartbeatService.registry
+      : null;
   }
 
   /** See `ApiDeps.mayBeNew`. */
@@ -140,7 +142,7 @@
     ).pipe(
       Effect.ensuring(
         Effect.sync(() => {
-          this.desk = null;
+          this.heartbeatService = null;
           jobState.dropPlacementIndex();
         }),
       ),
@@ -174,7 +176,7 @@
     const { jobState, preLossViews } = this.parts;
     return Effect.suspend(() => {
       if (jobState.rebuild === null || jobState.rebuild.phase === 'wait') return Effect.void;
-      this.desk = {
+      this.heartbeatService = {
         term: context.leaderTerm.number,
         isCancelled: (id) =>
           jobState.jobs.get(id)?.cancelled === true ||
@@ -203,7 +205,7 @@
         hasBacklog: false,
       };
       const gate = new CycleGate(parts.clock);
-      this.desk = {
+      this.heartbeatService = {
         registry,
         afterNextCycle: (then) => {
           gate.wait(then);
--- a/packages/controller/src/listeners.ts
+++ b/packages/controller/src/listeners.ts
@@ -1,8 +1,10 @@
-/** The node's three doors: users, workers, and the other controllers. Each is answered by the slice it belongs to. */
+/** The three addresses that a controller answers: users, workers, and the other controllers. */
 import { type Answer, type Incoming, json, type Quick, retryLater } from '@lilacvalve/runtime/http-server';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { Effect } from 'effect';
-import { type ApiDeps, route, userHandlers, workOf } from './api/handlers.js';
+import type { ApiContext } from './api/api-context.js';
+import { userHandlers } from './api/handlers.js';
+import { POLL_PREFIX, route, SUBMIT_PATH, workOf } from './api/router.js';
 import type { Contacts } from './leadership/contacts.js';
 import type { Leadership } from './leadership/leadership.js';
 import { respondToHeartbeat, type Peers } from './leadership/peers.js';
@@ -20,19 +22,14 @@
 /** In its first seconds a leader answers all who come: being sent on would cost them time twice. */
 const NEW_LEADER = seconds(10);
 
-/** What a poll's path begins with; the job's id follows. */
-const POLL = '/work/';
-/** Where new jobs are submitted. */
-const SUBMIT = '/work';
-
 /** Users: work is taken on as far as the node keeps up with it. */
-export const userListener = (deps: ApiDeps, admission: Admission, unready: () => string | null) => {
-  const answer = route(userHandlers(deps), unready);
+export const userListener = (context: ApiContext, admission: Admission, unready: () => string | null) => {
+  const answer = route(userHandlers(context), unready);
   return (r: Incoming): Effect.Effect<Answer> => {
     const work = workOf(r);
     if (work === null) return answer(r);
-    const job = work === 'poll' ? r.path.slice(POLL.length) : null;
-    const refusal = admission.enter(work, job, r.path === SUBMIT);
+    const job = work === 'poll' ? r.path.slice(POLL_PREFIX.length) : null;
+    const refusal = admission.enter(work, job, r.path === SUBMIT_PATH);
     if (refusal !== null) return Effect.succeed(refusal);
     return Effect.ensuring(
       answer(r),
@@ -70,7 +67,7 @@
   const relay = new HeartbeatRelay(p.relay, leader, (label) => peers.recordResponse(label), clock);
   const reports = heartbeatHandler(
     p.receive,
-    () => p.sessions.desk !== null && leadership.answeringTerm() !== null,
+    () => p.sessions.heartbeatService !== null && leadership.answeringTerm() !== null,
     (report, reply) => (leader() === null ? reply(leaderless) : relay.forward(report, reply)),
     (machine) => {
       const leaderTerm = leadership.currentTerm();
--- a/packages/controller/src/main.ts
+++ b/packages/controller/src/main.ts
@@ -83,7 +83,7 @@
 const main = Effect.runFork(
   program(settings.right, options).pipe(
     Effect.catchAllCause((cause) =>
-      error('ended', { reason: String(cause) }).pipe(Effect.as('failed' as const)),
+      error('process exited', { reason: String(cause) }).pipe(Effect.as('failed' as const)),
     ),
     Effect.provide(logLayer(level)),
   ),
--- a/packages/controller/src/node.ts
+++ b/packages/controller/src/node.ts
@@ -19,7 +19,7 @@
 import { Leadership } from './leadership/leadership.js';
 import { type PeerPort, Peers } from './leadership/peers.js';
 import { Admission } from './overload/admission.js';
-import { loadLine, storeProbe, eventLoopCheck, servedBy, watchMemory } from './health-check.js';
+import { loadReport, storeProbe, eventLoopCheck, isServedBy, memoryCheck } from './health-check.js';
 import type { ViewPort } from './recovery/model.js';
 import { viewHandler } from './recovery/view-exchange.js';
 import { PreLossViews } from './recovery/pre-loss-views.js';
@@ -73,8 +73,8 @@
 export const makeNode = (settings: Settings, ports: Ports): Node => {
   const { clock } = ports;
   const jobState = new JobState();
-  const relics = new PreLossViews(`${settings.label}/${ports.dayTime()}`);
-  const witness: EvidenceStore = new EvidenceStore(ports.views, (revision) =>
+  const preLossViews = new PreLossViews(`${settings.label}/${ports.dayTime()}`);
+  const evidenceStore: EvidenceStore = new EvidenceStore(ports.views, (revision) =>
     lossDetector.incarnation === null
       ? []
       : peers
@@ -96,7 +96,7 @@
     maxViewAge(settings.workers),
   );
   const contacts = new Contacts(settings);
-  const served = servedBy(store, clock);
+  const served = isServedBy(store, clock);
   const peers: Peers = new Peers(
     settings,
     ports.peers,
@@ -115,7 +115,7 @@
               viewRevision: jobState.revision,
               seenAgo: lossDetector.sinceIncarnationSeen(),
             },
-      hasPreLossViews: relics.all.length > 0,
+      hasPreLossViews: preLossViews.all.length > 0,
       ...(leadership.currentTerm() === null ? {} : { provisioning: sessions.fleet.news }),
     }),
     clock,
@@ -148,9 +148,9 @@
       if (
         lossDetector.incarnation !== null &&
         lossDetector.revisionFloor() === jobState.revision &&
-        witness.size > 0
+        evidenceStore.size > 0
       )
-        witness.dropCovered(lossDetector.incarnation.id, jobState.revision);
+        evidenceStore.dropCovered(lossDetector.incarnation.id, jobState.revision);
       if (watcher.loaded && lossDetector.incarnation === null && !lossDetector.suspected) {
         yield* Effect.ignore(leadership.foundStore);
         yield* Effect.sleep(40);
@@ -186,8 +186,8 @@
   /** This node's view is of an incarnation that is over. */
   const leaveView = (): void => {
     if (lossDetector.incarnation !== null && (jobState.jobs.size > 0 || jobState.finalStates.size > 0))
-      relics.add(
-        relics.viewOf(
+      preLossViews.add(
+        preLossViews.viewOf(
           jobState,
           lossDetector.incarnation.generation,
           lossDetector.suspicion?.ledTerm ?? null,
@@ -260,8 +260,8 @@
     watcher,
     jobState,
     lossDetector,
-    preLossViews: relics,
-    evidenceStore: witness,
+    preLossViews,
+    evidenceStore,
     peers,
     leadership,
     admission,
@@ -270,7 +270,13 @@
     dayTime: ports.dayTime,
     balance: ports.balance ?? null,
   });
-  const receive = heartbeatReceiver(leadership, () => sessions.desk, clock, contacts, lossDetector);
+  const receive = heartbeatReceiver(
+    leadership,
+    () => sessions.heartbeatService,
+    clock,
+    contacts,
+    lossDetector,
+  );
   const users = userListener(
     {
       settings,
@@ -278,13 +284,12 @@
       watcher,
       jobState,
       lossDetector,
-      witness,
-      verified: () => verified,
-      durable: () => !lossDetector.suspected && relics.all.length === 0,
-      leads,
+      evidenceStore,
+      isVerified: () => verified,
+      isDurable: () => !lossDetector.suspected && preLossViews.all.length === 0,
+      isLeader: leads,
       mayBeNew: (id) => sessions.mayBeNew(id),
       types: knownTypes,
-      ready: () => unready() === null,
       clock,
       dayTime: ports.dayTime,
     },
@@ -303,18 +308,18 @@
     clock,
   });
   const views = viewHandler(
-    relics,
+    preLossViews,
     (incarnation) =>
       lossDetector.incarnation === null || lossDetector.incarnation.id === incarnation
         ? null
-        : relics.viewOf(
+        : preLossViews.viewOf(
             jobState,
             lossDetector.incarnation.generation,
             lossDetector.suspicion?.ledTerm ?? leadership.currentTermNumber(),
             whole(),
           ),
     jobState,
-    witness,
+    evidenceStore,
     (body) =>
       answerCheckRequest(
         body,
@@ -333,7 +338,7 @@
           watcher,
           jobState,
           lossDetector,
-          preLossViews: relics,
+          preLossViews,
         });
   const parts: DetectionParts = {
     lossDetector,
@@ -356,7 +361,7 @@
       Effect.all(
         [
           ...(snapshots === null ? [] : [snapshots.run]),
-          loadLine(leads),
+          loadReport(leads),
           watcher.run,
           watcher.loadFinalStates,
           verify,
@@ -367,7 +372,7 @@
           workers.run,
           storeProbe(store, watcher, clock),
           eventLoopCheck(admission, leads),
-          watchMemory(admission),
+          memoryCheck(admission),
           learnTypes,
           sessions.run,
         ],
