--- a/packages/controller/src/recovery/audit.ts
+++ b/packages/controller/src/recovery/audit.ts
@@ -1,6 +1,7 @@
 /**
- * Finds keys that vanished without a change that tells of it: a page of the store's listing is compared with the view that
- * the store watcher maintains. A key counts as lost only if the view is at least as new as the listing and still has it.
+ * Finds keys that vanished from the store without a change that deletes them. A page of the store's listing is compared with
+ * the view that the store watcher maintains. A key counts as lost only if the view is at least as new as the listing and
+ * still has the key.
  */
 import type { JobState } from '../jobs/job-state.js';
 import {
@@ -16,7 +17,7 @@
 } from '../jobs/keys.js';
 import type { Page } from '../state-store/client.js';
 
-/** The prefixes that are searched, one after the other. */
+/** The prefixes that the audit searches, in this order. */
 export const AUDITED_PREFIXES = [
   LOG_ENTRIES,
   ACTIVE_JOBS,
@@ -27,48 +28,54 @@
   CALENDAR,
 ] as const;
 
-/** Keys that the view has below `prefix`, with the revisions it knows them at. Sorted. */
+/** Returns the keys that the view has below `prefix`, each with its revision in the view, sorted by key. */
 export const expectedKeys = (
   jobState: JobState,
   prefix: (typeof AUDITED_PREFIXES)[number],
 ): [string, number][] => {
-  const out: [string, number][] = [];
+  const expected: [string, number][] = [];
   if (prefix === ACTIVE_JOBS) {
-    // A job of stamp 0 has no key of its own yet.
-    for (const [id, job] of jobState.jobs) if (job.revision > 0) out.push([ACTIVE_JOBS + id, job.revision]);
+    // A job of revision 0 is stored in a bundle only and has no key of its own yet.
+    for (const [id, job] of jobState.jobs)
+      if (job.revision > 0) expected.push([ACTIVE_JOBS + id, job.revision]);
   } else if (prefix === TERM) {
-    if (jobState.term > 0) out.push([TERM, jobState.termRevision]);
+    if (jobState.term > 0) expected.push([TERM, jobState.termRevision]);
   } else if (prefix === LEADER) {
-    if (jobState.leader !== null) out.push([LEADER, jobState.leaderRevision]);
+    if (jobState.leader !== null) expected.push([LEADER, jobState.leaderRevision]);
   } else if (prefix === STORE_STATUS) {
-    for (const i of jobState.incarnations.values()) out.push([INCARNATION + i.id, i.stamp]);
-  } else if (prefix === CALENDAR) out.push(...jobState.calendars.keys());
-  else if (prefix === JOB_BUNDLES) for (const [key, p] of jobState.bundles) out.push([key, p.revision]);
-  else for (const [seq, r] of jobState.logTail) out.push([logEntryKey(seq), r.revision]);
-  return out.sort((a, b) => (a[0] < b[0] ? -1 : 1));
+    for (const incarnation of jobState.incarnations.values())
+      expected.push([INCARNATION + incarnation.id, incarnation.stamp]);
+  } else if (prefix === CALENDAR) expected.push(...jobState.calendars.keys());
+  else if (prefix === JOB_BUNDLES)
+    for (const [key, bundle] of jobState.bundles) expected.push([key, bundle.revision]);
+  else
+    for (const [sequence, logEntry] of jobState.logTail)
+      expected.push([logEntryKey(sequence), logEntry.revision]);
+  return expected.sort((a, b) => (a[0] < b[0] ? -1 : 1));
 };
 
 /**
- * The first key lost, or null. `expected`: what the view has in the range that the page covers, read when `view` (its
- * revision) was at least the page's. `after`: where the page began.
+ * Describes the first lost key in the range that `page` covers; null if no key is lost. `expected`: the keys that the view
+ * has below the page's prefix, read after the view had reached the page's revision. `after`: the key after which the page
+ * begins, null for the first page. `viewRevision`: the view's revision; a view older than the page proves nothing.
  */
 export const findLostKey = (
   page: Page,
   expected: readonly (readonly [string, number])[],
   after: string | null,
-  view: number,
+  viewRevision: number,
 ): string | null => {
-  if (view < page.revision) return null;
-  const there = new Map(page.entries.map((e) => [e.key, e.stamp]));
+  if (viewRevision < page.revision) return null;
+  const listed = new Map(page.entries.map((entry) => [entry.key, entry.stamp]));
   const last = page.more ? page.entries[page.entries.length - 1]?.key : undefined;
-  for (const [key, stamp] of expected) {
+  for (const [key, revision] of expected) {
     if (after !== null && key <= after) continue;
     if (last !== undefined && key > last) break;
-    // Written after the page was read: it can't be on it.
-    if (stamp > page.revision) continue;
-    const found = there.get(key);
+    // A key that was written after the page was read can't be on the page.
+    if (revision > page.revision) continue;
+    const found = listed.get(key);
     if (found === undefined) return `${key} is missing`;
-    if (found < stamp) return `${key} is as of ${found}, was of ${stamp}`;
+    if (found < revision) return `${key} has revision ${found}, expected at least ${revision}`;
   }
   return null;
 };
--- a/packages/controller/src/recovery/calendar-recovery.ts
+++ b/packages/controller/src/recovery/calendar-recovery.ts
@@ -1,4 +1,7 @@
-/** The calendar in a rebuild: what controllers remember of the keys below `s/c/` is joined and written back. */
+/**
+ * Recovers the calendar in a rebuild. Merges what the controllers remember of the keys below `s/c/` (the calendar's head and
+ * pages, the outcome counts of its occurrences, the durations by job class) and plans the transactions that write it back.
+ */
 import { decodeCalendar, encodeCalendar, encodeTally, decodeTally, type Head } from '../calendar/codec.js';
 import { type Calendars, pagesOf, type Remembered } from '../calendar/calendars.js';
 import { laterTally, type Tally } from '../calendar/model.js';
@@ -10,98 +13,108 @@
 import { CALENDAR_HEAD, OCCURRENCE, CLASS_DURATIONS } from '../jobs/keys.js';
 import type { WriteStep } from './write-steps.js';
 
-/** Counts in one transaction. */
-const TALLIES = 8;
+/** Maximum outcome counts written in one transaction. */
+const MAX_COUNTS_PER_STEP = 8;
 
-const weight = (s: ClassDurations): number => [...s.values()].flat().reduce((n, c) => n + c, 0);
+const sampleCount = (durations: ClassDurations): number =>
+  [...durations.values()].flat().reduce((sum, count) => sum + count, 0);
 
-/** Of two memories: the newer calendar, the higher counts. Neither order nor repetition matters. */
-export const joinCalendars = (a: Remembered, b: Remembered): Remembered => {
+/**
+ * Merges what two controllers remember: the newer calendar, the higher outcome counts, and the class durations with more
+ * samples. The merge is commutative and idempotent.
+ */
+export const mergeCalendars = (a: Remembered, b: Remembered): Remembered => {
   const tallies = new Map<string, Tally>(a.tallies);
-  for (const [id, t] of b.tallies) {
-    const there = tallies.get(id);
-    tallies.set(id, there === undefined ? t : laterTally(there, t));
+  for (const [id, counts] of b.tallies) {
+    const known = tallies.get(id);
+    tallies.set(id, known === undefined ? counts : laterTally(known, counts));
   }
   const [older, newer] = (a.calendar?.version ?? 0) < (b.calendar?.version ?? 0) ? [a, b] : [b, a];
   return {
     calendar: newer.calendar ?? older.calendar,
     tallies,
-    shown: weight(b.shown) > weight(a.shown) ? b.shown : a.shown,
+    shown: sampleCount(b.shown) > sampleCount(a.shown) ? b.shown : a.shown,
   };
 };
 
-const same = (a: Tally, b: Tally | undefined): boolean =>
+const areEqual = (a: Tally, b: Tally | undefined): boolean =>
   JSON.stringify(encodeTally(a)) === JSON.stringify(b === undefined ? null : encodeTally(b));
 
 /**
- * What the store lacks of it: pages first, then the head; none: nothing. `damaged`: revisions of keys that are there and
- * can't be read.
+ * Returns the transactions that write what the store lacks of `remembered`; none if the store lacks nothing. The calendar's
+ * pages are written before the head that refers to them. `damaged`: revisions of the stored keys whose values can't be
+ * decoded.
  */
 export const calendarWriteSteps = (
-  there: Calendars,
-  best: Remembered,
+  stored: Calendars,
+  remembered: Remembered,
   valueBytes: number,
   damaged: ReadonlyMap<string, number> = new Map(),
 ): WriteStep[] => {
-  const stampOf = (key: string, known: number | undefined): number => damaged.get(key) ?? known ?? 0;
+  const revisionOf = (key: string, known: number | undefined): number => damaged.get(key) ?? known ?? 0;
   const steps: WriteStep[] = [];
-  const { calendar } = best;
+  const { calendar } = remembered;
   if (
     calendar !== null &&
-    (damaged.has(CALENDAR_HEAD) || (there.head?.value.version ?? 0) < calendar.version || !there.complete)
+    (damaged.has(CALENDAR_HEAD) || (stored.head?.value.version ?? 0) < calendar.version || !stored.complete)
   ) {
     const { head, pages } = pagesOf(calendar, valueBytes);
-    for (const p of pages)
+    for (const page of pages)
       steps.push({
-        when: [{ key: p.key, stamp: stampOf(p.key, there.pages.get(p.key)?.revision) }],
-        then: [{ set: p.key, value: p.value }],
+        when: [{ key: page.key, stamp: revisionOf(page.key, stored.pages.get(page.key)?.revision) }],
+        then: [{ set: page.key, value: page.value }],
       });
     steps.push({
-      when: [{ key: CALENDAR_HEAD, stamp: stampOf(CALENDAR_HEAD, there.head?.revision) }],
+      when: [{ key: CALENDAR_HEAD, stamp: revisionOf(CALENDAR_HEAD, stored.head?.revision) }],
       then: [{ set: CALENDAR_HEAD, value: head }],
     });
   }
-  const counts = [...best.tallies].flatMap(([id, t]) => {
-    const stored = there.tallies.get(id);
-    const sum = stored === undefined ? t : laterTally(stored.value, t);
-    if (same(sum, stored?.value)) return [];
+  const updates = [...remembered.tallies].flatMap(([id, counts]) => {
+    const storedCounts = stored.tallies.get(id);
+    const merged = storedCounts === undefined ? counts : laterTally(storedCounts.value, counts);
+    if (areEqual(merged, storedCounts?.value)) return [];
     const key = OCCURRENCE + id;
     return [
-      { when: { key, stamp: stampOf(key, stored?.revision) }, then: { set: key, value: encodeTally(sum) } },
+      {
+        when: { key, stamp: revisionOf(key, storedCounts?.revision) },
+        then: { set: key, value: encodeTally(merged) },
+      },
     ];
   });
-  for (let i = 0; i < counts.length; i += TALLIES) {
-    const part = counts.slice(i, i + TALLIES);
-    steps.push({ when: part.map((c) => c.when), then: part.map((c) => c.then) });
+  for (let i = 0; i < updates.length; i += MAX_COUNTS_PER_STEP) {
+    const group = updates.slice(i, i + MAX_COUNTS_PER_STEP);
+    steps.push({ when: group.map((update) => update.when), then: group.map((update) => update.then) });
   }
-  if (there.classDurations === null && best.shown.size > 0)
+  if (stored.classDurations === null && remembered.shown.size > 0)
     steps.push({
-      when: [{ key: CLASS_DURATIONS, stamp: stampOf(CLASS_DURATIONS, undefined) }],
-      then: [{ set: CLASS_DURATIONS, value: encodeClassDurations(best.shown) }],
+      when: [{ key: CLASS_DURATIONS, stamp: revisionOf(CLASS_DURATIONS, undefined) }],
+      then: [{ set: CLASS_DURATIONS, value: encodeClassDurations(remembered.shown) }],
     });
   return steps;
 };
 
+/** The form in which controllers send each other what they remember of the calendar. */
 export type WireRemembered = readonly [
   calendar: readonly [head: Head, pages: readonly unknown[]] | null,
   tallies: readonly (readonly [string, unknown])[],
   shown: unknown,
 ];
-export const encodeRemembered = (r: Remembered): WireRemembered => {
-  const paged = r.calendar === null ? null : encodeCalendar(r.calendar, Number.POSITIVE_INFINITY);
+export const encodeRemembered = (remembered: Remembered): WireRemembered => {
+  const paged =
+    remembered.calendar === null ? null : encodeCalendar(remembered.calendar, Number.POSITIVE_INFINITY);
   return [
-    paged === null ? null : [paged.head, paged.pages.map((p) => p.value)],
-    [...r.tallies].map(([id, t]) => [id, encodeTally(t)]),
-    encodeClassDurations(r.shown),
+    paged === null ? null : [paged.head, paged.pages.map((page) => page.value)],
+    [...remembered.tallies].map(([id, counts]) => [id, encodeTally(counts)]),
+    encodeClassDurations(remembered.shown),
   ];
 };
-/** null: nothing that can be read. */
+/** Decodes what `encodeRemembered` returned; null for anything that is not an array. */
 export const decodeRemembered = (wire: unknown): Remembered | null => {
   if (!Array.isArray(wire)) return null;
   const [calendar, tallies, shown] = wire as unknown as WireRemembered;
   return {
     calendar: calendar === null ? null : decodeCalendar(calendar[0], calendar[1]),
-    tallies: new Map(tallies.map(([id, t]) => [id, decodeTally(t)])),
+    tallies: new Map(tallies.map(([id, counts]) => [id, decodeTally(counts)])),
     shown: decodeClassDurations(shown),
   };
 };
--- a/packages/controller/src/recovery/codec.ts
+++ b/packages/controller/src/recovery/codec.ts
@@ -1,4 +1,4 @@
-/** What the rebuilding leader and the other controllers send each other, as msgpack. Other bytes are decoded to null. */
+/** Encodes the messages between the rebuilding leader and the other controllers as msgpack. Malformed input decodes to null. */
 import { pack, unpack } from 'msgpackr';
 import { decodeAccounts, encodeAccounts } from '../accounts/codec.js';
 import { type Accounts, NO_ACCOUNTS } from '../accounts/model.js';
@@ -9,36 +9,38 @@
 import { decodeRemembered, encodeRemembered } from './calendar-recovery.js';
 import type { JobVersion } from './merge.js';
 
-/** Asks for what the asked node remembers and the asker does not have the same, from a range of ids on. */
+/** Requests the jobs and final states that the receiver remembers differently from the sender, from one range of ids on. */
 export interface ViewRequest {
-  /** The asker's incarnation. */
+  /** The sender's incarnation. */
   readonly incarnation: string;
+  /** Digest of what the sender knows, by range; see digest.ts. */
   readonly digest: Uint32Array;
+  /** The first range requested. */
   readonly from: number;
 }
-/** One pre-loss view without its jobs. */
+/** A pre-loss view without its jobs; the fields are those of `PreLossView`. */
 export interface ViewHeader {
   readonly id: string;
-  readonly lastSeq: number;
+  readonly lastSequence: number;
   readonly term: number;
   readonly ledTerm: number | null;
   readonly accounts: Accounts;
 }
-/** What the asked node remembers, as far as one response holds. */
+/** What the responding controller remembers, up to the size limit of one response. */
 export interface ViewResponse {
   readonly headers: readonly ViewHeader[];
   readonly versions: readonly JobVersion[];
   readonly finals: readonly (readonly [string, FinalState])[];
-  /** The range to go on from; null: that was all. */
+  /** The first range of the next request; null if nothing is left. */
   readonly next: number | null;
-  /** What it remembers of the calendar; with the first answer only. */
+  /** What the controller remembers of the calendar; in the first response only. */
   readonly calendar: Remembered | null;
 }
 
-/** As large as in the store, so that a view's accounts never take more than a checkpoint may. */
-const ACCOUNTS_BYTES = 14 * 1024;
+/** Maximum size of one value of a view's encoded accounts, in bytes; the same as that of a checkpoint in the store. */
+const MAX_ACCOUNTS_BYTES = 14 * 1024;
 
-type WireClaim = [id: string, generation: number, revision: number, job: unknown];
+type WireVersion = [id: string, generation: number, revision: number, job: unknown];
 
 export const encodeViewRequest = (request: ViewRequest): Buffer =>
   Buffer.from(pack([request.incarnation, [...request.digest], request.from]));
@@ -55,15 +57,20 @@
 export const encodeViewResponse = (response: ViewResponse): Buffer =>
   Buffer.from(
     pack([
-      response.headers.map((h) => [
-        h.id,
-        h.lastSeq,
-        h.term,
-        h.ledTerm,
-        encodeAccounts(h.accounts, ACCOUNTS_BYTES),
+      response.headers.map((header) => [
+        header.id,
+        header.lastSequence,
+        header.term,
+        header.ledTerm,
+        encodeAccounts(header.accounts, MAX_ACCOUNTS_BYTES),
       ]),
-      response.versions.map((c): WireClaim => [c.job.spec.id, c.generation, c.revision, encodeJob(c.job, 0)]),
-      response.finals.map(([id, f]) => [id, packFinalState(f)]),
+      response.versions.map((version): WireVersion => [
+        version.job.spec.id,
+        version.generation,
+        version.revision,
+        encodeJob(version.job, 0),
+      ]),
+      response.finals.map(([id, final]) => [id, packFinalState(final)]),
       response.next,
       response.calendar === null ? null : encodeRemembered(response.calendar),
     ]),
@@ -72,15 +79,15 @@
   try {
     const [headers, versions, finals, next, calendar] = unpack(body) as [
       [string, number, number, number | null, unknown[]][],
-      WireClaim[],
+      WireVersion[],
       [string, number][],
       number | null,
       unknown,
     ];
     return {
-      headers: headers.map(([id, lastSeq, term, ledTerm, accounts]) => ({
+      headers: headers.map(([id, lastSequence, term, ledTerm, accounts]) => ({
         id,
-        lastSeq,
+        lastSequence,
         term,
         ledTerm,
         accounts: decodeAccounts(accounts) ?? NO_ACCOUNTS,
@@ -90,7 +97,7 @@
         revision,
         job: decodeJob(id, job, 0),
       })),
-      finals: finals.map(([id, n]) => [id, unpackFinalState(n)] as const),
+      finals: finals.map(([id, packed]) => [id, unpackFinalState(packed)] as const),
       next,
       calendar: decodeRemembered(calendar),
     };
@@ -99,12 +106,12 @@
   }
 };
 
-/** Ids of pre-loss views whose content is durable by now. */
+/** Encodes the ids of pre-loss views whose content is durable. */
 export const encodeDurable = (ids: readonly string[]): Buffer => Buffer.from(pack(ids));
 export const decodeDurable = (body: Buffer): string[] | null => {
   try {
     const ids: unknown = unpack(body);
-    return Array.isArray(ids) && ids.every((i) => typeof i === 'string') ? (ids as string[]) : null;
+    return Array.isArray(ids) && ids.every((id) => typeof id === 'string') ? (ids as string[]) : null;
   } catch {
     return null;
   }
--- a/packages/controller/src/recovery/data-loss-detector.ts
+++ b/packages/controller/src/recovery/data-loss-detector.ts
@@ -1,55 +1,59 @@
 /**
- * Whether the state service has lost data. Every answer is compared with what was known when it was asked for; what can't
- * follow from that is evidence of a loss, and from then on nothing is committed, started, rented or returned, and users get
- * 503, until the store is seen to be intact or has been rebuilt (docs/rebuild.md).
+ * Detects that the state service has lost data. Every response of the store is compared with what was known when the request
+ * was sent; a contradiction is evidence of a loss. From the first evidence on this controller commits, starts, rents and
+ * returns nothing, and users get 503, until the store is seen to be intact or has been rebuilt (docs/rebuild.md).
  */
 import { DRIFT, type Micros, millis, seconds } from '@lilacvalve/runtime/micros';
 import type { Condition } from '../state-store/client.js';
 import { INCARNATION } from '../jobs/keys.js';
 import type { Evidence, EvidenceKind, Incarnation, StoreKnowledge } from './model.js';
 
-/** More evidence than this adds nothing. */
+/** Maximum pieces of evidence kept for one suspicion, since further ones change nothing. */
 const MAX_EVIDENCE = 8;
 
-/** From the first evidence of a loss until a new incarnation may begin. */
-export const CERTAIN_AFTER = seconds(3);
-/** For drifting clocks and messages in flight. */
-const MARGIN = millis(200);
+/** Minimum age of a suspicion at which a new incarnation may begin. */
+export const MIN_SUSPICION_AGE = seconds(3);
+/** Safety margin for clock drift and for messages in flight. */
+const CLOCK_MARGIN = millis(200);
 
-/** A suspected loss of data. */
+/** A suspected data loss. */
 export interface Suspicion {
   readonly since: Micros;
   readonly evidence: Evidence[];
-  /** A peer has shown that the store lacks what it had: that this node's own view agrees with the store then proves nothing. */
+  /**
+   * The evidence alone proves that the store lacks data it had before: a peer knows the data, a worker's token is from an
+   * earlier store, or a stored value is missing or unreadable. An agreement of this controller's view with the store then
+   * does not rule the loss out, since the controller may have read the store only after the loss.
+   */
   proven: boolean;
-  /** The term this node was acting for, without a gap, when the loss was first suspected; null: it was not. */
+  /** The term this controller was acting for, without interruption, when the loss was first suspected; null if none. */
   ledTerm: number | null;
 }
 
-/** What this node knows of the store's data, and whether the store still shows it. */
+/** Knows what this controller has seen of the store's data, and records evidence that the store no longer has it. */
 export class DataLossDetector {
-  /** The store's, as this node has read it. null: not read, or the store has none yet. */
+  /** The store's incarnation as this controller has read it; null if not read yet, or if the store has none yet. */
   incarnation: Incarnation | null = null;
   suspicion: Suspicion | null = null;
-  /** Counts the incarnations that this node has left: an answer to a request sent in an earlier one proves nothing. */
+  /** How many incarnations this controller has left. A response to a request sent in an earlier one proves nothing. */
   incarnationCount = 0;
   private revision = -1;
-  /** The highest generation that this node or a peer has seen. */
+  /** The highest generation that this controller or a peer has seen. */
   private generation = -1;
-  /** The incarnation and revision that this node's disk holds. */
-  private fromDisk: { readonly id: string; readonly revision: number } | null = null;
-  /** The highest term that a worker or a peer has named, and when. */
-  private namedTerm: { readonly term: number; readonly at: Micros; readonly by: string } | null = null;
-  /** When this node's incarnation was last seen to be the store's: by a read of its key, or a transaction that held it. */
+  /** The incarnation and the revision of the snapshot on this controller's disk. */
+  private snapshotRevision: { readonly id: string; readonly revision: number } | null = null;
+  /** The highest term that a worker, a peer or a snapshot has named, and when it was named first. */
+  private namedTerm: { readonly term: number; readonly at: Micros; readonly source: string } | null = null;
+  /** When the store last had this controller's incarnation, by a read of its key or a transaction conditional on the key. */
   private seenAt = Number.NEGATIVE_INFINITY;
-  /** Called with the store's incarnation once a read of it has been believed. */
+  /** Called with the incarnation's id when a read that shows the incarnation agrees with everything known. */
   onIncarnationConfirmed: (incarnation: string) => void = () => undefined;
   /** Called when a loss is first suspected. */
   onSuspected: () => void = () => undefined;
 
   constructor(
     private readonly clock: () => Micros,
-    /** The term this node acts for right now. */
+    /** Returns the term that this controller acts for at present; null if none. */
     private readonly currentTermNumber: () => number | null,
   ) {}
 
@@ -57,7 +61,7 @@
     return this.suspicion !== null;
   }
 
-  /** What the next answers are compared with. */
+  /** Returns the knowledge that the following responses are compared with. */
   known(): StoreKnowledge {
     return {
       incarnation: this.incarnation,
@@ -67,7 +71,7 @@
     };
   }
 
-  /** Adds evidence of a loss; the first makes the loss suspected. `proven`: see `Suspicion`. */
+  /** Adds evidence of a loss. The first piece begins a suspicion. `proven`: see `Suspicion.proven`. */
   suspect(kind: EvidenceKind, what: string, proven = false): void {
     if (this.suspicion === null) {
       this.suspicion = {
@@ -81,76 +85,89 @@
     if (proven) this.suspicion.proven = true;
   }
 
-  /** The incarnation's key was there at a moment that is not before `asked`. */
-  incarnationSeen(asked: Micros): void {
-    if (asked > this.seenAt) this.seenAt = asked;
+  /** Records that the store had the incarnation's key at `requestedAt` or later. */
+  incarnationSeen(requestedAt: Micros): void {
+    if (requestedAt > this.seenAt) this.seenAt = requestedAt;
   }
 
-  /** How long ago that was at the most, given how far clocks may drift; microseconds. */
+  /** Returns the maximum time since the incarnation was last seen, clock drift included, in microseconds. */
   sinceIncarnationSeen(): number {
     return Math.min(1e12, (this.clock() - this.seenAt) * (1 + 2 * DRIFT));
   }
 
   /**
-   * Whether changes that follow on a view's revision can be trusted. By themselves they prove nothing: after a loss and a
-   * rebuild the same revision occurs again. A rebuild begins `CERTAIN_AFTER` after its loss at the earliest, so an
-   * incarnation's key that was seen more recently is proof.
+   * Whether changes that continue the view from its revision can be trusted. The matching revision alone proves nothing: after
+   * a loss and a rebuild the same revision occurs again. A rebuild begins `MIN_SUSPICION_AGE` after its loss at the earliest,
+   * so the store can't have been rebuilt if the incarnation's key was seen more recently than that.
    */
   incarnationSeenRecently(): boolean {
-    return this.clock() - this.seenAt < CERTAIN_AFTER - MARGIN;
+    return this.clock() - this.seenAt < MIN_SUSPICION_AGE - CLOCK_MARGIN;
   }
 
-  /** The lowest revision that an answer to a request sent now may be of. */
+  /** Returns the lowest revision that the response to a request sent now may have. */
   revisionFloor(): number {
     return this.revision;
   }
 
-  /** An answer is as of `revision`; `floor`: `revisionFloor` when it was asked for. false: the store has gone back. */
+  /**
+   * Checks the revision of a response and remembers the highest. `floor`: the result of `revisionFloor` when the request was
+   * sent. Returns false if the store's revision has gone back.
+   */
   acceptRevision(revision: number, floor: number): boolean {
     if (revision < floor) {
-      this.suspect('revision went back', `${revision} after ${floor}`);
+      this.suspect('revision went back', `response of revision ${revision}, expected at least ${floor}`);
       return false;
     }
     if (revision > this.revision) this.revision = revision;
     return true;
   }
 
-  /** A peer has seen this revision of this incarnation. */
+  /** Records that a peer has seen `revision` of the incarnation `id`. */
   notePeerRevision(id: string, generation: number, revision: number): void {
     this.generation = Math.max(this.generation, generation);
     if (this.incarnation !== null && generation > this.incarnation.generation)
-      this.suspect('other incarnation', `a peer knows generation ${generation}`);
+      this.suspect(
+        'other incarnation',
+        `a peer knows generation ${generation}, this controller generation ${this.incarnation.generation}`,
+      );
     if (id === this.incarnation?.id && revision > this.revision && !this.suspected) this.revision = revision;
   }
 
-  /** What an earlier process of this node knew, from its disk. */
+  /** Restores what an earlier process of this controller knew, from the snapshot on its disk. */
   restoreKnowledge(id: string, generation: number, revision: number, term: number): void {
     this.generation = Math.max(this.generation, generation);
-    this.fromDisk = { id, revision };
+    this.snapshotRevision = { id, revision };
     this.noteTerm(term, 'a snapshot');
   }
 
-  /** A read has shown the store's incarnation (null: it has none): this node's from now on, unless a newer one is known. */
-  readIncarnation(there: Incarnation | null): void {
+  /**
+   * Handles a read of the store's incarnation; null: the store has none. A controller without an incarnation adopts the one
+   * it has read, unless it knows of a newer generation: then the store has lost data.
+   */
+  readIncarnation(stored: Incarnation | null): void {
     if (this.incarnation !== null) return;
-    if (there !== null && there.generation >= this.generation) {
-      this.incarnation = there;
-      this.generation = there.generation;
-      if (this.fromDisk?.id === there.id) this.revision = Math.max(this.revision, this.fromDisk.revision);
+    if (stored !== null && stored.generation >= this.generation) {
+      this.incarnation = stored;
+      this.generation = stored.generation;
+      if (this.snapshotRevision?.id === stored.id)
+        this.revision = Math.max(this.revision, this.snapshotRevision.revision);
     } else if (this.generation >= 0)
       this.suspect(
         'other incarnation',
-        `${there?.generation ?? 'none'} in the store, ${this.generation} known`,
+        `the store has generation ${stored?.generation ?? 'none'}, expected at least ${this.generation}`,
       );
   }
 
-  /** A worker's fencing token or a peer's heartbeat names a term, which was therefore committed before. */
-  noteTerm(term: number, by: string): void {
+  /** Records a term named by `source` (a worker, a peer or a snapshot). A term that is named has been committed before. */
+  noteTerm(term: number, source: string): void {
     if (this.namedTerm === null || term > this.namedTerm.term)
-      this.namedTerm = { term, at: this.clock(), by };
+      this.namedTerm = { term, at: this.clock(), source };
   }
 
-  /** A worker's fencing token. One from before the store's first start was issued by an earlier store, which is lost. */
+  /**
+   * Records the term in a worker's fencing token. A token from before the first start of the present store was issued by an
+   * earlier store, whose data is lost.
+   */
   noteToken(token: number, worker: string): void {
     if (token === 0) return;
     this.noteTerm(token, worker);
@@ -161,7 +178,7 @@
       `${worker} has token ${token}, from before the store's first start`,
       true,
     );
-    // Who led that store is not known: no view of it is complete.
+    // The last leader of the earlier store is unknown, so no view of that store can count as complete.
     this.suspicion!.ledTerm = null;
   }
 
@@ -169,26 +186,26 @@
     return this.namedTerm?.term ?? 0;
   }
 
-  /** A read sent at `asked` shows this term: it must not be lower than one named before. */
-  checkTerm(term: number, asked: Micros): void {
+  /** Checks that a read sent at `requestedAt` shows at least the highest term named before it was sent. */
+  checkTerm(term: number, requestedAt: Micros): void {
     const { namedTerm: named } = this;
-    if (named !== null && named.term > term && named.at <= asked)
-      this.suspect('term went back', `${term} in the store, ${named.term} named by ${named.by}`);
+    if (named !== null && named.term > term && named.at <= requestedAt)
+      this.suspect('term went back', `the store has term ${term}, ${named.source} has named ${named.term}`);
   }
 
-  /** What every transaction is conditional on; null: the store has no incarnation yet. */
+  /** Returns the condition that every transaction carries; null if the store has no incarnation yet. */
   fence(): Condition | null {
     return this.incarnation === null
       ? null
       : { key: INCARNATION + this.incarnation.id, stamp: this.incarnation.stamp };
   }
 
-  /** The store was seen to be intact. */
+  /** Ends the suspicion: the store was seen to be intact. */
   ruleOut(): void {
     this.suspicion = null;
   }
 
-  /** This node's incarnation is over: what it knew of revisions does not apply to the next. */
+  /** Leaves the incarnation: revisions known from it do not apply to the next one. */
   leaveIncarnation(): void {
     this.incarnationCount++;
     this.suspicion = null;
--- a/packages/controller/src/recovery/detection-task.ts
+++ b/packages/controller/src/recovery/detection-task.ts
@@ -1,6 +1,7 @@
 /**
- * Probes a store that may have lost data until it is certain what became of it, and searches for lost keys while no loss is
- * suspected. What follows from a loss belongs to others: a new incarnation to `leadership`, its rebuild to `rebuild.ts`.
+ * Two background tasks. One probes the store while a data loss is suspected, until the loss is ruled out or confirmed. The
+ * other one, on the leader, searches for lost keys while no loss is suspected. The new incarnation that follows a confirmed
+ * loss is begun by `leadership` and rebuilt by `rebuild.ts`.
  */
 import { supervise } from '@lilacvalve/runtime/supervise';
 import { info } from '@lilacvalve/runtime/log';
@@ -25,61 +26,70 @@
 import type { Entry, StateFailure } from '../state-store/client.js';
 import type { StatePort } from '../state-store/port.js';
 import { findLostKey, AUDITED_PREFIXES, expectedKeys } from './audit.js';
-import { CERTAIN_AFTER, type DataLossDetector, type Suspicion } from './data-loss-detector.js';
+import { MIN_SUSPICION_AGE, type DataLossDetector, type Suspicion } from './data-loss-detector.js';
 import { verdictOf } from './loss-verdict.js';
 import { incarnationOf, type Probe } from './model.js';
 
-const PROBE_EVERY_MS = 250;
-/** Probes in a row that must agree on a loss. The last leader goes first: its view is complete. */
-const AGREEING_PROBES = { leader: 6, follower: 9 };
-const PROBES_KEPT = 40;
-/** Between two pages of the search for lost keys, by the leader. */
-const AUDIT_EVERY_MS = 4000;
-const AUDIT_PAGE = 120;
+const PROBE_INTERVAL_MS = 250;
+/**
+ * Consecutive probes that must agree on a loss. The controller that led when the loss was suspected needs fewer, so that it
+ * begins the new incarnation before the others: its view of the lost data is complete.
+ */
+const REQUIRED_PROBES = { leader: 6, follower: 9 };
+const MAX_PROBES_KEPT = 40;
+/** Interval between two pages of the leader's search for lost keys. */
+const AUDIT_INTERVAL_MS = 4000;
+/** Maximum keys on one page of the search. */
+const AUDIT_PAGE_SIZE = 120;
 
-/** What detection works with. */
+/** Dependencies of the detection tasks. */
 export interface DetectionParts {
   readonly lossDetector: DataLossDetector;
+  /** The store without the checks of `GuardedStore`, which refuses every request while a loss is suspected. */
   readonly unguardedStore: StatePort;
   readonly store: StatePort;
   readonly watcher: StoreWatcher;
   readonly jobState: JobState;
-  /** See `Leadership.refoundStore`. */
+  /** Begins a new incarnation of the store; see `Leadership.refoundStore`. */
   readonly refoundStore: Effect.Effect<boolean, StateFailure>;
-  /** Leaves this node's incarnation for another one that is there already. */
+  /** Leaves this controller's incarnation because the store has another one already; the old view is kept as pre-loss view. */
   readonly retireView: () => void;
   readonly isLeader: () => boolean;
   readonly clock: () => Micros;
 }
 
-/** One short look at the store. */
-const probeStore = (raw: StatePort): Effect.Effect<Probe, StateFailure> =>
-  Effect.map(Effect.all([raw.page(STORE_STATUS, null, 1000), raw.page(TERM, null, 1)]), ([status, term]) => ({
-    incarnations: status.entries
-      .filter((e) => e.key.startsWith(INCARNATION))
-      .map((e) => incarnationOf(e.key.slice(INCARNATION.length), e.value, e.stamp)),
-    revision: Math.min(status.revision, term.revision),
-    term: (term.entries[0]?.value as { term?: number } | undefined)?.term ?? 0,
-  }));
+/** Reads the store's incarnations, revision and term. */
+const probeStore = (unguardedStore: StatePort): Effect.Effect<Probe, StateFailure> =>
+  Effect.map(
+    Effect.all([unguardedStore.page(STORE_STATUS, null, 1000), unguardedStore.page(TERM, null, 1)]),
+    ([status, term]) => ({
+      incarnations: status.entries
+        .filter((entry) => entry.key.startsWith(INCARNATION))
+        .map((entry) => incarnationOf(entry.key.slice(INCARNATION.length), entry.value, entry.stamp)),
+      revision: Math.min(status.revision, term.revision),
+      term: (term.entries[0]?.value as { term?: number } | undefined)?.term ?? 0,
+    }),
+  );
 
-/** Everything that a view has, in one word per key: what two views of one revision must agree on. */
-const fingerprint = (view: JobState): Map<string, string> => {
-  const out = new Map<string, string>();
-  for (const [id, j] of view.jobs) out.set(`job ${id}`, `${j.revision} ${contentOf(j)}`);
-  for (const [seq, r] of view.logTail) out.set(`record ${seq}`, String(r.revision));
-  for (const [key, pack] of view.bundles) out.set(`pack ${key}`, String(pack.revision));
-  for (const key of view.damaged.keys()) out.set(`damaged ${key}`, '');
-  out.set('term', `${view.term} ${view.termRevision}`);
-  out.set('leader', JSON.stringify(view.leader));
-  for (const [key, stamp] of view.calendars.keys()) out.set(key, String(stamp));
-  return out;
+/** Describes each item of a view in one string, by the item's name. Two views of the same revision must have equal maps. */
+const describeView = (view: JobState): Map<string, string> => {
+  const items = new Map<string, string>();
+  for (const [id, job] of view.jobs) items.set(`job ${id}`, `${job.revision} ${contentOf(job)}`);
+  for (const [sequence, logEntry] of view.logTail)
+    items.set(`log entry ${sequence}`, String(logEntry.revision));
+  for (const [key, bundle] of view.bundles) items.set(`bundle ${key}`, String(bundle.revision));
+  for (const key of view.damaged.keys()) items.set(`damaged ${key}`, '');
+  items.set('term', `${view.term} ${view.termRevision}`);
+  items.set('leader', JSON.stringify(view.leader));
+  for (const [key, revision] of view.calendars.keys()) items.set(key, String(revision));
+  return items;
 };
 
-/** The first difference between the view and a fresh reading of all that it is made of; null: there is none. */
-const findDifference = (parts: DetectionParts): Effect.Effect<string | null, StateFailure> =>
+/** Reads the whole store anew and describes the first difference from this controller's view; null if there is none. */
+const findDifference = (dependencies: DetectionParts): Effect.Effect<string | null, StateFailure> =>
   Effect.gen(function* () {
     const entries: Entry[] = [];
-    let base = Number.POSITIVE_INFINITY;
+    let baseRevision = Number.POSITIVE_INFINITY;
     for (const prefix of [
       STORE_STATUS,
       CALENDAR,
@@ -93,128 +103,138 @@
       let after: string | null = null;
       for (let more = true; more;) {
         const page: { entries: readonly Entry[]; more: boolean; revision: number } =
-          yield* parts.unguardedStore.page(prefix, after, 1000);
-        base = Math.min(base, page.revision);
+          yield* dependencies.unguardedStore.page(prefix, after, 1000);
+        baseRevision = Math.min(baseRevision, page.revision);
         entries.push(...page.entries);
         after = page.entries[page.entries.length - 1]?.key ?? after;
         more = page.more && page.entries.length > 0;
       }
     }
     const fresh = new JobState();
-    fresh.load(entries, base);
+    fresh.load(entries, baseRevision);
+    // The view and the fresh reading follow the changes until both have the same revision.
     for (let i = 0; i < 10; i++) {
-      for (const view of [parts.jobState, fresh]) {
-        const changes = yield* parts.unguardedStore.follow(ROOT, view.revision, 0);
-        if (changes.tooOld) return 'the view is too old to follow';
-        if (changes.revision < view.revision) return `revision ${changes.revision} after ${view.revision}`;
+      for (const view of [dependencies.jobState, fresh]) {
+        const changes = yield* dependencies.unguardedStore.follow(ROOT, view.revision, 0);
+        if (changes.tooOld) return `the store no longer has the changes since revision ${view.revision}`;
+        if (changes.revision < view.revision)
+          return `the store has revision ${changes.revision}, the view ${view.revision}`;
         view.advance(changes.changes, changes.revision);
       }
-      if (parts.jobState.revision === fresh.revision) break;
+      if (dependencies.jobState.revision === fresh.revision) break;
     }
-    if (fresh.calendarLost) return `${CALENDAR_HEAD}: not what records went by`;
-    const known = fingerprint(parts.jobState);
-    const stored = fingerprint(fresh);
+    if (fresh.calendarLost)
+      return `${CALENDAR_HEAD}: incomplete, or older than the version that log entries name`;
+    const known = describeView(dependencies.jobState);
+    const stored = describeView(fresh);
     for (const [key, value] of known)
       if (stored.get(key) !== value)
-        return `${key}: ${stored.get(key) ?? 'missing'}, was ${value}`.slice(0, 200);
-    for (const key of stored.keys()) if (!known.has(key)) return `${key}: not known`;
+        return `${key}: ${stored.get(key) ?? 'missing'} in the store, ${value} in the view`.slice(0, 200);
+    for (const key of stored.keys()) if (!known.has(key)) return `${key}: in the store, not in the view`;
     return null;
   });
 
-/** What a store that looks intact differs in from this node's view; None: that could not be read. */
+/** Describes how a store that probes find intact differs from this controller's view; None if the store can't be read. */
 const differenceOf = (
-  parts: DetectionParts,
+  dependencies: DetectionParts,
   suspicion: Suspicion,
 ): Effect.Effect<Option.Option<string | null>> =>
   suspicion.proven
-    ? Effect.succeed(Option.some(suspicion.evidence[0]?.what ?? 'a peer knows more'))
-    : Effect.option(findDifference(parts));
+    ? Effect.succeed(Option.some(suspicion.evidence[0]?.what ?? 'proven by a peer or a worker'))
+    : Effect.option(findDifference(dependencies));
 
-/** Probes the store until the suspicion is over: ruled out, or this node has left for another incarnation. */
-const investigate = (parts: DetectionParts): Effect.Effect<void> =>
+/** Probes the store until the suspicion has ended: it was ruled out, or this controller has left the lost incarnation. */
+const investigate = (dependencies: DetectionParts): Effect.Effect<void> =>
   Effect.gen(function* () {
-    const { lossDetector } = parts;
+    const { lossDetector } = dependencies;
     const first = lossDetector.suspicion?.evidence[0];
     if (first) yield* info('data loss suspected', { evidence: first.kind, what: first.what });
     let probes: Probe[] = [];
-    let differences = 0;
+    let differencesFound = 0;
     while (lossDetector.suspicion !== null) {
       const { suspicion } = lossDetector;
-      const certain = parts.clock() - suspicion.since >= CERTAIN_AFTER;
-      const probe = yield* Effect.option(probeStore(parts.unguardedStore));
+      const oldEnough = dependencies.clock() - suspicion.since >= MIN_SUSPICION_AGE;
+      const probe = yield* Effect.option(probeStore(dependencies.unguardedStore));
       if (probe._tag === 'Some') {
-        probes = [...probes.slice(-PROBES_KEPT), probe.value];
-        const needed = suspicion.ledTerm === null ? AGREEING_PROBES.follower : AGREEING_PROBES.leader;
-        const verdict = verdictOf(lossDetector.known(), probes, needed);
+        probes = [...probes.slice(-MAX_PROBES_KEPT), probe.value];
+        const requiredProbes = suspicion.ledTerm === null ? REQUIRED_PROBES.follower : REQUIRED_PROBES.leader;
+        const verdict = verdictOf(lossDetector.known(), probes, requiredProbes);
         if (verdict === 'rebuilt') {
           yield* info('store rebuilt by another controller', {
             known: lossDetector.incarnation?.id ?? 'none',
           });
-          parts.retireView();
+          dependencies.retireView();
         } else if (verdict === 'intact') {
-          const difference = yield* differenceOf(parts, suspicion);
+          const difference = yield* differenceOf(dependencies, suspicion);
           if (difference._tag === 'Some' && difference.value === null) {
             lossDetector.ruleOut();
             yield* info('data loss ruled out', { probes: probes.length });
           } else if (difference._tag === 'Some') {
-            differences++;
-            if (differences === 1) yield* info('data loss found', { what: difference.value });
-            // Two copies of the store that answer in turn differ too, but then a probe's revision goes back.
-            if (differences >= 2 && certain && neverWentBack(probes)) yield* beginIncarnation(parts);
+            differencesFound++;
+            if (differencesFound === 1) yield* info('data loss found', { what: difference.value });
+            // Two copies of the store that respond in turn differ from the view too, but then the probes' revisions go back.
+            if (differencesFound >= 2 && oldEnough && neverWentBack(probes))
+              yield* beginIncarnation(dependencies);
           }
-        } else if (verdict === 'lost' && certain) {
+        } else if (verdict === 'lost' && oldEnough) {
           yield* info('data loss found', { probes: probes.length, revision: probe.value.revision });
-          yield* beginIncarnation(parts);
+          yield* beginIncarnation(dependencies);
         }
       }
-      yield* Effect.sleep(PROBE_EVERY_MS + 100 * (yield* Random.next));
+      yield* Effect.sleep(PROBE_INTERVAL_MS + 100 * (yield* Random.next));
     }
   });
 
-/** Investigates each suspected loss, one after the other. Never ends by itself. */
-export const dataLossTask = (parts: DetectionParts): Effect.Effect<never> => {
+/** Waits for a suspected loss and investigates it, again and again. Runs until it is interrupted. */
+export const dataLossTask = (dependencies: DetectionParts): Effect.Effect<never> => {
   const suspected = Effect.runSync(Queue.sliding<void>(1));
-  parts.lossDetector.onSuspected = () => Queue.unsafeOffer(suspected, undefined);
+  dependencies.lossDetector.onSuspected = () => Queue.unsafeOffer(suspected, undefined);
   return supervise(
     'data-loss detection',
-    Queue.take(suspected).pipe(Effect.zipRight(Effect.suspend(() => investigate(parts))), Effect.forever),
+    Queue.take(suspected).pipe(
+      Effect.zipRight(Effect.suspend(() => investigate(dependencies))),
+      Effect.forever,
+    ),
   );
 };
 
-/** No probe's revision is lower than the one before, for as many as a leader needs. */
+/** Whether each of the latest probes, as many as a leader needs, has at least the revision of the probe before it. */
 const neverWentBack = (probes: readonly Probe[]): boolean =>
-  probes.slice(-AGREEING_PROBES.leader).every((l, i, all) => i === 0 || l.revision >= all[i - 1]!.revision) &&
-  probes.length >= AGREEING_PROBES.leader;
+  probes
+    .slice(-REQUIRED_PROBES.leader)
+    .every((probe, i, latest) => i === 0 || probe.revision >= latest[i - 1]!.revision) &&
+  probes.length >= REQUIRED_PROBES.leader;
 
-/** Starts the rebuild of a lost store, unless another controller is faster. */
-const beginIncarnation = (parts: DetectionParts): Effect.Effect<void> => Effect.ignore(parts.refoundStore);
+/** Begins a new incarnation of a lost store. A failure is ignored: the next probe tries again or finds another one's. */
+const beginIncarnation = (dependencies: DetectionParts): Effect.Effect<void> =>
+  Effect.ignore(dependencies.refoundStore);
 
-/** The leader searches the store's listing, a page at a time, for keys that are gone without a change that tells of it. */
-export const auditTask = (parts: DetectionParts): Effect.Effect<never> => {
-  let prefix = 0;
+/** On the leader, searches the store's listing one page at a time for keys that vanished without a change. */
+export const auditTask = (dependencies: DetectionParts): Effect.Effect<never> => {
+  let prefixIndex = 0;
   let after: string | null = null;
   return supervise(
     'audit',
-    Effect.sleep(AUDIT_EVERY_MS).pipe(
+    Effect.sleep(AUDIT_INTERVAL_MS).pipe(
       Effect.zipRight(
         Effect.suspend(() =>
-          parts.isLeader() && parts.watcher.loaded && !parts.lossDetector.suspected
+          dependencies.isLeader() && dependencies.watcher.loaded && !dependencies.lossDetector.suspected
             ? Effect.gen(function* () {
-                const under = AUDITED_PREFIXES[prefix]!;
-                const page = yield* parts.store.page(under, after, AUDIT_PAGE);
-                yield* parts.watcher.refresh;
+                const prefix = AUDITED_PREFIXES[prefixIndex]!;
+                const page = yield* dependencies.store.page(prefix, after, AUDIT_PAGE_SIZE);
+                yield* dependencies.watcher.refresh;
                 const lostKey = findLostKey(
                   page,
-                  expectedKeys(parts.jobState, under),
+                  expectedKeys(dependencies.jobState, prefix),
                   after,
-                  parts.jobState.revision,
+                  dependencies.jobState.revision,
                 );
-                if (lostKey !== null) parts.lossDetector.suspect('key lost', lostKey);
+                if (lostKey !== null) dependencies.lossDetector.suspect('key lost', lostKey);
                 const last = page.entries[page.entries.length - 1];
                 if (page.more && last) after = last.key;
                 else {
                   after = null;
-                  prefix = (prefix + 1) % AUDITED_PREFIXES.length;
+                  prefixIndex = (prefixIndex + 1) % AUDITED_PREFIXES.length;
                 }
               }).pipe(Effect.ignore)
             : Effect.void,
--- a/packages/controller/src/recovery/evidence-store.ts
+++ b/packages/controller/src/recovery/evidence-store.ts
@@ -1,8 +1,8 @@
 /**
- * Evidence of what users were told. Before this node confirms something to a user, it sends that to other controllers that
- * may not have read it yet: should the state service lose it and this node crash in the same moment, another controller
- * still knows. A controller that does not answer at once is not waited for; the store's commit is what makes the answer true
- * (docs/rebuild.md).
+ * Evidence of what users were told. Before a controller confirms a change to a user, it sends a copy of the change to peers
+ * that may not have read it yet: if the state service then loses the change and this controller crashes at the same time,
+ * a peer still has the copy. The confirmation does not wait for a peer that is slow to respond, since the commit in the store
+ * alone makes the change valid (docs/rebuild.md).
  */
 import { Effect } from 'effect';
 import { pack, unpack } from 'msgpackr';
@@ -13,14 +13,17 @@
 import { EVIDENCE_PATH, type ViewPort } from './model.js';
 import type { JobVersion } from './merge.js';
 
-/** A peer on the same network answers in a few milliseconds. */
+/** A peer on the same network normally responds within a few milliseconds. */
 const REPLICATE_TIMEOUT_MS = 120;
-/** Peers that get a piece of evidence, the leader first: it is lost only if all of them crash together with this node. */
+/** Maximum peers that get a copy. Evidence is lost only if all of them crash together with this controller. */
 const MAX_PEERS = 2;
-/** More than arrive between two reads of a node. */
+/** Maximum evidence kept, the oldest dropped first. More than is recorded between two reads of a controller. */
 const MAX_RECORDS = 2000;
 
-/** What a user was told of a job, as of `revision`: accepted or cancelled (its key's value), or its final state. */
+/**
+ * What a user was told of a job, as of `revision`. `stored`: the value of the job's key, for an accepted or cancelled job.
+ * `final`: the job's final state.
+ */
 export interface JobEvidence {
   readonly id: string;
   readonly revision: number;
@@ -29,7 +32,7 @@
   readonly value: { readonly stored: unknown } | { readonly final: FinalState };
 }
 
-type Wire = [
+type WireEvidence = [
   id: string,
   revision: number,
   generation: number,
@@ -39,7 +42,7 @@
 ];
 
 export const encodeJobEvidence = (evidence: JobEvidence): Buffer => {
-  const wire: Wire =
+  const wire: WireEvidence =
     'final' in evidence.value
       ? [
           evidence.id,
@@ -61,7 +64,7 @@
 };
 export const decodeJobEvidence = (body: Buffer): JobEvidence | null => {
   try {
-    const [id, revision, generation, incarnation, final, stored] = unpack(body) as Wire;
+    const [id, revision, generation, incarnation, final, stored] = unpack(body) as WireEvidence;
     if (typeof id !== 'string' || typeof incarnation !== 'string') return null;
     if (!Number.isSafeInteger(revision) || !Number.isSafeInteger(generation)) return null;
     if (final !== null && !Number.isSafeInteger(final)) return null;
@@ -78,20 +81,20 @@
   }
 };
 
-/** The evidence that this node holds, its own and the other controllers', until its view includes it. */
+/** Keeps this controller's evidence and copies of its peers' until the controller's own view includes what they say. */
 export class EvidenceStore {
   private readonly evidence = new Map<string, JobEvidence>();
 
   constructor(
     private readonly port: ViewPort,
-    /** Reachable peers whose own reads are not known to be as new as `revision`, the leader first. */
-    private readonly behind: (revision: number) => readonly Peer[],
+    /** Returns the reachable peers that are not known to have read the store up to `revision`, the leader first. */
+    private readonly peersBehind: (revision: number) => readonly Peer[],
   ) {}
 
-  /** Keeps a piece of evidence, unless a later one of the same job is there. */
+  /** Keeps a piece of evidence, unless a later one of the same job is kept already. */
   record(evidence: JobEvidence): void {
     const known = this.evidence.get(evidence.id);
-    // One that arrives late, or twice, takes nothing back.
+    // Evidence that arrives late or twice must not replace later evidence.
     if (
       known !== undefined &&
       known.incarnation === evidence.incarnation &&
@@ -101,27 +104,27 @@
     this.evidence.delete(evidence.id);
     this.evidence.set(evidence.id, evidence);
     if (this.evidence.size <= MAX_RECORDS) return;
-    for (const old of this.evidence.keys()) {
-      this.evidence.delete(old);
+    for (const oldest of this.evidence.keys()) {
+      this.evidence.delete(oldest);
       break;
     }
   }
 
-  /** Drops the evidence up to `revision` of `incarnation`: this node's own view includes it. */
+  /** Drops the evidence up to `revision` of `incarnation`, once this controller's own view includes it. */
   dropCovered(incarnation: string, revision: number): void {
     for (const [id, evidence] of this.evidence)
       if (evidence.incarnation === incarnation && evidence.revision <= revision) this.evidence.delete(id);
   }
 
-  /** Sends a piece of evidence to the peers that may lack it; completes once they have it, or after `REPLICATE_TIMEOUT_MS`. */
+  /** Sends a copy to the peers that may lack it. Completes once they have it, or after `REPLICATE_TIMEOUT_MS`. */
   replicate(evidence: JobEvidence): Effect.Effect<void> {
     return Effect.suspend(() => {
-      // This node's own view is as of its last read, and that may have been before.
+      // This controller's own view may be older than the change, too.
       this.record(evidence);
-      const peers = this.behind(evidence.revision).slice(0, MAX_PEERS);
+      const peers = this.peersBehind(evidence.revision).slice(0, MAX_PEERS);
       if (peers.length === 0) return Effect.void;
       const body = encodeJobEvidence(evidence);
-      return Effect.forEach(peers, (p) => Effect.ignore(this.port.ask(p, EVIDENCE_PATH, body)), {
+      return Effect.forEach(peers, (peer) => Effect.ignore(this.port.ask(peer, EVIDENCE_PATH, body)), {
         concurrency: 'unbounded',
         discard: true,
       }).pipe(Effect.timeoutOption(REPLICATE_TIMEOUT_MS), Effect.asVoid);
@@ -132,24 +135,24 @@
     return this.evidence.size;
   }
 
-  /** The active jobs that the evidence tells of, as a view has them. */
+  /** Returns the active jobs in the evidence as versions to merge, ranked below the complete views of their generation. */
   versions(): JobVersion[] {
-    const out: JobVersion[] = [];
+    const versions: JobVersion[] = [];
     for (const evidence of this.evidence.values())
       if ('stored' in evidence.value)
-        out.push({
+        versions.push({
           generation: evidence.generation,
           revision: -1,
           job: decodeJob(evidence.id, evidence.value.stored, 0),
         });
-    return out;
+    return versions;
   }
-  /** The final states that the evidence tells of. */
+  /** Yields the final states in the evidence, by job id. */
   *finals(): Generator<readonly [string, FinalState]> {
     for (const evidence of this.evidence.values())
       if ('final' in evidence.value) yield [evidence.id, evidence.value.final];
   }
-  /** Forgets everything: it is durable in a new incarnation. */
+  /** Drops all evidence, once everything in it is durable in a new incarnation. */
   clear(): void {
     this.evidence.clear();
   }
--- a/packages/controller/src/recovery/gathered-views.ts
+++ b/packages/controller/src/recovery/gathered-views.ts
@@ -1,9 +1,9 @@
-/** The first step of a rebuild: the leader gathers what every controller remembers. */
+/** The first step of a rebuild: the leader gathers what the controllers remember from before the loss. */
 import { Effect } from 'effect';
 import type { Remembered } from '../calendar/calendars.js';
 import type { FinalState } from '../jobs/model.js';
 import type { Peer } from '../settings/settings.js';
-import { joinCalendars } from './calendar-recovery.js';
+import { mergeCalendars } from './calendar-recovery.js';
 import type { ViewHeader, ViewResponse } from './codec.js';
 import { digestOf } from './digest.js';
 import { type JobVersion, mergeVersions } from './merge.js';
@@ -12,52 +12,52 @@
 import { addFinals } from './rebuild-plan.js';
 import { fetchView } from './view-exchange.js';
 
-/** What the other controllers have sent since this term began and is not known to be durable yet. */
+/** What the other controllers have sent during this term and what is not durable yet. */
 export class GatheredViews {
   /** Labels of the controllers whose views are included. */
-  readonly heard = new Set<string>();
-  /** The pre-loss views received, by holder, who is told when their content is durable. */
+  readonly included = new Set<string>();
+  /** Headers of the pre-loss views received, by the holder's label; the holders are notified when the content is durable. */
   readonly headers = new Map<string, readonly ViewHeader[]>();
   private readonly versions: JobVersion[] = [];
   private readonly finals = new Map<string, FinalState>();
   private calendar: Remembered | null = null;
 
-  /** Adds what the controller `label` remembers. */
+  /** Adds the response of the controller `label`. */
   add(label: string, response: ViewResponse): void {
-    this.heard.add(label);
+    this.included.add(label);
     this.headers.set(label, response.headers);
     this.versions.push(...response.versions);
     addFinals(this.finals, response.finals);
     if (response.calendar !== null)
       this.calendar =
-        this.calendar === null ? response.calendar : joinCalendars(this.calendar, response.calendar);
+        this.calendar === null ? response.calendar : mergeCalendars(this.calendar, response.calendar);
   }
 
-  /** What is remembered of the calendar, this node's own included. */
-  joinedCalendar(own: Pick<RebuildContext, 'jobState'>): Remembered {
-    const mine = own.jobState.calendars.remembered();
-    return this.calendar === null ? mine : joinCalendars(mine, this.calendar);
+  /** Returns what all gathered views and this controller remember of the calendar. */
+  mergedCalendar(own: Pick<RebuildContext, 'jobState'>): Remembered {
+    const ownCalendar = own.jobState.calendars.remembered();
+    return this.calendar === null ? ownCalendar : mergeCalendars(ownCalendar, this.calendar);
   }
 
-  /** The versions of each job, this node's own included. */
+  /** Returns all versions of each job by the job's id, this controller's own included. */
   versionsByJob(own: Pick<RebuildContext, 'preLossViews' | 'evidenceStore'>): Map<string, JobVersion[]> {
     return versionsByJob(own.preLossViews.all, [...own.evidenceStore.versions(), ...this.versions]);
   }
 
-  /** The final states, this node's own included. */
+  /** Returns the final states by job id, this controller's own included. */
   finalStates(own: Pick<RebuildContext, 'jobState' | 'evidenceStore'>): Map<string, FinalState> {
-    const out = new Map(this.finals);
-    addFinals(out, own.jobState.finalStates.entries());
-    addFinals(out, own.evidenceStore.finals());
-    return out;
+    const finals = new Map(this.finals);
+    addFinals(finals, own.jobState.finalStates.entries());
+    addFinals(finals, own.evidenceStore.finals());
+    return finals;
   }
 
-  /** The headers of all pre-loss views, this node's own included. */
+  /** Returns the headers of all pre-loss views, this controller's own included. */
   allHeaders(own: Pick<RebuildContext, 'preLossViews'>): Omit<ViewHeader, 'id'>[] {
     return [...own.preLossViews.all, ...[...this.headers.values()].flat()];
   }
 
-  /** Forgets all of it: its content is durable. `heard` stays. */
+  /** Drops everything but `included`, once the content is durable. */
   clear(): void {
     this.versions.length = 0;
     this.finals.clear();
@@ -66,7 +66,7 @@
   }
 }
 
-/** Asks `peers` for their views; one that does not answer is left out, and can be asked again later. */
+/** Requests the views of `peers` and adds them. A peer that does not respond is skipped and can be asked again later. */
 export const gatherViews = (
   context: RebuildContext,
   gathered: GatheredViews,
--- a/packages/controller/src/recovery/guarded-store.ts
+++ b/packages/controller/src/recovery/guarded-store.ts
@@ -1,7 +1,7 @@
 /**
- * The state service as the rest of the node sees it: every transaction is conditional on the incarnation's key, every answer
- * is compared with what was known when it was asked for, and while a data loss is suspected every request fails. Requests
- * for leases are exempt: keeping one does no harm if the store turns out to be intact.
+ * The state service as the rest of the controller uses it. Every transaction is conditional on the incarnation's key, every
+ * response is compared with what was known when the request was sent, and while a data loss is suspected every request fails.
+ * Requests for leases are exempt: a lease may be needed again if the store turns out to be intact, and keeping it is harmless.
  */
 import { NoAnswer } from '@lilacvalve/runtime/http-client';
 import type { Micros } from '@lilacvalve/runtime/micros';
@@ -20,10 +20,10 @@
 import type { StatePort } from '../state-store/port.js';
 import type { DataLossDetector } from './data-loss-detector.js';
 
-/** What every request fails with while a data loss is suspected; it was certainly not carried out. */
+/** The failure of every request while a data loss is suspected. The request was certainly not carried out. */
 export const dataLossSuspected = new Refused({ status: 503, reason: 'data loss suspected' });
 
-/** Passes requests on to `unguardedStore`, unless a data loss is suspected. */
+/** Forwards requests to `unguardedStore`, unless a data loss is suspected. */
 export class GuardedStore implements StatePort {
   constructor(
     private readonly unguardedStore: StatePort,
@@ -49,20 +49,23 @@
       if (this.lossDetector.suspected || fence === null) return Effect.fail(dataLossSuspected);
       const floor = this.lossDetector.revisionFloor();
       const { incarnationCount } = this.lossDetector;
-      const asked = this.clock();
+      const requestedAt = this.clock();
       return this.unguardedStore.transact([...when, fence], then, priority, timeoutMs).pipe(
         Effect.flatMap((outcome): Effect.Effect<Outcome, StateFailure> => {
           if (this.lossDetector.incarnationCount !== incarnationCount)
             return Effect.fail(new NoAnswer({ reason: dataLossSuspected.reason }));
-          const sound = this.lossDetector.acceptRevision(
+          const accepted = this.lossDetector.acceptRevision(
             outcome.revision,
-            outcome.ok && then.some((w) => 'set' in w) ? floor + 1 : floor,
+            outcome.ok && then.some((write) => 'set' in write) ? floor + 1 : floor,
           );
           if (!outcome.ok && outcome.failed.includes(fence.key))
-            this.lossDetector.suspect('other incarnation', `${fence.key} refused`);
-          // Not done is certain whatever became of the store; done is not, in one that has lost data.
-          if (outcome.ok && sound) this.lossDetector.incarnationSeen(asked);
-          if (sound && !this.lossDetector.suspected) return Effect.succeed(outcome);
+            this.lossDetector.suspect(
+              'other incarnation',
+              `${fence.key} does not have revision ${fence.stamp}`,
+            );
+          // A refused transaction was certainly not carried out. A commit by a store that has lost data is uncertain.
+          if (outcome.ok && accepted) this.lossDetector.incarnationSeen(requestedAt);
+          if (accepted && !this.lossDetector.suspected) return Effect.succeed(outcome);
           return outcome.ok
             ? Effect.fail(new NoAnswer({ reason: dataLossSuspected.reason }))
             : Effect.fail(dataLossSuspected);
@@ -74,7 +77,7 @@
   get(key: string, timeoutMs?: number): Effect.Effect<Found, StateFailure> {
     return this.read(
       () => this.unguardedStore.get(key, timeoutMs),
-      (f) => f.revision,
+      (found) => found.revision,
     );
   }
 
@@ -86,14 +89,14 @@
   ): Effect.Effect<Page, StateFailure> {
     return this.read(
       () => this.unguardedStore.page(prefix, after, limit, priority),
-      (p) => p.revision,
+      (page) => page.revision,
     );
   }
 
   follow(prefix: string, after: number, blockMs: number): Effect.Effect<Changes, StateFailure> {
     return this.read(
       () => this.unguardedStore.follow(prefix, after, blockMs),
-      (c) => (c.tooOld ? null : c.revision),
+      (changes) => (changes.tooOld ? null : changes.revision),
     );
   }
 
@@ -113,20 +116,21 @@
     return this.unguardedStore.writeWait();
   }
 
+  /** Sends a read and checks its response. `revisionOf`: the response's revision; null if the response names none. */
   private read<A>(
-    ask: () => Effect.Effect<A, StateFailure>,
-    revisionOf: (a: A) => number | null,
+    request: () => Effect.Effect<A, StateFailure>,
+    revisionOf: (response: A) => number | null,
   ): Effect.Effect<A, StateFailure> {
     return Effect.suspend(() => {
       if (this.lossDetector.suspected) return Effect.fail(dataLossSuspected);
       const floor = this.lossDetector.revisionFloor();
       const { incarnationCount } = this.lossDetector;
-      return ask().pipe(
-        Effect.flatMap((answer) => {
+      return request().pipe(
+        Effect.flatMap((response) => {
           if (this.lossDetector.incarnationCount !== incarnationCount) return Effect.fail(dataLossSuspected);
-          const revision = revisionOf(answer);
+          const revision = revisionOf(response);
           if (revision !== null) this.lossDetector.acceptRevision(revision, floor);
-          return this.lossDetector.suspected ? Effect.fail(dataLossSuspected) : Effect.succeed(answer);
+          return this.lossDetector.suspected ? Effect.fail(dataLossSuspected) : Effect.succeed(response);
         }),
       );
     });
--- a/packages/controller/src/recovery/merge.ts
+++ b/packages/controller/src/recovery/merge.ts
@@ -1,86 +1,95 @@
 /**
- * Merges what several nodes remember of a job. Within an incarnation every view is a prefix of one history, so the later
- * view is right about what has ended; whatever a user was told (accepted, cancelled, done) holds, whichever view has it; and
- * what may be running counts as running. The merge is commutative, associative and idempotent (docs/rebuild.md).
+ * Merges what several controllers remember of a job. Within an incarnation every view is a prefix of the same history, so the
+ * latest view decides which placements have ended. Whatever a user was told (accepted, cancelled, done) is kept, whichever
+ * view contains it, and a task that may be running counts as running. The merge is commutative, associative and idempotent
+ * (docs/rebuild.md).
  */
 import { encodeRanges } from '../jobs/ranges.js';
 import { FAILURES_KEPT, type FinalState, isComplete, type Job, type Placement } from '../jobs/model.js';
 
-/** A job as one view has it, and as of when. */
+/** A job as one view has it, with the view's generation and revision. */
 export interface JobVersion {
   readonly generation: number;
-  /** Revision of the view; lower than any: it may be of any time. */
+  /** The revision of the view; -1 if the state of the job may be of any revision. */
   readonly revision: number;
   readonly job: Job;
 }
 
 const placements = (job: Job): Placement[] => [...job.placed.values()].sort((a, b) => a.task - b.task);
 
-/** A job's state in one string: two views have the same state of the job if their strings are equal. */
+/** Returns a job's state as one string. Two views have the same state of a job if their strings are equal. */
 export const contentOf = (job: Job): string =>
   [
     job.cancelled ? 'w' : isComplete(job) ? 'c' : 'o',
     job.attempt,
     encodeRanges(job.done),
     placements(job)
-      .map((p) => `${p.task}:${p.attempt}@${p.machine}`)
+      .map((placement) => `${placement.task}:${placement.attempt}@${placement.machine}`)
       .join(),
     [...job.failedOn].sort().join(),
     [...job.loans]
-      .map(([lender, l]) => `${lender}:${l.gpus}/${l.tasks}@${l.since}`)
+      .map(([lender, loan]) => `${lender}:${loan.gpus}/${loan.tasks}@${loan.since}`)
       .sort()
       .join(),
     job.preemptedForServices,
   ].join('|');
 
-/** The later of two versions; of equal ones, the one whose content comes first, so that all nodes choose alike. */
-const later = (a: JobVersion, b: JobVersion): boolean =>
+/** Whether `a` is the later version. Equal versions are ordered by content, so that all controllers choose the same one. */
+const isLater = (a: JobVersion, b: JobVersion): boolean =>
   a.generation !== b.generation
     ? a.generation > b.generation
     : a.revision !== b.revision
       ? a.revision > b.revision
       : contentOf(a.job) < contentOf(b.job);
 
-/** `versions`: at least one, all of one job. */
+/** Merges all `versions` of one job; there must be at least one. */
 export const mergeVersions = (versions: readonly JobVersion[]): Job => {
-  const last = versions.reduce((best, c) => (later(c, best) ? c : best));
-  const { spec } = last.job;
-  // The first that was accepted: a user's retry does not start a job's time anew.
-  const first = versions.reduce((best, c) => (c.job.spec.submitted < best.job.spec.submitted ? c : best)).job
-    .spec;
+  const latest = versions.reduce((best, version) => (isLater(version, best) ? version : best));
+  const { spec } = latest.job;
+  // The earliest submission time counts: a user's retry must not restart the job's waiting time.
+  const earliest = versions.reduce((best, version) =>
+    version.job.spec.submitted < best.job.spec.submitted ? version : best,
+  ).job.spec;
   const done = new Set<number>();
-  for (const c of versions) for (const t of c.job.done) done.add(t);
+  for (const version of versions) for (const task of version.job.done) done.add(task);
   const placed = new Map<number, Placement>();
-  for (const p of last.job.placed.values()) if (!done.has(p.task)) placed.set(p.task, p);
-  // Started later than the latest view knows of: perhaps by a leader whose last records nobody else had read.
-  for (const c of versions)
-    for (const p of c.job.placed.values()) {
-      if (p.attempt <= last.job.attempt || done.has(p.task)) continue;
-      const other = placed.get(p.task);
-      if (other && (other.attempt > p.attempt || (other.attempt === p.attempt && other.machine <= p.machine)))
+  for (const placement of latest.job.placed.values())
+    if (!done.has(placement.task)) placed.set(placement.task, placement);
+  // A start with a higher attempt than the latest view's counts as running: a leader may have committed it in log entries
+  // that no other controller had read.
+  for (const version of versions)
+    for (const placement of version.job.placed.values()) {
+      if (placement.attempt <= latest.job.attempt || done.has(placement.task)) continue;
+      const other = placed.get(placement.task);
+      if (
+        other &&
+        (other.attempt > placement.attempt ||
+          (other.attempt === placement.attempt && other.machine <= placement.machine))
+      )
         continue;
-      placed.set(p.task, p);
+      placed.set(placement.task, placement);
     }
-  const failed = new Set<string>();
-  for (const c of versions) for (const m of c.job.failedOn) failed.add(m);
-  const told = versions.some((c) => !c.job.cancelled && isComplete(c.job));
+  const failedOn = new Set<string>();
+  for (const version of versions) for (const machine of version.job.failedOn) failedOn.add(machine);
+  const completed = versions.some((version) => !version.job.cancelled && isComplete(version.job));
   return {
-    spec: { ...spec, submitted: first.submitted, tie: first.tie },
-    // A user who was told `done` was told so from a record that came before any withdrawal.
-    cancelled: !told && versions.some((c) => c.job.cancelled),
-    attempt: Math.max(...versions.map((c) => c.job.attempt)),
+    spec: { ...spec, submitted: earliest.submitted, tie: earliest.tie },
+    // If a view has the job completed without a cancellation, the completion was committed before any cancellation, and a
+    // user may have been told `done`.
+    cancelled: !completed && versions.some((version) => version.job.cancelled),
+    attempt: Math.max(...versions.map((version) => version.job.attempt)),
     done,
     placed: new Map([...placed].sort((a, b) => a[0] - b[0])),
-    failedOn: new Set([...failed].sort().slice(0, FAILURES_KEPT)),
-    loans: new Map([...last.job.loans].sort((a, b) => (a[0] < b[0] ? -1 : 1))),
-    preemptedForServices: Math.max(...versions.map((c) => c.job.preemptedForServices)),
+    failedOn: new Set([...failedOn].sort().slice(0, FAILURES_KEPT)),
+    loans: new Map([...latest.job.loans].sort((a, b) => (a[0] < b[0] ? -1 : 1))),
+    preemptedForServices: Math.max(...versions.map((version) => version.job.preemptedForServices)),
     revision: 0,
     compactedTo: 0,
     lastSequence: 0,
-    ...(last.job.cutoffRisk === undefined ? {} : { cutoffRisk: last.job.cutoffRisk }),
+    ...(latest.job.cutoffRisk === undefined ? {} : { cutoffRisk: latest.job.cutoffRisk }),
   };
 };
 
-/** Of two final states that users were both told, `done` wins: it was true. */
+/** Merges two final states that users may both have been told. `done` wins over `cancelled`: the work was completed. */
 export const mergeFinals = (a: FinalState | undefined, b: FinalState): FinalState =>
   a === undefined || (a.status === 'cancelled' && b.status === 'done') ? b : a;
--- a/packages/controller/src/recovery/model.ts
+++ b/packages/controller/src/recovery/model.ts
@@ -1,109 +1,124 @@
 /**
- * The store's identity, and what controllers exchange about it. An incarnation of the store's data begins at the first
- * start, or with a rebuild after a loss; revisions, terms and attempts can be compared within one only. Its key is named after it and every
- * transaction is conditional on that key, so that one from before a loss can never find its conditions true by accident.
+ * The identity of the store's data, and the types by which controllers exchange what they know of the store. An incarnation
+ * of the store's data begins when the cluster starts for the first time, or with a rebuild after a data loss. Revisions, terms
+ * and attempts can be compared within one incarnation only. An incarnation's key contains its id, and every transaction is
+ * conditional on that key, so that the conditions of a transaction from before a loss can never hold by accident afterwards.
  */
 import type { NoAnswer } from '@lilacvalve/runtime/http-client';
 import type { Effect } from 'effect';
 import type { Peer } from '../settings/settings.js';
 
 export interface Incarnation {
-  /** Random: no two have the same. */
+  /** Random, unique to the incarnation. */
   readonly id: string;
-  /** 0 at the first start, one more with each rebuild. */
+  /** 0 for the incarnation of the first start, incremented by each rebuild. */
   readonly generation: number;
-  /** Revision of its key. */
+  /** Revision of the incarnation's key. */
   readonly stamp: number;
-  /** Its terms lie above this one: a first incarnation's begin at the time of day, so that none begins twice. */
+  /**
+   * Every term of the incarnation is higher than this one. The terms of a first incarnation begin at the time of day, so that
+   * a store that is started empty a second time does not issue the same terms again.
+   */
   readonly termFloor: number;
-  /** When it began, time of day in seconds; null: not known. */
+  /**
+   * Time of day in seconds from which `attemptFloor` counts: the beginning of the first incarnation, which every rebuild copies
+   * as long as a controller knows it; null if unknown.
+   */
   readonly bornAt: number | null;
 }
 
-/** The incarnation that is stored as `value` under a key of revision `stamp`. */
+/** Decodes the incarnation that is stored as `value` under a key of revision `stamp`. */
 export const incarnationOf = (id: string, value: unknown, stamp: number): Incarnation => {
-  const v = value as { g?: unknown; t?: unknown; s?: unknown } | null;
-  const count = (n: unknown): number => (Number.isSafeInteger(n) ? (n as number) : 0);
+  const stored = value as { g?: unknown; t?: unknown; s?: unknown } | null;
+  const integerOrZero = (field: unknown): number => (Number.isSafeInteger(field) ? (field as number) : 0);
   return {
     id,
-    generation: count(v?.g),
+    generation: integerOrZero(stored?.g),
     stamp,
-    termFloor: count(v?.t),
-    bornAt: v?.s === undefined ? null : count(v.s),
+    termFloor: integerOrZero(stored?.t),
+    bornAt: stored?.s === undefined ? null : integerOrZero(stored.s),
   };
 };
 
-/** Terms and attempts of a generation begin above all of the generations before, whatever of those is still known. */
-const GENERATION = 2 ** 32;
-/** Below all terms and attempts of a generation. */
-export const firstOfGeneration = (generation: number): number => generation * GENERATION;
-/** The generation of a term or an attempt. */
-export const generationOf = (termOrAttempt: number): number => Math.floor(termOrAttempt / GENERATION);
+/**
+ * Size of the range of terms and attempts that belongs to one generation. The range of a generation lies above those of all
+ * earlier generations, so a number from before a loss is never issued again, even if nothing is left that records its use.
+ */
+const NUMBERS_PER_GENERATION = 2 ** 32;
+/** Returns the number above which all terms and attempts of a generation lie. */
+export const firstOfGeneration = (generation: number): number => generation * NUMBERS_PER_GENERATION;
+/** Returns the generation that a term or an attempt belongs to. */
+export const generationOf = (termOrAttempt: number): number =>
+  Math.floor(termOrAttempt / NUMBERS_PER_GENERATION);
 
-/** A job is started in one record at a time, and there are fewer of these in a second. */
-const ATTEMPTS_A_SECOND = 16;
-/** A clock that was set back between two leaders: attempts of the second begin above the first's all the same. */
-const ATTEMPTS_A_TERM = 256;
+/** Upper bound of a job's attempts per second: a log entry uses at most one attempt of a job, and fewer entries are written. */
+const MAX_ATTEMPTS_PER_SECOND = 16;
+/** Minimum distance of a term's first attempt from the previous term's, for clocks set back between the two leaders. */
+const MIN_ATTEMPTS_PER_TERM = 256;
 /**
- * What a term's attempts begin above: more than any earlier term of the incarnation can have used, whatever of its
- * records is lost or can't be read. They count the time since the incarnation began, which no loss sets back.
- * `before`: the last term's; null: there was none. `now`: time of day in seconds.
+ * Returns the number above which a term's attempts lie. It exceeds every attempt that an earlier term of the incarnation can
+ * have used, even if log entries of that term are lost or unreadable: it grows with the time since the first incarnation
+ * began, and a loss does not set that time back. `previousFloor`: the result for the previous term, null if there was none.
+ * `now`: time of day in seconds.
  */
-export const attemptFloor = (i: Incarnation, before: number | null, now: number): number =>
+export const attemptFloor = (incarnation: Incarnation, previousFloor: number | null, now: number): number =>
   Math.max(
-    firstOfGeneration(i.generation) +
-      (i.bornAt !== null ? ATTEMPTS_A_SECOND * Math.max(0, Math.floor(now - i.bornAt)) : 0),
-    before !== null ? before + ATTEMPTS_A_TERM : 0,
+    firstOfGeneration(incarnation.generation) +
+      (incarnation.bornAt !== null
+        ? MAX_ATTEMPTS_PER_SECOND * Math.max(0, Math.floor(now - incarnation.bornAt))
+        : 0),
+    previousFloor !== null ? previousFloor + MIN_ATTEMPTS_PER_TERM : 0,
   );
 
-/** What this node knows of the store, from its own reads, its peers and workers. */
+/** What this controller knows of the store, from its own reads, from its peers and from workers. */
 export interface StoreKnowledge {
-  /** The one this node's view is of; null: it has none. */
+  /** The incarnation of this controller's view; null if the controller has no view. */
   readonly incarnation: Incarnation | null;
-  /** The highest generation that this node or a peer has seen; -1: none. */
+  /** The highest generation that this controller or a peer has seen; -1 if none. */
   readonly generation: number;
-  /** The highest revision of the incarnation that this node or a peer has seen. */
+  /** The highest revision of the incarnation that this controller or a peer has seen. */
   readonly revision: number;
-  /** The highest term that a worker or a peer has named. */
+  /** The highest term that a worker, a peer or a snapshot has named. */
   readonly term: number;
 }
 
-/** One short look at the store while a data loss is suspected. */
+/** The result of one probe: a few small reads of the store while a data loss is suspected. */
 export interface Probe {
   readonly incarnations: readonly Incarnation[];
-  /** The lowest revision that its reads said they were of. */
+  /** The lowest of the revisions that the probe's reads returned. */
   readonly revision: number;
   readonly term: number;
 }
 
-/** What can't follow from what was known: why a data loss is suspected. */
+/** Why a data loss is suspected: the observation that contradicts what was known before. */
 export type EvidenceKind =
-  /** An answer is as of an older revision than one seen before it was asked for. */
+  /** A response has an older revision than one that was seen before the request was sent. */
   | 'revision went back'
-  /** The incarnation's key is gone, or another stands there. */
+  /** The key of the known incarnation is missing or rewritten, or another incarnation exists. */
   | 'other incarnation'
-  /** Somebody has named a higher term than the store's. */
+  /** A worker, a peer or a snapshot has named a higher term than the store's. */
   | 'term went back'
-  /** A key is missing, or older than it was, and no change tells why. */
+  /** A key is missing, or older than it was, and no change explains that. */
   | 'key lost'
-  /** A value can't be read. */
+  /** A value can't be decoded. */
   | 'value damaged';
 
 export interface Evidence {
   readonly kind: EvidenceKind;
+  /** Description for the log. */
   readonly what: string;
 }
 
-/** Paths on which controllers ask each other, with the requests and responses of codec.ts. */
+/** Path of requests for a controller's pre-loss views; codec.ts encodes the requests and responses. */
 export const VIEW_PATH = '/view';
-/** Content is durable: the views that held it can be forgotten. */
+/** Path of notices that the content of pre-loss views is durable, so that their holders can discard the views. */
 export const DURABLE_PATH = '/durable';
-/** Two views are compared; see view-verification.ts. */
+/** Path of requests to compare two controllers' views; see view-verification.ts. */
 export const CHECK_PATH = '/check';
-/** What a user is about to be told; see evidence-store.ts. */
+/** Path of copies of what a controller is about to confirm to a user; see evidence-store.ts. */
 export const EVIDENCE_PATH = '/witness';
 
-/** Carries a request to a peer and its response back. */
+/** Sends a request to a peer and returns the body of its response. */
 export interface ViewPort {
   ask(peer: Peer, path: string, body: Buffer): Effect.Effect<Buffer, NoAnswer>;
 }
--- a/packages/controller/src/recovery/orphaned-jobs.ts
+++ b/packages/controller/src/recovery/orphaned-jobs.ts
@@ -1,7 +1,7 @@
 /**
- * Orphaned jobs: after a loss that took every other trace of them, only workers still name them. They are kept running and
- * their machines' capacity stays reserved, users never get 404 for them, and when one is submitted again, its running tasks
- * become the submitted job's. After `KEEP_ORPHANED_FOR` they are aborted.
+ * Orphaned jobs: jobs that are known only from the heartbeats of workers that run their tasks, after a data loss that took
+ * everything else. Their tasks keep running, the capacity they use stays reserved, and users never get 404 for them. If such a
+ * job is submitted again, its running tasks are adopted by the submitted job. After `ORPHANED_JOB_TIMEOUT` it is aborted.
  */
 import { info } from '@lilacvalve/runtime/log';
 import { seconds } from '@lilacvalve/runtime/micros';
@@ -11,18 +11,18 @@
 import type { CycleContext } from '../scheduler/cycle-context.js';
 import { Priority } from '../state-store/budget.js';
 
-/** How long an orphaned job is kept after a worker first named it. */
-export const KEEP_ORPHANED_FOR = seconds(600);
-/** New orphaned jobs recorded in one pass. */
-const MAX_WRITES = 8;
+/** How long an orphaned job is kept after a worker first reported it. */
+export const ORPHANED_JOB_TIMEOUT = seconds(600);
+/** Maximum new orphaned jobs recorded in one pass. */
+const MAX_JOBS_PER_PASS = 8;
 
-/** Records jobs that only workers name, and drops those that are gone or have been kept for long enough. */
+/** Records new orphaned jobs, and removes those without a task left and those whose timeout has passed. */
 export const reconcileOrphanedJobs = (context: CycleContext): Effect.Effect<void> =>
   Effect.gen(function* () {
     const { registry, jobState } = context;
-    const fresh = [...registry.unknownJobs]
+    const newJobs = [...registry.unknownJobs]
       .filter(([id]) => !jobState.orphanedJobs.has(id) && !registry.abortedUnknownJobs.has(id))
-      .slice(0, MAX_WRITES);
+      .slice(0, MAX_JOBS_PER_PASS);
     const write = (
       when: { key: string; stamp: number }[],
       then: { set: string; value: unknown } | { delete: string },
@@ -30,10 +30,10 @@
       context.store
         .transact([{ key: TERM, stamp: context.leaderTerm.stamp }, ...when], [then], Priority.Commit, 1200)
         .pipe(
-          Effect.map((o) => o.ok),
+          Effect.map((outcome) => outcome.ok),
           Effect.orElseSucceed(() => false),
         );
-    for (const [id, tasks] of fresh) {
+    for (const [id, tasks] of newJobs) {
       const value: OrphanedJob = { since: context.dayTime(), tasks: tasks.size };
       const written = yield* write(
         [
@@ -47,10 +47,10 @@
         yield* info('orphaned job found', { term: context.leaderTerm.number, job: id, tasks: tasks.size });
     }
     for (const [id, orphaned] of jobState.orphanedJobs) {
-      const expired = context.dayTime() - orphaned.since > KEEP_ORPHANED_FOR;
+      const expired = context.dayTime() - orphaned.since > ORPHANED_JOB_TIMEOUT;
       if (!expired && (registry.unknownJobs.has(id) || !registry.priorLeasesExpired(context.clock())))
         continue;
-      // Nobody has submitted it again, or no task of it is left.
+      // Either the job was not submitted again in time, and its tasks are stopped, or no worker runs a task of it any more.
       if (expired) registry.abortedUnknownJobs.add(id);
       if (
         yield* write([{ key: orphanedJobKey(id), stamp: orphaned.revision }], { delete: orphanedJobKey(id) })
@@ -58,8 +58,8 @@
         yield* info('orphaned job aborted', {
           term: context.leaderTerm.number,
           job: id,
-          reason: expired ? 'not submitted again' : 'gone',
+          reason: expired ? 'not submitted again' : 'no task left',
         });
     }
-    if (fresh.length > 0) yield* Effect.ignore(context.watcher.refresh);
+    if (newJobs.length > 0) yield* Effect.ignore(context.watcher.refresh);
   });
--- a/packages/controller/src/recovery/pre-loss-views.ts
+++ b/packages/controller/src/recovery/pre-loss-views.ts
@@ -1,33 +1,34 @@
-/** Views from before a loss of data: of incarnations that are over, kept until their content is durable in the present one. */
+/** Pre-loss views: views of an earlier incarnation, kept until their content is durable in the present incarnation. */
 import type { Accounts } from '../accounts/model.js';
 import type { JobState } from '../jobs/job-state.js';
 import type { Job } from '../jobs/model.js';
 import type { JobVersion } from './merge.js';
 
-/** What a controller knew of the store when its incarnation ended. */
+/** What a controller knew of the store when it left an incarnation. */
 export interface PreLossView {
-  /** Names the view among those of all controllers. */
+  /** Unique among the pre-loss views of all controllers. */
   readonly id: string;
   readonly generation: number;
-  /** The view is as of this revision; -1: part of it may be of any time. */
+  /** The revision of the view; -1 if the view was incomplete, so that parts of it may be of any revision. */
   readonly revision: number;
   readonly jobs: ReadonlyMap<string, Job>;
-  readonly lastSeq: number;
+  /** The sequence of the last log entry in the view. */
+  readonly lastSequence: number;
   readonly accounts: Accounts;
-  /** The highest term it knew. */
+  /** The highest term in the view. */
   readonly term: number;
-  /** The term its holder was acting for, without a gap, when the loss was suspected; null: none. */
+  /** The term the view's holder was acting for, without interruption, when the loss was suspected; null if none. */
   readonly ledTerm: number | null;
 }
 
-/** The pre-loss views that this node keeps. */
+/** The pre-loss views that this controller keeps. */
 export class PreLossViews {
   private views: PreLossView[] = [];
-  private count = 0;
+  private viewCount = 0;
 
   /**
-   * `processId`: a name that no other process has, nor an earlier one of this controller: a late `durable` message names the
-   * views of the process that was asked, and must not make another process forget its own.
+   * `processId`: unique among all processes, earlier processes of the same controller included. A late notice that views are
+   * durable names views by an id that begins with it, and must not make a restarted process discard its own views.
    */
   constructor(private readonly processId: string) {}
 
@@ -35,17 +36,17 @@
     return this.views;
   }
 
-  /** The present view, as one to be kept. `whole`: it has all that it should have at its revision. */
-  viewOf(jobState: JobState, generation: number, led: number | null, whole = true): PreLossView {
+  /** Captures the present view without keeping it. `complete`: the view has everything that it should have at its revision. */
+  viewOf(jobState: JobState, generation: number, ledTerm: number | null, complete = true): PreLossView {
     return {
-      id: `${this.processId}/${++this.count}`,
+      id: `${this.processId}/${++this.viewCount}`,
       generation,
-      revision: whole ? jobState.revision : -1,
+      revision: complete ? jobState.revision : -1,
       jobs: new Map(jobState.jobs),
-      lastSeq: jobState.lastSequence,
+      lastSequence: jobState.lastSequence,
       accounts: jobState.accounts,
       term: jobState.term,
-      ledTerm: led,
+      ledTerm,
     };
   }
 
@@ -54,29 +55,29 @@
     this.views.push(view);
   }
 
-  /** Forgets views whose content is durable. */
+  /** Discards the views with these ids, once their content is durable. */
   drop(ids: readonly string[]): void {
     this.views = this.views.filter((view) => !ids.includes(view.id));
   }
 }
 
-/** What several views have of each job, by the job's id. `more`: versions that stand before theirs. */
+/** Returns the versions of each job by its id: those in `additional`, then those in `views`. */
 export const versionsByJob = (
   views: readonly PreLossView[],
-  more: readonly JobVersion[] = [],
+  additional: readonly JobVersion[] = [],
 ): Map<string, JobVersion[]> => {
-  const out = new Map<string, JobVersion[]>();
-  for (const c of more) {
-    const list = out.get(c.job.spec.id);
-    if (list) list.push(c);
-    else out.set(c.job.spec.id, [c]);
+  const versions = new Map<string, JobVersion[]>();
+  for (const version of additional) {
+    const list = versions.get(version.job.spec.id);
+    if (list) list.push(version);
+    else versions.set(version.job.spec.id, [version]);
   }
   for (const view of views)
     for (const [id, job] of view.jobs) {
       const version = { generation: view.generation, revision: view.revision, job };
-      const list = out.get(id);
+      const list = versions.get(id);
       if (list) list.push(version);
-      else out.set(id, [version]);
+      else versions.set(id, [version]);
     }
-  return out;
+  return versions;
 };
--- a/packages/controller/src/recovery/rebuild-context.ts
+++ b/packages/controller/src/recovery/rebuild-context.ts
@@ -1,4 +1,4 @@
-/** What every step of a rebuild works with. */
+/** Dependencies of the steps of a rebuild. */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { JobState } from '../jobs/job-state.js';
 import type { StoreWatcher } from '../jobs/store-watcher.js';
@@ -20,9 +20,9 @@
   readonly evidenceStore: EvidenceStore;
   readonly viewPort: ViewPort;
   readonly leaderTerm: LeadershipTerm;
-  /** The term is not over. */
+  /** Whether the leader's term has not ended. */
   readonly isCurrentTerm: () => boolean;
-  /** The term is not over, and its lease has not expired. */
+  /** Whether the leader's term has not ended and its lease has not expired. */
   readonly mayAct: () => boolean;
   readonly clock: () => Micros;
 }
--- a/packages/controller/src/recovery/rebuild.ts
+++ b/packages/controller/src/recovery/rebuild.ts
@@ -1,7 +1,7 @@
 /**
- * The leader's part in a rebuild after a loss of data: gathers what every controller remembers, joins it, makes it durable,
- * and records when nothing is missing any more. Another node can begin each step again: what is written is written under
- * conditions, and a view is forgotten only once its content is durable.
+ * Rebuilds the store after a data loss, on the leader: gathers what every controller remembers, merges it, makes it durable,
+ * and records in the store when nothing is missing any more. The next leader can repeat every step, since all writes are
+ * conditional and a view is discarded only once its content is durable.
  */
 import { info } from '@lilacvalve/runtime/log';
 import { seconds } from '@lilacvalve/runtime/micros';
@@ -17,78 +17,89 @@
 import type { RebuildContext } from './rebuild-context.js';
 import { applyStep, writeBack } from './write-back.js';
 
-/** How long controllers that do not answer are waited for before the first writing. */
-const GATHER_FOR = seconds(3);
-const ASK_AGAIN_MS = 400;
+/** How long the rebuild waits for controllers that do not respond before it writes what the others have sent. */
+const GATHER_TIMEOUT = seconds(3);
+const RETRY_INTERVAL_MS = 400;
 
-/** Records in the store how far the rebuild has come, together with `more`. false: another node has recorded meanwhile. */
+/**
+ * Records the rebuild's phase in the store, together with `additionalWrites`. Returns false if the term has ended or another
+ * controller has changed the record meanwhile.
+ */
 const recordPhase = (
   context: RebuildContext,
   gathered: GatheredViews,
   phase: 'write' | 'wait',
-  more: readonly Write[],
+  additionalWrites: readonly Write[],
 ): Effect.Effect<boolean> =>
   Effect.suspend(() => {
-    const there = context.jobState.rebuild;
-    // Gone: an earlier copy of this was carried out. Written anew under "not there", a late one would stay for good.
-    if (there === null) return Effect.succeed(true);
-    const all = context.settings.peers.every((p) => gathered.heard.has(p.label));
-    const value: Omit<RebuildStatus, 'revision'> = { phase, heard: [...gathered.heard].sort() };
-    const then: Write[] = [phase === 'wait' && all ? { delete: REBUILD } : { set: REBUILD, value }, ...more];
+    const stored = context.jobState.rebuild;
+    // The record was deleted, so an earlier copy of this request was carried out. The record must not be created again: a copy
+    // of such a write that is carried out late would leave it in the store for ever.
+    if (stored === null) return Effect.succeed(true);
+    const allIncluded = context.settings.peers.every((peer) => gathered.included.has(peer.label));
+    const value: Omit<RebuildStatus, 'revision'> = { phase, heard: [...gathered.included].sort() };
+    const then: Write[] = [
+      phase === 'wait' && allIncluded ? { delete: REBUILD } : { set: REBUILD, value },
+      ...additionalWrites,
+    ];
     return Effect.zipLeft(
-      applyStep(context, { when: [{ key: REBUILD, stamp: there.revision }], then }),
+      applyStep(context, { when: [{ key: REBUILD, stamp: stored.revision }], then }),
       Effect.ignore(context.watcher.refresh),
     );
   });
 
-/** Tells the holders of what has been gathered that it is durable, so that they forget it, and forgets it here. */
+/** Discards the gathered views, whose content is durable, and notifies their holders so that they discard theirs. */
 const releaseViews = (context: RebuildContext, gathered: GatheredViews): Effect.Effect<void> =>
   Effect.suspend(() => {
-    const told = [...gathered.headers].flatMap(([label, headers]) => {
-      const peer = context.settings.peers.find((p) => p.label === label);
-      return peer && headers.length > 0 ? [{ peer, ids: headers.map((h) => h.id) }] : [];
+    const holders = [...gathered.headers].flatMap(([label, headers]) => {
+      const peer = context.settings.peers.find((candidate) => candidate.label === label);
+      return peer && headers.length > 0 ? [{ peer, ids: headers.map((header) => header.id) }] : [];
     });
-    context.preLossViews.drop(context.preLossViews.all.map((x) => x.id));
+    context.preLossViews.drop(context.preLossViews.all.map((view) => view.id));
     context.evidenceStore.clear();
     gathered.clear();
     return Effect.forEach(
-      told,
-      // A peer that misses this still says in its heartbeats that it keeps views, and is asked again: joining twice changes
-      // nothing.
+      holders,
+      // A peer that misses the notice still says in its heartbeats that it keeps views, and gets another request. Merging a
+      // view twice changes nothing.
       ({ peer, ids }) => Effect.ignore(context.viewPort.ask(peer, DURABLE_PATH, encodeDurable(ids))),
       { concurrency: 'unbounded', discard: true },
     );
   });
 
 /**
- * Whether nothing can have been started that the gathered views do not know of: they include the process that led the
- * highest term, without a gap until the loss.
+ * Whether the gathered views contain every task that can have been started. They do if one of them is the view of the process
+ * that led the highest term without interruption until the loss.
  */
 const includesLastLeader = (context: RebuildContext, gathered: GatheredViews): boolean => {
   const headers = gathered.allHeaders(context);
-  const last = Math.max(...headers.map((h) => h.term));
-  // A leader of a store that had already lost its data, before anybody noticed, has the highest term and knows the least.
-  const seq = Math.max(...headers.map((h) => h.lastSeq));
-  return headers.some((h) => h.ledTerm !== null && h.ledTerm === last && h.lastSeq === seq);
+  const lastTerm = Math.max(...headers.map((header) => header.term));
+  // The view must also have the last log entry: a leader elected after the loss, before it was detected, has the highest term
+  // but not the lost entries.
+  const lastSequence = Math.max(...headers.map((header) => header.lastSequence));
+  return headers.some(
+    (header) =>
+      header.ledTerm !== null && header.ledTerm === lastTerm && header.lastSequence === lastSequence,
+  );
 };
 
-/** The accounts as the latest view has them (docs/accounts.md). */
-const accountWrites = (context: RebuildContext, gathered: GatheredViews, whole: boolean): Write[] => {
+/** Returns the writes that restore the accounts from the latest view. `complete`: see `includesLastLeader`. */
+const accountWrites = (context: RebuildContext, gathered: GatheredViews, complete: boolean): Write[] => {
   const headers = gathered.allHeaders(context);
-  const views = [context.jobState.accounts, ...headers.map((h) => h.accounts)];
-  const seq = Math.max(context.jobState.lastSequence, ...headers.map((h) => h.lastSeq));
-  const joined = joinAccounts(views, context.jobState.incarnation?.generation ?? 0, seq, whole);
-  return encodeAccounts(joined, context.settings.state.valueBytes * 0.9).map((value, n) => ({
-    set: accountsKey(n),
+  const views = [context.jobState.accounts, ...headers.map((header) => header.accounts)];
+  const sequence = Math.max(context.jobState.lastSequence, ...headers.map((header) => header.lastSequence));
+  const merged = joinAccounts(views, context.jobState.incarnation?.generation ?? 0, sequence, complete);
+  return encodeAccounts(merged, context.settings.state.valueBytes * 0.9).map((value, index) => ({
+    set: accountsKey(index),
     value,
   }));
 };
 
-/** Rebuilds the store: completes once all that the reachable controllers remember is durable, or the term is over. */
+/** Rebuilds the store. Completes once everything that the reachable controllers remember is durable, or the term has ended. */
 export const rebuild = (context: RebuildContext, gathered: GatheredViews): Effect.Effect<void> =>
   Effect.gen(function* () {
-    const began = context.clock();
-    gathered.heard.add(context.settings.label);
+    const startedAt = context.clock();
+    gathered.included.add(context.settings.label);
     yield* info('rebuild started', {
       term: context.leaderTerm.number,
       preLossViews: context.preLossViews.all.length,
@@ -98,36 +109,42 @@
       yield* gatherViews(
         context,
         gathered,
-        context.settings.peers.filter((p) => !gathered.heard.has(p.label)),
+        context.settings.peers.filter((peer) => !gathered.included.has(peer.label)),
       );
       if (!context.isCurrentTerm()) return;
-      if (gathered.heard.size > context.settings.peers.length || context.clock() - began >= GATHER_FOR) break;
-      yield* Effect.sleep(ASK_AGAIN_MS);
+      if (
+        gathered.included.size > context.settings.peers.length ||
+        context.clock() - startedAt >= GATHER_TIMEOUT
+      )
+        break;
+      yield* Effect.sleep(RETRY_INTERVAL_MS);
     }
-    const whole = includesLastLeader(context, gathered);
+    const complete = includesLastLeader(context, gathered);
     yield* recordPhase(context, gathered, 'write', []);
     while (context.isCurrentTerm()) {
       const written = yield* writeBack(context, gathered, true).pipe(Effect.orElseSucceed(() => false));
       if (!written) {
-        yield* Effect.sleep(ASK_AGAIN_MS);
+        yield* Effect.sleep(RETRY_INTERVAL_MS);
         continue;
       }
-      const quiescent: Write[] = whole
+      const quiescent: Write[] = complete
         ? [{ set: QUIESCENT, value: context.lossDetector.incarnation?.id ?? '' }]
         : [];
       if (
         !(yield* recordPhase(context, gathered, 'wait', [
           ...quiescent,
-          ...accountWrites(context, gathered, whole),
+          ...accountWrites(context, gathered, complete),
         ]))
       )
         continue;
-      const missing = context.settings.peers.filter((p) => !gathered.heard.has(p.label)).map((p) => p.label);
+      const missing = context.settings.peers
+        .filter((peer) => !gathered.included.has(peer.label))
+        .map((peer) => peer.label);
       yield* info('rebuild durable', {
         term: context.leaderTerm.number,
         jobs: context.jobState.jobs.size,
-        ms: Math.round((context.clock() - began) / 1000),
-        whole,
+        ms: Math.round((context.clock() - startedAt) / 1000),
+        whole: complete,
         missing: missing.join(','),
       });
       yield* releaseViews(context, gathered);
@@ -136,8 +153,9 @@
   });
 
 /**
- * After the rebuild, beside scheduling: asks controllers that were away, and adds what they remember and the store lacks.
- * `holders`: labels of peers that say that they keep pre-loss views.
+ * Adds what further controllers remember and the store lacks. Runs after the rebuild, concurrently with scheduling, for the
+ * controllers that did not respond during the rebuild. `holders`: labels of the peers whose heartbeats say that they keep
+ * pre-loss views.
  */
 export const addLateViews = (
   context: RebuildContext,
@@ -145,24 +163,24 @@
   holders: readonly string[],
 ): Effect.Effect<void, StateFailure> =>
   Effect.gen(function* () {
-    for (const label of context.jobState.rebuild?.heard ?? []) gathered.heard.add(label);
-    gathered.heard.add(context.settings.label);
+    for (const label of context.jobState.rebuild?.heard ?? []) gathered.included.add(label);
+    gathered.included.add(context.settings.label);
     const awaitsViews = context.jobState.rebuild !== null;
-    const asked = context.settings.peers.filter(
-      (p) => (awaitsViews && !gathered.heard.has(p.label)) || holders.includes(p.label),
+    const peers = context.settings.peers.filter(
+      (peer) => (awaitsViews && !gathered.included.has(peer.label)) || holders.includes(peer.label),
     );
     if (
-      asked.length === 0 &&
+      peers.length === 0 &&
       context.preLossViews.all.length === 0 &&
-      !(awaitsViews && gathered.heard.size > context.settings.peers.length)
+      !(awaitsViews && gathered.included.size > context.settings.peers.length)
     )
       return;
-    const before = gathered.heard.size;
-    yield* gatherViews(context, gathered, asked);
+    const includedBefore = gathered.included.size;
+    yield* gatherViews(context, gathered, peers);
     if (
       gathered.headers.size === 0 &&
       context.preLossViews.all.length === 0 &&
-      gathered.heard.size === before
+      gathered.included.size === includedBefore
     )
       return;
     if (!(yield* writeBack(context, gathered, false))) return;
@@ -173,18 +191,23 @@
     yield* releaseViews(context, gathered);
   });
 
-/** Records, once and for all of this incarnation, that the store is quiescent or has recovered (docs/rebuild.md). */
+/**
+ * Records in the store that this incarnation is quiescent (no task that the rebuild does not know can be running any more) or
+ * has recovered (no controller can remember a job that the store lacks); see docs/rebuild.md.
+ */
 export const declareMilestone = (
   context: RebuildContext,
-  what: typeof QUIESCENT | typeof RECOVERED,
+  milestone: typeof QUIESCENT | typeof RECOVERED,
 ): Effect.Effect<void> =>
   Effect.suspend(() => {
     const id = context.lossDetector.incarnation?.id;
     if (id === undefined) return Effect.void;
-    return applyStep(context, { when: [], then: [{ set: what, value: id }] }).pipe(
+    return applyStep(context, { when: [], then: [{ set: milestone, value: id }] }).pipe(
       Effect.zipRight(Effect.ignore(context.watcher.refresh)),
       Effect.zipRight(
-        info(what === QUIESCENT ? 'store quiescent' : 'store recovered', { term: context.leaderTerm.number }),
+        info(milestone === QUIESCENT ? 'store quiescent' : 'store recovered', {
+          term: context.leaderTerm.number,
+        }),
       ),
     );
   });
--- a/packages/controller/src/recovery/view-exchange.ts
+++ b/packages/controller/src/recovery/view-exchange.ts
@@ -1,4 +1,4 @@
-/** Views between controllers: how the rebuilding leader asks for them, and what a controller answers. */
+/** Exchange of pre-loss views: the rebuilding leader's requests, and the other controllers' handler of these requests. */
 import { type Answer, type Incoming, json } from '@lilacvalve/runtime/http-server';
 import { NoAnswer } from '@lilacvalve/runtime/http-client';
 import { Effect } from 'effect';
@@ -22,11 +22,11 @@
 import { decodeJobEvidence, type EvidenceStore } from './evidence-store.js';
 import { CHECK_PATH, DURABLE_PATH, EVIDENCE_PATH, VIEW_PATH, type ViewPort } from './model.js';
 
-/** Jobs and final states in one answer: some 300 KB. */
+/** Number of jobs and final states at which a response takes no further range. Its size is then about 300 KB. */
 const MAX_ITEMS = 800;
 
-/** All that this node remembers and the asker's digest does not cover, from one range of ids on. */
-export const answerViewRequest = (
+/** Returns what this controller remembers in the ranges whose digest differs from the request's, up to `MAX_ITEMS`. */
+export const respondToViewRequest = (
   request: ViewRequest,
   preLossViews: readonly PreLossView[],
   jobState: JobState,
@@ -35,59 +35,59 @@
   const versions = versionsByJob(preLossViews, evidenceStore.versions());
   const merged: Job[] = [...versions.values()].map((list) => mergeVersions(list));
   const finals = [...jobState.finalStates.entries(), ...evidenceStore.finals()];
-  const mine = digestOf(merged, finals);
+  const ownDigest = digestOf(merged, finals);
   const headers: ViewHeader[] = preLossViews.map((view) => ({
     id: view.id,
-    lastSeq: view.lastSeq,
+    lastSequence: view.lastSequence,
     term: view.term,
     ledTerm: view.ledTerm,
     accounts: view.accounts,
   }));
-  const ids = new Map<number, { versions: JobVersion[]; finals: (readonly [string, FinalState])[] }>();
-  const at = (id: string) => {
+  const ranges = new Map<number, { versions: JobVersion[]; finals: (readonly [string, FinalState])[] }>();
+  const itemsInRangeOf = (id: string) => {
     const range = rangeOf(id);
-    let r = ids.get(range);
-    if (!r) ids.set(range, (r = { versions: [], finals: [] }));
-    return r;
+    let items = ranges.get(range);
+    if (!items) ranges.set(range, (items = { versions: [], finals: [] }));
+    return items;
   };
-  for (const [id, list] of versions) at(id).versions.push(...list);
-  for (const f of finals) at(f[0]).finals.push(f);
-  const out: { versions: JobVersion[]; finals: (readonly [string, FinalState])[] } = {
+  for (const [id, list] of versions) itemsInRangeOf(id).versions.push(...list);
+  for (const final of finals) itemsInRangeOf(final[0]).finals.push(final);
+  const selected: { versions: JobVersion[]; finals: (readonly [string, FinalState])[] } = {
     versions: [],
     finals: [],
   };
   let range = Math.max(0, request.from);
   for (; range < RANGES; range++) {
     if (
-      mine[range * 2] === request.digest[range * 2] &&
-      mine[range * 2 + 1] === request.digest[range * 2 + 1]
+      ownDigest[range * 2] === request.digest[range * 2] &&
+      ownDigest[range * 2 + 1] === request.digest[range * 2 + 1]
     )
       continue;
-    if (out.versions.length + out.finals.length >= MAX_ITEMS) break;
-    const there = ids.get(range);
-    if (!there) continue;
-    out.versions.push(...there.versions);
-    out.finals.push(...there.finals);
+    if (selected.versions.length + selected.finals.length >= MAX_ITEMS) break;
+    const items = ranges.get(range);
+    if (!items) continue;
+    selected.versions.push(...items.versions);
+    selected.finals.push(...items.finals);
   }
   return {
     headers,
-    ...out,
+    ...selected,
     next: range < RANGES ? range : null,
     calendar: request.from === 0 ? jobState.calendars.remembered() : null,
   };
 };
 
-/** Answers what other controllers ask of this one's memory; null: the request is none of these. */
+/** Returns the handler of the requests that other controllers send by `ViewPort`. It returns null for any other request. */
 export const viewHandler = (
   preLossViews: PreLossViews,
-  /** This node's present view, if it is of another incarnation than the asker's. */
-  live: (incarnation: string) => PreLossView | null,
+  /** Captures this controller's present view if it belongs to another incarnation than `incarnation`; null otherwise. */
+  captureCurrentView: (incarnation: string) => PreLossView | null,
   jobState: JobState,
   evidenceStore: EvidenceStore,
-  /** See view-verification.ts. */
-  check: (body: Buffer) => Buffer | null,
+  /** Responds to a comparison of views; see `answerCheckRequest`. */
+  handleCheckRequest: (body: Buffer) => Buffer | null,
 ) => {
-  const octets = (body: Buffer): Answer => ({
+  const binaryResponse = (body: Buffer): Answer => ({
     status: 200,
     body,
     headers: { 'Content-Type': 'application/msgpack' },
@@ -96,12 +96,12 @@
     if (incoming.path === VIEW_PATH) {
       const request = incoming.body === null ? null : decodeViewRequest(incoming.body);
       if (request === null) return json(400, {});
-      const own = live(request.incarnation);
-      return octets(
+      const currentView = captureCurrentView(request.incarnation);
+      return binaryResponse(
         encodeViewResponse(
-          answerViewRequest(
+          respondToViewRequest(
             request,
-            own === null ? preLossViews.all : [...preLossViews.all, own],
+            currentView === null ? preLossViews.all : [...preLossViews.all, currentView],
             jobState,
             evidenceStore,
           ),
@@ -112,23 +112,23 @@
       const evidence = incoming.body === null ? null : decodeJobEvidence(incoming.body);
       if (evidence === null) return json(400, {});
       evidenceStore.record(evidence);
-      return octets(Buffer.alloc(0));
+      return binaryResponse(Buffer.alloc(0));
     }
     if (incoming.path === CHECK_PATH) {
-      const answer = incoming.body === null ? null : check(incoming.body);
-      return answer === null ? json(400, {}) : octets(answer);
+      const response = incoming.body === null ? null : handleCheckRequest(incoming.body);
+      return response === null ? json(400, {}) : binaryResponse(response);
     }
     if (incoming.path === DURABLE_PATH) {
       const ids = incoming.body === null ? null : decodeDurable(incoming.body);
       if (ids === null) return json(400, {});
       preLossViews.drop(ids);
-      return octets(encodeDurable(ids));
+      return binaryResponse(encodeDurable(ids));
     }
     return null;
   };
 };
 
-/** All that a peer remembers and `digest` does not cover, asked for range by range. */
+/** Requests everything that a peer remembers in the ranges whose digest differs from `digest`; repeats while ranges are left. */
 export const fetchView = (
   port: ViewPort,
   peer: Peer,
@@ -139,19 +139,20 @@
   const versions: JobVersion[] = [];
   const finals: (readonly [string, FinalState])[] = [];
   let calendar: ViewResponse['calendar'] = null;
-  const from = (range: number): Effect.Effect<ViewResponse, NoAnswer> =>
+  const fetchFrom = (range: number): Effect.Effect<ViewResponse, NoAnswer> =>
     port.ask(peer, VIEW_PATH, encodeViewRequest({ incarnation, digest, from: range })).pipe(
       Effect.flatMap((body) => {
         const response = decodeViewResponse(body);
-        if (response === null) return Effect.fail(new NoAnswer({ reason: 'not a view' }));
+        if (response === null)
+          return Effect.fail(new NoAnswer({ reason: 'the view response cannot be decoded' }));
         headers.splice(0, headers.length, ...response.headers);
         versions.push(...response.versions);
         finals.push(...response.finals);
         calendar ??= response.calendar;
         return response.next === null
           ? Effect.succeed({ headers, versions, finals, next: null, calendar })
-          : from(response.next);
+          : fetchFrom(response.next);
       }),
     );
-  return from(0);
+  return fetchFrom(0);
 };
--- a/packages/controller/src/recovery/view-verification.ts
+++ b/packages/controller/src/recovery/view-verification.ts
@@ -1,7 +1,7 @@
 /**
- * A node that has just read the store compares its view with its peers': only who had read a key before can miss it once it
- * is gone without a change that tells of it. Until every peer has answered, or has been asked without an answer, this node
- * tells users of final states only.
+ * Compares the view of a controller that has just read the store with the views of its peers. A key that vanished without a
+ * change is noticed only by controllers that had read it before, so the new view alone can't show the loss. Until every peer
+ * has responded or failed to respond, this controller reports only final states to users.
  */
 import { Effect } from 'effect';
 import { pack, unpack } from 'msgpackr';
@@ -14,11 +14,11 @@
 import { digestOf, RANGES, rangeOf } from './digest.js';
 import { CHECK_PATH, type ViewPort } from './model.js';
 
-/** A job, its key's revision, and the last record that mentions it. */
-type KnownJob = [id: string, stamp: number, touched: number];
-/** How long a peer may take; a node that has just started answers nobody before. */
+/** A job's id, the revision of its key, and the sequence of the last log entry that changed it. */
+type KnownJob = [id: string, revision: number, lastSequence: number];
+/** Timeout of a comparison. It delays the responses of a controller that has just started. */
 const TIMEOUT_MS = 800;
-/** Jobs in one answer. */
+/** Maximum jobs in one response. */
 const MAX_JOBS = 4000;
 
 interface CheckRequest {
@@ -26,23 +26,24 @@
   readonly digest: readonly number[];
 }
 
-/** Digest by range of which jobs a view has as active, and as of which key revision and record. */
+/** Returns a digest, by range, of a view's active jobs, their keys' revisions and the last log entries that changed them. */
 const activeJobsDigest = (jobState: JobState): Uint32Array =>
   digestOf(
     [],
     [...jobState.jobs].map(
-      ([id, j]) => [`${id}@${j.revision}`, { status: 'cancelled', tasks: j.lastSequence }] as const,
+      ([id, job]) => [`${id}@${job.revision}`, { status: 'cancelled', tasks: job.lastSequence }] as const,
     ),
     (key) => key.slice(0, key.indexOf('@')),
   );
 
-/** Asks a peer to compare: the incarnation, and a digest of the active jobs. */
+/** Encodes a request to compare views: the incarnation, and a digest of the active jobs. */
 export const encodeCheckRequest = (incarnation: string, jobState: JobState): Buffer =>
   Buffer.from(pack([incarnation, [...activeJobsDigest(jobState)]]));
 
 /**
- * What a peer is told: the highest revision this node has seen, and the jobs that its view has as active, with their keys'
- * revisions, in the ranges where the asker's differ. A view under suspicion answers too: it says most.
+ * Responds to a request to compare views: the highest revision this controller has seen, and the active jobs of its view in
+ * the ranges where the digests differ. The response is null in msgpack if the views are of different incarnations. Returns
+ * null if the request is malformed. A controller that suspects a loss responds too, since its view shows what is missing.
  */
 export const answerCheckRequest = (
   body: Buffer,
@@ -52,36 +53,41 @@
 ): Buffer | null => {
   let request: CheckRequest;
   try {
-    const [of, digest] = unpack(body) as [string, number[]];
-    if (typeof of !== 'string' || !Array.isArray(digest)) return null;
-    request = { incarnation: of, digest };
+    const [senderIncarnation, digest] = unpack(body) as [string, number[]];
+    if (typeof senderIncarnation !== 'string' || !Array.isArray(digest)) return null;
+    request = { incarnation: senderIncarnation, digest };
   } catch {
     return null;
   }
   if (incarnation === null || incarnation !== request.incarnation) return Buffer.from(pack(null));
-  const mine = activeJobsDigest(jobState);
-  const differs = new Set<number>();
-  for (let r = 0; r < RANGES; r++)
-    if (mine[r * 2] !== request.digest[r * 2] || mine[r * 2 + 1] !== request.digest[r * 2 + 1])
-      differs.add(r);
-  const out: KnownJob[] = [];
+  const ownDigest = activeJobsDigest(jobState);
+  const differing = new Set<number>();
+  for (let range = 0; range < RANGES; range++)
+    if (
+      ownDigest[range * 2] !== request.digest[range * 2] ||
+      ownDigest[range * 2 + 1] !== request.digest[range * 2 + 1]
+    )
+      differing.add(range);
+  const jobs: KnownJob[] = [];
   for (const [id, job] of jobState.jobs)
-    if (job.revision > 0 && differs.has(rangeOf(id)) && out.length < MAX_JOBS)
-      out.push([id, job.revision, job.lastSequence]);
-  return Buffer.from(pack([revision, out]));
+    if (job.revision > 0 && differing.has(rangeOf(id)) && jobs.length < MAX_JOBS)
+      jobs.push([id, job.revision, job.lastSequence]);
+  return Buffer.from(pack([revision, jobs]));
 };
 
 const decodeCheckResponse = (body: Buffer): [revision: number, jobs: KnownJob[]] | null => {
   try {
-    const v = unpack(body) as [number, KnownJob[]] | null;
-    return Array.isArray(v) && Number.isSafeInteger(v[0]) && Array.isArray(v[1]) ? v : null;
+    const response = unpack(body) as [number, KnownJob[]] | null;
+    return Array.isArray(response) && Number.isSafeInteger(response[0]) && Array.isArray(response[1])
+      ? response
+      : null;
   } catch {
     return null;
   }
 };
 
-/** What a comparison works with. */
-export interface VerificationParts {
+/** Dependencies of a comparison. */
+export interface VerificationDependencies {
   readonly lossDetector: DataLossDetector;
   readonly store: StatePort;
   readonly watcher: StoreWatcher;
@@ -89,35 +95,48 @@
   readonly port: ViewPort;
 }
 
-/** The result of asking a peer; `ignorant`: it has no view of this incarnation. */
+/** The result of a comparison. `ignorant`: the peer has no view of this incarnation. `silent`: the peer did not respond. */
 export type Comparison = 'compared' | 'ignorant' | 'silent';
 
-/** Compares this node's view with a peer's; what the peer knows and the store does not have is evidence of a loss. */
-export const verifyWith = (parts: VerificationParts, peer: Peer): Effect.Effect<Comparison> =>
+/** Compares this controller's view with a peer's. What the peer has and the store lacks is evidence of a loss. */
+export const verifyWith = (dependencies: VerificationDependencies, peer: Peer): Effect.Effect<Comparison> =>
   Effect.gen(function* () {
-    const { incarnation } = parts.lossDetector;
+    const { incarnation } = dependencies.lossDetector;
     if (incarnation === null) return 'silent' as const;
-    const body = yield* parts.port.ask(peer, CHECK_PATH, encodeCheckRequest(incarnation.id, parts.jobState));
-    const theirs = decodeCheckResponse(body);
-    if (theirs === null) return 'ignorant' as const;
-    const [revision, jobs] = theirs;
-    // If it has seen more than the store shows from here on, the next read is evidence.
-    parts.lossDetector.notePeerRevision(incarnation.id, incarnation.generation, revision);
-    yield* parts.watcher.refresh;
-    for (const [id, stamp, touched] of jobs) {
-      const mine = parts.jobState.jobs.get(id);
-      if (mine && (mine.revision < stamp || mine.lastSequence < touched))
-        parts.lossDetector.suspect('key lost', `${id} as ${peer.label} knows it`, true);
-      if (mine || parts.jobState.finalStates.has(id) || stamp > parts.jobState.revision) continue;
-      const over = yield* parts.store.get(finalStateKey(id));
-      if (over.entry === null && !parts.jobState.jobs.has(id))
-        parts.lossDetector.suspect('key lost', `${activeJobKey(id)} is known to ${peer.label}`, true);
+    const body = yield* dependencies.port.ask(
+      peer,
+      CHECK_PATH,
+      encodeCheckRequest(incarnation.id, dependencies.jobState),
+    );
+    const response = decodeCheckResponse(body);
+    if (response === null) return 'ignorant' as const;
+    const [peerRevision, jobs] = response;
+    // From here on a read that returns a lower revision than the peer has seen is evidence of a loss.
+    dependencies.lossDetector.notePeerRevision(incarnation.id, incarnation.generation, peerRevision);
+    yield* dependencies.watcher.refresh;
+    for (const [id, revision, lastSequence] of jobs) {
+      const job = dependencies.jobState.jobs.get(id);
+      if (job && (job.revision < revision || job.lastSequence < lastSequence))
+        dependencies.lossDetector.suspect(
+          'key lost',
+          `job ${id} has revision ${job.revision} and log entry ${job.lastSequence}, ${peer.label} has revision ${revision} and log entry ${lastSequence}`,
+          true,
+        );
+      if (job || dependencies.jobState.finalStates.has(id) || revision > dependencies.jobState.revision)
+        continue;
+      const final = yield* dependencies.store.get(finalStateKey(id));
+      if (final.entry === null && !dependencies.jobState.jobs.has(id))
+        dependencies.lossDetector.suspect(
+          'key lost',
+          `${activeJobKey(id)} is missing, ${peer.label} has it at revision ${revision}`,
+          true,
+        );
     }
     return 'compared' as const;
   }).pipe(
     Effect.timeoutTo({
       duration: TIMEOUT_MS,
-      onSuccess: (c): Comparison => c,
+      onSuccess: (result): Comparison => result,
       onTimeout: (): Comparison => 'silent',
     }),
     Effect.orElseSucceed((): Comparison => 'silent'),
--- a/packages/controller/src/recovery/write-back.ts
+++ b/packages/controller/src/recovery/write-back.ts
@@ -1,4 +1,4 @@
-/** The second step of a rebuild: what has been gathered is made durable, under conditions that let a step be repeated. */
+/** The second step of a rebuild: makes the gathered views durable. Each transaction's conditions make a repetition harmless. */
 import { info } from '@lilacvalve/runtime/log';
 import { Effect, Random } from 'effect';
 import { decodeFinalStates } from '../jobs/codec.js';
@@ -12,10 +12,10 @@
 import { planRebuild } from './rebuild-plan.js';
 import { type WriteStep, writeSteps } from './write-steps.js';
 
-/** A pass writes what is missing by then; more are needed only where writes fail or others write at the same time. */
+/** Maximum passes. A second one is needed only if writes failed or other processes wrote at the same time. */
 const MAX_PASSES = 20;
 
-/** Applies one step, however often that must be tried. false: a condition failed, or the term is over. */
+/** Applies one step and retries until the store responds. Returns false if a condition failed or the term has ended. */
 export const applyStep = (context: RebuildContext, step: WriteStep): Effect.Effect<boolean> =>
   Effect.gen(function* () {
     const when = [{ key: TERM, stamp: context.leaderTerm.stamp }, ...step.when];
@@ -25,30 +25,34 @@
         yield* Effect.sleep(100);
         continue;
       }
-      const sent = yield* Effect.either(context.store.transact(when, step.then, Priority.Commit, 1500));
-      if (sent._tag === 'Right') return sent.right.ok;
+      const result = yield* Effect.either(context.store.transact(when, step.then, Priority.Commit, 1500));
+      if (result._tag === 'Right') return result.right.ok;
       yield* Effect.sleep(60 + 80 * (yield* Random.next));
     }
   });
 
-/** Ids of all jobs whose final state is durable, by a key of its own or on a page. */
+/** Returns the ids of all jobs whose final state is in the store, under a key of its own or on a page. */
 const durableFinals = (watcher: StoreWatcher): Effect.Effect<Set<string>, StateFailure> =>
   Effect.gen(function* () {
-    const out = new Set<string>();
-    for (const e of (yield* watcher.listAll(FINAL_STATES)).entries) out.add(e.key.slice(FINAL_STATES.length));
+    const ids = new Set<string>();
+    for (const entry of (yield* watcher.listAll(FINAL_STATES)).entries)
+      ids.add(entry.key.slice(FINAL_STATES.length));
     for (const entry of (yield* watcher.listAll(FINAL_STATE_PAGES)).entries)
-      for (const [id] of decodeFinalStates(entry.value)) out.add(id);
-    return out;
+      for (const [id] of decodeFinalStates(entry.value)) ids.add(id);
+    return ids;
   });
 
-/** Counts the passes of this process, so that no two write bundles of one name. */
-let runs = 0;
+/** Number of passes in this process, so that no two passes write bundles of the same name. */
+let passCount = 0;
 
-/** Makes durable what has been gathered, in as many passes as it takes. true: all of it is. `quiet`: see `Pass`. */
+/**
+ * Writes the gathered views in as many passes as necessary. Returns whether all of their content is durable. `exclusive`: see
+ * `WritePass.exclusive`.
+ */
 export const writeBack = (
   context: RebuildContext,
   gathered: GatheredViews,
-  quiet: boolean,
+  exclusive: boolean,
 ): Effect.Effect<boolean, StateFailure> =>
   Effect.gen(function* () {
     for (let pass = 0; pass < MAX_PASSES && context.isCurrentTerm(); pass++) {
@@ -56,35 +60,38 @@
       const finals = gathered.finalStates(context);
       const durable = yield* durableFinals(context.watcher);
       const headers = gathered.allHeaders(context);
-      // While others append records, a job may include only those that are known by now.
-      const seq = quiet
-        ? Math.max(context.jobState.lastSequence, ...headers.map((h) => h.lastSeq))
+      // While other processes append log entries, a written job may include only the entries in this controller's view.
+      const sequence = exclusive
+        ? Math.max(context.jobState.lastSequence, ...headers.map((header) => header.lastSequence))
         : context.jobState.lastSequence;
       const plan = planRebuild(
         {
           jobs: context.jobState.jobs,
           damaged: (id) => context.jobState.damaged.get(activeJobKey(id)),
           hasFinal: (id) => durable.has(id),
-          // What is left after a loss may be of any age; what has been written since a rebuild is the latest.
-          generation: quiet ? -1 : Number.MAX_SAFE_INTEGER,
+          // What the store has after a loss may be of any age. What was written after a rebuild is newer than any view.
+          generation: exclusive ? -1 : Number.MAX_SAFE_INTEGER,
           revision: -1,
         },
         gathered.versionsByJob(context),
         finals,
-        seq,
+        sequence,
       );
-      const run = `${context.leaderTerm.number}-${++runs}`;
-      // A record that can't be read: what is known of it comes from the views.
-      const unreadable = [...context.jobState.damaged].filter(([key]) => key.startsWith(LOG_ENTRIES));
+      const id = `${context.leaderTerm.number}-${++passCount}`;
+      // Log entries that can't be decoded are deleted: the gathered views contain what is known of them.
+      const undecodable = [...context.jobState.damaged].filter(([key]) => key.startsWith(LOG_ENTRIES));
       const steps = [
         ...calendarWriteSteps(
           context.jobState.calendars,
-          gathered.joinedCalendar(context),
+          gathered.mergedCalendar(context),
           context.settings.state.valueBytes,
           context.jobState.damaged,
         ),
-        ...writeSteps(context.jobState, context.settings.state, plan, { run, seq, quiet }),
-        ...unreadable.map(([key, stamp]): WriteStep => ({ when: [{ key, stamp }], then: [{ delete: key }] })),
+        ...writeSteps(context.jobState, context.settings.state, plan, { id, sequence, exclusive }),
+        ...undecodable.map(([key, revision]): WriteStep => ({
+          when: [{ key, stamp: revision }],
+          then: [{ delete: key }],
+        })),
       ];
       if (steps.length === 0) return true;
       yield* info('rebuild writing', {
@@ -92,7 +99,7 @@
         missing: plan.missing.length,
         differing: plan.differing.length,
         over: plan.finals.length + plan.close.length,
-        changes: steps.reduce((n, s) => n + s.then.length, 0),
+        changes: steps.reduce((sum, step) => sum + step.then.length, 0),
       });
       for (const step of steps) {
         yield* applyStep(context, step);
--- a/packages/controller/src/recovery/write-steps.ts
+++ b/packages/controller/src/recovery/write-steps.ts
@@ -1,4 +1,4 @@
-/** The transactions by which a rebuild writes its plan: pure, from the plan and the state service's limits. */
+/** Turns a rebuild's plan into transactions that respect the limits of the state service. Pure, without I/O. */
 import type { JobState } from '../jobs/job-state.js';
 import { encodeFinalState, encodeJob, encodeFinalStates, encodeBundle } from '../jobs/codec.js';
 import {
@@ -15,14 +15,16 @@
 import type { Condition, Write } from '../state-store/client.js';
 import type { RebuildPlan } from './rebuild-plan.js';
 
-/** A bundle is written anew when one of its jobs ends: small enough that several fit into one transaction. */
-const BUNDLE_BYTES = 8 * 1024;
-const BUNDLE_JOBS = 24;
-/** Final states on one page. */
-const PAGE_FINALS = 300;
-/** Final states written by keys of their own in one transaction, each with two changes and perhaps a bundle's. */
-const MAX_FINALS = 6;
-/** Conditions that every transaction carries: the term and the incarnation. */
+/**
+ * Maximum size of a bundle. A bundle is rewritten whenever one of its jobs finishes; bundles of this size are small enough
+ * that several fit into one transaction.
+ */
+const MAX_BUNDLE_BYTES = 8 * 1024;
+const MAX_JOBS_PER_BUNDLE = 24;
+const MAX_FINALS_PER_PAGE = 300;
+/** Maximum finished jobs in one transaction. Each has up to two changes of its own and one of the bundle that lists it. */
+const MAX_FINALS_PER_STEP = 6;
+/** Conditions that every transaction carries: on the term and on the incarnation. */
 const FIXED_CONDITIONS = 2;
 
 /** One transaction of a rebuild. */
@@ -31,81 +33,85 @@
   readonly then: readonly Write[];
 }
 
-/** How one pass of the rebuild writes. */
-export interface Pass {
-  /** Names the pass's bundles and pages. */
-  readonly run: string;
-  /** The last record that what is written includes. */
-  readonly seq: number;
-  /** Nobody else can be writing these jobs yet. */
-  readonly quiet: boolean;
+/** Parameters of one pass of the rebuild. */
+export interface WritePass {
+  /** Unique part of the names of the pass's bundles and pages. */
+  readonly id: string;
+  /** The last log entry whose changes the written jobs include. */
+  readonly sequence: number;
+  /** Whether the rebuild is the only writer: until it has ended, no other process writes jobs. */
+  readonly exclusive: boolean;
 }
 
-/** Groups of at most `count` items whose JSON is at most `bytes` long together. */
+/** Divides items into consecutive groups of at most `maxCount` items and `maxBytes` bytes of JSON. */
 const groupBySize = <A>(
   items: readonly A[],
-  count: number,
-  bytes: number,
-  encode: (a: A) => unknown,
+  maxCount: number,
+  maxBytes: number,
+  encode: (item: A) => unknown,
 ): A[][] => {
-  const out: A[][] = [];
+  const groups: A[][] = [];
   let size = 0;
   for (const item of items) {
     const itemSize = JSON.stringify(encode(item)).length + 24;
-    const last = out[out.length - 1];
-    if (last === undefined || last.length >= count || size + itemSize > bytes) {
-      out.push([item]);
+    const last = groups[groups.length - 1];
+    if (last === undefined || last.length >= maxCount || size + itemSize > maxBytes) {
+      groups.push([item]);
       size = itemSize;
     } else {
       last.push(item);
       size += itemSize;
     }
   }
-  return out;
+  return groups;
 };
 
-/** Consecutive parts of at most `count` items. */
-const chunks = <A>(items: readonly A[], count: number): A[][] => {
-  const out: A[][] = [];
-  for (let i = 0; i < items.length; i += count) out.push(items.slice(i, i + count));
-  return out;
+/** Divides items into consecutive groups of at most `maxCount` items. */
+const chunks = <A>(items: readonly A[], maxCount: number): A[][] => {
+  const groups: A[][] = [];
+  for (let i = 0; i < items.length; i += maxCount) groups.push(items.slice(i, i + maxCount));
+  return groups;
 };
 
-/** The job is not in the store in any form: neither active nor final. */
+/** Conditions under which the job has no key of its own in the store, neither as active nor as finished. */
 const isAbsent = (id: string): Condition[] => [
   { key: activeJobKey(id), stamp: 0 },
   { key: finalStateKey(id), stamp: 0 },
 ];
 
-/** Jobs that the store has otherwise: each in a step of its own. */
-const differingSteps = (plan: RebuildPlan, seq: number): WriteStep[] =>
-  plan.differing.map(({ job, stamp }) => ({
-    when: jobUnchanged(job.spec.id, stamp),
-    then: [{ set: activeJobKey(job.spec.id), value: encodeJob(job, seq) }],
+/** Overwrites jobs that the store has in another state, each in a step of its own. */
+const differingSteps = (plan: RebuildPlan, sequence: number): WriteStep[] =>
+  plan.differing.map(({ job, revision }) => ({
+    when: jobUnchanged(job.spec.id, revision),
+    then: [{ set: activeJobKey(job.spec.id), value: encodeJob(job, sequence) }],
   }));
 
 /**
- * An orphaned job that the views know after all gets a key of its own: its user may be cancelling it, and a late
- * cancellation must find that key, since a bundle would not stop it.
+ * Writes an orphaned job that a view contains, under a key of its own instead of in a bundle. Its user may be cancelling the
+ * orphaned job at the same time: a cancellation that arrives late is conditional on the job's key being absent, and an entry
+ * in a bundle would not make it fail.
  */
-const orphanedStep = (job: Job, seq: number): WriteStep => {
+const orphanedStep = (job: Job, sequence: number): WriteStep => {
   const { id } = job.spec;
   return {
     when: jobUnchanged(id, 0),
-    then: [{ set: activeJobKey(id), value: encodeJob(job, seq) }, { delete: orphanedJobKey(id) }],
+    then: [{ set: activeJobKey(id), value: encodeJob(job, sequence) }, { delete: orphanedJobKey(id) }],
   };
 };
 
-/** Jobs that the store does not know, in bundles. */
+/** Writes jobs that the store does not have, in bundles. */
 const bundleSteps = (
   jobs: readonly Job[],
-  pass: Pass,
+  pass: WritePass,
   state: Settings['state'],
-  bytes: number,
+  maxBytes: number,
 ): WriteStep[] => {
-  const count = Math.max(1, Math.min(BUNDLE_JOBS, Math.floor((state.txnOps * 4 - FIXED_CONDITIONS - 1) / 2)));
-  return groupBySize(jobs, count, bytes, (job) => encodeJob(job, pass.seq)).map((bundle, n) => {
-    const key = `${JOB_BUNDLES}${pass.run}-${String(n).padStart(6, '0')}`;
+  const maxJobs = Math.max(
+    1,
+    Math.min(MAX_JOBS_PER_BUNDLE, Math.floor((state.txnOps * 4 - FIXED_CONDITIONS - 1) / 2)),
+  );
+  return groupBySize(jobs, maxJobs, maxBytes, (job) => encodeJob(job, pass.sequence)).map((bundle, index) => {
+    const key = `${JOB_BUNDLES}${pass.id}-${String(index).padStart(6, '0')}`;
     return {
       when: [{ key, stamp: 0 }, ...bundle.flatMap((job) => isAbsent(job.spec.id))],
       then: [{ set: key, value: encodeBundle(bundle) }],
@@ -113,57 +119,60 @@
   });
 };
 
-/** Ends jobs that the store has as active. */
-const closingSteps = (jobState: JobState, plan: RebuildPlan, count: number): WriteStep[] =>
-  chunks(plan.close, count).map((ended) => {
-    const bundles = jobState.removalFromBundles(ended.map((e) => e.id));
+/** Replaces active jobs by their final states, and removes them from their bundles. */
+const closingSteps = (jobState: JobState, plan: RebuildPlan, maxJobs: number): WriteStep[] =>
+  chunks(plan.close, maxJobs).map((finished) => {
+    const bundles = jobState.removalFromBundles(finished.map((job) => job.id));
     return {
-      when: [...ended.map((e) => ({ key: activeJobKey(e.id), stamp: e.stamp })), ...bundles.when],
+      when: [...finished.map((job) => ({ key: activeJobKey(job.id), stamp: job.revision })), ...bundles.when],
       then: [
-        ...ended.flatMap((entry): Write[] => [
-          { delete: activeJobKey(entry.id) },
-          { set: finalStateKey(entry.id), value: encodeFinalState(entry.final) },
+        ...finished.flatMap((job): Write[] => [
+          { delete: activeJobKey(job.id) },
+          { set: finalStateKey(job.id), value: encodeFinalState(job.final) },
         ]),
         ...bundles.then,
       ],
     };
   });
 
-/** Final states of jobs that the store does not know, on pages. */
-const finalPageSteps = (plan: RebuildPlan, run: string, bytes: number): WriteStep[] =>
-  groupBySize(plan.finals, PAGE_FINALS, bytes, ([id]) => id).map((page, n) => {
-    const key = finalStatePageKey(run, page[page.length - 1]![0]);
-    const first: Write[] = n === 0 ? [{ set: FINAL_STATE_PARTS + run, value: 1 }] : [];
-    return { when: [{ key, stamp: 0 }], then: [...first, { set: key, value: encodeFinalStates(page) }] };
+/** Writes final states of jobs that the store does not have, on pages. The first step also registers the pass's pages. */
+const finalPageSteps = (plan: RebuildPlan, passId: string, maxBytes: number): WriteStep[] =>
+  groupBySize(plan.finals, MAX_FINALS_PER_PAGE, maxBytes, ([id]) => id).map((page, index) => {
+    const key = finalStatePageKey(passId, page[page.length - 1]![0]);
+    const registration: Write[] = index === 0 ? [{ set: FINAL_STATE_PARTS + passId, value: 1 }] : [];
+    return {
+      when: [{ key, stamp: 0 }],
+      then: [...registration, { set: key, value: encodeFinalStates(page) }],
+    };
   });
 
-/** The same by keys of their own, each under the condition that nobody has written the job meanwhile. */
-const finalKeySteps = (plan: RebuildPlan, count: number): WriteStep[] =>
-  chunks(plan.finals, count).map((finals) => ({
+/** Writes final states of jobs that the store does not have, each under its own key and only if the job is still absent. */
+const finalKeySteps = (plan: RebuildPlan, maxJobs: number): WriteStep[] =>
+  chunks(plan.finals, maxJobs).map((finals) => ({
     when: finals.flatMap(([id]) => isAbsent(id)),
     then: finals.map(([id, final]) => ({ set: finalStateKey(id), value: encodeFinalState(final) })),
   }));
 
-/** All steps of a pass, in the order in which they are to be applied. */
+/** Returns all steps of a pass, in the order in which they are to be applied. */
 export const writeSteps = (
   jobState: JobState,
   state: Settings['state'],
   plan: RebuildPlan,
-  pass: Pass,
+  pass: WritePass,
 ): WriteStep[] => {
-  const bytes = Math.min(BUNDLE_BYTES, state.valueBytes * 0.8);
-  const finals = Math.max(1, Math.min(MAX_FINALS, Math.floor(state.txnOps / 3)));
+  const maxBytes = Math.min(MAX_BUNDLE_BYTES, state.valueBytes * 0.8);
+  const maxFinals = Math.max(1, Math.min(MAX_FINALS_PER_STEP, Math.floor(state.txnOps / 3)));
   const isOrphaned = (job: Job): boolean => jobState.orphanedJobs.has(job.spec.id);
   return [
-    ...differingSteps(plan, pass.seq),
-    ...plan.missing.filter(isOrphaned).map((job) => orphanedStep(job, pass.seq)),
+    ...differingSteps(plan, pass.sequence),
+    ...plan.missing.filter(isOrphaned).map((job) => orphanedStep(job, pass.sequence)),
     ...bundleSteps(
       plan.missing.filter((job) => !isOrphaned(job)),
       pass,
       state,
-      bytes,
+      maxBytes,
     ),
-    ...closingSteps(jobState, plan, finals),
-    ...(pass.quiet ? finalPageSteps(plan, pass.run, bytes) : finalKeySteps(plan, finals)),
+    ...closingSteps(jobState, plan, maxFinals),
+    ...(pass.exclusive ? finalPageSteps(plan, pass.id, maxBytes) : finalKeySteps(plan, maxFinals)),
   ];
 };
--- a/packages/controller/test/answer-lost.test.ts
+++ b/packages/controller/test/answer-lost.test.ts
@@ -1,6 +1,7 @@
 /**
- * A change that is carried out at once, of which its sender hears nothing while others read it (docs/state.md, "What
- * arrives late"): for each kind of write, the store and what is said are the same as if it had been heard.
+ * Lost responses: the store commits a transaction at once, but its sender gets no response, while other controllers already
+ * read the change (docs/state.md, "What arrives late"). For each kind of transaction, the store's content and the sender's
+ * responses to users must be the same as if the response had arrived.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -45,53 +46,68 @@
 import { body, faultFreeController, newController, newJob, HEAD, storedJob, S, Service, SETTINGS, VirtualTime } from './support/late-store.js'; // prettier-ignore
 import { Luck } from './support/random-source.js';
 
+/** The only controller of a run, which leads, with its store and its virtual time. */
 type SingleController = ReturnType<typeof faultFreeController>;
-const sets =
+/** Whether one of the writes sets a key below `prefix`. */
+const setsKeyBelow =
   (prefix: string) =>
   (then: readonly Write[]): boolean =>
-    then.some((w) => 'set' in w && w.set.startsWith(prefix));
-const drops =
+    then.some((write) => 'set' in write && write.set.startsWith(prefix));
+/** Whether one of the writes deletes a key below `prefix`. */
+const deletesKeyBelow =
   (prefix: string) =>
   (then: readonly Write[]): boolean =>
-    then.some((w) => 'delete' in w && w.delete.startsWith(prefix));
-interface Row {
+    then.some((write) => 'delete' in write && write.delete.startsWith(prefix));
+
+/** One kind of transaction whose response is lost. */
+interface LostResponseCase {
   readonly kind: string;
-  /** The change whose answer is lost, the first time that it is sent. */
-  readonly match: (then: readonly Write[]) => boolean;
-  readonly more?: readonly Write[];
-  /** What its sender does; what comes of it is what it says. */
-  readonly act: (c: SingleController) => Effect.Effect<unknown, unknown>;
-  /** What the store has of it in the end. */
+  /** Whether a transaction with these writes is of this kind. The response to the first one is lost. */
+  readonly matches: (then: readonly Write[]) => boolean;
+  /** Further keys that the store has at the beginning. */
+  readonly initialWrites?: readonly Write[];
+  /** Makes the controller send the transaction. The result is compared between the runs with and without a lost response. */
+  readonly act: (single: SingleController) => Effect.Effect<unknown, unknown>;
+  /** Prefix of the keys that are compared between the runs at the end. */
   readonly key: string;
-  /** Hints: an equal value twice changes nothing. */
-  readonly times?: number;
+  /** How often it is committed if its response is lost; 1 by default. Hints and milestones may be written twice. */
+  readonly commits?: number;
 }
 const JOB = 'job-1';
-const submitted = { method: 'POST', path: '/work', headers: {}, body: body(JOB, 1) } as never;
-/** Whether it is an answer, and the state that it names. */
-const said = (a: Effect.Effect<{ status: number; body: string | Buffer }>) =>
-  Effect.map(a, ({ status, body: b }) => [
+const submission = { method: 'POST', path: '/work', headers: {}, body: body(JOB, 1) } as never;
+/** Whether a response to a user reports success, and the job status in it. */
+const outcomeOf = (response: Effect.Effect<{ status: number; body: string | Buffer }>) =>
+  Effect.map(response, ({ status, body: responseBody }) => [
     status < 202,
-    (JSON.parse(b.toString()) as { status?: string }).status,
+    (JSON.parse(responseBody.toString()) as { status?: string }).status,
   ]);
-const start = (c: SingleController) =>
+/** Commits a start of the job's only task. */
+const startTask = (single: SingleController) =>
   Effect.suspend(() =>
-    commit(c.turn, [{ job: c.node.jobState.jobs.get(JOB)!, attempt: 7, on: new Map([['m', [0]]]) }]),
+    commit(single.turn, [
+      { job: single.node.jobState.jobs.get(JOB)!, attempt: 7, on: new Map([['m', [0]]]) },
+    ]),
   );
-const end = (c: SingleController, how: 'done' | 'gone') =>
+/** Commits an exit of the job's only task. */
+const exitTask = (single: SingleController, outcome: 'done' | 'gone') =>
   Effect.suspend(() => {
-    const ends = { done: new Set<number>(), gone: new Set<number>(), failed: new Set<number>() };
-    ends[how].add(0);
-    c.turn.registry.exits.set(JOB, ends);
-    return commit(c.turn, []);
+    const exits = { done: new Set<number>(), gone: new Set<number>(), failed: new Set<number>() };
+    exits[outcome].add(0);
+    single.turn.registry.exits.set(JOB, exits);
+    return commit(single.turn, []);
   });
-const one = { ...newJob(JOB).spec, tasks: 1 };
-const waiting = storedJob(newJob(JOB, { spec: one }));
-const times = (n: number, what: Effect.Effect<unknown, unknown>) =>
-  Effect.repeat(what, { times: n - 1 }) as Effect.Effect<unknown, unknown>;
-const at = (n: number): Micros => micros(n * MINUTE);
+const singleTaskSpec = { ...newJob(JOB).spec, tasks: 1 };
+const waitingJob = storedJob(newJob(JOB, { spec: singleTaskSpec }));
+const repeat = (count: number, effect: Effect.Effect<unknown, unknown>) =>
+  Effect.repeat(effect, { times: count - 1 }) as Effect.Effect<unknown, unknown>;
+const minutes = (count: number): Micros => micros(count * MINUTE);
 const [accounts] = encodeAccounts(
-  { ...NO_ACCOUNTS, upTo: 5, closed: at(1), pending: [{ from: at(0), to: at(1), rows: new Map() }] },
+  {
+    ...NO_ACCOUNTS,
+    upTo: 5,
+    closed: minutes(1),
+    pending: [{ from: minutes(0), to: minutes(1), rows: new Map() }],
+  },
   9000,
 );
 const calendar = makeCalendar(
@@ -105,245 +121,298 @@
 );
 const paged = pagesOf(calendar, SETTINGS.state.valueBytes);
 const calendarKeys: Write[] = [
-  ...paged.pages.map((p) => ({ set: p.key, value: p.value })),
+  ...paged.pages.map((page) => ({ set: page.key, value: page.value })),
   { set: CALENDAR_HEAD, value: paged.head },
 ];
-const orphaned: Write = { set: orphanedJobKey(JOB), value: { since: 1e12, tasks: 3 } };
-/** An operator's command: should it fail, it is given once more. */
-const twice = <A, E>(what: Effect.Effect<A, E>): Effect.Effect<A, E> => Effect.retry(what, { times: 1 });
-const content = {
+const orphanedJob: Write = { set: orphanedJobKey(JOB), value: { since: 1e12, tasks: 3 } };
+/** Repeats an operator's command once if it fails, as an operator would. */
+const retryOnce = <A, E>(command: Effect.Effect<A, E>): Effect.Effect<A, E> =>
+  Effect.retry(command, { times: 1 });
+const snapshot = {
   ...{ incarnation: 'x', generation: 0, revision: 9 },
-  entries: new Map(['s/a/now', 's/j/a/job-1', 's/types'].map((k) => [k, { key: k, value: 1, stamp: 1 }])),
+  entries: new Map(
+    ['s/a/now', 's/j/a/job-1', 's/types'].map((name) => [name, { key: name, value: 1, stamp: 1 }]),
+  ),
 } as never;
 
-const rows: readonly Row[] = [
+const lostResponseCases: readonly LostResponseCase[] = [
   {
-    ...{ kind: 'submission', match: sets(ACTIVE_JOBS), key: ACTIVE_JOBS },
-    act: ({ node }) => said(node.users.submit(submitted)),
+    ...{ kind: 'submission', matches: setsKeyBelow(ACTIVE_JOBS), key: ACTIVE_JOBS },
+    act: ({ node }) => outcomeOf(node.users.submit(submission)),
   },
   {
-    ...{ kind: 'withdrawal', match: sets(ACTIVE_JOBS), more: [waiting], key: ACTIVE_JOBS },
-    act: ({ node }) => said(node.users.cancel(JOB)),
+    ...{
+      kind: 'cancellation',
+      matches: setsKeyBelow(ACTIVE_JOBS),
+      initialWrites: [waitingJob],
+      key: ACTIVE_JOBS,
+    },
+    act: ({ node }) => outcomeOf(node.users.cancel(JOB)),
   },
   {
     ...{
-      kind: 'withdrawal of an orphaned job',
-      match: sets(FINAL_STATES),
-      more: [orphaned],
+      kind: 'cancellation of an orphaned job',
+      matches: setsKeyBelow(FINAL_STATES),
+      initialWrites: [orphanedJob],
       key: FINAL_STATES,
     },
-    act: ({ node }) => said(node.users.cancel(JOB)),
+    act: ({ node }) => outcomeOf(node.users.cancel(JOB)),
   },
   {
-    ...{ kind: 'record of a start', match: sets(LOG_ENTRIES), more: [waiting], key: LOG_ENTRIES },
-    act: (c) => Effect.zipRight(start(c), Effect.sync(() => c.node.jobState.jobs.get(JOB)!.placed.get(0)?.attempt)), // prettier-ignore
+    ...{
+      kind: 'log entry of a start',
+      matches: setsKeyBelow(LOG_ENTRIES),
+      initialWrites: [waitingJob],
+      key: LOG_ENTRIES,
+    },
+    act: (single) => Effect.zipRight(startTask(single), Effect.sync(() => single.node.jobState.jobs.get(JOB)!.placed.get(0)?.attempt)), // prettier-ignore
   },
   {
-    ...{ kind: 'record of an end', more: [waiting], key: LOG_ENTRIES },
-    match: (then) => sets(LOG_ENTRIES)(then) && JSON.stringify(then).includes('"d":'),
-    // It is not said again, and what is told is its end.
-    act: (c) =>
+    ...{ kind: 'log entry of an exit', initialWrites: [waitingJob], key: LOG_ENTRIES },
+    matches: (then) => setsKeyBelow(LOG_ENTRIES)(then) && JSON.stringify(then).includes('"d":'),
+    // The registry no longer keeps the exit, and users are told that the job is done.
+    act: (single) =>
       Effect.zipRight(
-        Effect.zipRight(start(c), end(c, 'done')),
-        Effect.map(said(c.node.users.poll(JOB)), (s) => [c.turn.registry.exits.size, s]),
+        Effect.zipRight(startTask(single), exitTask(single, 'done')),
+        Effect.map(outcomeOf(single.node.users.poll(JOB)), (outcome) => [
+          single.turn.registry.exits.size,
+          outcome,
+        ]),
       ),
   },
   {
-    ...{ kind: 'closing', match: sets(FINAL_STATES), more: [waiting], key: FINAL_STATES },
-    act: (c) =>
+    ...{
+      kind: 'final state of a finished job',
+      matches: setsKeyBelow(FINAL_STATES),
+      initialWrites: [waitingJob],
+      key: FINAL_STATES,
+    },
+    act: (single) =>
       Effect.zipRight(
-        Effect.zipRight(start(c), end(c, 'done')),
-        Effect.zipRight(times(3, upkeep(c.turn)), said(c.node.users.poll(JOB))),
+        Effect.zipRight(startTask(single), exitTask(single, 'done')),
+        Effect.zipRight(repeat(3, upkeep(single.turn)), outcomeOf(single.node.users.poll(JOB))),
       ),
   },
   {
-    ...{ kind: 'closing of a tied job', match: sets(OCCURRENCE), key: OCCURRENCE },
-    more: [...calendarKeys, storedJob(newJob(JOB, { spec: { ...one, tie: 'c@1' }, cancelled: true }))],
-    act: (c) => times(3, upkeep(c.turn)),
+    ...{
+      kind: 'final state of a job that is bound to an occurrence',
+      matches: setsKeyBelow(OCCURRENCE),
+      key: OCCURRENCE,
+    },
+    initialWrites: [
+      ...calendarKeys,
+      storedJob(newJob(JOB, { spec: { ...singleTaskSpec, tie: 'c@1' }, cancelled: true })),
+    ],
+    act: (single) => repeat(3, upkeep(single.turn)),
   },
   {
     ...{
-      kind: 'folding, with the first checkpoint',
-      match: drops(LOG_ENTRIES),
-      more: [waiting],
+      kind: 'compaction with the first checkpoint of the accounts',
+      matches: deletesKeyBelow(LOG_ENTRIES),
+      initialWrites: [waitingJob],
       key: ACCOUNTS,
     },
-    act: (c) =>
+    act: (single) =>
       Effect.gen(function* () {
-        for (let n = 0; n < 5; n++) yield* n % 2 === 0 ? start(c) : end(c, 'gone');
-        yield* times(4, upkeep(c.turn));
+        for (let i = 0; i < 5; i++) yield* i % 2 === 0 ? startTask(single) : exitTask(single, 'gone');
+        yield* repeat(4, upkeep(single.turn));
         return [
-          c.node.jobState.missingRecord(),
-          c.service.view().missingRecord(),
-          c.service.view().logTail.size,
+          single.node.jobState.missingRecord(),
+          single.service.view().missingRecord(),
+          single.service.view().logTail.size,
         ];
       }),
   },
   {
-    ...{ kind: 'page of the accounts', match: sets('s/a/p/'), key: 's/a/p/' },
-    more: [{ set: ACCOUNTS, value: accounts }],
-    act: (c) => times(2, Effect.zipRight(Effect.ignore(writePage(c.turn)), c.node.watcher.refresh)),
+    ...{ kind: 'page of the accounts', matches: setsKeyBelow('s/a/p/'), key: 's/a/p/' },
+    initialWrites: [{ set: ACCOUNTS, value: accounts }],
+    act: (single) =>
+      repeat(2, Effect.zipRight(Effect.ignore(writePage(single.turn)), single.node.watcher.refresh)),
   },
   {
-    ...{ kind: 'orphaned job', match: sets(ORPHANED_JOB), key: ORPHANED_JOB },
-    act: (c) => {
-      c.turn.registry.unknownJobs.set(JOB, new Set(['0@m']));
-      return Effect.zipRight(times(2, reconcileOrphanedJobs(c.turn)), said(c.node.users.poll(JOB)));
+    ...{ kind: 'orphaned job', matches: setsKeyBelow(ORPHANED_JOB), key: ORPHANED_JOB },
+    act: (single) => {
+      single.turn.registry.unknownJobs.set(JOB, new Set(['0@m']));
+      return Effect.zipRight(
+        repeat(2, reconcileOrphanedJobs(single.turn)),
+        outcomeOf(single.node.users.poll(JOB)),
+      );
     },
   },
   {
-    ...{ kind: 'quiescent', match: sets(QUIESCENT), key: QUIESCENT, times: 2 },
-    act: (c) => declareMilestone(c.turn as never, QUIESCENT),
+    ...{ kind: 'milestone quiescent', matches: setsKeyBelow(QUIESCENT), key: QUIESCENT, commits: 2 },
+    act: (single) => declareMilestone(single.turn as never, QUIESCENT),
   },
   {
-    ...{ kind: 'calendar: page', match: sets(CALENDAR_PAGE), key: CALENDAR_PAGE },
-    act: ({ service }) => Effect.map(twice(publish(service.port(), SETTINGS.state, calendar)), (p) => p.ok),
+    ...{ kind: 'calendar: page', matches: setsKeyBelow(CALENDAR_PAGE), key: CALENDAR_PAGE },
+    act: ({ service }) =>
+      Effect.map(retryOnce(publish(service.port(), SETTINGS.state, calendar)), (outcome) => outcome.ok),
   },
   {
-    ...{ kind: 'calendar: head', match: sets(CALENDAR_HEAD), key: CALENDAR_HEAD },
-    act: ({ service }) => Effect.map(twice(publish(service.port(), SETTINGS.state, calendar)), (p) => p.ok),
+    ...{ kind: 'calendar: head', matches: setsKeyBelow(CALENDAR_HEAD), key: CALENDAR_HEAD },
+    act: ({ service }) =>
+      Effect.map(retryOnce(publish(service.port(), SETTINGS.state, calendar)), (outcome) => outcome.ok),
   },
   {
     ...{
-      kind: 'what classes have shown',
-      match: sets(CLASS_DURATIONS),
-      more: calendarKeys,
+      kind: 'durations by job class',
+      matches: setsKeyBelow(CLASS_DURATIONS),
+      initialWrites: calendarKeys,
       key: CLASS_DURATIONS,
     },
-    act: (c) => {
-      c.turn.classSamples.ratios.set('x', [1, 2]);
-      return times(2, calendarUpkeep(c.turn));
+    act: (single) => {
+      single.turn.classSamples.ratios.set('x', [1, 2]);
+      return repeat(2, calendarUpkeep(single.turn));
     },
   },
   {
-    ...{ kind: 'hint', match: sets(LARGEST_JOBS), key: LARGEST_JOBS, times: 2 },
-    act: (c) => {
-      const write = hintWriter(c.turn.store, { key: TERM, stamp: 1 }, LARGEST_JOBS);
-      return times(3, write({ x: [[JOB, 3]] }));
+    ...{
+      kind: 'hint of the largest jobs',
+      matches: setsKeyBelow(LARGEST_JOBS),
+      key: LARGEST_JOBS,
+      commits: 2,
+    },
+    act: (single) => {
+      const write = hintWriter(single.turn.store, { key: TERM, stamp: 1 }, LARGEST_JOBS);
+      return repeat(3, write({ x: [[JOB, 3]] }));
     },
   },
 ];
 
-/** Plays a row; `heard`: with no answer lost. */
-const play = (row: Row, heard: boolean) => {
-  const told: JobEvidence[] = [];
-  const c = faultFreeController(row.more, (f) => Effect.sync(() => void told.push(f)));
-  const { service, time, node } = c;
+/** Runs a case on a fresh store. `responsesArrive`: false if the response to the first matching transaction is lost. */
+const runCase = (lostResponse: LostResponseCase, responsesArrive: boolean) => {
+  const replicated: JobEvidence[] = [];
+  const single = faultFreeController(lostResponse.initialWrites, (evidence) =>
+    Effect.sync(() => void replicated.push(evidence)),
+  );
+  const { service, time, node } = single;
   const other = newController(time, service, 1);
-  c.go(other.watcher.refresh);
-  let applied = 0;
+  single.go(other.watcher.refresh);
+  let commits = 0;
   const transact = service.transact.bind(service);
   service.transact = (when, then, by) => {
-    const o = transact(when, then, by);
-    if (o.ok && row.match(then)) applied++;
-    return o;
+    const outcome = transact(when, then, by);
+    if (outcome.ok && lostResponse.matches(then)) commits++;
+    return outcome;
   };
-  /** What the other one and then the sender say of the job while the sender waits for its answer. */
-  const asked: unknown[] = [];
+  /** The responses of the other controller and of the sender to a poll while the sender waits for the lost response. */
+  const polled: unknown[] = [];
   let lost = 0;
   service.losesAnswerTo = (then) => {
-    if (heard || lost > 0 || !row.match(then)) return false;
+    if (responsesArrive || lost > 0 || !lostResponse.matches(then)) return false;
     lost++;
-    const ask = Effect.gen(function* () {
+    const pollBoth = Effect.gen(function* () {
       const { revision } = service;
-      for (const x of [other, node]) asked.push((yield* x.users.poll(JOB)).body.toString());
-      asked.push(other.jobState.revision >= revision);
+      for (const controller of [other, node])
+        polled.push((yield* controller.users.poll(JOB)).body.toString());
+      polled.push(other.jobState.revision >= revision);
     });
-    time.after(1, () => time.fork(ask));
+    time.after(1, () => time.fork(pollBoth));
     return true;
   };
-  let says: unknown;
-  c.go(
-    Effect.map(row.act(c), (s) => (says = s)),
+  let result: unknown;
+  single.go(
+    Effect.map(lostResponse.act(single), (value) => (result = value)),
     60,
   );
-  // A hint may be written twice; nothing else is.
-  assert.equal(applied, heard ? 1 : (row.times ?? 1), `${row.kind} was carried out ${applied} times`);
-  assert.ok(!node.lossDetector.suspected, `${row.kind}: a data loss is suspected`);
-  const store = service.entries(row.key).map((e) => [e.key, e.value]);
-  return { store, says, lost, asked, told: told.map((f) => f.id) };
+  assert.equal(
+    commits,
+    responsesArrive ? 1 : (lostResponse.commits ?? 1),
+    `${lostResponse.kind} was committed ${commits} times`,
+  );
+  assert.ok(!node.lossDetector.suspected, `${lostResponse.kind}: a data loss is suspected`);
+  const store = service.entries(lostResponse.key).map((entry) => [entry.key, entry.value]);
+  return { store, result, lost, polled, replicated: replicated.map((evidence) => evidence.id) };
 };
 
-for (const row of rows)
-  test(`carried out, and nothing heard of it: ${row.kind}`, () => {
-    const [heard, unheard] = [play(row, true), play(row, false)];
-    assert.equal(unheard.lost, 1, 'no answer was lost');
-    assert.ok(heard.store.length > 0);
-    assert.deepEqual(unheard.store, heard.store);
-    assert.deepEqual(unheard.says, heard.says);
-    const [others, own, read] = unheard.asked;
-    assert.deepEqual([own, read], [others, true], 'the sender says something older than who has read it');
-    // Whoever is told of a change of a job by a user's request knows that two others were told before.
-    assert.deepEqual(unheard.told, heard.told);
+for (const lostResponse of lostResponseCases)
+  test(`a lost response changes neither the store nor the responses to users: ${lostResponse.kind}`, () => {
+    const [expected, actual] = [runCase(lostResponse, true), runCase(lostResponse, false)];
+    assert.equal(actual.lost, 1, 'no response was lost');
+    assert.ok(expected.store.length > 0);
+    assert.deepEqual(actual.store, expected.store);
+    assert.deepEqual(actual.result, expected.result);
+    const [otherPoll, ownPoll, otherHasRead] = actual.polled;
+    assert.deepEqual(
+      [ownPoll, otherHasRead],
+      [otherPoll, true],
+      "the sender's response is older than that of a controller that has read the change",
+    );
+    // A change by a user's request is replicated to the peers before the user gets a response.
+    assert.deepEqual(actual.replicated, expected.replicated);
   });
 
-test('a restore of which a part is carried out unheard goes on and ends', () => {
-  const played = [0, 1, 2].map((n) => {
+test('a restore with a write that is committed without a response continues and completes', () => {
+  const restores = [0, 1, 2].map((lostRequest) => {
     const time = new VirtualTime(1);
     const service = new Service(time, new Luck(1));
     service.isFaulty = false;
     let sent = 0;
-    service.losesAnswerTo = () => ++sent === n;
-    let done: unknown;
+    service.losesAnswerTo = () => ++sent === lostRequest;
+    let result: unknown;
     const limits = { txnOps: 3, valueBytes: 9000 };
     time.fork(
       Effect.map(
-        restore(content, service.port(), limits, () => undefined),
-        (r) => (done = r),
+        restore(snapshot, service.port(), limits, () => undefined),
+        (value) => (result = value),
       ),
     );
     time.run(time.now + 30 * S);
-    return { done, store: service.entries('s/').map((e) => e.key) };
+    return { result, store: service.entries('s/').map((entry) => entry.key) };
   });
-  assert.deepEqual(played[0]!.done, { ok: true, written: 3, resumed: false });
-  for (const p of played) assert.deepEqual(p, played[0]);
+  assert.deepEqual(restores[0]!.result, { ok: true, written: 3, resumed: false });
+  for (const outcome of restores) assert.deepEqual(outcome, restores[0]);
 });
 
-/** Controllers that try for the lead, over a service with leases. */
-const elections = (keys: readonly Write[], labels: readonly string[], seed = 3) => {
+/** Controllers that campaign for leadership, over a state service with leases. */
+const makeElection = (initialWrites: readonly Write[], labels: readonly string[], seed = 3) => {
   const time = new VirtualTime(seed);
   const service = new Service(time, new Luck(seed));
   service.isFaulty = false;
-  service.transact([], keys);
+  service.transact([], initialWrites);
+  /** By lease: cancels the lease's expiry. */
   const leases = new Map<number, () => void>();
-  let last = 0;
-  const over = (id: number): void => {
+  let lastLease = 0;
+  const endLease = (id: number): void => {
     leases.get(id)?.();
     leases.delete(id);
-    const e = service.keys.get(LEADER);
-    if ((e?.value as { lease?: number } | undefined)?.lease === id)
+    const leader = service.keys.get(LEADER);
+    if ((leader?.value as { lease?: number } | undefined)?.lease === id)
       service.transact([], [{ delete: LEADER }]);
   };
-  const arm = (id: number, ttl: number): void => {
+  const scheduleExpiry = (id: number, ttl: number): void => {
     leases.get(id)?.();
     leases.set(
       id,
-      time.after(ttl, () => over(id)),
+      time.after(ttl, () => endLease(id)),
     );
   };
-  /** What is carried out and not answered, of the leases: how many of each are still to be lost. */
-  const lose = { grant: 0, extend: 0, release: 0 };
+  /** How many responses to each kind of lease request are still to be lost; the requests are carried out. */
+  const lostResponses = { grant: 0, extend: 0, release: 0 };
   const ttls = new Map<number, number>();
-  const reply = <A>(what: keyof typeof lose, a: A): Effect.Effect<A, StateFailure> => {
-    if (lose[what] === 0) return Effect.as(Effect.sleep(5), a);
-    lose[what]--;
+  const respond = <A>(request: keyof typeof lostResponses, response: A): Effect.Effect<A, StateFailure> => {
+    if (lostResponses[request] === 0) return Effect.as(Effect.sleep(5), response);
+    lostResponses[request]--;
     return Effect.zipRight(Effect.sleep(900), Effect.fail(new NoAnswer({ reason: 'timeout' })));
   };
-  const nodes = labels.map((label, who) => {
-    const { jobState, lossDetector, store, watcher } = newController(time, service, who);
-    const raw: StatePort = {
-      ...service.port(who),
-      grant: (ttl) => Effect.suspend(() => (ttls.set(++last, ttl), arm(last, ttl), reply('grant', last))),
+  const controllers = labels.map((label, index) => {
+    const { jobState, lossDetector, store, watcher } = newController(time, service, index);
+    const unguardedStore: StatePort = {
+      ...service.port(index),
+      grant: (ttl) =>
+        Effect.suspend(
+          () => (ttls.set(++lastLease, ttl), scheduleExpiry(lastLease, ttl), respond('grant', lastLease)),
+        ),
       extend: (id) =>
         Effect.suspend(() => {
-          const there = leases.has(id);
-          if (there) arm(id, ttls.get(id)!);
-          return reply('extend', there);
+          const exists = leases.has(id);
+          if (exists) scheduleExpiry(id, ttls.get(id)!);
+          return respond('extend', exists);
         }),
-      release: (id) => Effect.suspend(() => (over(id), reply('release', undefined))),
+      release: (id) => Effect.suspend(() => (endLease(id), respond('release', undefined))),
     };
     const port: StatePort = Object.assign(Object.create(store) as StatePort, {
-      ...{ grant: raw.grant, extend: raw.extend, release: raw.release },
+      ...{ grant: unguardedStore.grant, extend: unguardedStore.extend, release: unguardedStore.release },
       transact: store.transact.bind(store),
     });
     const peers = {
@@ -352,121 +421,146 @@
     };
     const contacts = { window: 1e12, recentCount: () => 0, cutOffReason: () => null, backoff: () => 0 };
     const leadership = new Leadership(
-      ...([{ ...SETTINGS, label }, port, raw, lossDetector, () => undefined, watcher, jobState] as const),
+      ...([
+        { ...SETTINGS, label },
+        port,
+        unguardedStore,
+        lossDetector,
+        () => undefined,
+        watcher,
+        jobState,
+      ] as const),
       ...([peers as never, contacts as never, time.clock] as const),
     );
     return { leadership, jobState, watcher, lossDetector };
   });
-  for (const { watcher } of nodes) time.fork(watcher.run);
+  for (const { watcher } of controllers) time.fork(watcher.run);
   let until = time.now;
-  const run = (forS: number): void => {
-    time.run((until += forS * S));
+  const run = (seconds: number): void => {
+    time.run((until += seconds * S));
     assert.deepEqual(time.faults, []);
   };
-  return { time, service, nodes, lose, run };
+  return { time, service, controllers, lostResponses, run };
 };
 
-test('a campaign that is carried out unheard is no lead to give back: its own node takes it up', () => {
-  // Seeds in which its read comes before its right is over.
+test('a controller whose campaign is committed without a response takes up the leadership that it has won', () => {
+  // With these seeds the controller reads its own campaign before the lease has expired.
   for (const seed of [3, 5, 7]) {
-    const { time, service, nodes, run } = elections(HEAD, ['n0', 'n1'], seed);
-    const [first, second] = nodes as [(typeof nodes)[0], (typeof nodes)[0]];
+    const { time, service, controllers, run } = makeElection(HEAD, ['n0', 'n1'], seed);
+    const [first, second] = controllers as [(typeof controllers)[0], (typeof controllers)[0]];
     let lost = 0;
-    service.losesAnswerTo = (then) => lost === 0 && sets(LEADER)(then) && ++lost === 1;
+    service.losesAnswerTo = (then) => lost === 0 && setsKeyBelow(LEADER)(then) && ++lost === 1;
     run(5);
     time.fork(first.leadership.run);
-    for (let n = 0; n < 60 && second.jobState.leader === null; n++) run(0.05);
+    for (let i = 0; i < 60 && second.jobState.leader === null; i++) run(0.05);
     assert.equal(lost, 1);
-    // The others have read that it leads; it does not know.
+    // The other controller has read that the first one leads, which the first one does not know yet.
     assert.equal(second.jobState.leader?.node, 'n0');
     assert.equal(first.leadership.currentTermNumber(), null);
     time.fork(second.leadership.run);
-    for (let n = 0; n < 30 && first.leadership.currentTermNumber() === null; n++) run(0.05);
-    for (let n = 0; n < 400; n++) {
+    for (let i = 0; i < 30 && first.leadership.currentTermNumber() === null; i++) run(0.05);
+    for (let i = 0; i < 400; i++) {
       run(0.05);
-      assert.equal(first.leadership.currentTermNumber(), 2, `seed ${seed}, after ${n / 20} s`);
+      assert.equal(first.leadership.currentTermNumber(), 2, `seed ${seed}, after ${i / 20} s`);
     }
     assert.equal(service.view().term, 2);
   }
 });
 
-test('a lease that is extended unheard keeps its lead, twice in a row too', () => {
-  for (const times of [1, 2]) {
-    const { time, service, nodes, lose, run } = elections(HEAD, ['n0', 'n1']);
-    for (const { leadership } of nodes) time.fork(leadership.run);
+test('a leader whose lease extension gets no response, once or twice in a row, keeps the leadership', () => {
+  for (const lostExtensions of [1, 2]) {
+    const { time, service, controllers, lostResponses, run } = makeElection(HEAD, ['n0', 'n1']);
+    for (const { leadership } of controllers) time.fork(leadership.run);
     run(5);
-    const leader = nodes.find((x) => x.leadership.currentTermNumber() === 2)!;
-    lose.extend = times;
-    let without = 0;
-    for (let n = 0; n < 200; n++) {
+    const leader = controllers.find((controller) => controller.leadership.currentTermNumber() === 2)!;
+    lostResponses.extend = lostExtensions;
+    let stepsWithoutLease = 0;
+    for (let i = 0; i < 200; i++) {
       run(0.1);
-      assert.ok(leader.leadership.isCurrent(2), `after ${n / 10} s`);
-      if (leader.leadership.currentTermNumber() === null) without++;
+      assert.ok(leader.leadership.isCurrent(2), `after ${i / 10} s`);
+      if (leader.leadership.currentTermNumber() === null) stepsWithoutLease++;
     }
-    assert.equal(lose.extend, 0);
-    assert.ok(without <= (times === 1 ? 0 : 10), `without right for ${without / 10} s`);
+    assert.equal(lostResponses.extend, 0);
+    assert.ok(
+      stepsWithoutLease <= (lostExtensions === 1 ? 0 : 10),
+      `without a valid lease for ${stepsWithoutLease / 10} s`,
+    );
     assert.equal(service.view().term, 2);
   }
 });
 
-test('a lead that is given back unheard, and a lease granted unheard, leave one leader', () => {
-  const { time, service, nodes, lose, run } = elections(HEAD, ['n0', 'n1']);
-  for (const { leadership } of nodes) time.fork(leadership.run);
+test('a lease release without a response and a lease grant without a response leave exactly one leader', () => {
+  const { time, service, controllers, lostResponses, run } = makeElection(HEAD, ['n0', 'n1']);
+  for (const { leadership } of controllers) time.fork(leadership.run);
   run(5);
-  const leader = nodes.find((x) => x.leadership.currentTermNumber() !== null)!;
-  Object.assign(lose, { release: 1, grant: 1 });
+  const leader = controllers.find((controller) => controller.leadership.currentTermNumber() !== null)!;
+  Object.assign(lostResponses, { release: 1, grant: 1 });
   time.fork(leader.leadership.stepDown('handover', 0));
   run(0.05);
   assert.equal(leader.leadership.currentTermNumber(), null);
   run(8);
-  assert.deepEqual(lose, { grant: 0, extend: 0, release: 0 });
-  assert.equal(nodes.filter((x) => x.leadership.currentTermNumber() === service.view().term).length, 1);
+  assert.deepEqual(lostResponses, { grant: 0, extend: 0, release: 0 });
+  assert.equal(
+    controllers.filter((controller) => controller.leadership.currentTermNumber() === service.view().term)
+      .length,
+    1,
+  );
 });
 
-test('the first incarnation, and one after a loss, carried out unheard are begun once', () => {
-  const first = elections([], ['n0', 'n1']);
+test('a first incarnation and one after a data loss that are committed without a response are begun only once', () => {
+  const first = makeElection([], ['n0', 'n1']);
   let lost = 0;
-  first.service.losesAnswerTo = (then) => lost === 0 && sets(FOUNDED)(then) && ++lost === 1;
-  for (const { leadership } of first.nodes)
+  first.service.losesAnswerTo = (then) => lost === 0 && setsKeyBelow(FOUNDED)(then) && ++lost === 1;
+  for (const { leadership } of first.controllers)
     first.time.fork(Effect.ignore(leadership.foundStore).pipe(Effect.delay(500), Effect.forever));
   first.run(10);
   assert.equal(lost, 1);
   assert.equal(first.service.entries(INCARNATION).length, 1);
 
-  const again = elections(HEAD, ['n0', 'n1']);
-  const [node] = again.nodes;
-  again.run(5);
+  const rebuilt = makeElection(HEAD, ['n0', 'n1']);
+  const [controller] = rebuilt.controllers;
+  rebuilt.run(5);
   lost = 0;
-  again.service.losesAnswerTo = (then) => lost === 0 && sets(INCARNATION)(then) && ++lost === 1;
+  rebuilt.service.losesAnswerTo = (then) => lost === 0 && setsKeyBelow(INCARNATION)(then) && ++lost === 1;
   const outcomes: string[] = [];
-  const refound = Effect.either(node!.leadership.refoundStore);
-  again.time.fork(
+  const refound = Effect.either(controller!.leadership.refoundStore);
+  rebuilt.time.fork(
     Effect.repeat(
-      Effect.map(refound, (o) => outcomes.push(o._tag === 'Left' ? o.left._tag : String(o.right))),
+      Effect.map(refound, (outcome) =>
+        outcomes.push(outcome._tag === 'Left' ? outcome.left._tag : String(outcome.right)),
+      ),
       { times: 1 },
     ),
   );
-  again.run(5);
-  // The second look shows a newer incarnation: it is no longer this node's to begin.
+  rebuilt.run(5);
+  // The second attempt finds the incarnation of the first one and does not begin another.
   assert.deepEqual(outcomes, ['NoAnswer', 'false']);
-  const born = again.service.entries(INCARNATION);
-  assert.equal(born.length, 1);
-  assert.equal((born[0]!.value as { g: number }).g, 1);
+  const incarnations = rebuilt.service.entries(INCARNATION);
+  assert.equal(incarnations.length, 1);
+  assert.equal((incarnations[0]!.value as { g: number }).g, 1);
 });
 
-test('an acceptance or withdrawal whose answer was lost is told to the others before its user', () => {
-  const told: JobEvidence[] = [];
-  const c = faultFreeController([], (f) => Effect.sync(() => void told.push(f)));
+test('an acceptance or cancellation whose response was lost is replicated to the peers before the user gets a response', () => {
+  const replicated: JobEvidence[] = [];
+  const single = faultFreeController([], (evidence) => Effect.sync(() => void replicated.push(evidence)));
   let lost = 0;
-  c.service.losesAnswerTo = () => ++lost % 2 === 1;
-  c.go(Effect.map(said(c.node.users.submit(submitted)), (s) => assert.deepEqual(s, [true, 'pending'])));
-  c.go(Effect.map(said(c.node.users.cancel(JOB)), (s) => assert.deepEqual(s, [true, 'aborted'])));
-  const stamp = c.service.keys.get(ACTIVE_JOBS + JOB)!.stamp;
+  single.service.losesAnswerTo = () => ++lost % 2 === 1;
+  single.go(
+    Effect.map(outcomeOf(single.node.users.submit(submission)), (outcome) =>
+      assert.deepEqual(outcome, [true, 'pending']),
+    ),
+  );
+  single.go(
+    Effect.map(outcomeOf(single.node.users.cancel(JOB)), (outcome) =>
+      assert.deepEqual(outcome, [true, 'aborted']),
+    ),
+  );
+  const revision = single.service.keys.get(ACTIVE_JOBS + JOB)!.stamp;
   assert.deepEqual(
-    told.map((f) => [f.id, f.revision]),
+    replicated.map((evidence) => [evidence.id, evidence.revision]),
     [
-      [JOB, stamp - 1],
-      [JOB, stamp],
+      [JOB, revision - 1],
+      [JOB, revision],
     ],
   );
 });
