--- a/packages/controller/src/recovery/model.ts
+++ b/packages/controller/src/recovery/model.ts
@@ -27,14 +27,14 @@
   readonly bornAt: number | null;
 }
 
-/** Decodes the incarnation that is stored as `value` under a key of revision `stamp`. */
-export const incarnationOf = (id: string, value: unknown, stamp: number): Incarnation => {
+/** Decodes the incarnation that is stored as `value` under a key of revision `keyRevision`. */
+export const incarnationOf = (id: string, value: unknown, keyRevision: number): Incarnation => {
   const stored = value as { g?: unknown; t?: unknown; s?: unknown } | null;
   const integerOrZero = (field: unknown): number => (Number.isSafeInteger(field) ? (field as number) : 0);
   return {
     id,
     generation: integerOrZero(stored?.g),
-    stamp,
+    stamp: keyRevision,
     termFloor: integerOrZero(stored?.t),
     bornAt: stored?.s === undefined ? null : integerOrZero(stored.s),
   };
--- a/packages/controller/src/recovery/view-exchange.ts
+++ b/packages/controller/src/recovery/view-exchange.ts
@@ -84,7 +84,7 @@
   captureCurrentView: (incarnation: string) => PreLossView | null,
   jobState: JobState,
   evidenceStore: EvidenceStore,
-  /** Responds to a comparison of views; see `answerCheckRequest`. */
+  /** Responds to a comparison of views; see `respondToCheckRequest`. */
   handleCheckRequest: (body: Buffer) => Buffer | null,
 ) => {
   const binaryResponse = (body: Buffer): Answer => ({
