--- a/packages/controller/src/recovery/data-loss-detector.ts
+++ b/packages/controller/src/recovery/data-loss-detector.ts
@@ -43,7 +43,8 @@
   /** The incarnation and the revision of the snapshot on this controller's disk. */
   private snapshotRevision: { readonly id: string; readonly revision: number } | null = null;
   /** The highest term that a worker, a peer or a snapshot has named, and when it was named first. */
-  private namedTerm: { readonly term: number; readonly at: Micros; readonly source: string } | null = null;
+  private namedTerm: { readonly term: number; readonly namedAt: Micros; readonly source: string } | null =
+    null;
   /** When the store last had this controller's incarnation, by a read of its key or a transaction conditional on the key. */
   private seenAt = Number.NEGATIVE_INFINITY;
   /** Called with the incarnation's id when a read that shows the incarnation agrees with everything known. */
@@ -72,16 +73,17 @@
   }
 
   /** Adds evidence of a loss. The first piece begins a suspicion. `proven`: see `Suspicion.proven`. */
-  suspect(kind: EvidenceKind, what: string, proven = false): void {
+  suspect(kind: EvidenceKind, description: string, proven = false): void {
     if (this.suspicion === null) {
       this.suspicion = {
         since: this.clock(),
-        evidence: [{ kind, what }],
+        evidence: [{ kind, description }],
         proven,
         ledTerm: this.currentTermNumber(),
       };
       this.onSuspected();
-    } else if (this.suspicion.evidence.length < MAX_EVIDENCE) this.suspicion.evidence.push({ kind, what });
+    } else if (this.suspicion.evidence.length < MAX_EVIDENCE)
+      this.suspicion.evidence.push({ kind, description });
     if (proven) this.suspicion.proven = true;
   }
 
@@ -161,7 +163,7 @@
   /** Records a term named by `source` (a worker, a peer or a snapshot). A term that is named has been committed before. */
   noteTerm(term: number, source: string): void {
     if (this.namedTerm === null || term > this.namedTerm.term)
-      this.namedTerm = { term, at: this.clock(), source };
+      this.namedTerm = { term, namedAt: this.clock(), source };
   }
 
   /**
@@ -189,7 +191,7 @@
   /** Checks that a read sent at `requestedAt` shows at least the highest term named before it was sent. */
   checkTerm(term: number, requestedAt: Micros): void {
     const { namedTerm: named } = this;
-    if (named !== null && named.term > term && named.at <= requestedAt)
+    if (named !== null && named.term > term && named.namedAt <= requestedAt)
       this.suspect('term went back', `the store has term ${term}, ${named.source} has named ${named.term}`);
   }
 
--- a/packages/controller/src/recovery/detection-task.ts
+++ b/packages/controller/src/recovery/detection-task.ts
@@ -140,7 +140,7 @@
   suspicion: Suspicion,
 ): Effect.Effect<Option.Option<string | null>> =>
   suspicion.proven
-    ? Effect.succeed(Option.some(suspicion.evidence[0]?.what ?? 'proven by a peer or a worker'))
+    ? Effect.succeed(Option.some(suspicion.evidence[0]?.description ?? 'proven by a peer or a worker'))
     : Effect.option(findDifference(dependencies));
 
 /** Probes the store until the suspicion has ended: it was ruled out, or this controller has left the lost incarnation. */
@@ -148,7 +148,7 @@
   Effect.gen(function* () {
     const { lossDetector } = dependencies;
     const first = lossDetector.suspicion?.evidence[0];
-    if (first) yield* info('data loss suspected', { evidence: first.kind, what: first.what });
+    if (first) yield* info('data loss suspected', { evidence: first.kind, what: first.description });
     let probes: Probe[] = [];
     let differencesFound = 0;
     while (lossDetector.suspicion !== null) {
--- a/packages/controller/src/recovery/evidence-store.ts
+++ b/packages/controller/src/recovery/evidence-store.ts
@@ -18,7 +18,7 @@
 /** Maximum peers that get a copy. Evidence is lost only if all of them crash together with this controller. */
 const MAX_PEERS = 2;
 /** Maximum evidence kept, the oldest dropped first. More than is recorded between two reads of a controller. */
-const MAX_RECORDS = 2000;
+const MAX_EVIDENCE = 2000;
 
 /**
  * What a user was told of a job, as of `revision`. `stored`: the value of the job's key, for an accepted or cancelled job.
@@ -103,7 +103,7 @@
       return;
     this.evidence.delete(evidence.id);
     this.evidence.set(evidence.id, evidence);
-    if (this.evidence.size <= MAX_RECORDS) return;
+    if (this.evidence.size <= MAX_EVIDENCE) return;
     for (const oldest of this.evidence.keys()) {
       this.evidence.delete(oldest);
       break;
--- a/packages/controller/src/recovery/model.ts
+++ b/packages/controller/src/recovery/model.ts
@@ -105,8 +105,8 @@
 
 export interface Evidence {
   readonly kind: EvidenceKind;
-  /** Description for the log. */
-  readonly what: string;
+  /** What was observed and what was expected, for the log. */
+  readonly description: string;
 }
 
 /** Path of requests for a controller's pre-loss views; codec.ts encodes the requests and responses. */
--- a/packages/controller/src/recovery/view-verification.ts
+++ b/packages/controller/src/recovery/view-verification.ts
@@ -95,8 +95,8 @@
   readonly port: ViewPort;
 }
 
-/** The result of a comparison. `ignorant`: the peer has no view of this incarnation. `silent`: the peer did not respond. */
-export type Comparison = 'compared' | 'ignorant' | 'silent';
+/** The result of a comparison. `no view`: the peer has no view of this incarnation. `silent`: no response in time. */
+export type Comparison = 'compared' | 'no view' | 'silent';
 
 /** Compares this controller's view with a peer's. What the peer has and the store lacks is evidence of a loss. */
 export const verifyWith = (dependencies: VerificationDependencies, peer: Peer): Effect.Effect<Comparison> =>
@@ -109,7 +109,7 @@
       encodeCheckRequest(incarnation.id, dependencies.jobState),
     );
     const response = decodeCheckResponse(body);
-    if (response === null) return 'ignorant' as const;
+    if (response === null) return 'no view' as const;
     const [peerRevision, jobs] = response;
     // From here on a read that returns a lower revision than the peer has seen is evidence of a loss.
     dependencies.lossDetector.notePeerRevision(incarnation.id, incarnation.generation, peerRevision);
