--- a/packages/controller/src/jobs/job-state.ts
+++ b/packages/controller/src/jobs/job-state.ts
@@ -8,7 +8,7 @@
 import { foldLogEntry } from '../accounts/fold.js';
 import { type Accounts, NO_ACCOUNTS } from '../accounts/model.js';
 import { Calendars } from '../calendar/calendars.js';
-import { firstOfGeneration, type Incarnation, incarnationOf } from '../recovery/model.js';
+import { generationFloor, type Incarnation, incarnationOf } from '../recovery/model.js';
 import { decodeImageWeights } from '../lending/image-weights.js';
 import type { Change, Condition, Entry, Write } from '../state-store/client.js';
 import {
@@ -194,7 +194,7 @@
   /** During a rebuild: whether this job's state is what has been written back; what the loss left may be older. */
   isRestored(id: string): boolean {
     if (this.rebuild === null || this.rebuild.phase === 'wait') return true;
-    const born = this.incarnation?.stamp ?? 0;
+    const born = this.incarnation?.revision ?? 0;
     const bundle = this.bundleOf.get(id);
     const revision = Math.max(
       this.jobs.get(id)?.revision ?? 0,
@@ -208,7 +208,7 @@
    * there is none. What is from before the incarnation has been made good by its rebuild.
    */
   missingRecord(): string | null {
-    const born = this.incarnation?.stamp ?? 0;
+    const born = this.incarnation?.revision ?? 0;
     for (const [key, stamp] of this.damaged)
       if (stamp > born && (key.startsWith(LOG_ENTRIES) || key === TERM)) return key;
     const seqs = [...this.logTail.values()]
@@ -223,7 +223,7 @@
    * a log entry that went by a newer one. What is from before the incarnation has been made good, as far as it could be.
    */
   get calendarLost(): boolean {
-    const born = this.incarnation?.stamp ?? 0;
+    const born = this.incarnation?.revision ?? 0;
     const { head, complete: whole } = this.calendars;
     if (head !== null && head.revision > born && !whole) return true;
     const version = head?.value.version ?? 0;
@@ -289,7 +289,7 @@
       const id = key.slice(INCARNATION.length);
       if (value === undefined) this.incarnations.delete(id);
       else this.incarnations.set(id, incarnationOf(id, value, revision));
-      this.attemptFloor = firstOfGeneration(this.incarnation?.generation ?? 0);
+      this.attemptFloor = generationFloor(this.incarnation?.generation ?? 0);
     } else if (key.startsWith(FINAL_STATE_PARTS))
       this.finalStateParts.add(key.slice(FINAL_STATE_PARTS.length));
     else if (key.startsWith(ORPHANED_JOB)) {
--- a/packages/controller/src/jobs/store-watcher.ts
+++ b/packages/controller/src/jobs/store-watcher.ts
@@ -164,7 +164,7 @@
     const asked = this.clock();
     return this.store.get(INCARNATION + known.id).pipe(
       Effect.flatMap(({ entry }) => {
-        if (entry?.stamp === known.stamp) this.lossDetector.incarnationSeen(asked);
+        if (entry?.stamp === known.revision) this.lossDetector.noteIncarnationSeen(asked);
         else this.lossDetector.suspect('other incarnation', `${known.id} is not there`);
         return this.lossDetector.suspected ? Effect.fail(dataLossSuspected) : Effect.void;
       }),
@@ -175,7 +175,7 @@
   private verifyView(asked: Micros, anew = false): Effect.Effect<void, StateFailure> {
     return Effect.suspend(() => {
       const { jobState, lossDetector } = this;
-      lossDetector.readIncarnation(jobState.incarnation);
+      lossDetector.handleIncarnationRead(jobState.incarnation);
       lossDetector.checkTerm(jobState.term, asked);
       for (const key of jobState.damaged.keys())
         if (key.startsWith(ACTIVE_JOBS) && jobState.jobs.has(key.slice(ACTIVE_JOBS.length)))
--- a/packages/controller/src/leadership/store-founding.ts
+++ b/packages/controller/src/leadership/store-founding.ts
@@ -18,7 +18,7 @@
 } from '../jobs/keys.js';
 import type { StoreWatcher } from '../jobs/store-watcher.js';
 import type { DataLossDetector } from '../recovery/data-loss-detector.js';
-import { attemptFloor, firstOfGeneration, generationOf, incarnationOf } from '../recovery/model.js';
+import { attemptFloor, generationFloor, generationOf, incarnationOf } from '../recovery/model.js';
 import type { Settings } from '../settings/settings.js';
 import { Priority } from '../state-store/budget.js';
 import type { StateFailure, Write } from '../state-store/client.js';
@@ -52,7 +52,7 @@
   Effect.gen(function* () {
     const { jobState, lossDetector, settings, watcher } = parts;
     if (lossDetector.suspected || !watcher.loaded || jobState.incarnation !== null) return;
-    if (!parts.peers.allAsked() || lossDetector.known().generation >= 0) return;
+    if (!parts.peers.allAsked() || lossDetector.storeKnowledge().generation >= 0) return;
     const incarnationKey = INCARNATION + (yield* newIncarnationId(settings.label));
     // Should an earlier incarnation have been lost without anybody to remember it, its terms were lower.
     const now = Math.floor((yield* Clock.currentTimeMillis) / 1000);
@@ -91,21 +91,21 @@
       unguardedStore.page(TERM, null, 1),
     ]);
     const old = status.entries.filter((e) => e.key.startsWith(INCARNATION));
-    const known = parts.lossDetector.known();
+    const known = parts.lossDetector.storeKnowledge();
     const generations = old.map((e) => incarnationOf(e.key, e.value, e.stamp).generation);
     // Another node was faster: the next probe shows that the store was rebuilt.
     if (generations.some((g) => g > known.generation)) return null;
     const storedTerm = (last.entries[0]?.value as { term: number } | undefined)?.term ?? 0;
     const generation =
       1 + Math.max(known.generation, generationOf(Math.max(known.term, storedTerm)), ...generations);
-    const term = firstOfGeneration(generation) + 1;
+    const term = generationFloor(generation) + 1;
     const incarnationKey = INCARNATION + (yield* newIncarnationId(settings.label));
     const now = Math.floor((yield* Clock.currentTimeMillis) / 1000);
     // Counted from the first start on, as long as anybody knows of it: should this incarnation be lost and forgotten as
     // well, the one that takes its generation goes on above it.
-    const bornAt = known.incarnation?.bornAt ?? now;
+    const bornAt = known.incarnation?.startedAt ?? now;
     const attempts = attemptFloor(
-      { id: incarnationKey, generation, stamp: 0, termFloor: 0, bornAt },
+      { id: incarnationKey, generation, revision: 0, termFloor: 0, startedAt: bornAt },
       null,
       now,
     );
--- a/packages/controller/src/links.ts
+++ b/packages/controller/src/links.ts
@@ -26,7 +26,7 @@
     return Effect.map(this.to(peer).ask('/relay', batch, RELAY_TIMEOUT_MS), (r) => r.body);
   }
 
-  ask(peer: Peer, path: string, body: Buffer): Effect.Effect<Buffer, NoAnswer> {
+  request(peer: Peer, path: string, body: Buffer): Effect.Effect<Buffer, NoAnswer> {
     return Effect.flatMap(this.to(peer).ask(path, body, VIEW_TIMEOUT_MS), (r) =>
       r.status === 200 ? Effect.succeed(r.body) : none(r, 'answer'),
     );
--- a/packages/controller/src/node.ts
+++ b/packages/controller/src/node.ts
@@ -6,7 +6,7 @@
 import type { Files } from '@lilacvalve/snapshot/files';
 import { Effect } from 'effect';
 import { DataLossDetector } from './recovery/data-loss-detector.js';
-import { auditTask, type DetectionParts, dataLossTask } from './recovery/detection-task.js';
+import { auditTask, type DetectionDependencies, dataLossTask } from './recovery/detection-task.js';
 import { GuardedStore } from './recovery/guarded-store.js';
 import { userListener, workerListener, peerListener } from './listeners.js';
 import type { CloudPort } from './provisioning/cloud.js';
@@ -23,7 +23,7 @@
 import type { ViewPort } from './recovery/model.js';
 import { viewHandler } from './recovery/view-exchange.js';
 import { PreLossViews } from './recovery/pre-loss-views.js';
-import { answerCheckRequest, verifyWith } from './recovery/view-verification.js';
+import { respondToCheckRequest, verifyAgainstPeer } from './recovery/view-verification.js';
 import { EvidenceStore } from './recovery/evidence-store.js';
 import { LeaderSessions } from './leadership/leader-session.js';
 import type { Settings } from './settings/settings.js';
@@ -113,7 +113,7 @@
               generation: lossDetector.incarnation.generation,
               highestRevision: lossDetector.revisionFloor(),
               viewRevision: jobState.revision,
-              seenAgo: lossDetector.sinceIncarnationSeen(),
+              seenAgo: lossDetector.timeSinceIncarnationSeen(),
             },
       hasPreLossViews: preLossViews.all.length > 0,
       ...(leadership.currentTerm() === null ? {} : { provisioning: sessions.fleet.news }),
@@ -128,7 +128,7 @@
   peers.onResponse = (b, asked) => {
     // It has seen the key itself, at most so long before it answered.
     if (b.store && b.store.incarnation === lossDetector.incarnation?.id)
-      lossDetector.incarnationSeen(plus(asked, -b.store.seenAgo));
+      lossDetector.noteIncarnationSeen(plus(asked, -b.store.seenAgo));
   };
   const admission = new Admission(
     settings.limits.maxConnections,
@@ -166,7 +166,7 @@
         return;
       }
       const parts = { lossDetector, store, watcher, jobState, port: ports.views };
-      const told = yield* Effect.forEach(settings.peers, (peer) => verifyWith(parts, peer), {
+      const told = yield* Effect.forEach(settings.peers, (peer) => verifyAgainstPeer(parts, peer), {
         concurrency: 'unbounded',
       });
       // None could tell, or all have been asked in vain: nobody who answers knows better.
@@ -187,7 +187,7 @@
   const leaveView = (): void => {
     if (lossDetector.incarnation !== null && (jobState.jobs.size > 0 || jobState.finalStates.size > 0))
       preLossViews.add(
-        preLossViews.viewOf(
+        preLossViews.captureView(
           jobState,
           lossDetector.incarnation.generation,
           lossDetector.suspicion?.ledTerm ?? null,
@@ -312,7 +312,7 @@
     (incarnation) =>
       lossDetector.incarnation === null || lossDetector.incarnation.id === incarnation
         ? null
-        : preLossViews.viewOf(
+        : preLossViews.captureView(
             jobState,
             lossDetector.incarnation.generation,
             lossDetector.suspicion?.ledTerm ?? leadership.currentTermNumber(),
@@ -321,7 +321,7 @@
     jobState,
     evidenceStore,
     (body) =>
-      answerCheckRequest(
+      respondToCheckRequest(
         body,
         jobState,
         watcher.loaded ? (lossDetector.incarnation?.id ?? null) : null,
@@ -340,7 +340,7 @@
           lossDetector,
           preLossViews,
         });
-  const parts: DetectionParts = {
+  const parts: DetectionDependencies = {
     lossDetector,
     unguardedStore: ports.store,
     store,
--- a/packages/controller/src/recovery/audit.ts
+++ b/packages/controller/src/recovery/audit.ts
@@ -44,7 +44,7 @@
     if (jobState.leader !== null) expected.push([LEADER, jobState.leaderRevision]);
   } else if (prefix === STORE_STATUS) {
     for (const incarnation of jobState.incarnations.values())
-      expected.push([INCARNATION + incarnation.id, incarnation.stamp]);
+      expected.push([INCARNATION + incarnation.id, incarnation.revision]);
   } else if (prefix === CALENDAR) expected.push(...jobState.calendars.keys());
   else if (prefix === JOB_BUNDLES)
     for (const [key, bundle] of jobState.bundles) expected.push([key, bundle.revision]);
--- a/packages/controller/src/recovery/data-loss-detector.ts
+++ b/packages/controller/src/recovery/data-loss-detector.ts
@@ -63,7 +63,7 @@
   }
 
   /** Returns the knowledge that the following responses are compared with. */
-  known(): StoreKnowledge {
+  storeKnowledge(): StoreKnowledge {
     return {
       incarnation: this.incarnation,
       generation: this.generation,
@@ -88,12 +88,12 @@
   }
 
   /** Records that the store had the incarnation's key at `requestedAt` or later. */
-  incarnationSeen(requestedAt: Micros): void {
+  noteIncarnationSeen(requestedAt: Micros): void {
     if (requestedAt > this.seenAt) this.seenAt = requestedAt;
   }
 
   /** Returns the maximum time since the incarnation was last seen, clock drift included, in microseconds. */
-  sinceIncarnationSeen(): number {
+  timeSinceIncarnationSeen(): number {
     return Math.min(1e12, (this.clock() - this.seenAt) * (1 + 2 * DRIFT));
   }
 
@@ -146,7 +146,7 @@
    * Handles a read of the store's incarnation; null: the store has none. A controller without an incarnation adopts the one
    * it has read, unless it knows of a newer generation: then the store has lost data.
    */
-  readIncarnation(stored: Incarnation | null): void {
+  handleIncarnationRead(stored: Incarnation | null): void {
     if (this.incarnation !== null) return;
     if (stored !== null && stored.generation >= this.generation) {
       this.incarnation = stored;
@@ -199,7 +199,7 @@
   fence(): Condition | null {
     return this.incarnation === null
       ? null
-      : { key: INCARNATION + this.incarnation.id, stamp: this.incarnation.stamp };
+      : { key: INCARNATION + this.incarnation.id, stamp: this.incarnation.revision };
   }
 
   /** Ends the suspicion: the store was seen to be intact. */
--- a/packages/controller/src/recovery/detection-task.ts
+++ b/packages/controller/src/recovery/detection-task.ts
@@ -43,7 +43,7 @@
 const AUDIT_PAGE_SIZE = 120;
 
 /** Dependencies of the detection tasks. */
-export interface DetectionParts {
+export interface DetectionDependencies {
   readonly lossDetector: DataLossDetector;
   /** The store without the checks of `GuardedStore`, which refuses every request while a loss is suspected. */
   readonly unguardedStore: StatePort;
@@ -86,7 +86,7 @@
 };
 
 /** Reads the whole store anew and describes the first difference from this controller's view; null if there is none. */
-const findDifference = (dependencies: DetectionParts): Effect.Effect<string | null, StateFailure> =>
+const findDifference = (dependencies: DetectionDependencies): Effect.Effect<string | null, StateFailure> =>
   Effect.gen(function* () {
     const entries: Entry[] = [];
     let baseRevision = Number.POSITIVE_INFINITY;
@@ -136,7 +136,7 @@
 
 /** Describes how a store that probes find intact differs from this controller's view; None if the store can't be read. */
 const differenceOf = (
-  dependencies: DetectionParts,
+  dependencies: DetectionDependencies,
   suspicion: Suspicion,
 ): Effect.Effect<Option.Option<string | null>> =>
   suspicion.proven
@@ -144,7 +144,7 @@
     : Effect.option(findDifference(dependencies));
 
 /** Probes the store until the suspicion has ended: it was ruled out, or this controller has left the lost incarnation. */
-const investigate = (dependencies: DetectionParts): Effect.Effect<void> =>
+const investigate = (dependencies: DetectionDependencies): Effect.Effect<void> =>
   Effect.gen(function* () {
     const { lossDetector } = dependencies;
     const first = lossDetector.suspicion?.evidence[0];
@@ -158,7 +158,7 @@
       if (probe._tag === 'Some') {
         probes = [...probes.slice(-MAX_PROBES_KEPT), probe.value];
         const requiredProbes = suspicion.ledTerm === null ? REQUIRED_PROBES.follower : REQUIRED_PROBES.leader;
-        const verdict = verdictOf(lossDetector.known(), probes, requiredProbes);
+        const verdict = verdictOf(lossDetector.storeKnowledge(), probes, requiredProbes);
         if (verdict === 'rebuilt') {
           yield* info('store rebuilt by another controller', {
             known: lossDetector.incarnation?.id ?? 'none',
@@ -186,7 +186,7 @@
   });
 
 /** Waits for a suspected loss and investigates it, again and again. Runs until it is interrupted. */
-export const dataLossTask = (dependencies: DetectionParts): Effect.Effect<never> => {
+export const dataLossTask = (dependencies: DetectionDependencies): Effect.Effect<never> => {
   const suspected = Effect.runSync(Queue.sliding<void>(1));
   dependencies.lossDetector.onSuspected = () => Queue.unsafeOffer(suspected, undefined);
   return supervise(
@@ -206,11 +206,11 @@
   probes.length >= REQUIRED_PROBES.leader;
 
 /** Begins a new incarnation of a lost store. A failure is ignored: the next probe tries again or finds another one's. */
-const beginIncarnation = (dependencies: DetectionParts): Effect.Effect<void> =>
+const beginIncarnation = (dependencies: DetectionDependencies): Effect.Effect<void> =>
   Effect.ignore(dependencies.refoundStore);
 
 /** On the leader, searches the store's listing one page at a time for keys that vanished without a change. */
-export const auditTask = (dependencies: DetectionParts): Effect.Effect<never> => {
+export const auditTask = (dependencies: DetectionDependencies): Effect.Effect<never> => {
   let prefixIndex = 0;
   let after: string | null = null;
   return supervise(
--- a/packages/controller/src/recovery/evidence-store.ts
+++ b/packages/controller/src/recovery/evidence-store.ts
@@ -124,7 +124,7 @@
       const peers = this.peersBehind(evidence.revision).slice(0, MAX_PEERS);
       if (peers.length === 0) return Effect.void;
       const body = encodeJobEvidence(evidence);
-      return Effect.forEach(peers, (peer) => Effect.ignore(this.port.ask(peer, EVIDENCE_PATH, body)), {
+      return Effect.forEach(peers, (peer) => Effect.ignore(this.port.request(peer, EVIDENCE_PATH, body)), {
         concurrency: 'unbounded',
         discard: true,
       }).pipe(Effect.timeoutOption(REPLICATE_TIMEOUT_MS), Effect.asVoid);
--- a/packages/controller/src/recovery/guarded-store.ts
+++ b/packages/controller/src/recovery/guarded-store.ts
@@ -64,7 +64,7 @@
               `${fence.key} does not have revision ${fence.stamp}`,
             );
           // A refused transaction was certainly not carried out. A commit by a store that has lost data is uncertain.
-          if (outcome.ok && accepted) this.lossDetector.incarnationSeen(requestedAt);
+          if (outcome.ok && accepted) this.lossDetector.noteIncarnationSeen(requestedAt);
           if (accepted && !this.lossDetector.suspected) return Effect.succeed(outcome);
           return outcome.ok
             ? Effect.fail(new NoAnswer({ reason: dataLossSuspected.reason }))
--- a/packages/controller/src/recovery/loss-verdict.ts
+++ b/packages/controller/src/recovery/loss-verdict.ts
@@ -40,5 +40,5 @@
     ? known.generation < 0 && probe.incarnations.length === 0
     : probe.incarnations.some(
         (incarnation) =>
-          incarnation.id === known.incarnation!.id && incarnation.stamp === known.incarnation!.stamp,
+          incarnation.id === known.incarnation!.id && incarnation.revision === known.incarnation!.revision,
       ));
--- a/packages/controller/src/recovery/model.ts
+++ b/packages/controller/src/recovery/model.ts
@@ -14,7 +14,7 @@
   /** 0 for the incarnation of the first start, incremented by each rebuild. */
   readonly generation: number;
   /** Revision of the incarnation's key. */
-  readonly stamp: number;
+  readonly revision: number;
   /**
    * Every term of the incarnation is higher than this one. The terms of a first incarnation begin at the time of day, so that
    * a store that is started empty a second time does not issue the same terms again.
@@ -24,7 +24,7 @@
    * Time of day in seconds from which `attemptFloor` counts: the beginning of the first incarnation, which every rebuild copies
    * as long as a controller knows it; null if unknown.
    */
-  readonly bornAt: number | null;
+  readonly startedAt: number | null;
 }
 
 /** Decodes the incarnation that is stored as `value` under a key of revision `keyRevision`. */
@@ -34,9 +34,9 @@
   return {
     id,
     generation: integerOrZero(stored?.g),
-    stamp: keyRevision,
+    revision: keyRevision,
     termFloor: integerOrZero(stored?.t),
-    bornAt: stored?.s === undefined ? null : integerOrZero(stored.s),
+    startedAt: stored?.s === undefined ? null : integerOrZero(stored.s),
   };
 };
 
@@ -46,7 +46,7 @@
  */
 const NUMBERS_PER_GENERATION = 2 ** 32;
 /** Returns the number above which all terms and attempts of a generation lie. */
-export const firstOfGeneration = (generation: number): number => generation * NUMBERS_PER_GENERATION;
+export const generationFloor = (generation: number): number => generation * NUMBERS_PER_GENERATION;
 /** Returns the generation that a term or an attempt belongs to. */
 export const generationOf = (termOrAttempt: number): number =>
   Math.floor(termOrAttempt / NUMBERS_PER_GENERATION);
@@ -63,9 +63,9 @@
  */
 export const attemptFloor = (incarnation: Incarnation, previousFloor: number | null, now: number): number =>
   Math.max(
-    firstOfGeneration(incarnation.generation) +
-      (incarnation.bornAt !== null
-        ? MAX_ATTEMPTS_PER_SECOND * Math.max(0, Math.floor(now - incarnation.bornAt))
+    generationFloor(incarnation.generation) +
+      (incarnation.startedAt !== null
+        ? MAX_ATTEMPTS_PER_SECOND * Math.max(0, Math.floor(now - incarnation.startedAt))
         : 0),
     previousFloor !== null ? previousFloor + MIN_ATTEMPTS_PER_TERM : 0,
   );
@@ -120,5 +120,5 @@
 
 /** Sends a request to a peer and returns the body of its response. */
 export interface ViewPort {
-  ask(peer: Peer, path: string, body: Buffer): Effect.Effect<Buffer, NoAnswer>;
+  request(peer: Peer, path: string, body: Buffer): Effect.Effect<Buffer, NoAnswer>;
 }
--- a/packages/controller/src/recovery/pre-loss-views.ts
+++ b/packages/controller/src/recovery/pre-loss-views.ts
@@ -37,7 +37,7 @@
   }
 
   /** Captures the present view without keeping it. `complete`: the view has everything that it should have at its revision. */
-  viewOf(jobState: JobState, generation: number, ledTerm: number | null, complete = true): PreLossView {
+  captureView(jobState: JobState, generation: number, ledTerm: number | null, complete = true): PreLossView {
     return {
       id: `${this.processId}/${++this.viewCount}`,
       generation,
--- a/packages/controller/src/recovery/rebuild.ts
+++ b/packages/controller/src/recovery/rebuild.ts
@@ -62,7 +62,7 @@
       holders,
       // A peer that misses the notice still says in its heartbeats that it keeps views, and gets another request. Merging a
       // view twice changes nothing.
-      ({ peer, ids }) => Effect.ignore(context.viewPort.ask(peer, DURABLE_PATH, encodeDurable(ids))),
+      ({ peer, ids }) => Effect.ignore(context.viewPort.request(peer, DURABLE_PATH, encodeDurable(ids))),
       { concurrency: 'unbounded', discard: true },
     );
   });
--- a/packages/controller/src/recovery/view-exchange.ts
+++ b/packages/controller/src/recovery/view-exchange.ts
@@ -140,7 +140,7 @@
   const finals: (readonly [string, FinalState])[] = [];
   let calendar: ViewResponse['calendar'] = null;
   const fetchFrom = (range: number): Effect.Effect<ViewResponse, NoAnswer> =>
-    port.ask(peer, VIEW_PATH, encodeViewRequest({ incarnation, digest, from: range })).pipe(
+    port.request(peer, VIEW_PATH, encodeViewRequest({ incarnation, digest, from: range })).pipe(
       Effect.flatMap((body) => {
         const response = decodeViewResponse(body);
         if (response === null)
--- a/packages/controller/src/recovery/view-verification.ts
+++ b/packages/controller/src/recovery/view-verification.ts
@@ -45,7 +45,7 @@
  * the ranges where the digests differ. The response is null in msgpack if the views are of different incarnations. Returns
  * null if the request is malformed. A controller that suspects a loss responds too, since its view shows what is missing.
  */
-export const answerCheckRequest = (
+export const respondToCheckRequest = (
   body: Buffer,
   jobState: JobState,
   incarnation: string | null,
@@ -99,11 +99,14 @@
 export type Comparison = 'compared' | 'no view' | 'silent';
 
 /** Compares this controller's view with a peer's. What the peer has and the store lacks is evidence of a loss. */
-export const verifyWith = (dependencies: VerificationDependencies, peer: Peer): Effect.Effect<Comparison> =>
+export const verifyAgainstPeer = (
+  dependencies: VerificationDependencies,
+  peer: Peer,
+): Effect.Effect<Comparison> =>
   Effect.gen(function* () {
     const { incarnation } = dependencies.lossDetector;
     if (incarnation === null) return 'silent' as const;
-    const body = yield* dependencies.port.ask(
+    const body = yield* dependencies.port.request(
       peer,
       CHECK_PATH,
       encodeCheckRequest(incarnation.id, dependencies.jobState),
--- a/packages/controller/src/snapshots/restore.ts
+++ b/packages/controller/src/snapshots/restore.ts
@@ -5,7 +5,7 @@
  */
 import { Effect, Random } from 'effect';
 import type { Content } from '@lilacvalve/snapshot/read';
-import { firstOfGeneration } from '../recovery/model.js';
+import { generationFloor } from '../recovery/model.js';
 import { QUIESCENT, INCARNATION, LEADER, REBUILD, ROOT, RECOVERED, TERM } from '../jobs/keys.js';
 import { Priority } from '../state-store/budget.js';
 import type { StateFailure, Write } from '../state-store/client.js';
@@ -116,7 +116,7 @@
     const generation = content.generation + 1;
     const random = (yield* Random.nextIntBetween(0, 2 ** 31)).toString(36);
     const last: Write[] = [
-      { set: TERM, value: { term: firstOfGeneration(generation) } },
+      { set: TERM, value: { term: generationFloor(generation) } },
       { set: `${INCARNATION}restored.${generation}.${random}`, value: { g: generation, by: 'restore' } },
       { set: REBUILD, value: { phase: 'gather', heard: [] } },
     ];
--- a/packages/controller/src/snapshots/snapshot-task.ts
+++ b/packages/controller/src/snapshots/snapshot-task.ts
@@ -58,7 +58,7 @@
       if (c === null) return info('no snapshot');
       const view = viewOf(c);
       for (const [id, f] of view.finalStates.entries()) parts.jobState.finalStates.remember(id, f);
-      const snapshotView = parts.preLossViews.viewOf(view, c.generation, null);
+      const snapshotView = parts.preLossViews.captureView(view, c.generation, null);
       parts.preLossViews.add(snapshotView);
       // A store of that incarnation that is at least as new has lost nothing of it.
       parts.lossDetector.onIncarnationConfirmed = (id) => {
--- a/packages/controller/test/data-loss-detector.test.ts
+++ b/packages/controller/test/data-loss-detector.test.ts
@@ -7,7 +7,7 @@
 import { verdictOf } from '../src/recovery/loss-verdict.js';
 import {
   attemptFloor,
-  firstOfGeneration,
+  generationFloor,
   generationOf,
   type Incarnation,
   type StoreKnowledge,
@@ -27,7 +27,7 @@
 
 const asStored = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
 const time = (micros: number): Micros => micros as Micros;
-const first: Incarnation = { id: 'one', generation: 0, stamp: 3, termFloor: 50, bornAt: 50 };
+const first: Incarnation = { id: 'one', generation: 0, revision: 3, termFloor: 50, startedAt: 50 };
 const known: StoreKnowledge = { incarnation: first, generation: 0, revision: 100, term: 4 };
 const probe = (overrides: Partial<Probe> = {}): Probe => ({
   incarnations: [first],
@@ -43,7 +43,7 @@
   assert.equal(verdictOf(known, [empty, empty], 3), 'undecided');
   assert.equal(verdictOf(known, [empty, empty, empty], 3), 'lost');
   // The incarnation's key exists at another revision, so it was deleted and written again.
-  const rewritten = probe({ incarnations: [{ ...first, stamp: 9 }] });
+  const rewritten = probe({ incarnations: [{ ...first, revision: 9 }] });
   assert.equal(verdictOf(known, [rewritten, rewritten, rewritten], 3), 'lost');
   const lowerTerm = probe({ term: 3 });
   assert.equal(verdictOf(known, [lowerTerm, lowerTerm, lowerTerm], 3), 'lost');
@@ -64,13 +64,13 @@
 
 test('the verdict is rebuilt for an incarnation of a newer generation, and lost for another one of the same generation', () => {
   const rebuilt = probe({
-    incarnations: [{ id: 'two', generation: 1, stamp: 70, termFloor: 0, bornAt: 60 }],
+    incarnations: [{ id: 'two', generation: 1, revision: 70, termFloor: 0, startedAt: 60 }],
     revision: 75,
     term: 9e9,
   });
   assert.equal(verdictOf(known, [rebuilt], 3), 'rebuilt');
   const emptied = probe({
-    incarnations: [{ id: 'fresh', generation: 0, stamp: 1, termFloor: 0, bornAt: 0 }],
+    incarnations: [{ id: 'fresh', generation: 0, revision: 1, termFloor: 0, startedAt: 0 }],
     revision: 2,
     term: 1,
   });
@@ -86,7 +86,7 @@
     () => time(5),
     () => 7,
   );
-  lossDetector.readIncarnation(first);
+  lossDetector.handleIncarnationRead(first);
   assert.ok(lossDetector.acceptRevision(50, lossDetector.revisionFloor()));
   // The response to an earlier request arrives later and may have a lower revision.
   assert.ok(lossDetector.acceptRevision(48, 40));
@@ -104,7 +104,7 @@
     () => time(now),
     () => null,
   );
-  lossDetector.readIncarnation(first);
+  lossDetector.handleIncarnationRead(first);
   lossDetector.noteTerm(6, 'vm-1');
   lossDetector.checkTerm(5, time(9));
   assert.equal(lossDetector.suspected, false, 'the read was sent before the term was named');
@@ -130,7 +130,7 @@
       () => time(1),
       () => null,
     );
-    lossDetector.readIncarnation({ ...first, termFloor, generation });
+    lossDetector.handleIncarnationRead({ ...first, termFloor, generation });
     return lossDetector;
   };
   const lost = detectorWith(1000);
@@ -155,10 +155,10 @@
 test('terms and attempts of a generation are higher than those of all earlier generations', () => {
   for (const n of [1, 5000, 2 ** 32 - 1]) {
     assert.equal(generationOf(n), 0);
-    assert.ok(firstOfGeneration(1) > n);
+    assert.ok(generationFloor(1) > n);
   }
-  assert.equal(generationOf(firstOfGeneration(3) + 17), 3);
-  assert.ok(Number.isSafeInteger(firstOfGeneration(100_000) + 2 ** 32));
+  assert.equal(generationOf(generationFloor(3) + 17), 3);
+  assert.ok(Number.isSafeInteger(generationFloor(100_000) + 2 ** 32));
 });
 
 test('the audit finds a key that vanished without a change, and no key that was written after the page was read', () => {
@@ -212,13 +212,13 @@
   jobState.apply({ key, value: asStored(encodeJob(job('job-1', { tasks: 4 }), 0)), stamp: 7 });
   assert.equal(jobState.damaged.size, 0);
   jobState.apply({ key: `${INCARNATION}x`, value: { g: 2, by: 'n0' }, stamp: 9 });
-  assert.equal(jobState.attemptFloor, firstOfGeneration(2));
+  assert.equal(jobState.attemptFloor, generationFloor(2));
 });
 
 // A fifth of the log entries could not be decoded and no controller remembered them. The next leader used the attempts of these
 // entries again, and one task ran on two machines under the same attempt.
 test('the attempts of a term are higher than any that earlier terms can have used, even if those terms are not known', () => {
-  const incarnation: Incarnation = { ...first, bornAt: 1000 };
+  const incarnation: Incarnation = { ...first, startedAt: 1000 };
   const firstFloor = attemptFloor(incarnation, null, 1000.4);
   assert.equal(firstFloor, 0, 'the attempts of a new incarnation begin at 0');
   // A term of 100 s has a log entry in each cycle. Then the store is reset to its state before that term.
@@ -231,9 +231,9 @@
       attemptFloor(incarnation, firstFloor, 1000 + termS - 10) >= firstFloor + 4 * termS,
       `after a term of ${termS} s`,
     );
-  assert.ok(attemptFloor({ ...incarnation, generation: 2 }, used, 1100) >= firstOfGeneration(2));
+  assert.ok(attemptFloor({ ...incarnation, generation: 2 }, used, 1100) >= generationFloor(2));
   assert.ok(
-    attemptFloor({ ...incarnation, generation: 2, bornAt: null }, firstOfGeneration(2) + 7, 9) >
-      firstOfGeneration(2) + 7,
+    attemptFloor({ ...incarnation, generation: 2, startedAt: null }, generationFloor(2) + 7, 9) >
+      generationFloor(2) + 7,
   );
 });
--- a/packages/controller/test/late-answers.test.ts
+++ b/packages/controller/test/late-answers.test.ts
@@ -131,7 +131,7 @@
     () => 0 as Micros,
     () => TERM,
   );
-  lossDetector.readIncarnation({ id: 'i', generation: 0, stamp: 1, termFloor: 50, bornAt: 0 });
+  lossDetector.handleIncarnationRead({ id: 'i', generation: 0, revision: 1, termFloor: 50, startedAt: 0 });
   const l = leader(registry(), lossDetector);
   l.take(report(2, 9, 51));
   assert.equal(lossDetector.suspected, false, 'given in this life');
--- a/packages/controller/test/rebuild.test.ts
+++ b/packages/controller/test/rebuild.test.ts
@@ -247,10 +247,10 @@
     stamp: 4001,
   });
   const peerViews = new PreLossViews('n1');
-  peerViews.add(peerViews.viewOf(peerState, 0, null));
+  peerViews.add(peerViews.captureView(peerState, 0, null));
   const leaderViews = new PreLossViews('n0');
-  leaderViews.add(leaderViews.viewOf(leaderState, 0, null));
-  const noEvidence = new EvidenceStore({ ask: () => Effect.succeed(Buffer.alloc(0)) }, () => []);
+  leaderViews.add(leaderViews.captureView(leaderState, 0, null));
+  const noEvidence = new EvidenceStore({ request: () => Effect.succeed(Buffer.alloc(0)) }, () => []);
   const merged = [...versionsByJob(leaderViews.all).values()].map((list) => mergeVersions(list));
   const request = decodeViewRequest(
     encodeViewRequest({ incarnation: 'x', digest: digestOf(merged, []), from: 0 }),
@@ -329,7 +329,7 @@
 });
 
 test('a peer keeps evidence of what a user was told until its own view includes the change', () => {
-  const evidenceStore = new EvidenceStore({ ask: () => Effect.succeed(Buffer.alloc(0)) }, () => []);
+  const evidenceStore = new EvidenceStore({ request: () => Effect.succeed(Buffer.alloc(0)) }, () => []);
   const accepted = {
     id: 'job-1',
     revision: 40,
@@ -358,9 +358,9 @@
 
 test('late messages for an earlier process or an earlier state make a controller discard nothing', () => {
   const before = new PreLossViews('n1/1000');
-  const earlierView = before.viewOf(new JobState(), 0, null);
+  const earlierView = before.captureView(new JobState(), 0, null);
   const after = new PreLossViews('n1/2000');
-  after.add(after.viewOf(new JobState(), 0, null));
+  after.add(after.captureView(new JobState(), 0, null));
   // The notice that a view of the earlier process is durable arrives after that process was restarted.
   after.drop([earlierView.id]);
   assert.equal(after.all.length, 1);
@@ -372,7 +372,7 @@
     incarnation: 'x',
     value: { final: { status: 'done', tasks: 2 } },
   };
-  const evidenceStore = new EvidenceStore({ ask: () => Effect.succeed(Buffer.alloc(0)) }, () => []);
+  const evidenceStore = new EvidenceStore({ request: () => Effect.succeed(Buffer.alloc(0)) }, () => []);
   evidenceStore.record(latest);
   evidenceStore.record({ ...latest, revision: 4, value: { stored: encodeJob(job('job-1'), 0) } });
   assert.deepEqual([...evidenceStore.finals()], [['job-1', { status: 'done', tasks: 2 }]]);
--- a/packages/controller/test/support/late-store.ts
+++ b/packages/controller/test/support/late-store.ts
@@ -332,7 +332,7 @@
     ...{
       preLossViews: nothing as never,
       evidenceStore: nothing as never,
-      viewPort: { ask: () => Effect.never } as never,
+      viewPort: { request: () => Effect.never } as never,
     },
   };
   return { ...c, r };
--- a/packages/simulation/src/world/controllers.ts
+++ b/packages/simulation/src/world/controllers.ts
@@ -246,7 +246,7 @@
           ),
       },
       views: {
-        ask: (peer, path, body) =>
+        request: (peer, path, body) =>
           this.exchange(host, label, peer.label, PEER_REQUEST_TIMEOUT, (there) =>
             Effect.zipRight(there.host.pass, there.node.handlePeer({ method: 'POST', path, body })),
           ).pipe(
--- a/packages/simulation/test/stored-data.test.ts
+++ b/packages/simulation/test/stored-data.test.ts
@@ -153,7 +153,7 @@
   const view = viewOf(pairs);
   const i = view.incarnation!;
   assert.equal(i.id, pairs[0]![0].slice('s/l/i/'.length));
-  assert.deepEqual([i.generation, i.bornAt], [born!.g, born!.s]);
+  assert.deepEqual([i.generation, i.startedAt], [born!.g, born!.s]);
   assert.deepEqual([view.leader!.node, view.leader!.term], [leader!.node, leader!.term]);
   assert.deepEqual([view.term, view.attemptBase], [term!.term, term!.a]);
   const named = view.orphanedJobs.get(pairs[3]![0].slice('s/l/w/'.length))!;
--- a/packages/simulation/test/support/fixed-forms.ts
+++ b/packages/simulation/test/support/fixed-forms.ts
@@ -1,7 +1,7 @@
 /** Forms that no recorded day shows, written from fixed content: a snapshot's files, a restore, a check between controllers. */
 import { Effect, Random } from 'effect';
 import { JobState } from '@lilacvalve/controller/jobs/job-state';
-import { answerCheckRequest, encodeCheckRequest } from '@lilacvalve/controller/recovery/view-verification';
+import { respondToCheckRequest, encodeCheckRequest } from '@lilacvalve/controller/recovery/view-verification';
 import { restore } from '@lilacvalve/controller/snapshots/restore';
 import type { StatePort } from '@lilacvalve/controller/state-store/port';
 import type { Files } from '@lilacvalve/snapshot/files';
@@ -107,8 +107,8 @@
   const question = encodeCheckRequest('i-1', full);
   return [
     question,
-    answerCheckRequest(question, empty, 'i-1', 77)!,
-    answerCheckRequest(encodeCheckRequest('i-1', empty), full, 'i-1', 77)!,
-    answerCheckRequest(question, full, 'i-2', 77)!,
+    respondToCheckRequest(question, empty, 'i-1', 77)!,
+    respondToCheckRequest(encodeCheckRequest('i-1', empty), full, 'i-1', 77)!,
+    respondToCheckRequest(question, full, 'i-2', 77)!,
   ];
 };
