--- a/packages/controller/src/scheduler/cluster-capacity.ts
+++ b/packages/controller/src/scheduler/cluster-capacity.ts
@@ -1,4 +1,4 @@
-/** What one cycle works on: rooms, evicted tasks and teams, as they stand at a moment of the refill. */
+/** Resources of machines, evicted tasks and teams during one cycle's refill, and the rules that placement searches share. */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Job } from '../jobs/model.js';
 import type { TeamSettings } from '../settings/settings.js';
@@ -8,80 +8,92 @@
   type PlacedTask,
   type NodeView,
   type Resources,
-  countOfKind,
+  countFittingAmount,
 } from './model.js';
 
-export interface NodeState {
+/** A machine's resources as the refill changes them. */
+export interface MachineState {
   readonly view: NodeView;
-  /** Its place among all machines of the cycle: of two that are equal otherwise the first one is chosen. */
+  /** Position among all machines of the cycle; of two equally suitable machines the one with the smaller index is chosen. */
   readonly index: number;
   readonly free: Resources;
-  readonly leaving: Resources;
-  /** Room held by evicted tasks, by urgency: what displacing could free at the most. */
+  /** Resources that terminating and preempted tasks still hold. */
+  readonly terminating: Resources;
+  /** Resources held by evicted tasks, by urgency: an upper bound on what preemption could free. */
   readonly evictedResources: Resources[];
-  /** Beyond need, see idle.ts. */
+  /** Whether the machine is in excess of the demand, see idle-machines.ts. */
   readonly idle: boolean;
-  /** Gathered for a gang that is starving, see reserve.ts. */
-  reservation: NodeReservation | null;
+  /** Reservation for a starving gang, see reserve.ts. */
+  reservation: MachineReservation | null;
 }
-export interface NodeReservation {
+/** Keeps a machine for a starving gang. */
+export interface MachineReservation {
   readonly job: Job;
-  /** The gang can't begin for so long. */
+  /** Estimated time until the gang can begin. */
   readonly until: Micros;
 }
-/** Estimates are often wrong by half. */
+/** Factor by which the actual duration may exceed or fall short of an estimate: estimates are often wrong by half. */
 const ESTIMATE_ERROR = 1.5;
-/** Whether the machine is kept from `job`, which is no more urgent than the gang that it is kept for, and not gone by then. */
-export const isReservedAgainst = (n: NodeState, { spec }: Job): boolean =>
-  n.reservation !== null &&
-  n.reservation.job.spec !== spec &&
-  spec.urgency <= n.reservation.job.spec.urgency &&
-  (spec.estimate === 0 || spec.estimate * ESTIMATE_ERROR > n.reservation.until / ESTIMATE_ERROR);
+/**
+ * Whether the machine is reserved for another gang and not available to `job`. Jobs that are more urgent than the gang, or
+ * that will have finished before the gang can begin, may use a reserved machine.
+ */
+export const isReservedAgainst = (machine: MachineState, { spec }: Job): boolean =>
+  machine.reservation !== null &&
+  machine.reservation.job.spec !== spec &&
+  spec.urgency <= machine.reservation.job.spec.urgency &&
+  (spec.estimate === 0 || spec.estimate * ESTIMATE_ERROR > machine.reservation.until / ESTIMATE_ERROR);
 
-/** An evicted gang, or one evicted task of an array or service. */
+/** An evicted gang, or one evicted task of an array or service: the unit of preemption. */
 export class EvictedUnit {
-  /** Displaced by this cycle. */
-  displaced = false;
-  private greatestLoss: number | null = null;
+  /** Whether this cycle has preempted the unit. */
+  preempted = false;
+  private maxMemberLoss: number | null = null;
 
   constructor(
     readonly team: TeamState,
     readonly job: Job,
     readonly members: readonly PlacedTask[],
-    /** Of one member, and of all. */
+    /** Resources of one member. */
     readonly need: Resources,
+    /** Resources of all members. */
     readonly size: Resources,
   ) {}
 
-  /** What displacing it throws away, at the most by one member. */
+  /** Maximum over the members of the work lost if the unit is preempted. */
   get loss(): number {
-    return (this.greatestLoss ??= Math.max(...this.members.map((m) => m.loss)));
+    return (this.maxMemberLoss ??= Math.max(...this.members.map((member) => member.loss)));
   }
 }
+/** A team's resources as the refill changes them. */
 export interface TeamState {
   readonly settings: TeamSettings;
   readonly weight: number;
-  /** Held by tasks that stay or were refilled. */
+  /** Resources of tasks that can't be evicted, that have returned, or that this cycle placed: the basis of the team's share. */
   readonly used: Resources;
-  /** Everything that may still be running, for the limit. */
+  /** Resources of all tasks that may still be running and of those placed in this cycle; the team's limit applies to these. */
   readonly held: Resources;
-  /** Held by tasks that nobody is stopping, also evicted ones; nothing that this cycle starts or promises. */
-  readonly staying: Resources;
+  /** Resources of running tasks that are not being stopped, evicted ones included; without tasks placed in this cycle. */
+  readonly retained: Resources;
 }
 
-/** Where a gang's members, or one task, go. */
+/** The machines chosen for the members of a gang or for one task. */
 export interface PlacementChoice {
-  readonly machines: readonly NodeState[];
+  readonly machines: readonly MachineState[];
+  /** Units to preempt. */
   readonly victims: ReadonlySet<EvictedUnit>;
-  /** All on room that is free now. */
+  /** Whether all tasks fit into resources that are free now. */
   readonly free: boolean;
 }
-/** How far a search goes: free room, then room being left, then displacing. */
+/**
+ * Resources that a search may use: free ones only (0), also those of terminating tasks (1), and also those that can be
+ * freed by preemption (2).
+ */
 export type SearchLevel = 0 | 1 | 2;
 export const WITH_PREEMPTION: readonly SearchLevel[] = [0, 1, 2];
 export const WITHOUT_PREEMPTION: readonly SearchLevel[] = [0, 1];
 export const FREE_ONLY: readonly SearchLevel[] = [0];
-/** null: nowhere, as far as these levels go. */
+/** Searches machines for `count` tasks of a job, level by level; null if the tasks don't fit at any of the levels. */
 export type PlacementSearch = (
   job: Job,
   team: TeamState,
@@ -89,29 +101,32 @@
   levels: readonly SearchLevel[],
 ) => PlacementChoice | null;
 
+/** The cycle's state as the placement searches see it. */
 export interface ClusterCapacity {
-  readonly nodes: ReadonlyMap<string, NodeState>;
-  /** Evicted units on a machine that nobody has displaced, with the refill as far as it has come. */
-  readonly evictedOn: (node: NodeState) => readonly EvictedUnit[];
-  /** To be called whenever a machine's rooms have changed. */
-  readonly markChanged: (node: NodeState) => void;
-  /** Machines in the order in which they were touched. */
-  readonly changedNodes: readonly NodeState[];
-  /** In order of name. */
+  readonly machines: ReadonlyMap<string, MachineState>;
+  /** Returns the evicted units on a machine that are not preempted, after the returns that precede the item being served. */
+  readonly evictedOn: (machine: MachineState) => readonly EvictedUnit[];
+  /** Must be called whenever a machine's resources or reservation have changed. */
+  readonly markChanged: (machine: MachineState) => void;
+  /** Machines in the order of their changes; a machine is listed once for each change. */
+  readonly changedMachines: readonly MachineState[];
+  /** All zones, sorted by name. */
   readonly zones: readonly string[];
-  /** Zones that hold tasks of a job with rules about zones, with how many. */
+  /** Number of placed tasks by zone, of jobs with zone rules. */
   readonly zonesHeld: ReadonlyMap<Job, ReadonlyMap<string, number>>;
-  /** Jobs with a task that may be anywhere: zone rules can't be kept for them yet. */
+  /** Jobs with a task on a machine whose zone is not known: their zone rules can't be followed yet. */
   readonly zoneUnknown: ReadonlySet<Job>;
   readonly coLocatedDemand: readonly CoLocatedDemand[];
   readonly avoid: (job: Job) => ReadonlySet<string> | null;
   /** See `QueuedJob.overdue`. */
   readonly overdue: ReadonlySet<Job>;
+  /** Returns the team's weighted dominant share. */
   readonly share: (team: TeamState) => number;
+  /** Whether the team would be within its guarantee with `more` resources in use. */
   readonly withinGuarantee: (team: TeamState, more: Resources) => boolean;
 }
 
-/** What the platform's rules and the paper's preemption let `job` push out. */
+/** Whether `job` may preempt `unit`, by urgency or to claim its team's guarantee. */
 export const mayPreempt = (
   capacity: ClusterCapacity,
   job: Job,
@@ -120,7 +135,7 @@
   unit: EvictedUnit,
 ): boolean => {
   if (unit.job.spec.urgency < job.spec.urgency) return true;
-  // A team's guarantee is given back by whoever runs beyond their own.
+  // A team within its guarantee may reclaim resources from a team that exceeds its own.
   return (
     unit.team !== team &&
     capacity.withinGuarantee(team, need) &&
@@ -129,8 +144,8 @@
 };
 
 /**
- * Co-located demand that waits, or may soon wait, for which `job` must leave a GPU machine its room; once it is
- * `overdue` only those that wait.
+ * Returns the co-located demand for which `job` must leave resources on GPU machines: that of equally or more urgent GPU
+ * jobs that wait now or that might wait before `job` finishes. An `overdue` job need only respect jobs that wait now.
  */
 export const protectedDemand = (
   coLocatedDemand: readonly CoLocatedDemand[],
@@ -140,100 +155,115 @@
   job.spec.gpus > 0
     ? []
     : coLocatedDemand.filter(
-        (c) =>
-          c.urgency >= job.spec.urgency &&
-          (c.waiting || (!overdue && (job.spec.estimate === 0 || job.spec.estimate > c.patience))),
+        (demand) =>
+          demand.urgency >= job.spec.urgency &&
+          (demand.waiting || (!overdue && (job.spec.estimate === 0 || job.spec.estimate > demand.patience))),
       );
 
 /**
- * A task without GPUs leaves a GPU machine what its free GPUs need beside them, unless it is more urgent
- * than every GPU job, or short while none of them waits: room whose GPUs nobody can reach any more is lost
- * to the jobs that need them. `left` is what would be free beside it.
+ * Whether a task without GPUs would leave a GPU machine without the CPUs and memory that the machine's free GPUs need: GPUs
+ * that no job can use are lost to the jobs that need them. `remaining`: the machine's free resources beside the task.
  */
 export const strandsGpus = (
-  guards: readonly CoLocatedDemand[],
+  protectedDemands: readonly CoLocatedDemand[],
   job: Job,
   total: Resources,
   idle: boolean,
-  left: Resources,
+  remaining: Resources,
   overdue = false,
 ): boolean => {
   const gpus = total[1];
   if (job.spec.gpus > 0 || gpus === 0) return false;
-  // Without any GPU task it is dear and idle: it should become empty and go back, not be kept by CPU tasks.
-  if (!overdue && job.spec.urgency === 0 && job.spec.types === null && (idle || left[1] >= gpus - EPSILON))
+  // A GPU machine without GPU tasks is expensive and should become idle and be returned: low-urgency CPU tasks must not
+  // keep it rented.
+  if (
+    !overdue &&
+    job.spec.urgency === 0 &&
+    job.spec.types === null &&
+    (idle || remaining[1] >= gpus - EPSILON)
+  )
     return true;
-  for (const c of guards)
-    if (left[0] < left[1] * c.cpusPerGpu - EPSILON || left[2] < left[1] * c.memPerGpu - EPSILON) return true;
+  for (const demand of protectedDemands)
+    if (
+      remaining[0] < remaining[1] * demand.cpusPerGpu - EPSILON ||
+      remaining[2] < remaining[1] * demand.memPerGpu - EPSILON
+    )
+      return true;
   return false;
 };
 
-/** GPUs that nobody could use any more, for want of what their jobs take beside them, were so much left. */
-const strandedGpus = (coLocatedDemand: readonly CoLocatedDemand[], left: Resources): number => {
-  let worst = 0;
-  for (const c of coLocatedDemand) {
-    // As many GPUs as the rest suffices for; all of them where their jobs take nothing beside them.
-    const cpus = c.cpusPerGpu > 0 ? left[0] / c.cpusPerGpu : left[1];
-    const mem = c.memPerGpu > 0 ? left[2] / c.memPerGpu : left[1];
-    worst = Math.max(worst, left[1] - Math.min(cpus, mem));
+/** Returns how many of the remaining free GPUs could not be used for lack of the CPUs or memory that GPU jobs need beside them. */
+const strandedGpus = (coLocatedDemand: readonly CoLocatedDemand[], remaining: Resources): number => {
+  let maxStranded = 0;
+  for (const demand of coLocatedDemand) {
+    // GPUs that the CPUs and the memory suffice for; all free GPUs if the class needs none beside them.
+    const byCpus = demand.cpusPerGpu > 0 ? remaining[0] / demand.cpusPerGpu : remaining[1];
+    const byMemory = demand.memPerGpu > 0 ? remaining[2] / demand.memPerGpu : remaining[1];
+    maxStranded = Math.max(maxStranded, remaining[1] - Math.min(byCpus, byMemory));
   }
-  return worst;
+  return maxStranded;
 };
 
 /**
- * Tightest fit, with what a task has no use for, a missing image, and GPUs that it would strand weighing against a
- * machine: the second of two large tasks without GPUs on one machine strands more of them than the first.
+ * Scores a machine for a task; smaller is better. The tightest fit wins; resources the task can't use, a missing image and
+ * the GPUs that the task newly strands count against the machine. Counting stranded GPUs spreads large tasks without GPUs:
+ * the second one on a machine strands more of them than the first. `remaining`: the free resources beside the task.
  */
-export const score = (
+export const placementScore = (
   coLocatedDemand: readonly CoLocatedDemand[],
   job: Job,
-  n: NodeState,
-  left: Resources,
+  machine: MachineState,
+  remaining: Resources,
 ): number => {
-  const t = n.view.total;
-  if (job.spec.gpus === 0 && t[1] > 0) {
-    const before: Resources = [left[0] + job.spec.cpus, left[1], left[2] + job.spec.memGb];
+  const machineTotal = machine.view.total;
+  if (job.spec.gpus === 0 && machineTotal[1] > 0) {
+    const before: Resources = [remaining[0] + job.spec.cpus, remaining[1], remaining[2] + job.spec.memGb];
     return (
-      plainScore(job, n, left) + strandedGpus(coLocatedDemand, left) - strandedGpus(coLocatedDemand, before)
+      fitScore(job, machine, remaining) +
+      strandedGpus(coLocatedDemand, remaining) -
+      strandedGpus(coLocatedDemand, before)
     );
   }
-  return plainScore(job, n, left);
+  return fitScore(job, machine, remaining);
 };
 
-const plainScore = (job: Job, n: NodeState, left: Resources): number => {
-  const t = n.view.total;
-  let loose = 0;
-  for (let i = 0; i < 3; i++) if (t[i]! > 0) loose += left[i]! / t[i]!;
+/** `placementScore` without stranded GPUs. */
+const fitScore = (job: Job, machine: MachineState, remaining: Resources): number => {
+  const machineTotal = machine.view.total;
+  let unusedRatios = 0;
+  for (let i = 0; i < 3; i++) if (machineTotal[i]! > 0) unusedRatios += remaining[i]! / machineTotal[i]!;
   return (
-    loose / 3 +
-    (job.spec.gpus === 0 && t[1] > 0 ? 4 : 0) +
-    (n.view.images.has(job.spec.image) ? 0 : n.view.fetchingWeights === true ? 1.4 : 0.4) +
-    (n.idle ? 8 : 0) +
-    (prefersSpot(job) === n.view.spot ? 0 : 1)
+    unusedRatios / 3 +
+    (job.spec.gpus === 0 && machineTotal[1] > 0 ? 4 : 0) +
+    (machine.view.images.has(job.spec.image) ? 0 : machine.view.fetchingWeights === true ? 1.4 : 0.4) +
+    (machine.idle ? 8 : 0) +
+    (prefersSpot(job) === machine.view.spot ? 0 : 1)
   );
 };
 
+/** Estimate from which a task without checkpoints avoids spot machines, in microseconds. */
+const LONG_TASK = 100e6;
 /**
- * Jobs that may use spot machines leave the others to those that may not. But where a task runs for long and saves
- * nothing, a machine that is taken back costs all its work: such tasks go elsewhere first.
+ * Whether spot machines are preferred for the job. Jobs that may use spot machines leave the others to jobs that may not,
+ * except long tasks without checkpoints, which would lose all their work when the spot machine is taken back.
  */
-const LONG_TASK = 100e6;
 const prefersSpot = (job: Job): boolean =>
   job.spec.spot && (job.spec.checkpoint > 0 || job.spec.estimate < LONG_TASK);
 
-/** A place that promises room others are leaving, and one that displaces, rank behind any free one. */
-export const PROMISED_PENALTY = 100;
+/** Added to the score of a machine where the task must wait for terminating tasks: any free place is better. */
+export const TERMINATING_PENALTY = 100;
+/** Returns the penalty of a machine where tasks must be preempted: greater for more urgent victims, then for more lost work. */
 export const preemptionPenalty = (victims: readonly EvictedUnit[]): number => {
-  let lowest = 0;
-  let loss = 0;
-  for (const u of victims) {
-    lowest = Math.max(lowest, u.job.spec.urgency);
-    loss += (u.loss / 1e6) * u.members.length;
+  let maxUrgency = 0;
+  let lossS = 0;
+  for (const unit of victims) {
+    maxUrgency = Math.max(maxUrgency, unit.job.spec.urgency);
+    lossS += (unit.loss / 1e6) * unit.members.length;
   }
-  return 10_000 * (1 + lowest) + Math.min(loss, 9000);
+  return 10_000 * (1 + maxUrgency) + Math.min(lossS, 9000);
 };
 
-/** Zones where `job` may put its next tasks, in order of name. */
+/** Returns the zones where the job's next tasks may be placed, in the order of `all`. */
 export const allowedZones = (
   capacity: ClusterCapacity,
   all: readonly string[],
@@ -241,81 +271,91 @@
 ): readonly string[] => {
   const { spec } = job;
   if (capacity.zoneUnknown.has(job) && (spec.oneZone || spec.spread)) return [];
-  let list = spec.zone === null ? all : all.filter((z) => z === spec.zone);
+  let zones = spec.zone === null ? all : all.filter((zone) => zone === spec.zone);
   const held = spec.oneZone ? capacity.zonesHeld.get(job) : undefined;
-  if (held && held.size > 0) list = list.filter((z) => held.has(z) && held.size === 1);
-  return list;
+  if (held && held.size > 0) zones = zones.filter((zone) => held.has(zone) && held.size === 1);
+  return zones;
 };
 
+/** Number of urgencies, 0 to 3. */
 const URGENCIES = 4;
-/** Evicted tasks of an urgency under this may be displaced for a job, as far as an upper bound goes. */
+/** Returns a bound on the urgency of tasks that the job may preempt: only evicted tasks with a smaller urgency. */
 export const preemptibleBelow = (
   capacity: ClusterCapacity,
   job: Job,
   team: TeamState,
   need: Resources,
 ): number =>
-  // Who is within the team's guarantee may displace work of any urgency.
+  // A team within its guarantee may preempt tasks of any urgency.
   capacity.withinGuarantee(team, need) ? URGENCIES : job.spec.urgency;
 
-/** Room of one kind on a machine, were all evicted tasks of an urgency under `below` displaced. */
-export const reachableAmount = (n: NodeState, below: number, i: number): number => {
-  let have = n.free[i]! + n.leaving[i]!;
-  for (let u = 0; u < below; u++) have += n.evictedResources[u]![i]!;
-  return have;
+/**
+ * Returns the amount of one resource on a machine that would be free with all terminating tasks gone and all evicted tasks
+ * of an urgency below `belowUrgency` preempted.
+ */
+export const freeableAmount = (machine: MachineState, belowUrgency: number, resource: number): number => {
+  let amount = machine.free[resource]! + machine.terminating[resource]!;
+  for (let urgency = 0; urgency < belowUrgency; urgency++)
+    amount += machine.evictedResources[urgency]![resource]!;
+  return amount;
 };
 
 /**
- * How many tasks fit at most at each level of a search: on free room, with what is being left, were everything displaced
- * that could be. One pass over the machines, no allocation: most searches end here, since a full fleet has no room.
+ * Returns, for each search level, an upper bound on how many tasks fit on the machines in total. Makes one pass without
+ * allocations: on a full fleet this bound ends most searches.
  */
 export const slotBounds = (
   need: Resources,
-  below: number,
-  list: readonly NodeState[],
+  belowUrgency: number,
+  machines: readonly MachineState[],
 ): readonly [number, number, number] => {
-  let free = 0;
-  let left = 0;
-  let all = 0;
-  for (const n of list) {
-    let kFree = Number.POSITIVE_INFINITY;
-    let kLeft = kFree;
-    let kAll = kFree;
+  let freeSlots = 0;
+  let terminatingSlots = 0;
+  let preemptibleSlots = 0;
+  for (const machine of machines) {
+    let free = Number.POSITIVE_INFINITY;
+    let withTerminating = free;
+    let withPreemption = free;
     for (let i = 0; i < 3; i++) {
-      const want = need[i]!;
-      if (want <= 0) continue;
-      let have = n.free[i]!;
-      kFree = Math.min(kFree, countOfKind(want, have));
-      have += n.leaving[i]!;
-      kLeft = Math.min(kLeft, countOfKind(want, have));
-      for (let u = 0; u < below; u++) have += n.evictedResources[u]![i]!;
-      kAll = Math.min(kAll, countOfKind(want, have));
-      if (kAll <= 0) break;
+      const amountPerTask = need[i]!;
+      if (amountPerTask <= 0) continue;
+      let amount = machine.free[i]!;
+      free = Math.min(free, countFittingAmount(amountPerTask, amount));
+      amount += machine.terminating[i]!;
+      withTerminating = Math.min(withTerminating, countFittingAmount(amountPerTask, amount));
+      for (let urgency = 0; urgency < belowUrgency; urgency++)
+        amount += machine.evictedResources[urgency]![i]!;
+      withPreemption = Math.min(withPreemption, countFittingAmount(amountPerTask, amount));
+      if (withPreemption <= 0) break;
     }
-    if (kAll <= 0) continue;
-    all += kAll;
-    if (kLeft > 0) left += kLeft;
-    if (kFree > 0) free += kFree;
+    if (withPreemption <= 0) continue;
+    preemptibleSlots += withPreemption;
+    if (withTerminating > 0) terminatingSlots += withTerminating;
+    if (free > 0) freeSlots += free;
   }
-  return [free, left, all];
+  return [freeSlots, terminatingSlots, preemptibleSlots];
 };
 
+/** A placement within one zone. */
 export interface ZoneChoice {
   readonly choice: PlacementChoice;
-  /** Places for such tasks in the zone, the gang's own included. */
+  /** Upper bound on how many such tasks fit into the zone, those of the choice included. */
   readonly slots: number;
 }
-/** Zones that displace up to so many times what the best one would count as equal to it. */
+/** Zones whose victims are at most this many times the fewest of any zone count as equal. */
 const PREEMPTION_TOLERANCE = 1.5;
 /**
- * Of the zones that have a place for a gang, displacing little, the one with the least room beside it: so the
- * zones with the most stay whole for the largest gangs.
+ * Returns the choice in the zone with the fewest slots among those with about the fewest victims: the zones with the most
+ * slots are left for the largest gangs.
  */
-export const tightestZone = (found: readonly ZoneChoice[]): PlacementChoice => {
-  const fewest = Math.min(...found.map((f) => f.choice.victims.size));
+export const tightestZone = (zoneChoices: readonly ZoneChoice[]): PlacementChoice => {
+  const fewestVictims = Math.min(...zoneChoices.map((candidate) => candidate.choice.victims.size));
   let best: ZoneChoice | null = null;
-  for (const f of found)
-    if (f.choice.victims.size <= fewest * PREEMPTION_TOLERANCE && (best === null || f.slots < best.slots))
-      best = f;
+  for (const candidate of zoneChoices)
+    if (
+      candidate.choice.victims.size <= fewestVictims * PREEMPTION_TOLERANCE &&
+      (best === null || candidate.slots < best.slots)
+    )
+      best = candidate;
   return best!.choice;
 };
--- a/packages/controller/src/scheduler/commit.ts
+++ b/packages/controller/src/scheduler/commit.ts
@@ -1,4 +1,4 @@
-/** Makes a cycle's ends and starts durable, in log entries that one transaction commits. Conditional on the term. */
+/** Commits a cycle's observed exits and starts as log entries in one transaction that is conditional on the leadership term. */
 import { Effect } from 'effect';
 import { debug, info } from '@lilacvalve/runtime/log';
 import { type Micros, plus } from '@lilacvalve/runtime/micros';
@@ -14,30 +14,34 @@
 import { transactUntilKnown } from './transact-until-known.js';
 import type { CycleContext } from './cycle-context.js';
 
-/** A condition on this key failed, and yet a newer read shows it as it was when the condition was made. */
+/**
+ * Whether the view, refreshed after the condition on this key failed, still has the revision that the condition required:
+ * then the store has lost the key.
+ */
 const isUnchanged = (context: CycleContext, key: string, when: readonly Condition[]): boolean => {
-  const wanted = when.find((c) => c.key === key)?.stamp;
-  if (wanted === undefined || wanted === 0) return false;
-  if (key === ACCOUNTS) return context.jobState.checkpoint.revision === wanted;
+  const required = when.find((condition) => condition.key === key)?.stamp;
+  if (required === undefined || required === 0) return false;
+  if (key === ACCOUNTS) return context.jobState.checkpoint.revision === required;
   if (key.startsWith(ACTIVE_JOBS))
-    return context.jobState.jobs.get(key.slice(ACTIVE_JOBS.length))?.revision === wanted;
+    return context.jobState.jobs.get(key.slice(ACTIVE_JOBS.length))?.revision === required;
   return (
     key.startsWith(LOG_ENTRIES) &&
-    context.jobState.logTail.get(Number(key.slice(LOG_ENTRIES.length)))?.revision === wanted
+    context.jobState.logTail.get(Number(key.slice(LOG_ENTRIES.length)))?.revision === required
   );
 };
 
-const NO_STOPS: readonly Preemption[] = [];
+const NO_PREEMPTIONS: readonly Preemption[] = [];
 
+/** Result of a commit. */
 export interface CommitResult {
-  /** Stops whose loans are durable now: only these may be sent. */
+  /** Preemptions whose loans are durable now: only for these may orders to stop be sent. */
   readonly lendingPreemptions: readonly Preemption[];
-  /** Something of what was to be recorded found no room, and waits for the next cycle. */
+  /** Whether some changes did not fit into the transaction and wait for the next cycle. */
   readonly hasBacklog: boolean;
 }
-const NOTHING: CommitResult = { lendingPreemptions: NO_STOPS, hasBacklog: false };
+const NOTHING_COMMITTED: CommitResult = { lendingPreemptions: NO_PREEMPTIONS, hasBacklog: false };
 
-/** The draft's log entries as they follow the last one; the accounts' rows stand in the first one's head. */
+/** Returns the draft's log entries with sequence numbers and headers; the first header holds the usage rows of the accounts. */
 const logEntriesOf = (
   context: CycleContext,
   draft: Draft,
@@ -49,89 +53,98 @@
     jobs,
   }));
 
-/** Each log entry hangs on the one before it: one that a loss has taken is missed before another is written. */
+/**
+ * Returns the condition on the preceding log entry: if the store has lost that entry, the commit fails before another entry
+ * is written.
+ */
 const predecessorCondition = (context: CycleContext): Condition => {
-  const before = context.jobState.logTail.get(context.jobState.lastSequence);
-  return before
-    ? { key: logEntryKey(context.jobState.lastSequence), stamp: before.revision }
-    : // Without one it hangs on the checkpoint: it goes with that at the earliest, and a late copy must not bring it back.
+  const predecessor = context.jobState.logTail.get(context.jobState.lastSequence);
+  return predecessor
+    ? { key: logEntryKey(context.jobState.lastSequence), stamp: predecessor.revision }
+    : // With an empty log the condition is on the checkpoint. The entry is not deleted before the checkpoint is written anew,
+      // so a delayed copy of this transaction can't write a deleted entry again.
       { key: ACCOUNTS, stamp: context.jobState.checkpoint.revision };
 };
 
+/** Refreshes the view after a failed condition, and suspects a data loss if a required key has disappeared. */
 const handleConflict = (context: CycleContext, failed: readonly string[], when: readonly Condition[]) =>
   Effect.gen(function* () {
     const read = yield* Effect.isSuccess(context.watcher.refresh);
     context.registry.needsCycle = true;
-    // Without that read the view is as old as the condition, and a key that somebody has changed looks like a lost one.
-    const lost = read ? failed.find((k) => isUnchanged(context, k, when)) : undefined;
-    if (lost !== undefined) context.lossDetector.suspect('key lost', `${lost} is not as it was`);
+    // Without a successful refresh the view is as old as the condition, and a changed key would look like a lost one.
+    const lost = read ? failed.find((key) => isUnchanged(context, key, when)) : undefined;
+    if (lost !== undefined) context.lossDetector.suspect('key lost', `${lost} is not at its last revision`);
     yield* debug('commit rejected', { term: context.leaderTerm.number, failed: failed.join(',') });
   });
 
-/** The log entries are durable: they take effect here. `revision` null: at which revision is not known. */
+/** Applies committed log entries to the job state and the worker registry. `revision`: null if it is not known. */
 const applyEntries = (
   context: CycleContext,
-  records: readonly Omit<LogEntry, 'revision'>[],
+  entries: readonly Omit<LogEntry, 'revision'>[],
   revision: number | null,
 ) =>
   Effect.gen(function* () {
-    for (const r of records) {
-      recordSamples(context, r.jobs, r.head.at);
-      // Without its revision it comes from the watch: whether it or a cancellation was first decides what a job is.
-      if (revision !== null) context.jobState.appendLogEntry({ ...r, revision });
+    for (const entry of entries) {
+      recordSamples(context, entry.jobs, entry.head.at);
+      // An entry of unknown revision is read by the watcher: a job's state depends on whether the entry or the job's
+      // cancellation was committed first.
+      if (revision !== null) context.jobState.appendLogEntry({ ...entry, revision });
       else
-        while (!context.jobState.logTail.has(r.sequence) && context.isCurrentTerm())
+        while (!context.jobState.logTail.has(entry.sequence) && context.isCurrentTerm())
           yield* Effect.ignore(context.watcher.refresh);
       let started = 0;
-      for (const [id, c] of r.jobs) {
-        context.registry.dropDurableExits(id, c.done ?? [], c.gone ?? []);
-        for (const on of c.start?.on.values() ?? []) started += on.length;
+      for (const [id, change] of entry.jobs) {
+        context.registry.dropDurableExits(id, change.done ?? [], change.gone ?? []);
+        for (const tasks of change.start?.on.values() ?? []) started += tasks.length;
       }
-      yield* logCutoffRisks(context, r.jobs, r.head.at);
+      yield* logCutoffRisks(context, entry.jobs, entry.head.at);
       yield* debug('log entry committed', {
         term: context.leaderTerm.number,
-        sequence: r.sequence,
-        jobs: r.jobs.size,
+        sequence: entry.sequence,
+        jobs: entry.jobs.size,
         started,
       });
     }
   });
 
+/** Commits all observed exits, and the starts and loans of a cycle as far as they fit. */
 export const commit = (
   context: CycleContext,
   starts: readonly Start[],
-  preemptions: readonly Preemption[] = NO_STOPS,
+  preemptions: readonly Preemption[] = NO_PREEMPTIONS,
 ) =>
   Effect.gen(function* () {
-    // Never earlier than the log entry before, whoever wrote that: clocks differ, and what is weighed by them must not shrink.
+    // Later than the preceding log entry, which another controller may have written: clocks differ, and the durations that
+    // the accounts compute from these times must not be negative.
     const at = Math.max(context.dayTime(), context.jobState.lastAt + 1) as Micros;
     const booking = new Booking(context, at);
     const draft = draftOf(context, starts, preemptions, booking, cutoffRisksOf(context, at));
-    if (draft.entries.length === 0) return NOTHING;
+    if (draft.entries.length === 0) return NOTHING_COMMITTED;
     const usage = booking.usage();
     const calendar = context.jobState.calendars.current?.version ?? 0;
-    const records = logEntriesOf(context, draft, { at, calendar, usage });
-    const keys = records.map((r) => logEntryKey(r.sequence));
-    const chain = predecessorCondition(context);
+    const entries = logEntriesOf(context, draft, { at, calendar, usage });
+    const keys = entries.map((entry) => logEntryKey(entry.sequence));
+    const predecessor = predecessorCondition(context);
     const outcome = yield* transactUntilKnown(
       context,
       [
         { key: TERM, stamp: context.leaderTerm.stamp },
         ...keys.map((key) => ({ key, stamp: 0 })),
-        chain,
+        predecessor,
         ...draft.conditions,
       ],
-      records.map((r, i) => ({ set: keys[i]!, value: encodeLogEntry(r.jobs, r.head) })),
+      entries.map((entry, i) => ({ set: keys[i]!, value: encodeLogEntry(entry.jobs, entry.head) })),
       keys[0]!,
     );
-    if (outcome === null) return NOTHING;
+    if (outcome === null) return NOTHING_COMMITTED;
     if (!outcome.ok) {
-      yield* handleConflict(context, outcome.failed, [chain, ...draft.conditions]);
-      return NOTHING;
+      yield* handleConflict(context, outcome.failed, [predecessor, ...draft.conditions]);
+      return NOTHING_COMMITTED;
     }
     booking.committed(usage);
-    yield* applyEntries(context, records, outcome.revision);
+    yield* applyEntries(context, entries, outcome.revision);
     if (!draft.complete) context.registry.needsCycle = true;
-    for (const e of draft.endedLoans) yield* info('loan ended', { term: context.leaderTerm.number, ...e });
+    for (const loan of draft.endedLoans)
+      yield* info('loan ended', { term: context.leaderTerm.number, ...loan });
     return { lendingPreemptions: draft.lendingPreemptions, hasBacklog: !draft.complete };
   });
--- a/packages/controller/src/scheduler/cycle-context.ts
+++ b/packages/controller/src/scheduler/cycle-context.ts
@@ -1,4 +1,4 @@
-/** What the supervised tasks of a leadership term share: the ports, the worker registry, and the questions a decision must ask. */
+/** Dependencies and state that the supervised tasks of a leadership term share. */
 import type { Ledger } from '../accounts/ledger.js';
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { ClassSamples } from '../calendar/class-samples.js';
@@ -14,45 +14,49 @@
 import type { StartWaits } from './start-waits.js';
 import type { CoLocatedDemand, CycleResult } from './model.js';
 
+/** Dependencies of the scheduler and of the leader's other supervised tasks, and the checks before they act. */
 export interface CycleContext {
   readonly settings: Settings;
   readonly store: StatePort;
   readonly watcher: StoreWatcher;
   readonly jobState: JobState;
   readonly registry: WorkerRegistry;
-  /** What this leadership term gathers for the accounts' pages. */
+  /** Usage and shares that this leadership term records for the pages of the accounts. */
   readonly ledger: Ledger;
   readonly lossDetector: DataLossDetector;
   readonly leaderTerm: LeadershipTerm;
+  /** Whether this controller is the leader and its lease is valid now. */
   readonly mayAct: () => boolean;
-  /** Not deposed, though perhaps without right for the moment. */
+  /** Whether this controller has not been deposed, even if it may not act for the moment. */
   readonly isCurrentTerm: () => boolean;
-  /** Enough nodes know this term that no older leader can go on. */
+  /** Whether enough controllers know this term that no older leader can continue. */
   readonly acknowledged: () => boolean;
+  /** The machine types that can be rented. */
   readonly types: () => readonly MachineType[];
-  /** false: this node has no memory for more running tasks. */
+  /** Whether this controller has memory for more running tasks. */
   readonly mayStart: () => boolean;
-  /** What the fleet's duty tells the followers, and whether it has read the cloud's list in this term. */
+  /** Provisioning update for the followers, and whether the cloud's list of machines has been read in this term. */
   readonly fleet: { news: ProvisioningNews; listed: boolean };
   readonly clock: () => Micros;
-  /** Time of day: deadlines count from a time of day. */
+  /** Time of day, to which jobs' submission times and deadlines refer. */
   readonly dayTime: () => Micros;
   readonly startWaits: StartWaits;
-  /** The largest jobs of each class, as last seen. */
+  /** The largest jobs that were seen of each class. */
   readonly largestJobs: LargestJobs;
-  /** What its log entries have shown of classes, and is not written yet. */
+  /** Measured task durations of job classes that are not written to the store yet. */
   readonly classSamples: ClassSamples;
-  /** What GPU jobs take beside each GPU, by class, as last seen. */
+  /** CPUs and memory that GPU jobs need beside each GPU, by class, and when a job of the class was last seen. */
   readonly coLocatedDemand: Map<string, Omit<CoLocatedDemand, 'waiting'> & { readonly seen: Micros }>;
 }
 
+/** Outcome of the latest scheduling cycle, for the next cycle and for other tasks of the leader. */
 export interface CycleState {
   result: CycleResult | null;
-  /** Machines beyond need, see idle-nodes.ts. */
+  /** Machines in excess of the demand, see idle-machines.ts. */
   idleNodes: ReadonlySet<string>;
   coLocatedDemand: readonly CoLocatedDemand[];
-  /** How long the last cycle computed. */
+  /** Computing time of the latest cycle, in microseconds. */
   computeTime: number;
-  /** The last cycle left something to be recorded for the next one. */
+  /** Whether the latest cycle left changes to be recorded by the next one. */
   hasBacklog: boolean;
 }
--- a/packages/controller/src/scheduler/cycle-input.ts
+++ b/packages/controller/src/scheduler/cycle-input.ts
@@ -1,4 +1,4 @@
-/** What the cycle is given: holders, machines, queues, weights and co-located demand as the worker registry and the jobs have them now. */
+/** Builds the input of a scheduling cycle from the worker registry and the job state. */
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { dayOf, paceOf } from '../calendar/cutoff-tracking.js';
 import { cutoffRank } from '../calendar/slack.js';
@@ -18,7 +18,7 @@
 import { RESERVES_AFTER, IN_TIME_RANK, starvingFrom, type ClassObjective, rankOf } from './rank.js';
 import type { CycleContext } from './cycle-context.js';
 
-/** A task on a machine. What stopping it would cost is asked of few, so it is looked up when asked. */
+/** A placed task. Its loss and remaining time are computed on demand, since a cycle needs them for few tasks only. */
 class PlacedTaskView implements PlacedTask {
   constructor(
     readonly job: Job,
@@ -27,280 +27,331 @@
     readonly zone: string | null,
     readonly leaving: boolean,
     private readonly key: string,
-    private readonly at: Micros,
+    private readonly now: Micros,
     private readonly registry: WorkerRegistry,
   ) {}
 
   get loss(): Micros {
     const run = this.registry.running.get(this.key);
-    const since = run ? this.at - run.since : 0;
+    const since = run ? this.now - run.since : 0;
     const { checkpoint, save } = this.job.spec;
     return (checkpoint > 0 ? Math.min(since, save) : since) as Micros;
   }
 
   get left(): Micros {
     const run = this.registry.running.get(this.key);
-    return Math.max(0, this.job.spec.estimate - (run ? this.at - run.since : 0)) as Micros;
+    return Math.max(0, this.job.spec.estimate - (run ? this.now - run.since : 0)) as Micros;
   }
 }
 
-export const placedTasksOf = (context: CycleContext, at: Micros): PlacedTask[] => {
-  const out: PlacedTask[] = [];
+/** Returns the tasks that hold resources at `now`: all placed tasks whose exits have not been observed. */
+export const placedTasksOf = (context: CycleContext, now: Micros): PlacedTask[] => {
+  const placedTasks: PlacedTask[] = [];
   const { registry } = context;
-  // Thousands of tasks at each cycle: what is the same for all of a machine or a job is asked once.
-  interface OfJob {
-    readonly leaves: boolean;
-    readonly ends: TaskExits | undefined;
+  // Each cycle visits thousands of tasks: values that are equal for all tasks of a machine or a job are looked up once.
+  interface JobLookup {
+    readonly terminating: boolean;
+    readonly exits: TaskExits | undefined;
   }
-  const jobs = new Map<Job, OfJob>();
-  let last: Job | null = null;
-  let known: OfJob = { leaves: false, ends: undefined };
-  const preemptions = registry.stopping.size > 0;
-  for (const [machine, on] of context.jobState.placementsByMachine) {
-    const m = registry.machines.get(machine);
-    const zone = m?.zone ?? null;
-    const away = m === undefined || !m.confirmed;
-    on.forEach((p, key) => {
-      const { job, task } = p;
-      if (job !== last) {
-        let of = jobs.get(job);
-        if (of === undefined) {
-          of = { leaves: job.cancelled || registry.isBrokenGang(job), ends: registry.exits.get(job.spec.id) };
-          jobs.set(job, of);
+  const lookups = new Map<Job, JobLookup>();
+  let lastJob: Job | null = null;
+  let current: JobLookup = { terminating: false, exits: undefined };
+  const anyStopping = registry.stopping.size > 0;
+  for (const [machineId, placements] of context.jobState.placementsByMachine) {
+    const machine = registry.machines.get(machineId);
+    const zone = machine?.zone ?? null;
+    const unconfirmed = machine === undefined || !machine.confirmed;
+    placements.forEach((placement, key) => {
+      const { job, task } = placement;
+      if (job !== lastJob) {
+        let lookup = lookups.get(job);
+        if (lookup === undefined) {
+          lookup = {
+            terminating: job.cancelled || registry.isBrokenGang(job),
+            exits: registry.exits.get(job.spec.id),
+          };
+          lookups.set(job, lookup);
         }
-        last = job;
-        known = of;
+        lastJob = job;
+        current = lookup;
       }
-      // Seen to be over: the log entry that says so is the one that fills its room again.
-      if (known.ends !== undefined && hasExited(known.ends, task)) return;
-      const leaving = away || known.leaves || (preemptions && registry.stopping.has(key));
-      out.push(new PlacedTaskView(job, task, machine, zone, leaving, key, at, registry));
+      // The log entry that records the exit also records the starts on the freed resources.
+      if (current.exits !== undefined && hasExited(current.exits, task)) return;
+      const leaving = unconfirmed || current.terminating || (anyStopping && registry.stopping.has(key));
+      placedTasks.push(new PlacedTaskView(job, task, machineId, zone, leaving, key, now, registry));
     });
   }
-  return out;
+  return placedTasks;
 };
 
-/** Machines on their way to serve. */
-const fetchingWeights = (context: CycleContext): Set<string> => {
-  const out = new Set<string>();
+/** Returns the machines that fetch the image of a GPU service for a replica placed on them. */
+const machinesFetchingWeights = (context: CycleContext): Set<string> => {
+  const machineIds = new Set<string>();
   for (const job of context.jobState.jobs.values()) {
     if (!mayBorrow(job.spec) || job.cancelled) continue;
-    for (const p of job.placed.values())
-      if (context.registry.machines.get(p.machine)?.images.has(job.spec.image) === false) out.add(p.machine);
+    for (const placement of job.placed.values())
+      if (context.registry.machines.get(placement.machine)?.images.has(job.spec.image) === false)
+        machineIds.add(placement.machine);
   }
-  return out;
+  return machineIds;
 };
 
-export const nodesOf = (context: CycleContext, at: Micros): NodeView[] => {
-  const types = new Map(context.types().map((k) => [k.name, k]));
-  const out: NodeView[] = [];
-  const fetches = fetchingWeights(context);
-  for (const m of context.registry.machines.values()) {
-    const k = types.get(m.type);
-    if (!k || !m.reported) continue;
-    out.push({
-      id: m.id,
-      type: m.type,
-      zone: m.zone,
-      spot: m.spot,
-      total: [k.cpus, k.gpus, k.memGb],
-      images: m.images,
-      ...(fetches.has(m.id) ? { fetchingWeights: true } : {}),
-      open: context.registry.isSchedulable(m, at),
+/** Returns the machines of known types whose workers have reported. */
+export const nodesOf = (context: CycleContext, now: Micros): NodeView[] => {
+  const types = new Map(context.types().map((type) => [type.name, type]));
+  const machines: NodeView[] = [];
+  const fetching = machinesFetchingWeights(context);
+  for (const machine of context.registry.machines.values()) {
+    const type = types.get(machine.type);
+    if (!type || !machine.reported) continue;
+    machines.push({
+      id: machine.id,
+      type: machine.type,
+      zone: machine.zone,
+      spot: machine.spot,
+      total: [type.cpus, type.gpus, type.memGb],
+      images: machine.images,
+      ...(fetching.has(machine.id) ? { fetchingWeights: true } : {}),
+      open: context.registry.isSchedulable(machine, now),
     });
   }
-  return out;
+  return machines;
 };
 
 /**
- * What is promised to a class's jobs. An aim on their end orders those that have none on their start: thousands of
- * tiny jobs need not wait behind one huge array of the same team. Where a start is promised, first come goes first.
+ * Returns the objectives of a class that order the queue. An objective for the time to finish counts only if the class has
+ * none for the wait until the start: it lets thousands of tiny jobs go before one huge array of the same team. Classes with
+ * an objective for the wait are served in the order of submission.
  */
 const objectiveOf = (context: CycleContext, jobClass: string): ClassObjective => {
-  const aims = context.settings.objectives.filter((o) => o.jobClass === jobClass);
-  const multiples = aims.filter((o) => o.kind === 'deadline').map((o) => o.times);
-  const ends = aims.some((o) => o.kind === 'wait') ? [] : aims.filter((o) => o.kind === 'finished');
+  const objectives = context.settings.objectives.filter((objective) => objective.jobClass === jobClass);
+  const multiples = objectives
+    .filter((objective) => objective.kind === 'deadline')
+    .map((objective) => objective.times);
+  const finishObjectives = objectives.some((objective) => objective.kind === 'wait')
+    ? []
+    : objectives.filter((objective) => objective.kind === 'finished');
   return {
     multiples: multiples.length === 0 ? [1] : multiples.sort((a, b) => a - b),
-    within: ends.length === 0 ? null : (Math.min(...ends.map((o) => o.within)) as Micros),
+    within:
+      finishObjectives.length === 0
+        ? null
+        : (Math.min(...finishObjectives.map((objective) => objective.within)) as Micros),
   };
 };
 
 /**
- * Nothing is rented for what looks broken, unless a try has been due for so long: there may be no other machine,
- * and a good job that met faulty ones must still get done.
+ * Machines are rented for a job suspected to be faulty only when its retry has been due for longer than this: all present
+ * machines may be faulty, and a correct job that failed on faulty machines must still finish.
  */
 const RETRY_OVERDUE = seconds(45);
 
-/** The next tasks of a job that neither run nor are done, at most `most` placed at once. None: it has nothing to start. */
-const tasksToStart = (job: Job, ends: TaskExits | undefined, broken: boolean, most: number): number[] => {
+/**
+ * Returns the next tasks of a job that are neither running nor completed, so that at most `maxPlaced` tasks are placed at a
+ * time. `exits`: the job's observed exits that are not durable yet. Returns one task at a time of a suspect job.
+ */
+const tasksToStart = (
+  job: Job,
+  exits: TaskExits | undefined,
+  suspect: boolean,
+  maxPlaced: number,
+): number[] => {
   const tasks: number[] = [];
   const gang = job.spec.shape === 'gang';
-  const on = job.placed.size - (ends ? [...job.placed.keys()].filter((i) => hasExited(ends, i)).length : 0);
-  if (gang || broken ? on > 0 : on + job.done.size >= job.spec.tasks) return tasks;
-  // Of what looks broken one task shows as much as all.
-  const count = gang ? job.spec.tasks : broken ? 1 : most - job.placed.size;
-  for (let i = 0; i < job.spec.tasks && tasks.length < count; i++) {
-    if (job.done.has(i) || ends?.done.has(i) || (job.placed.has(i) && !ends?.gone.has(i))) continue;
-    tasks.push(i);
+  const running =
+    job.placed.size - (exits ? [...job.placed.keys()].filter((task) => hasExited(exits, task)).length : 0);
+  if (gang || suspect ? running > 0 : running + job.done.size >= job.spec.tasks) return tasks;
+  // One task of a suspect job shows as well as all tasks whether the job still fails.
+  const count = gang ? job.spec.tasks : suspect ? 1 : maxPlaced - job.placed.size;
+  for (let task = 0; task < job.spec.tasks && tasks.length < count; task++) {
+    if (job.done.has(task) || exits?.done.has(task) || (job.placed.has(task) && !exits?.gone.has(task)))
+      continue;
+    tasks.push(task);
   }
   return tasks;
 };
 
-/** Jobs with tasks to start, once what the worker registry has seen to end is committed. */
-export const queuedJobsOf = (context: CycleContext, at: Micros): QueuedJob[] => {
+/** Returns the jobs with tasks to start, as of the commit of all exits observed so far. */
+export const queuedJobsOf = (context: CycleContext, now: Micros): QueuedJob[] => {
   const { registry, jobState, largestJobs } = context;
-  const out: QueuedJob[] = [];
+  const queuedJobs: QueuedJob[] = [];
   const day = context.dayTime();
   const objectives = new Map<string, ClassObjective>();
   for (const { spec } of jobState.jobs.values()) largestJobs.observe(spec);
-  const limits = new Map(context.settings.teams.map((s) => [s.name, s.limit]));
+  const limits = new Map(context.settings.teams.map((team) => [team.name, team.limit]));
   const calendar = jobState.calendars.current;
   const cutoffDay = dayOf(context);
   const pace = paceOf(context);
-  // What one job's key must be able to hold.
-  const most = Math.max(50, Math.floor((context.settings.state.valueBytes * 0.5) / 12));
+  // A job's key in the store must be able to hold all its placements: about 12 bytes each, in half of a value.
+  const maxPlaced = Math.max(50, Math.floor((context.settings.state.valueBytes * 0.5) / 12));
   for (const job of jobState.jobs.values()) {
     const { spec } = job;
-    if (job.cancelled || isComplete(job) || at < registry.retryNotBefore(job, at)) continue;
-    const broken = registry.isSuspect(job, at);
-    // Something of it runs that no log entry knows of: it is taken up or seen to end before more of it is started.
+    if (job.cancelled || isComplete(job) || now < registry.retryNotBefore(job, now)) continue;
+    const suspect = registry.isSuspect(job, now);
+    // Tasks of the job run without a log entry of their start: they are adopted or exit before more tasks are started.
     if (registry.orphanedTasks.has(spec.id)) continue;
-    const tasks = tasksToStart(job, registry.exits.get(spec.id), broken, most);
+    const tasks = tasksToStart(job, registry.exits.get(spec.id), suspect, maxPlaced);
     if (tasks.length === 0) continue;
     let objective = objectives.get(spec.jobClass);
     if (!objective) objectives.set(spec.jobClass, (objective = objectiveOf(context, spec.jobClass)));
     const gang = spec.shape === 'gang';
-    const from = largestJobs.has(spec)
-      ? starvingFrom(job, day, limits.get(spec.team), gang ? Number.POSITIVE_INFINITY : most)
+    const starvingSince = largestJobs.has(spec)
+      ? starvingFrom(job, day, limits.get(spec.team), gang ? Number.POSITIVE_INFINITY : maxPlaced)
       : null;
-    const tied = broken || spec.tie === null ? null : cutoffRank(job, calendar, cutoffDay, pace);
-    const rankOfTied = (cutoff: number): number =>
-      from !== null && day >= from ? from : IN_TIME_RANK + cutoff;
-    const rank = tied === null ? rankOf(job, day, objective, broken, from) : rankOfTied(tied);
-    const mayRent = !broken || at - registry.retryNotBefore(job, at) > RETRY_OVERDUE;
-    const starving = gang && !broken && from !== null && day >= from + RESERVES_AFTER;
-    const overdue = context.startWaits.overdue(job, at) && !broken;
-    out.push({ job, tasks, rank, starving, cautious: broken, mayRent, ...(overdue ? { overdue } : {}) });
+    const boundRank = suspect || spec.tie === null ? null : cutoffRank(job, calendar, cutoffDay, pace);
+    const rankOfBound = (cutoff: number): number =>
+      starvingSince !== null && day >= starvingSince ? starvingSince : IN_TIME_RANK + cutoff;
+    const rank =
+      boundRank === null ? rankOf(job, day, objective, suspect, starvingSince) : rankOfBound(boundRank);
+    const mayRent = !suspect || now - registry.retryNotBefore(job, now) > RETRY_OVERDUE;
+    const starving = gang && !suspect && starvingSince !== null && day >= starvingSince + RESERVES_AFTER;
+    const overdue = context.startWaits.overdue(job, now) && !suspect;
+    queuedJobs.push({
+      job,
+      tasks,
+      rank,
+      starving,
+      cautious: suspect,
+      mayRent,
+      ...(overdue ? { overdue } : {}),
+    });
   }
   context.startWaits.retain(jobState.jobs);
-  return out;
+  return queuedJobs;
 };
 
-/** How long a machine rented now takes to come, in stated boot times; and for how long a job waits for that alone. */
+/** Expected time until a rented machine is up, as a multiple of the boot time that the cloud states. */
 const BOOT_TIME_FACTOR = 1.2;
-const RENTED_FIRST = seconds(10);
+/** Age of a job up to which its replicas may wait for a rented machine instead of preempting tasks. */
+const RENTAL_MAX_AGE = seconds(10);
 
-/** What placing a replica asks of the world; undefined while none of a GPU service is missing. */
+/** Returns the information for placing replicas; undefined if no replica of a GPU service is queued. */
 export const lendingViewOf = (
   context: CycleContext,
-  at: Micros,
+  now: Micros,
   queued: readonly QueuedJob[],
 ): LendingView | undefined => {
-  if (!queued.some((q) => mayBorrow(q.job.spec))) return undefined;
+  if (!queued.some((item) => mayBorrow(item.job.spec))) return undefined;
   const { registry, jobState } = context;
   const day = context.dayTime();
   const types = new Map(context.types().map((k) => [k.name, k]));
-  const aims = new Map<string, number>();
-  for (const o of context.settings.objectives)
-    if (o.kind === 'wait') aims.set(o.jobClass, Math.min(o.within, aims.get(o.jobClass) ?? o.within));
-  /** Images that machines fetch, and since when. */
+  const waitObjectives = new Map<string, number>();
+  for (const objective of context.settings.objectives)
+    if (objective.kind === 'wait')
+      waitObjectives.set(
+        objective.jobClass,
+        Math.min(objective.within, waitObjectives.get(objective.jobClass) ?? objective.within),
+      );
+  /** Images being fetched and the time of day since when, by machine. */
   const fetching = new Map<string, Map<string, number>>();
   const fetchingOn = (id: string): Map<string, number> => {
-    let on = fetching.get(id);
-    if (on) return on;
-    fetching.set(id, (on = new Map()));
-    const m = registry.machines.get(id);
-    for (const [key, p] of jobState.placementsByMachine.get(id) ?? []) {
-      const status = m?.tasks.get(key)?.status;
-      const { image } = p.job.spec;
-      if ((status !== undefined && status !== 'fetching') || m?.images.has(image)) continue;
-      on.set(image, Math.min(p.since === 0 ? day : p.since, on.get(image) ?? day));
+    let images = fetching.get(id);
+    if (images) return images;
+    fetching.set(id, (images = new Map()));
+    const machine = registry.machines.get(id);
+    for (const [key, placement] of jobState.placementsByMachine.get(id) ?? []) {
+      const status = machine?.tasks.get(key)?.status;
+      const { image } = placement.job.spec;
+      if ((status !== undefined && status !== 'fetching') || machine?.images.has(image)) continue;
+      images.set(image, Math.min(placement.since === 0 ? day : placement.since, images.get(image) ?? day));
     }
-    return on;
+    return images;
   };
-  const pull = (machine: string): number =>
+  const fetchRateOf = (machine: string): number =>
     types.get(registry.machines.get(machine)?.type ?? '')?.fetchGbPerS ?? 0;
-  const fetch = (imageGb: number, gbPerS: number): Micros =>
+  const fetchDuration = (imageGb: number, gbPerS: number): Micros =>
     (gbPerS > 0 ? Math.round((imageGb / gbPerS) * 1e6) : 0) as Micros;
   return {
     imageStatus: (job, machine) => {
-      const on = fetchingOn(machine.id);
+      const images = fetchingOn(machine.id);
       const { image, imageGb } = job.spec;
-      const since = on.get(image);
+      const since = images.get(image);
       return {
         gb: imageGb,
-        gbPerS: pull(machine.id),
+        gbPerS: fetchRateOf(machine.id),
         present: machine.images.has(image),
         fetchedFor: since === undefined ? null : (Math.max(0, day - since) as Micros),
-        others: on.size - (since === undefined ? 0 : 1),
+        others: images.size - (since === undefined ? 0 : 1),
       };
     },
     victim: ({ job: { spec, placed }, task, machine }) => {
       const run = registry.running.get(taskKey(spec.id, task));
-      // A new leader has seen it run for a moment only; the log entry of its start is older.
+      // A new leader has observed the task for a short time only; the log entry of its start is older.
       const since = placed.get(task)?.since ?? 0;
-      const byRecord = since === 0 ? 0 : day - since - fetch(spec.imageGb, pull(machine));
+      const ranByLogEntry = since === 0 ? 0 : day - since - fetchDuration(spec.imageGb, fetchRateOf(machine));
       return {
-        ran: (run === undefined ? 0 : Math.max(at - run.since, byRecord)) as Micros,
+        ran: (run === undefined ? 0 : Math.max(now - run.since, ranByLogEntry)) as Micros,
         estimate: spec.estimate,
         checkpoint: spec.checkpoint,
         save: spec.save,
       };
     },
     reachable: (id) => {
-      const m = registry.machines.get(id);
-      const late = context.settings.workers.report * 1.5 + 1e6;
-      return m !== undefined && m.confirmed && m.recallAt === null && at - m.lastAnswered < late;
+      const machine = registry.machines.get(id);
+      const maxAge = context.settings.workers.report * 1.5 + 1e6;
+      return (
+        machine !== undefined &&
+        machine.confirmed &&
+        machine.recallAt === null &&
+        now - machine.lastAnswered < maxAge
+      );
     },
     due: ({ spec }) => {
-      const within = aims.get(spec.jobClass);
+      const within = waitObjectives.get(spec.jobClass);
       return within === undefined ? null : ((spec.submitted + within - day) as Micros);
     },
     rental: ({ spec }) => {
-      if (day - spec.submitted > RENTED_FIRST) return null;
+      if (day - spec.submitted > RENTAL_MAX_AGE) return null;
       let best: { boot: Micros; fetch: Micros } | null = null;
-      for (const k of types.values()) {
-        if (spec.types !== null && !spec.types.includes(k.name)) continue;
-        if (!fits(resourcesOf(spec), [k.cpus, k.gpus, k.memGb])) continue;
-        const way = {
-          boot: Math.round(k.boot * BOOT_TIME_FACTOR) as Micros,
-          fetch: fetch(spec.imageGb, k.fetchGbPerS),
+      for (const type of types.values()) {
+        if (spec.types !== null && !spec.types.includes(type.name)) continue;
+        if (!fits(resourcesOf(spec), [type.cpus, type.gpus, type.memGb])) continue;
+        const option = {
+          boot: Math.round(type.boot * BOOT_TIME_FACTOR) as Micros,
+          fetch: fetchDuration(spec.imageGb, type.fetchGbPerS),
         };
-        if (best === null || way.boot + way.fetch < best.boot + best.fetch) best = way;
+        if (best === null || option.boot + option.fetch < best.boot + best.fetch) best = option;
       }
       return best;
     },
   };
 };
 
+/** Priority factor of a team without a guarantee whose classes have objectives for the time to finish only. */
+const FINISH_OBJECTIVE_FACTOR = 4;
 /**
- * Priority factors of teams without a guarantee: of those whose classes have an aim on their end only, and of those with
- * no aim at all. The latter come with idle-time work; at the same factor as others they would hold half of everything
- * before others that wait.
+ * Priority factor of a team without a guarantee and without objectives. Such teams submit idle-time work; with the factor of
+ * other teams they would hold half of the capacity while others wait.
  */
-const PROMISED_END = 4;
-const PROMISED_NOTHING = 20;
+const NO_OBJECTIVE_FACTOR = 20;
 
+/** Returns the teams' weights; empty if the settings have no objectives. */
 export const teamWeightsOf = (context: CycleContext): Map<string, number> => {
   const weights = new Map<string, number>();
-  const named = new Map<string, number>();
-  for (const o of context.settings.objectives) {
-    const soon = o.kind === 'wait' || o.kind === 'deadline';
-    named.set(o.jobClass, Math.max(named.get(o.jobClass) ?? 0, soon ? 1 : 1 / PROMISED_END));
+  const weightByClass = new Map<string, number>();
+  for (const objective of context.settings.objectives) {
+    const urgent = objective.kind === 'wait' || objective.kind === 'deadline';
+    weightByClass.set(
+      objective.jobClass,
+      Math.max(weightByClass.get(objective.jobClass) ?? 0, urgent ? 1 : 1 / FINISH_OBJECTIVE_FACTOR),
+    );
   }
-  if (named.size === 0) return weights;
+  if (weightByClass.size === 0) return weights;
   for (const { guarantee, name } of context.settings.teams)
-    weights.set(name, guarantee.cpus > 0 || guarantee.gpus > 0 ? 1 : 1 / PROMISED_NOTHING);
+    weights.set(name, guarantee.cpus > 0 || guarantee.gpus > 0 ? 1 : 1 / NO_OBJECTIVE_FACTOR);
   for (const { spec } of context.jobState.jobs.values())
-    weights.set(spec.team, Math.max(weights.get(spec.team) ?? 0, named.get(spec.jobClass) ?? 0));
+    weights.set(spec.team, Math.max(weights.get(spec.team) ?? 0, weightByClass.get(spec.jobClass) ?? 0));
   return weights;
 };
 
-/** A class of GPU jobs counts for this long after its last job was there: the next one is likely to come. */
-const REMEMBERED = 300e6;
+/**
+ * Time for which a class of GPU jobs counts after its last unfinished job was seen, in microseconds: the class's next job is
+ * likely to be submitted within it.
+ */
+const DEMAND_MAX_AGE = 300e6;
 
-export const coLocatedDemandOf = (context: CycleContext, at: Micros): CoLocatedDemand[] => {
+/** Returns the co-located demand of GPU jobs by class, and updates what the context remembers of it. */
+export const coLocatedDemandOf = (context: CycleContext, now: Micros): CoLocatedDemand[] => {
   const waiting = new Set<string>();
   for (const job of context.jobState.jobs.values()) {
     const { spec } = job;
@@ -313,10 +364,10 @@
       cpusPerGpu: spec.cpus / spec.gpus,
       memPerGpu: spec.memGb / spec.gpus,
       patience: Math.min(known?.patience ?? Number.POSITIVE_INFINITY, slack / 2) as Micros,
-      seen: at,
+      seen: now,
     });
   }
   return [...context.coLocatedDemand]
-    .filter(([, c]) => at - c.seen < REMEMBERED)
-    .map(([jobClass, c]) => ({ ...c, waiting: waiting.has(jobClass) }));
+    .filter(([, demand]) => now - demand.seen < DEMAND_MAX_AGE)
+    .map(([jobClass, demand]) => ({ ...demand, waiting: waiting.has(jobClass) }));
 };
--- a/packages/controller/src/scheduler/cycle.ts
+++ b/packages/controller/src/scheduler/cycle.ts
@@ -1,7 +1,7 @@
 /**
- * One scheduling cycle, a pure function: evict the fair-share-preemptible tasks into their teams' queues, refill
- * progressively, and return what differs (docs/design.md cites the paper). `test/support/plain-cycle.ts` is the same in its
- * plainest form; a property test holds that both decide alike.
+ * One scheduling cycle, a pure function: evicts the fair-share-preemptible tasks into their teams' queues, refills the
+ * machines progressively, and returns the differences (docs/design.md cites the paper). `test/support/plain-cycle.ts` is a
+ * simple implementation of the same algorithm; a property test checks that both decide the same.
  */
 import type { Job } from '../jobs/model.js';
 import { mayBorrow } from '../lending/loans.js';
@@ -39,40 +39,48 @@
   protectedDemand,
   isReservedAgainst,
   WITHOUT_PREEMPTION,
-  type NodeState,
+  type MachineState,
   strandsGpus,
   type TeamState,
 } from './cluster-capacity.js';
 import { TeamOrder } from './team-order.js';
 
-const NONE: Resources = [0, 0, 0];
-const NOBODY: ReadonlySet<EvictedUnit> = new Set();
+const NO_RESOURCES: Resources = [0, 0, 0];
+const NO_VICTIMS: ReadonlySet<EvictedUnit> = new Set();
 
+/** Whether all tasks of the job must start at once. */
 const isGang = (job: Job): boolean => job.spec.shape === 'gang';
 
+/** The state of one cycle. */
 class Cycle {
   private readonly evictions: Evictions;
   private readonly capacity: ClusterCapacity;
   private readonly search: PlacementSearch;
   private readonly teamOrder = new TeamOrder<QueueTeam>();
-  private readonly changedNodes: NodeState[] = [];
+  private readonly changedMachines: MachineState[] = [];
   private readonly starts = new Map<Job, Start>();
   private readonly preemptions: Preemption[] = [];
   private readonly unplaced: Unplaced[] = [];
   private readonly reservations = new Map<string, number>();
-  /** Shapes of task that found no room in this cycle, and how many of them: what fails once fails again. */
+  /**
+   * By failure key, the smallest number of tasks for which a search failed in this cycle: a search for as many similar tasks
+   * or more fails, too, and is skipped.
+   */
   private readonly unplaceable = new Map<string, number>();
-  /** Tasks of each job that services take in this cycle. */
+  /** By job, the number of tasks with GPUs that this cycle preempts for services. */
   private readonly takenForServices = new Map<Job, number>();
-  /** One task of each, or one gang: they have waited for that, and the rest of the GPU machines' room stays theirs. */
+  /**
+   * Overdue jobs of which this cycle has placed nothing yet. Only one task of each, or one gang, may use resources kept for
+   * future GPU jobs.
+   */
   private readonly overdue: Set<Job>;
-  /** Teams whose evicted tasks the latest choice has displaced. */
-  private readonly teamsDisplaced = new Set<QueueTeam>();
-  /** One gang that is starving gathers room. */
+  /** Teams whose evicted tasks were preempted for the item served last. */
+  private readonly teamsPreempted = new Set<QueueTeam>();
+  /** Whether machines have been reserved in this cycle: at most one starving gang gets a reservation. */
   private madeReservation = false;
-  /** Starts of a job on a machine so far. */
+  /** Number of placements (starts of a job on one machine) so far. */
   private placements = 0;
-  /** The team that is being served, until all others' evicted tasks have been let return as far as they come before it. */
+  /** The team being served; null once the other teams' evicted tasks that come before it have returned. */
   private beingServed: QueueTeam | null = null;
 
   constructor(
@@ -80,19 +88,19 @@
     search: (capacity: ClusterCapacity) => PlacementSearch,
   ) {
     this.evictions = new Evictions(input);
-    this.overdue = new Set(input.queued.flatMap((q) => (q.overdue === true ? [q.job] : [])));
+    this.overdue = new Set(input.queued.flatMap((queued) => (queued.overdue === true ? [queued.job] : [])));
     this.capacity = {
-      nodes: this.evictions.nodes,
-      evictedOn: (node) => this.evictedOn(node),
-      markChanged: (node) => void this.changedNodes.push(node),
-      changedNodes: this.changedNodes,
-      zones: [...new Set(input.nodes.map((n) => n.zone))].sort(),
+      machines: this.evictions.machines,
+      evictedOn: (machine) => this.evictedOn(machine),
+      markChanged: (machine) => void this.changedMachines.push(machine),
+      changedMachines: this.changedMachines,
+      zones: [...new Set(input.nodes.map((machine) => machine.zone))].sort(),
       zonesHeld: this.evictions.zonesHeld,
       zoneUnknown: this.evictions.zoneUnknown,
       coLocatedDemand: input.coLocatedDemand,
       avoid: input.avoid,
       overdue: this.overdue,
-      share: (team) => this.share(team, NONE),
+      share: (team) => this.share(team, NO_RESOURCES),
       withinGuarantee: (team, more) => this.withinGuarantee(team, more),
     };
     this.search = replicaSearch(this.capacity, search(this.capacity), input.lending, this.takenForServices);
@@ -102,21 +110,22 @@
     this.serveReservations();
     this.refill();
     const free = new Map<string, Resources>();
-    for (const n of this.evictions.nodes.values()) free.set(n.view.id, [...n.free]);
+    for (const machine of this.evictions.machines.values()) free.set(machine.view.id, [...machine.free]);
     const { starts, preemptions, unplaced, reservations } = this;
     return { starts: [...starts.values()], preemptions, unplaced, reservations, free };
   }
 
-  /** Dominant share over weight, as it would be with `more` placed. */
+  /** Returns the team's dominant share divided by its weight, with `more` resources in use. */
   private share(team: TeamState, more: Resources): number {
     return this.shareOf(team.used, more, team.weight);
   }
 
   private shareOf(used: Resources, more: Resources, weight: number): number {
     const { total } = this.evictions;
-    let worst = 0;
-    for (let i = 0; i < 3; i++) if (total[i]! > 0) worst = Math.max(worst, (used[i]! + more[i]!) / total[i]!);
-    return worst / weight;
+    let dominant = 0;
+    for (let i = 0; i < 3; i++)
+      if (total[i]! > 0) dominant = Math.max(dominant, (used[i]! + more[i]!) / total[i]!);
+    return dominant / weight;
   }
 
   private withinGuarantee(team: TeamState, more: Resources): boolean {
@@ -134,7 +143,10 @@
     );
   }
 
-  /** Those whose room is being left for them by others had their turn when the others were stopped. */
+  /**
+   * Places tasks for which earlier cycles preempted others, before the refill: these tasks were selected when the others were
+   * stopped.
+   */
   private serveReservations(): void {
     if (this.input.reservations.size === 0) return;
     const waiting = new Map<string, readonly [QueueTeam, QueuedItem]>();
@@ -158,9 +170,9 @@
   }
 
   /**
-   * Teams are taken by the share that they would have with their next waiting gang or task placed, all that is evicted
-   * before it having returned. Which of the others' evicted tasks have returned by then matters only to who would displace
-   * some, so that is worked out when somebody asks.
+   * Serves teams in the order of the share that they would have with their next waiting gang or task placed and all evicted
+   * tasks before it returned. Which evicted tasks of the other teams have returned by then matters only to a search with
+   * preemption, so it is determined only when such a search asks for the evicted units of a machine.
    */
   private refill(): void {
     for (const team of this.evictions.teams.values()) this.reorder(team);
@@ -174,13 +186,13 @@
       this.beingServed = team;
       if (!this.serve(team, item)) team.next++;
       this.beingServed = null;
-      for (const other of this.teamsDisplaced) this.reorder(other);
-      this.teamsDisplaced.clear();
+      for (const other of this.teamsPreempted) this.reorder(other);
+      this.teamsPreempted.clear();
       this.reorder(team);
     }
   }
 
-  /** What waits still counts as demand: machines with room for it are not to be returned. */
+  /** Counts the items that were not served as unplaced, so that machines needed for them are not returned. */
   private noteUnreached(): void {
     for (const team of this.evictions.teams.values())
       for (const item of team.queue.slice(team.next))
@@ -193,7 +205,7 @@
           this.unplaced.push({ job: item.queued.job, count: unplacedCount(item) });
   }
 
-  /** Lets all that the team has evicted before its next waiting item return; answers with that item. */
+  /** Returns all of the team's evicted tasks before its next waiting item to their machines; returns that item. */
   private returnEvicted(team: QueueTeam): QueuedItem {
     for (;;) {
       const item = team.queue[team.next]!;
@@ -204,48 +216,51 @@
     }
   }
 
-  /** Shares at which teams are served fall only where tasks have been displaced, or a larger item has found no room. */
+  /**
+   * Updates `servedBefore` of all teams. The position is kept as a maximum since the share at which teams are served falls
+   * when tasks were preempted or when a larger item could not be placed.
+   */
   private noteServed(served: QueueTeam): void {
-    for (const { servedBefore: passed } of this.evictions.teams.values()) {
-      if (!isBefore(passed, served)) continue;
-      passed.share = served.share;
-      passed.rank = served.rank;
+    for (const { servedBefore: position } of this.evictions.teams.values()) {
+      if (!isBefore(position, served)) continue;
+      position.share = served.share;
+      position.rank = served.rank;
     }
   }
 
-  /** Works out the share by which the team is ordered; to be called when that may have changed. */
+  /** Moves the team to its place in the order; must be called when the share of its next item may have changed. */
   private reorder(team: QueueTeam): void {
     team.share = this.shareAtNext(team);
     this.teamOrder.update(team);
   }
 
-  /** Infinite: nothing of the team waits. */
+  /** Returns the team's share with its next waiting item placed; infinite if it has none. */
   private shareAtNext(team: QueueTeam): number {
     const used: Resources = [...team.used];
-    let least = Number.NEGATIVE_INFINITY;
+    let minShare = Number.NEGATIVE_INFINITY;
     for (let i = team.next; i < team.queue.length; i++) {
       const item = team.queue[i]!;
       if (item.kind === 'queued') {
         if (item.finished) continue;
-        return Math.max(least, this.shareOf(used, item.size, team.weight));
+        return Math.max(minShare, this.shareOf(used, item.size, team.weight));
       }
-      for (let k = item.next; k < item.length; k++) {
-        const size = item.sizeOf(k);
-        // A displaced one still has its turn in the team's queue, and takes nothing.
-        if (item.isDisplaced(k)) least = Math.max(least, this.shareOf(used, size, team.weight));
+      for (let unit = item.next; unit < item.length; unit++) {
+        const size = item.sizeOf(unit);
+        // A preempted unit keeps its place in the team's queue, but uses no resources.
+        if (item.isPreempted(unit)) minShare = Math.max(minShare, this.shareOf(used, size, team.weight));
         else add(used, size);
       }
     }
     return Number.POSITIVE_INFINITY;
   }
 
-  /** The evicted units on a machine that are not displaced, with all teams as far as the refill has come. */
-  private evictedOn(node: NodeState): readonly EvictedUnit[] {
+  /** Returns the evicted units on a machine that are not preempted, after the returns due before the team being served. */
+  private evictedOn(machine: MachineState): readonly EvictedUnit[] {
     this.returnOthers();
-    return this.evictions.on(node).filter((unit) => !unit.displaced);
+    return this.evictions.on(machine).filter((unit) => !unit.preempted);
   }
 
-  /** Lets return what the other teams have evicted and whose turn came before that of the team being served. */
+  /** Returns the other teams' evicted units that come before the team being served to their machines. */
   private returnOthers(): void {
     const served = this.beingServed;
     if (served === null) return;
@@ -253,8 +268,9 @@
     for (const team of this.evictions.teams.values()) if (team !== served) this.returnServedBefore(team);
   }
 
+  /** Returns the team's evicted units that come before the position `servedBefore`, and resets the position. */
   private returnServedBefore(team: QueueTeam): void {
-    const { servedBefore: passed, rank } = team;
+    const { servedBefore: position, rank } = team;
     team.servedBefore = noneServed();
     for (; team.next < team.queue.length; team.next++) {
       const item: Item = team.queue[team.next]!;
@@ -263,48 +279,53 @@
         continue;
       }
       for (; item.next < item.length; returnNext(team, item))
-        if (!isBefore({ share: this.share(team, item.sizeOf(item.next)), rank }, passed)) return;
+        if (!isBefore({ share: this.share(team, item.sizeOf(item.next)), rank }, position)) return;
     }
   }
 
-  /** Places the next of what `item` wants; false: there is nothing more to be had for it now. */
+  /** Places the next task or gang of the item. Returns whether the item has tasks left that may be placed in this cycle. */
   private serve(team: QueueTeam, item: QueuedItem): boolean {
     const { job, tasks, cautious } = item.queued;
     const group = nextTasks(item);
     const limited = this.overLimit(team, item.size);
-    const shape = this.failureKey(item);
-    const known = shape !== null && group.length >= (this.unplaceable.get(shape) ?? Number.POSITIVE_INFINITY);
+    const failureKey = this.failureKey(item);
+    const knownToFail =
+      failureKey !== null && group.length >= (this.unplaceable.get(failureKey) ?? Number.POSITIVE_INFINITY);
     const choice =
-      limited || known
+      limited || knownToFail
         ? null
-        : (this.sameNodeAsLast(item, job) ??
+        : (this.sameMachineAsLast(item, job) ??
           this.search(job, team, group.length, cautious ? FREE_ONLY : WITH_PREEMPTION));
     if (this.place(team, item, group, choice)) return item.nextTask < tasks.length;
-    // A limit says nothing about room, and more machines would not help.
-    if (!limited) this.noteUnplaced(team, item, shape);
+    // A team at its limit says nothing about free resources, and more machines would not help it.
+    if (!limited) this.noteUnplaced(team, item, failureKey);
     return false;
   }
 
-  private noteUnplaced(team: QueueTeam, item: QueuedItem, shape: string | null): void {
+  /** Records that the item's next task or gang fits nowhere. */
+  private noteUnplaced(team: QueueTeam, item: QueuedItem, failureKey: string | null): void {
     const { job, starving, mayRent } = item.queued;
     const { length } = nextTasks(item);
-    if (shape !== null)
-      this.unplaceable.set(shape, Math.min(length, this.unplaceable.get(shape) ?? Number.POSITIVE_INFINITY));
+    if (failureKey !== null)
+      this.unplaceable.set(
+        failureKey,
+        Math.min(length, this.unplaceable.get(failureKey) ?? Number.POSITIVE_INFINITY),
+      );
     if (!this.madeReservation && starving)
       this.madeReservation = reserve(this.capacity, this.input.placedTasks, job, team);
     if (mayRent) this.unplaced.push({ job, count: unplacedCount(item) });
   }
 
-  /** What makes items fail alike; null: this one is looked for in a way of its own. */
+  /** Returns a key that is equal for items whose searches fail alike; null if the search depends on the job itself. */
   private failureKey(item: QueuedItem): string | null {
     const { job, cautious } = item.queued;
     const { spec } = job;
     const gang = isGang(job);
     if (cautious || this.overdue.has(job)) return null;
-    // What failed somewhere is not sent there again.
+    // A gang that failed on machines avoids them.
     if (gang && this.input.avoid(job) !== null) return null;
     if (this.input.lending !== undefined && mayBorrow(spec)) return null;
-    return (item.shape ??= [
+    return (item.failureKey ??= [
       spec.team,
       spec.urgency,
       spec.cpus,
@@ -319,25 +340,38 @@
   }
 
   /**
-   * The machine that took the last task of an array takes the next one while there is room of the same kind, free or
-   * promised: it was the tightest fit, and is tighter now. Arrays of thousands of small tasks need one search a machine,
-   * not one a task. Free room that the last one did not find is not there now either.
+   * Returns the machine of the item's last task if the next task fits there at the same level, into free resources or those
+   * of terminating tasks: the machine was the tightest fit and now fits tighter. So arrays of thousands of small tasks need
+   * one search per machine instead of one per task. If the last task did not fit into free resources of any machine, the
+   * next one does not either.
    */
-  private sameNodeAsLast(item: QueuedItem, job: Job): PlacementChoice | null {
-    if (item.lastPlacement === null || job.spec.spread || isReservedAgainst(item.lastPlacement.n, job))
+  private sameMachineAsLast(item: QueuedItem, job: Job): PlacementChoice | null {
+    if (item.lastPlacement === null || job.spec.spread || isReservedAgainst(item.lastPlacement.machine, job))
       return null;
     if (this.input.lending !== undefined && mayBorrow(job.spec)) return null;
-    const { n, free } = item.lastPlacement;
+    const { machine, free } = item.lastPlacement;
     const need = resourcesOf(job.spec);
-    const after: Resources = [n.free[0] - need[0], n.free[1] - need[1], n.free[2] - need[2]];
-    if (strandsGpus(protectedDemand(this.input.coLocatedDemand, job), job, n.view.total, n.idle, after))
+    const remaining: Resources = [
+      machine.free[0] - need[0],
+      machine.free[1] - need[1],
+      machine.free[2] - need[2],
+    ];
+    if (
+      strandsGpus(
+        protectedDemand(this.input.coLocatedDemand, job),
+        job,
+        machine.view.total,
+        machine.idle,
+        remaining,
+      )
+    )
       return null;
-    if (!free) add(after, n.leaving);
-    if (!fits(NONE, after)) return null;
-    return { machines: [n], victims: NOBODY, free };
+    if (!free) add(remaining, machine.terminating);
+    if (!fits(NO_RESOURCES, remaining)) return null;
+    return { machines: [machine], victims: NO_VICTIMS, free };
   }
 
-  /** Places `group`, the next tasks of `item`, and says whether there was room. */
+  /** Places `group`, the next tasks of the item, as chosen; returns false if `choice` is null. */
   private place(
     team: QueueTeam,
     item: QueuedItem,
@@ -349,33 +383,34 @@
     this.occupy(job, team, group, choice);
     this.overdue.delete(job);
     item.lastPlacement =
-      choice.victims.size === 0 && !isGang(job) ? { n: choice.machines[0]!, free: choice.free } : null;
+      choice.victims.size === 0 && !isGang(job) ? { machine: choice.machines[0]!, free: choice.free } : null;
     if (!choice.free)
       this.reservations.set(job.spec.id, (this.reservations.get(job.spec.id) ?? 0) + group.length);
     item.nextTask += group.length;
     return true;
   }
 
+  /** Takes the resources for the tasks, preempts the victims and records the starts. */
   private occupy(job: Job, team: TeamState, tasks: readonly number[], choice: PlacementChoice): void {
     const need = resourcesOf(job.spec);
-    for (const v of choice.victims) if (!v.displaced) this.displace(v as RunUnit, job);
+    for (const victim of choice.victims) if (!victim.preempted) this.preempt(victim as RunUnit, job);
     const start = choice.free ? this.startOf(job) : null;
     tasks.forEach((task, i) => {
-      const n = choice.machines[i]!;
-      add(n.free, need, -1);
-      this.changedNodes.push(n);
+      const machine = choice.machines[i]!;
+      add(machine.free, need, -1);
+      this.changedMachines.push(machine);
       add(team.used, need);
       add(team.held, need);
-      if (hasZoneRules(job)) this.noteZone(job, n.view.zone);
+      if (hasZoneRules(job)) this.noteZone(job, machine.view.zone);
       if (start === null) return;
-      const on = start.on.get(n.view.id);
-      if (on) on.push(task);
+      const startedOn = start.on.get(machine.view.id);
+      if (startedOn) startedOn.push(task);
       else {
-        start.on.set(n.view.id, [task]);
+        start.on.set(machine.view.id, [task]);
         this.placements++;
       }
     });
-    if (!choice.free) for (const n of choice.machines) reserveLeaving(n);
+    if (!choice.free) for (const machine of choice.machines) takeFromTerminating(machine);
   }
 
   private startOf(job: Job): Start {
@@ -394,30 +429,32 @@
     zones.set(zone, (zones.get(zone) ?? 0) + 1);
   }
 
-  private displace(unit: RunUnit, by: Job): void {
+  /** Preempts an evicted unit for `job`. */
+  private preempt(unit: RunUnit, borrower: Job): void {
     const team = unit.team as QueueTeam;
-    // A unit that was already refilled gives back what was counted for it.
+    // The resources of a unit that has returned to its machines were counted as used by its team.
     if (unit.returned) add(team.used, unit.size, -1);
-    this.teamsDisplaced.add(team);
-    unit.displace();
+    this.teamsPreempted.add(team);
+    unit.preempt();
     const { need } = unit;
-    add(team.staying, unit.size, -1);
-    const lent = this.input.lending !== undefined && mayBorrow(by.spec) && need[1] > 0;
+    add(team.retained, unit.size, -1);
+    const lent = this.input.lending !== undefined && mayBorrow(borrower.spec) && need[1] > 0;
     if (lent)
       this.takenForServices.set(unit.job, (this.takenForServices.get(unit.job) ?? 0) + unit.members.length);
-    for (const m of unit.members) {
-      const n = this.evictions.nodes.get(m.machine);
-      if (n) {
-        add(n.evictedResources[unit.job.spec.urgency]!, need, -1);
-        add(n.leaving, need);
-        this.changedNodes.push(n);
+    for (const member of unit.members) {
+      const machine = this.evictions.machines.get(member.machine);
+      if (machine) {
+        add(machine.evictedResources[unit.job.spec.urgency]!, need, -1);
+        add(machine.terminating, need);
+        this.changedMachines.push(machine);
       }
-      const stop = { job: unit.job, task: m.task, machine: m.machine };
-      this.preemptions.push(lent ? { ...stop, taker: by } : stop);
+      const preemption = { job: unit.job, task: member.task, machine: member.machine };
+      this.preemptions.push(lent ? { ...preemption, taker: borrower } : preemption);
     }
   }
 }
 
+/** A position in the order in which teams are served. */
 interface ServedAt {
   readonly share: number;
   readonly rank: number;
@@ -425,29 +462,30 @@
 const isBefore = (a: ServedAt, b: ServedAt): boolean =>
   a.share < b.share || (a.share === b.share && a.rank < b.rank);
 
-/** The next of a team's evicted units is back in its place, unless it was displaced. */
+/** Returns a team's next evicted unit to its machines, unless it was preempted. */
 const returnNext = (team: QueueTeam, run: EvictedRun): void => {
-  if (!run.isDisplaced(run.next)) add(team.used, run.sizeOf(run.next));
+  if (!run.isPreempted(run.next)) add(team.used, run.sizeOf(run.next));
   run.next++;
 };
 
-/** Tasks that are not placed; of a gang all. */
-const unplacedCount = ({ queued, nextTask: at }: QueuedItem): number =>
-  isGang(queued.job) ? queued.tasks.length : queued.tasks.length - at;
+/** Returns the number of the item's tasks that are not placed; for a gang, all tasks. */
+const unplacedCount = ({ queued, nextTask: placed }: QueuedItem): number =>
+  isGang(queued.job) ? queued.tasks.length : queued.tasks.length - placed;
 
+/** Returns the tasks to place together: all tasks of a gang, otherwise the next task. */
 const nextTasks = (item: QueuedItem): readonly number[] =>
   isGang(item.queued.job) ? item.queued.tasks : [item.queued.tasks[item.nextTask]!];
 
-/** Room that is only promised is taken from what is leaving, so that nobody else counts on it. */
-const reserveLeaving = (n: NodeState): void => {
+/** Takes resources that a task waits for from those of terminating tasks, so that they are not given to another task. */
+const takeFromTerminating = (machine: MachineState): void => {
   for (let i = 0; i < 3; i++) {
-    if (n.free[i]! >= 0) continue;
-    n.leaving[i]! += n.free[i]!;
-    n.free[i] = 0;
+    if (machine.free[i]! >= 0) continue;
+    machine.terminating[i]! += machine.free[i]!;
+    machine.free[i] = 0;
   }
 };
 
-/** `search` chooses the machines; tests put the plain search there. */
+/** Runs one scheduling cycle. `search` creates the placement search; tests pass the plain one. */
 export const schedule = (
   input: CycleInput,
   search: (capacity: ClusterCapacity) => PlacementSearch = placementSearch,
--- a/packages/controller/src/scheduler/draft.ts
+++ b/packages/controller/src/scheduler/draft.ts
@@ -1,10 +1,10 @@
 /**
- * Drafts what a cycle makes durable: the ends that were seen and the starts that fill their room, in one or more log entries
- * that one transaction commits together, within the state service's limits on values and transactions.
+ * Drafts the log entries of a cycle: the observed exits and the starts on the freed resources, in one or more log entries that
+ * one transaction commits together, within the state service's limits on values and transactions.
  *
- * At 80 teams the rows of the accounts alone fill most of a value, and a log entry that could not take all ends took no start
- * at all (`docs/CAPACITY.md`): so what does not fit into one log entry goes into the next one of the same transaction, and of
- * an array as much is started as fits.
+ * With 80 teams the usage rows of the accounts alone fill most of a value, and a single log entry that could not hold all
+ * exits would hold no starts at all. So changes that do not fit into one log entry go into the next one of the same
+ * transaction, and as many tasks of an array are started as fit.
  */
 import type { Booking } from '../accounts/booking.js';
 import { encodeChange } from '../jobs/codec.js';
@@ -17,71 +17,80 @@
 import type { Start, Preemption } from './model.js';
 import type { CycleContext } from './cycle-context.js';
 
-/** Ends and starts of one cycle, within the limits of one transaction. */
+/** Changes of one cycle, within the limits of one transaction. */
 export interface Draft {
-  /** By log entry, in their order; none: there is nothing to write. */
+  /** The changes by job, for each log entry in order; empty if there is nothing to write. */
   readonly entries: readonly ReadonlyMap<string, JobChange>[];
   readonly conditions: readonly Condition[];
-  /** Everything that was to be recorded is in it. */
+  /** Whether the draft holds all changes that were to be recorded. */
   readonly complete: boolean;
-  /** Stops whose loans it holds, and loans that it ends or shortens. */
+  /** Preemptions whose loans are in the draft. */
   readonly lendingPreemptions: readonly Preemption[];
+  /** Loans that the draft ends or reduces. */
   readonly endedLoans: readonly LoanEnd[];
 }
 
-/** A log entry's head, and room for what it may say. */
+/** Bytes reserved for the header of a log entry. */
 const HEADER_BYTES = 120;
-/** A change's key, and the signs around both. */
+/** Bytes of the JSON punctuation around a change and its job id. */
 const CHANGE_BYTES = 6;
-/** The part of a value that is filled. */
-const VALUE_PART = 0.85;
-/** Protocol: 64 KiB in total, a request's body included. */
+/** Fraction of the maximum size of a value that is used. */
+const VALUE_FILL_RATIO = 0.85;
+/** Protocol: the maximum size of a transaction is 64 KiB, including the request's body. */
 const TRANSACTION_BYTES = 64 * 1024;
-const TRANSACTION_PART = 0.92;
-/** What a condition, and a log entry's key with its own conditions, take of that. */
+/** Fraction of the maximum size of a transaction that is used. */
+const TRANSACTION_FILL_RATIO = 0.92;
+/** Bytes of a condition in a transaction. */
 const CONDITION_BYTES = 64;
+/** Bytes of a log entry's key with its own conditions in a transaction. */
 const LOG_ENTRY_BYTES = 200;
-/** Log entries of one cycle: each is a change of the state service's rate. */
+/** Maximum number of log entries per cycle: each is a change that counts for the state service's rate limit. */
 const MAX_ENTRIES = 4;
-/** Beside the jobs' conditions stand the term, the incarnation, the log entry before and one for each log entry. */
+/** Conditions besides those of the jobs: the term, the incarnation, the preceding log entry, and one for each log entry. */
 const OTHER_CONDITIONS = 5 + MAX_ENTRIES;
 
-/** What a start on one machine takes at the least: `"vm-000001":"1",`. */
+/** Minimum bytes of a start on one machine: `"vm-000001":"1",`. */
 const PLACEMENT_BYTES = 16;
 
-/** Starts of a job on a machine that one cycle can write at the most: a cycle need not look for more. */
+/** Returns the maximum number of placements (starts of a job on one machine) that one cycle can write and needs to find. */
 export const maxPlacements = ({ valueBytes, txnOps }: Settings['state']): number => {
-  const values = Math.min(MAX_ENTRIES, txnOps) * valueBytes * VALUE_PART;
-  return Math.floor(Math.min(values, TRANSACTION_BYTES * TRANSACTION_PART) / PLACEMENT_BYTES);
+  const values = Math.min(MAX_ENTRIES, txnOps) * valueBytes * VALUE_FILL_RATIO;
+  return Math.floor(Math.min(values, TRANSACTION_BYTES * TRANSACTION_FILL_RATIO) / PLACEMENT_BYTES);
 };
 
-/** Rows are somewhat shorter than their bound, and never get all of a value. */
-const ROW_OF_BOUND = 0.7;
-const MOST_ROWS_PART = 0.8;
+/** Expected size of usage rows relative to the upper bound that `bytesToAdd` returns. */
+const EXPECTED_ROW_RATIO = 0.7;
+/** Maximum fraction of a value that is reserved for usage rows. */
+const MAX_ROWS_RATIO = 0.8;
 
+/** Returns the bytes of a change with its job id in a log entry. */
 const sizeOf = (id: string, change: JobChange): number =>
   JSON.stringify(encodeChange(change)).length + id.length + CHANGE_BYTES;
 
-/** What of one job has been seen to end. */
-interface EndedJob {
+/** Observed exits of one job's tasks. */
+interface JobExits {
   readonly job: Job;
+  /** Tasks that completed. */
   readonly done: readonly number[];
+  /** Tasks that exited without completing, or were lost with their machine. */
   readonly gone: readonly number[];
   /** Those of `gone` that failed by themselves. */
   readonly failed: readonly number[];
 }
 
+/** A log entry under construction, with its size. */
 class LogEntryDraft {
   readonly changes = new Map<string, JobChange>();
   bytes = HEADER_BYTES;
+  /** Bytes of each job's change. */
   private readonly sizes = new Map<string, number>();
 
-  /** What the log entry would take with this change in place of what it says of the job. */
-  with(id: string, change: JobChange): number {
+  /** Returns the size of the log entry with `change` in place of its present change of the job. */
+  sizeWith(id: string, change: JobChange): number {
     return this.bytes - (this.sizes.get(id) ?? 0) + sizeOf(id, change);
   }
 
-  /** `bytes`: what `with` has said of it; encoding a large start twice would cost as much as all else here. */
+  /** Sets the job's change. `bytes`: the result of `sizeWith`, so that a large start is not encoded twice. */
   put(id: string, change: JobChange, bytes: number): void {
     this.sizes.set(id, bytes - this.bytes + (this.sizes.get(id) ?? 0));
     this.bytes = bytes;
@@ -89,208 +98,235 @@
   }
 }
 
+/** Adds changes to a draft within the limits. */
 class DraftBuilder {
   readonly entries: LogEntryDraft[] = [new LogEntryDraft()];
   readonly conditions: Condition[] = [];
+  /** Number of tasks started, by job. */
   readonly started = new Map<string, number>();
   readonly lendingPreemptions: Preemption[] = [];
   readonly endedLoans: LoanEnd[] = [];
   complete = true;
-  /** Bytes of the first log entry that are kept for the accounts' rows: what else goes there must not crowd them out. */
+  /** Bytes of the first log entry reserved for usage rows, so that changes do not displace them. */
   private reservedBytes = 0;
   private readonly valueLimit: number;
-  private readonly mostConditions: number;
+  private readonly maxConditions: number;
 
   constructor(
     private readonly context: CycleContext,
     private readonly usageRows: Booking['usageRows'],
   ) {
     const { valueBytes, txnOps } = context.settings.state;
-    this.valueLimit = valueBytes * VALUE_PART;
-    this.mostConditions = txnOps * 4 - OTHER_CONDITIONS;
+    this.valueLimit = valueBytes * VALUE_FILL_RATIO;
+    this.maxConditions = txnOps * 4 - OTHER_CONDITIONS;
   }
 
-  /** The draft's last log entry: what belongs to one job in one cycle comes in this order, ends before starts. */
+  /** The draft's last log entry. Changes are added there only, so a job's exits always precede its starts. */
   private get last(): LogEntryDraft {
     return this.entries[this.entries.length - 1]!;
   }
 
-  /** Bytes that a log entry may take; the accounts' rows, and `booked` more of them, stand in the first one. */
-  private limitOf(record: LogEntryDraft, booked: number): number {
-    if (record !== this.entries[0]) return this.valueLimit;
-    return this.valueLimit - Math.max(this.usageRows.bytes + booked, this.reservedBytes);
+  /**
+   * Returns the maximum bytes of a log entry's changes. The first log entry also holds the usage rows, including `rowBytes` to
+   * be added to them.
+   */
+  private limitOf(entry: LogEntryDraft, rowBytes: number): number {
+    if (entry !== this.entries[0]) return this.valueLimit;
+    return this.valueLimit - Math.max(this.usageRows.bytes + rowBytes, this.reservedBytes);
   }
 
-  /** Keeps room for the rows of all that has ended: jobs of one team and class mostly share theirs. */
-  reserveRows(ended: readonly EndedJob[]): void {
-    const ofGroup = new Map<string, number>();
-    for (const { job, done, gone } of ended) {
+  /** Reserves bytes for the usage rows of all exits; jobs of the same team and class usually share rows. */
+  reserveRows(exitsByJob: readonly JobExits[]): void {
+    const bytesByGroup = new Map<string, number>();
+    for (const { job, done, gone } of exitsByJob) {
       const group = `${job.spec.team} ${job.spec.jobClass}`;
-      const rows = this.usageRows.bytesToAdd(job, [...done, ...gone]);
-      ofGroup.set(group, Math.max(ofGroup.get(group) ?? 0, rows));
+      const rowBytes = this.usageRows.bytesToAdd(job, [...done, ...gone]);
+      bytesByGroup.set(group, Math.max(bytesByGroup.get(group) ?? 0, rowBytes));
     }
-    const bound = [...ofGroup.values()].reduce((a, b) => a + b, 0);
-    this.reservedBytes = Math.min(this.valueLimit * MOST_ROWS_PART, bound * ROW_OF_BOUND);
+    const bound = [...bytesByGroup.values()].reduce((a, b) => a + b, 0);
+    this.reservedBytes = Math.min(this.valueLimit * MAX_ROWS_RATIO, bound * EXPECTED_ROW_RATIO);
   }
 
   private transactionBytes(): number {
-    const values = this.entries.reduce((n, r) => n + r.bytes + LOG_ENTRY_BYTES, 0);
+    const values = this.entries.reduce((sum, entry) => sum + entry.bytes + LOG_ENTRY_BYTES, 0);
     return values + this.usageRows.bytes + this.conditions.length * CONDITION_BYTES;
   }
 
   private get transactionLimit(): number {
-    return TRANSACTION_BYTES * TRANSACTION_PART;
+    return TRANSACTION_BYTES * TRANSACTION_FILL_RATIO;
   }
 
-  /** So many bytes more fit into the transaction. */
-  private fits(more: number): boolean {
-    return this.transactionBytes() + more <= this.transactionLimit;
+  /** Whether `bytes` more fit into the transaction. */
+  private fits(bytes: number): boolean {
+    return this.transactionBytes() + bytes <= this.transactionLimit;
   }
 
   /**
-   * Adds to what the draft says of a job, in its last log entry or in a new one. `change` is given what the log entry says of the
-   * job so far. `booked`: bytes of accounts' rows that come with it. false: it fits nowhere.
+   * Adds a change of a job to the last log entry or to a new one. `change` returns the change of the job in a log entry, given
+   * the entry's present change of that job. `rowBytes`: bytes of usage rows that the change adds. Returns whether the change
+   * was added; if it does not fit, the draft is not complete.
    */
-  add(id: string, change: (sofar: JobChange | undefined) => JobChange, booked = 0): boolean {
+  add(id: string, change: (present: JobChange | undefined) => JobChange, rowBytes = 0): boolean {
     const { last } = this;
     const [first] = this.entries;
-    // Rows stand in the first log entry, whichever one the change goes to.
-    const rowsFit = first!.bytes <= this.limitOf(first!, booked);
-    const inLast = change(last.changes.get(id));
-    const bytes = last.with(id, inLast);
-    if (rowsFit && bytes <= this.limitOf(last, booked) && this.fits(bytes - last.bytes + booked)) {
-      last.put(id, inLast, bytes);
+    // Usage rows are stored in the first log entry, whichever one holds the change.
+    const rowsFit = first!.bytes <= this.limitOf(first!, rowBytes);
+    const changeInLast = change(last.changes.get(id));
+    const bytes = last.sizeWith(id, changeInLast);
+    if (rowsFit && bytes <= this.limitOf(last, rowBytes) && this.fits(bytes - last.bytes + rowBytes)) {
+      last.put(id, changeInLast, bytes);
       return true;
     }
-    const added = rowsFit && this.addToNew(id, change(undefined), booked);
+    const added = rowsFit && this.addToNew(id, change(undefined), rowBytes);
     if (!added) this.complete = false;
     return added;
   }
 
-  private addToNew(id: string, change: JobChange, booked: number): boolean {
-    const record = new LogEntryDraft();
-    const bytes = record.with(id, change);
-    const room =
+  private addToNew(id: string, change: JobChange, rowBytes: number): boolean {
+    const entry = new LogEntryDraft();
+    const bytes = entry.sizeWith(id, change);
+    const entryAllowed =
       this.entries.length < MAX_ENTRIES && this.entries.length < this.context.settings.state.txnOps;
-    if (!room || bytes > this.valueLimit || !this.fits(bytes + LOG_ENTRY_BYTES + booked)) return false;
-    record.put(id, change, bytes);
-    this.entries.push(record);
+    if (!entryAllowed || bytes > this.valueLimit || !this.fits(bytes + LOG_ENTRY_BYTES + rowBytes))
+      return false;
+    entry.put(id, change, bytes);
+    this.entries.push(entry);
     return true;
   }
 
-  /** false: another job's start, or a job's loan, can't be made conditional any more. */
+  /** Whether the transaction can hold a condition on one more job. */
   hasConditionsLeft(): boolean {
-    return this.conditions.length < this.mostConditions;
+    return this.conditions.length < this.maxConditions;
   }
 
-  /** Bytes that a start may take: of the last log entry's rest or of a log entry of its own, whichever is more. */
-  private roomForStart(): number {
+  /** Returns the maximum bytes of a start: the rest of the last log entry or a new log entry, whichever holds more. */
+  private maxStartBytes(): number {
     const { last } = this;
     const inTransaction = this.transactionLimit - this.transactionBytes();
     const inLast = Math.min(inTransaction, this.limitOf(last, 0) - last.bytes);
-    const another = this.entries.length < Math.min(MAX_ENTRIES, this.context.settings.state.txnOps);
-    const inNew = another ? Math.min(inTransaction - LOG_ENTRY_BYTES, this.valueLimit) - HEADER_BYTES : 0;
+    const entryAllowed = this.entries.length < Math.min(MAX_ENTRIES, this.context.settings.state.txnOps);
+    const inNew = entryAllowed
+      ? Math.min(inTransaction - LOG_ENTRY_BYTES, this.valueLimit) - HEADER_BYTES
+      : 0;
     return Math.max(inLast, inNew);
   }
 
-  /** Adds a start; of an array as many tasks as fit. */
-  addStart(s: Start): void {
-    const { id } = s.job.spec;
+  /** Adds a start if it fits; of an array as many tasks as fit. */
+  addStart(start: Start): void {
+    const { id } = start.job.spec;
     if (this.started.has(id) || !this.hasConditionsLeft()) {
       this.complete = false;
       return;
     }
-    const entire = (on: Start['on']) => this.add(id, (c) => ({ ...c, start: { attempt: s.attempt, on } }));
-    let { on } = s;
-    if (!entire(on)) {
-      on = s.job.spec.shape === 'array' ? firstTasks(s, this.roomForStart()) : new Map();
-      if (on.size === 0 || !entire(on)) return;
+    const addTasks = (on: Start['on']) =>
+      this.add(id, (present) => ({ ...present, start: { attempt: start.attempt, on } }));
+    let { on: tasksByMachine } = start;
+    if (!addTasks(tasksByMachine)) {
+      tasksByMachine = start.job.spec.shape === 'array' ? firstTasks(start, this.maxStartBytes()) : new Map();
+      if (tasksByMachine.size === 0 || !addTasks(tasksByMachine)) return;
       this.complete = false;
     }
     this.started.set(
       id,
-      [...on.values()].reduce((n, tasks) => n + tasks.length, 0),
+      [...tasksByMachine.values()].reduce((sum, tasks) => sum + tasks.length, 0),
     );
-    // Conditional on the job's key: a job cancelled in this moment, or over by the time, is not started.
-    this.conditions.push(...jobUnchanged(id, s.job.revision));
+    // The condition on the job's key prevents the start of a job that is cancelled or finished in the meantime.
+    this.conditions.push(...jobUnchanged(id, start.job.revision));
   }
 
-  addEnds({ job, done, gone, failed }: EndedJob): void {
-    const booked = this.usageRows.bytesToAdd(job, [...done, ...gone]);
-    if (!this.add(job.spec.id, (c) => ({ ...c, done, gone, failed }), booked)) return;
+  /** Adds the exits of a job's tasks with their usage rows, if they fit. */
+  addExits({ job, done, gone, failed }: JobExits): void {
+    const rowBytes = this.usageRows.bytesToAdd(job, [...done, ...gone]);
+    if (!this.add(job.spec.id, (present) => ({ ...present, done, gone, failed }), rowBytes)) return;
     this.usageRows.add(job, done, 'done');
     this.usageRows.add(job, gone, 'gone');
   }
 }
 
-/** As much of a start, machine by machine, as fits into so many bytes. */
-const firstTasks = (s: Start, bytes: number): Start['on'] => {
+/** Returns the tasks of a start on its first machines, as many as fit into `maxBytes`. */
+const firstTasks = (start: Start, maxBytes: number): Start['on'] => {
   const on = new Map<string, number[]>();
-  let left = bytes - sizeOf(s.job.spec.id, { start: { attempt: s.attempt, on } });
-  for (const [machine, tasks] of s.on) {
-    left -= JSON.stringify(machine).length + JSON.stringify(encodeRanges(tasks)).length + 2;
-    if (left < 0) break;
+  let bytesLeft = maxBytes - sizeOf(start.job.spec.id, { start: { attempt: start.attempt, on } });
+  for (const [machine, tasks] of start.on) {
+    bytesLeft -= JSON.stringify(machine).length + JSON.stringify(encodeRanges(tasks)).length + 2;
+    if (bytesLeft < 0) break;
     on.set(machine, tasks);
   }
   return on;
 };
 
-const endedJobs = (context: CycleContext): EndedJob[] => {
-  const out: EndedJob[] = [];
-  for (const [id, e] of context.registry.exits) {
+/** Returns the exits that the worker registry has observed and no log entry records yet. */
+const observedExits = (context: CycleContext): JobExits[] => {
+  const exitsByJob: JobExits[] = [];
+  for (const [id, exits] of context.registry.exits) {
     const job = context.jobState.jobs.get(id);
     if (!job) continue;
-    // A gang that completed is done as a whole, whatever else its members said.
-    const gone = [...e.gone].filter((x) => !e.done.has(x));
-    out.push({ job, done: [...e.done], gone, failed: gone.filter((x) => e.failed.has(x)) });
+    // A gang completes as a whole: completion overrides other exits of its members.
+    const gone = [...exits.gone].filter((task) => !exits.done.has(task));
+    exitsByJob.push({
+      job,
+      done: [...exits.done],
+      gone,
+      failed: gone.filter((task) => exits.failed.has(task)),
+    });
   }
-  return out;
+  return exitsByJob;
 };
 
-const draftLoans = (context: CycleContext, d: DraftBuilder, preemptions: readonly Preemption[]): void => {
-  for (const { taker, repay, ends } of loanRepayments(context.jobState.jobs, d.started, (job) =>
+/** Adds repayments of loans and the new loans of the preemptions. */
+const draftLoans = (
+  context: CycleContext,
+  builder: DraftBuilder,
+  preemptions: readonly Preemption[],
+): void => {
+  for (const { taker, repay, ends } of loanRepayments(context.jobState.jobs, builder.started, (job) =>
     context.registry.hasUnsettledTasks(job),
   ))
-    if (d.add(taker, (c) => ({ ...c, repay }))) d.endedLoans.push(...ends);
-  for (const { taker, lend, taken, preemptions: of } of newLoans(preemptions)) {
-    if (!d.hasConditionsLeft()) break;
+    if (builder.add(taker, (present) => ({ ...present, repay }))) builder.endedLoans.push(...ends);
+  for (const { taker, lend, taken, preemptions: loanPreemptions } of newLoans(preemptions)) {
+    if (!builder.hasConditionsLeft()) break;
     const { id } = taker.spec;
-    if (!d.add(id, (c) => ({ ...c, lend }))) continue;
-    // A service that is cancelled in this moment takes nothing.
-    d.conditions.push(...jobUnchanged(id, taker.revision));
-    let all = true;
-    for (const [lender, n] of taken)
-      all &&= d.add(lender, (c) => ({ ...c, preemptedForServices: (c?.preemptedForServices ?? 0) + n }));
-    if (all) d.lendingPreemptions.push(...of);
+    if (!builder.add(id, (present) => ({ ...present, lend }))) continue;
+    // The condition prevents a loan to a service that is cancelled in the meantime.
+    builder.conditions.push(...jobUnchanged(id, taker.revision));
+    let allAdded = true;
+    for (const [lender, count] of taken)
+      allAdded &&= builder.add(lender, (present) => ({
+        ...present,
+        preemptedForServices: (present?.preemptedForServices ?? 0) + count,
+      }));
+    if (allAdded) builder.lendingPreemptions.push(...loanPreemptions);
   }
 };
 
-/** `said`: of cutoffs, by job. */
+/** Drafts the log entries of a cycle. `cutoffRisks`: the cutoff risks to record, by job. */
 export const draftOf = (
   context: CycleContext,
   starts: readonly Start[],
   preemptions: readonly Preemption[],
   { usageRows }: Booking,
-  said: ReadonlyMap<string, number>,
+  cutoffRisks: ReadonlyMap<string, number>,
 ): Draft => {
-  const d = new DraftBuilder(context, usageRows);
-  const ended = endedJobs(context);
-  d.reserveRows(ended);
-  for (const e of ended) d.addEnds(e);
-  for (const [id, say] of said) d.add(id, (c) => ({ ...c, cutoffRisk: say }));
-  // The starts count on the room of every end: with one of these left out, they wait for the next log entry.
-  if (d.complete) {
-    // What runs already from before a loss is recorded before anything is started anew.
-    for (const s of [...context.registry.adoptions(), ...starts]) d.addStart(s);
-    draftLoans(context, d, preemptions);
+  const builder = new DraftBuilder(context, usageRows);
+  const exitsByJob = observedExits(context);
+  builder.reserveRows(exitsByJob);
+  for (const exits of exitsByJob) builder.addExits(exits);
+  for (const [id, risk] of cutoffRisks) builder.add(id, (present) => ({ ...present, cutoffRisk: risk }));
+  // The starts rely on the resources freed by all exits: if an exit did not fit, they wait for the next cycle.
+  if (builder.complete) {
+    // Tasks that were found running after a data loss are recorded before new starts.
+    for (const start of [...context.registry.adoptions(), ...starts]) builder.addStart(start);
+    draftLoans(context, builder, preemptions);
   }
-  // The accounts' rows stand in the first log entry, also where every change went to a later one.
-  const records = d.entries.some((r) => r.changes.size > 0) ? d.entries.map((r) => r.changes) : [];
+  // The first log entry holds the usage rows, so it is kept even if all changes are in later ones.
+  const logEntries = builder.entries.some((entry) => entry.changes.size > 0)
+    ? builder.entries.map((entry) => entry.changes)
+    : [];
   return {
-    entries: records,
-    conditions: d.conditions,
-    complete: d.complete,
-    lendingPreemptions: d.lendingPreemptions,
-    endedLoans: d.endedLoans,
+    entries: logEntries,
+    conditions: builder.conditions,
+    complete: builder.complete,
+    lendingPreemptions: builder.lendingPreemptions,
+    endedLoans: builder.endedLoans,
   };
 };
--- a/packages/controller/src/scheduler/evicted-run.ts
+++ b/packages/controller/src/scheduler/evicted-run.ts
@@ -1,13 +1,13 @@
 /**
- * The evicted tasks of one team and urgency, in the order in which they return to their machines. Thousands of them pass
- * through every cycle and nearly all just return, so they are kept as columns; an object for one is made when somebody
- * asks whether it may be displaced.
+ * The evicted tasks of one team and urgency, in the order in which they return to their machines. Each cycle evicts
+ * thousands of tasks and nearly all of them just return, so tasks and sizes are kept in arrays; a unit object is created
+ * only when a search considers preempting the task.
  */
 import type { Job } from '../jobs/model.js';
 import type { PlacedTask, Resources } from './model.js';
 import { EvictedUnit, type TeamState } from './cluster-capacity.js';
 
-/** An evicted task or gang that stands in a run. */
+/** An evicted task or gang of a run. */
 export class RunUnit extends EvictedUnit {
   constructor(
     readonly run: EvictedRun,
@@ -20,41 +20,44 @@
     super(run.team, job, members, need, size);
   }
 
-  /** It is back in its place: what it takes counts for its team. */
+  /** Whether the unit has returned to its machines: its resources then count as used by its team. */
   get returned(): boolean {
     return this.index < this.run.next;
   }
 
-  displace(): void {
-    this.displaced = true;
-    this.run.anyDisplaced = true;
+  /** Marks the unit as preempted. */
+  preempt(): void {
+    this.preempted = true;
+    this.run.anyPreempted = true;
   }
 }
 
+/** The evicted units of one team and urgency. */
 export class EvictedRun {
   readonly kind = 'evicted';
-  /** Index of the next one to return. */
+  /** Index of the next unit to return. */
   next = 0;
-  /** One of them has been displaced. */
-  anyDisplaced = false;
+  /** Whether any unit has been preempted. */
+  anyPreempted = false;
   private readonly tasks: PlacedTask[] = [];
   private readonly sizes: Resources[] = [];
-  /** Gangs, and tasks that somebody has asked for, by their index. */
+  /** Unit objects created so far (all gangs, and single tasks on demand), by index. */
   private readonly units = new Map<number, RunUnit>();
 
   constructor(readonly team: TeamState) {}
 
+  /** Number of units. */
   get length(): number {
     return this.sizes.length;
   }
 
-  /** Adds one task that takes `size`. */
-  addTask(holder: PlacedTask, size: Resources): void {
-    this.tasks.push(holder);
+  /** Adds a single task that holds the resources `size`. */
+  addTask(placed: PlacedTask, size: Resources): void {
+    this.tasks.push(placed);
     this.sizes.push(size);
   }
 
-  /** Adds what is left of a gang on machines; `need` is what one member takes. */
+  /** Adds the placed members of a gang; `need` holds the resources of one member, `size` those of all. */
   addGang(job: Job, members: readonly PlacedTask[], need: Resources, size: Resources): RunUnit {
     const index = this.length;
     this.addTask(members[0]!, size);
@@ -63,21 +66,23 @@
     return unit;
   }
 
+  /** Returns the resources held by the unit at `index`. */
   sizeOf(index: number): Resources {
     return this.sizes[index]!;
   }
 
-  isDisplaced(index: number): boolean {
-    return this.anyDisplaced && this.units.get(index)?.displaced === true;
+  /** Whether the unit at `index` has been preempted. */
+  isPreempted(index: number): boolean {
+    return this.anyPreempted && this.units.get(index)?.preempted === true;
   }
 
-  /** A task as a unit that may be displaced. */
+  /** Returns the unit at `index`, creating the object if necessary. */
   unit(index: number): RunUnit {
     let unit = this.units.get(index);
     if (unit === undefined) {
-      const holder = this.tasks[index]!;
+      const placed = this.tasks[index]!;
       const size = this.sizes[index]!;
-      unit = new RunUnit(this, index, holder.job, [holder], size, size);
+      unit = new RunUnit(this, index, placed.job, [placed], size, size);
       this.units.set(index, unit);
     }
     return unit;
--- a/packages/controller/src/scheduler/eviction.ts
+++ b/packages/controller/src/scheduler/eviction.ts
@@ -1,8 +1,8 @@
 /**
- * What a cycle works on: every fair-share-preemptible running task evicted into its team's queue, the rooms that machines
- * and teams have while all of them are still in their places, and what waits behind them.
+ * Prepares a cycle's refill: evicts every fair-share-preemptible running task into its team's queue, and queues the waiting
+ * jobs with them. Free resources are counted as if all evicted tasks were still in place.
  *
- * Eviction is a device of the computation: a task that gets its own machine back is not touched.
+ * Eviction exists in the computation only: a task that gets its own machine back is not touched.
  */
 import type { Job } from '../jobs/model.js';
 import type { TeamSettings } from '../settings/settings.js';
@@ -16,63 +16,66 @@
   type Resources,
   resourcesOf,
 } from './model.js';
-import type { NodeState, TeamState } from './cluster-capacity.js';
+import type { MachineState, TeamState } from './cluster-capacity.js';
 import type { OrderedTeam } from './team-order.js';
 
+/** A waiting job in a team's queue. */
 export interface QueuedItem {
   readonly kind: 'queued';
   readonly queued: QueuedJob;
-  /** What its next gang or task takes. */
+  /** Resources of the item's next gang or task. */
   readonly size: Resources;
   /** Index of the next task. */
   nextTask: number;
-  /** The machine that took the last one without displacing anybody, and whether on free room. */
-  lastPlacement: { readonly n: NodeState; readonly free: boolean } | null;
-  /** See `Cycle.failureKey`; null: not asked yet. */
-  shape: string | null;
-  /** It had its turn before all others, on room that was being left for it. */
+  /** The machine that took the last task without preemption, and whether the task fitted into its free resources. */
+  lastPlacement: { readonly machine: MachineState; readonly free: boolean } | null;
+  /** See `Cycle.failureKey`; null: not determined yet. */
+  failureKey: string | null;
+  /** Whether all tasks were placed before the refill, on resources reserved by an earlier cycle. */
   finished: boolean;
 }
 export type Item = EvictedRun | QueuedItem;
 
+/** A team with its queue. */
 export interface QueueTeam extends TeamState, OrderedTeam {
   /** In the order in which the team's items are served. */
   queue: readonly Item[];
-  /** Index of the next one. */
+  /** Index of the next item. */
   next: number;
   /**
-   * The greatest share, and the rank of the team that had it, at which a team was served since this one's evicted tasks were
-   * last let return: those that come before it have had their turn.
+   * The position furthest back in the order of teams (share and rank) at which a team was served since evicted tasks of this
+   * team last returned. This team's evicted tasks that come before that position should have returned by now.
    */
   servedBefore: { share: number; rank: number };
 }
 
-/** Nobody has been served. */
+/** Returns the position that precedes all others: no team has been served. */
 export const noneServed = (): QueueTeam['servedBefore'] => ({ share: Number.NEGATIVE_INFINITY, rank: -1 });
 
-/** What all tasks of a job have in common. */
+/** What the evicted tasks of a job have in common. */
 interface JobEviction {
   readonly team: QueueTeam;
   readonly need: Resources;
   readonly run: EvictedRun;
   readonly zoneRules: boolean;
-  /** Of a gang: its evicted members. */
+  /** Evicted members of a gang; null for other jobs. */
   readonly members: PlacedTask[] | null;
 }
 
 const NO_TEAM: TeamSettings = { name: '', guarantee: { cpus: 0, gpus: 0 }, limit: { cpus: 0, gpus: 0 } };
+/** Number of urgencies, 0 to 3. */
 const URGENCIES = 4;
-/** What is evicted ranks here among the queued jobs of its urgency. */
+/** Rank of evicted tasks among the queued jobs of their urgency. */
 const EVICTED_RANK = -1;
 
-/** Where a job's tasks are matters only to jobs with rules about zones. */
+/** Whether the job's placement depends on the zones of its tasks. */
 export const hasZoneRules = ({ spec }: Job): boolean => spec.oneZone || spec.spread;
 
-const nodeStateOf = (view: NodeView, index: number, idle: boolean): NodeState => ({
+const machineStateOf = (view: NodeView, index: number, idle: boolean): MachineState => ({
   view,
   index,
   free: [...view.total],
-  leaving: [0, 0, 0],
+  terminating: [0, 0, 0],
   evictedResources: [
     [0, 0, 0],
     [0, 0, 0],
@@ -83,6 +86,7 @@
   reservation: null,
 });
 
+/** Returns the resources of the job's whole gang, or of one task. */
 const sizeOf = ({ spec }: Job): Resources => {
   const count = spec.shape === 'gang' ? spec.tasks : 1;
   return [spec.cpus * count, spec.gpus * count, spec.memGb * count];
@@ -91,7 +95,7 @@
 const byRank = (a: QueuedItem, b: QueuedItem): number =>
   a.queued.rank - b.queued.rank || (a.queued.job.spec.id < b.queued.job.spec.id ? -1 : 1);
 
-/** A team's items while they are gathered, by urgency. */
+/** Collects a team's items by urgency. */
 class TeamQueueBuilder {
   readonly runs: readonly EvictedRun[];
   readonly queued: QueuedItem[][] = Array.from({ length: URGENCIES }, () => []);
@@ -100,24 +104,25 @@
     this.runs = Array.from({ length: URGENCIES }, () => new EvictedRun(team));
   }
 
-  /** The most urgent first; among equals what runs, then what waits by rank and id. */
+  /** Returns the items, most urgent first; within an urgency, evicted tasks and then waiting jobs by rank and id. */
   inOrder(): Item[] {
-    const out: Item[] = [];
+    const items: Item[] = [];
     for (let urgency = URGENCIES - 1; urgency >= 0; urgency--) {
       const waiting = this.queued[urgency]!.sort(byRank);
-      const first = waiting.findIndex((item) => !(item.queued.rank < EVICTED_RANK));
-      const before = first < 0 ? waiting.length : first;
-      out.push(...waiting.slice(0, before));
-      if (this.runs[urgency]!.length > 0) out.push(this.runs[urgency]!);
-      out.push(...waiting.slice(before));
+      const firstAfter = waiting.findIndex((item) => !(item.queued.rank < EVICTED_RANK));
+      const before = firstAfter < 0 ? waiting.length : firstAfter;
+      items.push(...waiting.slice(0, before));
+      if (this.runs[urgency]!.length > 0) items.push(this.runs[urgency]!);
+      items.push(...waiting.slice(before));
     }
-    return out;
+    return items;
   }
 }
 
+/** Machines, teams and queues at the start of a refill. */
 export class Evictions {
-  readonly nodes = new Map<string, NodeState>();
-  /** All room of reporting machines. */
+  readonly machines = new Map<string, MachineState>();
+  /** Sum of the resources of all machines. */
   readonly total: Resources = [0, 0, 0];
   readonly teams = new Map<string, QueueTeam>();
   /** See `ClusterCapacity`. */
@@ -126,23 +131,23 @@
   private readonly queueBuilders = new Map<QueueTeam, TeamQueueBuilder>();
   private readonly jobs = new Map<Job, JobEviction>();
   private readonly gangs: RunUnit[] = [];
-  /** Evicted units by their machine's index; null: nobody has asked yet. */
-  private unitsByNode: RunUnit[][] | null = null;
+  /** Evicted units by machine index; null: not determined yet. */
+  private unitsByMachine: RunUnit[][] | null = null;
 
   constructor(private readonly input: CycleInput) {
     for (const view of input.nodes) {
-      this.nodes.set(view.id, nodeStateOf(view, this.nodes.size, input.idleNodes.has(view.id)));
+      this.machines.set(view.id, machineStateOf(view, this.machines.size, input.idleNodes.has(view.id)));
       add(this.total, view.total);
     }
     this.evictPlacedTasks();
-    for (const q of input.queued) this.enqueue(q);
+    for (const queued of input.queued) this.enqueue(queued);
     for (const [team, items] of this.queueBuilders) team.queue = items.inOrder();
   }
 
-  /** The evicted units on a machine, displaced ones included. */
-  on(node: NodeState): readonly RunUnit[] {
-    this.unitsByNode ??= this.locateUnits();
-    return this.unitsByNode[node.index]!;
+  /** Returns the evicted units on a machine, preempted ones included. */
+  on(machine: MachineState): readonly RunUnit[] {
+    this.unitsByMachine ??= this.locateUnits();
+    return this.unitsByMachine[machine.index]!;
   }
 
   private teamOf(name: string): QueueTeam {
@@ -150,16 +155,16 @@
     if (team === undefined) {
       const { teams, weights } = this.input;
       team = {
-        settings: teams.find((s) => s.name === name) ?? { ...NO_TEAM, name },
+        settings: teams.find((settings) => settings.name === name) ?? { ...NO_TEAM, name },
         weight: weights.get(name) ?? 1,
         used: [0, 0, 0],
         held: [0, 0, 0],
-        staying: [0, 0, 0],
+        retained: [0, 0, 0],
         queue: [],
         next: 0,
         share: Number.POSITIVE_INFINITY,
         rank: this.teams.size,
-        place: -1,
+        heapIndex: -1,
         servedBefore: noneServed(),
       };
       this.teams.set(name, team);
@@ -169,84 +174,84 @@
   }
 
   private jobEvictionOf(job: Job): JobEviction {
-    let ground = this.jobs.get(job);
-    if (ground === undefined) {
+    let eviction = this.jobs.get(job);
+    if (eviction === undefined) {
       const team = this.teamOf(job.spec.team);
-      ground = {
+      eviction = {
         team,
         need: resourcesOf(job.spec),
         run: this.queueBuilders.get(team)!.runs[job.spec.urgency]!,
         zoneRules: hasZoneRules(job),
         members: job.spec.shape === 'gang' ? [] : null,
       };
-      this.jobs.set(job, ground);
+      this.jobs.set(job, eviction);
     }
-    return ground;
+    return eviction;
   }
 
   private evictPlacedTasks(): void {
     const gangs = new Map<Job, JobEviction>();
-    for (const h of this.input.placedTasks) {
-      const { job } = h;
-      const ground = this.jobEvictionOf(job);
-      const { team, need } = ground;
-      const node = this.nodes.get(h.machine);
+    for (const placed of this.input.placedTasks) {
+      const { job } = placed;
+      const eviction = this.jobEvictionOf(job);
+      const { team, need } = eviction;
+      const machine = this.machines.get(placed.machine);
       add(team.held, need);
-      if (node !== undefined) add(node.free, need, -1);
-      if (ground.zoneRules) this.noteZone(h);
-      if (h.leaving) {
-        if (node !== undefined) add(node.leaving, need);
+      if (machine !== undefined) add(machine.free, need, -1);
+      if (eviction.zoneRules) this.noteZone(placed);
+      if (placed.leaving) {
+        if (machine !== undefined) add(machine.terminating, need);
         add(team.used, need);
         continue;
       }
-      if (ground.members === null) {
-        add(team.staying, need);
-        if (node !== undefined) add(node.evictedResources[job.spec.urgency]!, need);
-        ground.run.addTask(h, need);
-      } else if (ground.members.push(h) === 1) gangs.set(job, ground);
+      if (eviction.members === null) {
+        add(team.retained, need);
+        if (machine !== undefined) add(machine.evictedResources[job.spec.urgency]!, need);
+        eviction.run.addTask(placed, need);
+      } else if (eviction.members.push(placed) === 1) gangs.set(job, eviction);
     }
-    for (const [job, ground] of gangs) this.evictGang(job, ground, ground.members!);
+    for (const [job, eviction] of gangs) this.evictGang(job, eviction, eviction.members!);
   }
 
   private evictGang(job: Job, { team, need, run }: JobEviction, members: readonly PlacedTask[]): void {
-    const k = members.length;
-    const size: Resources = [need[0] * k, need[1] * k, need[2] * k];
-    add(team.staying, size);
-    for (const m of members) {
-      const node = this.nodes.get(m.machine);
-      if (node !== undefined) add(node.evictedResources[job.spec.urgency]!, need);
+    const count = members.length;
+    const size: Resources = [need[0] * count, need[1] * count, need[2] * count];
+    add(team.retained, size);
+    for (const member of members) {
+      const machine = this.machines.get(member.machine);
+      if (machine !== undefined) add(machine.evictedResources[job.spec.urgency]!, need);
     }
     this.gangs.push(run.addGang(job, members, need, size));
   }
 
-  private noteZone(h: PlacedTask): void {
-    if (h.zone === null) {
-      this.zoneUnknown.add(h.job);
+  private noteZone(placed: PlacedTask): void {
+    if (placed.zone === null) {
+      this.zoneUnknown.add(placed.job);
       return;
     }
-    let zones = this.zonesHeld.get(h.job);
-    if (zones === undefined) this.zonesHeld.set(h.job, (zones = new Map()));
-    zones.set(h.zone, (zones.get(h.zone) ?? 0) + 1);
+    let zones = this.zonesHeld.get(placed.job);
+    if (zones === undefined) this.zonesHeld.set(placed.job, (zones = new Map()));
+    zones.set(placed.zone, (zones.get(placed.zone) ?? 0) + 1);
   }
 
-  /** Goes over the holders once more, in the same order, and notes where each evicted unit is. */
+  /** Finds the evicted units on each machine, in a second pass over the placed tasks in the same order as the first. */
   private locateUnits(): RunUnit[][] {
-    const places: RunUnit[][] = Array.from({ length: this.nodes.size }, () => []);
-    const passed = new Map<EvictedRun, number>();
-    for (const h of this.input.placedTasks) {
-      const { run, members } = this.jobs.get(h.job)!;
-      if (h.leaving || members !== null) continue;
-      const index = passed.get(run) ?? 0;
-      passed.set(run, index + 1);
-      const node = this.nodes.get(h.machine);
-      if (node !== undefined) places[node.index]!.push(run.unit(index));
+    const unitsByMachine: RunUnit[][] = Array.from({ length: this.machines.size }, () => []);
+    const nextIndex = new Map<EvictedRun, number>();
+    for (const placed of this.input.placedTasks) {
+      const { run, members } = this.jobs.get(placed.job)!;
+      if (placed.leaving || members !== null) continue;
+      const index = nextIndex.get(run) ?? 0;
+      nextIndex.set(run, index + 1);
+      const machine = this.machines.get(placed.machine);
+      if (machine !== undefined) unitsByMachine[machine.index]!.push(run.unit(index));
     }
     for (const unit of this.gangs)
-      for (const machine of new Set(unit.members.map((m) => m.machine))) {
-        const node = this.nodes.get(machine);
-        if (node !== undefined) places[node.index]!.push(unit);
+      for (const id of new Set(unit.members.map((member) => member.machine))) {
+        const machine = this.machines.get(id);
+        if (machine !== undefined) unitsByMachine[machine.index]!.push(unit);
       }
-    return places;
+    return unitsByMachine;
   }
 
   private enqueue(queued: QueuedJob): void {
@@ -259,7 +264,7 @@
       size: sizeOf(job),
       nextTask: 0,
       lastPlacement: null,
-      shape: null,
+      failureKey: null,
       finished: false,
     });
   }
--- a/packages/controller/src/scheduler/largest-jobs.ts
+++ b/packages/controller/src/scheduler/largest-jobs.ts
@@ -1,7 +1,7 @@
 /**
- * The largest jobs of each class: the ones that an order by size would serve last. A leader sees the jobs that are not over
- * only; which were larger before them is a hint that it leaves to the next one, who would else take ordinary jobs for
- * largest ones (day: cairo fleet restart, where every controller ends three times).
+ * Tracks the largest jobs of each class: an order by remaining work would serve them last. A leader sees unfinished jobs
+ * only, so it writes the sizes of the largest jobs to the store as a hint for the next leader. Without the hint a new
+ * leader would take ordinary jobs for the largest ones when all controllers are restarted several times within a day.
  */
 import { Effect } from 'effect';
 import { supervise } from '@lilacvalve/runtime/supervise';
@@ -10,63 +10,73 @@
 import { hintWriter } from '../state-store/hint.js';
 import type { StatePort } from '../state-store/port.js';
 
-/** Within a tenth of the class's greatest number of tasks, and so many at least. */
-const WITHIN = 0.9;
-const AT_LEAST = 5;
-/** Classes in the hint: those seen last. */
-const MOST_CLASSES = 60;
-const EVERY_MS = 5000;
+/** A job is one of the largest if it has at least this fraction of its class's greatest number of tasks. */
+const SIZE_RATIO = 0.9;
+/** This many jobs of a class with the most tasks are always among its largest. */
+const JOBS_PER_CLASS = 5;
+/** Number of classes in the hint: those that were added last. */
+const MAX_CLASSES = 60;
+const WRITE_INTERVAL_MS = 5000;
 
-type Sized = Pick<JobSpec, 'id' | 'jobClass' | 'tasks'>;
+type JobSize = Pick<JobSpec, 'id' | 'jobClass' | 'tasks'>;
 
+/** The largest jobs seen of each class. */
 export class LargestJobs {
-  /** The greatest of a class, largest first. */
-  private readonly topByClass = new Map<string, Sized[]>();
+  /** By class, the jobs with the most tasks, largest first. */
+  private readonly topByClass = new Map<string, JobSize[]>();
 
-  /** `hint`: as an earlier leader wrote it; whatever can't be read of it is left out. */
+  /** `hint`: the hint of an earlier leader; malformed items are ignored. */
   constructor(hint: unknown = null) {
     if (typeof hint !== 'object' || hint === null) return;
     for (const [jobClass, list] of Object.entries(hint)) {
       if (!Array.isArray(list)) continue;
-      for (const one of list as unknown[]) {
-        const [id, tasks] = Array.isArray(one) ? (one as unknown[]) : [];
+      for (const item of list as unknown[]) {
+        const [id, tasks] = Array.isArray(item) ? (item as unknown[]) : [];
         if (typeof id === 'string' && Number.isSafeInteger(tasks))
           this.observe({ id, jobClass, tasks: tasks as number });
       }
     }
   }
 
-  observe({ id, jobClass, tasks }: Sized): void {
+  /** Records the job if it is among its class's jobs with the most tasks. */
+  observe({ id, jobClass, tasks }: JobSize): void {
     let top = this.topByClass.get(jobClass);
     if (!top) this.topByClass.set(jobClass, (top = []));
-    if (top.length === AT_LEAST && tasks <= top[AT_LEAST - 1]!.tasks) return;
-    if (top.some((s) => s.id === id)) return;
+    if (top.length === JOBS_PER_CLASS && tasks <= top[JOBS_PER_CLASS - 1]!.tasks) return;
+    if (top.some((job) => job.id === id)) return;
     top.push({ id, jobClass, tasks });
     top.sort((a, b) => b.tasks - a.tasks);
-    top.length = Math.min(top.length, AT_LEAST);
+    top.length = Math.min(top.length, JOBS_PER_CLASS);
   }
 
-  /** Whether the job is one of them. */
-  has({ jobClass, tasks }: Sized): boolean {
+  /** Whether the job is among the largest of its class. */
+  has({ jobClass, tasks }: JobSize): boolean {
     const top = this.topByClass.get(jobClass) ?? [];
-    return tasks >= Math.min(WITHIN * (top[0]?.tasks ?? 0), top[top.length - 1]?.tasks ?? 0);
+    return tasks >= Math.min(SIZE_RATIO * (top[0]?.tasks ?? 0), top[top.length - 1]?.tasks ?? 0);
   }
 
-  /** For the next leader: by class, ids and tasks. */
+  /** Returns the hint for the next leader: job ids and numbers of tasks, by class. */
   hint(): Record<string, (readonly [string, number])[]> {
-    const last = [...this.topByClass].slice(-MOST_CLASSES);
-    return Object.fromEntries(last.map(([c, top]) => [c, top.map((s) => [s.id, s.tasks] as const)]));
+    const latest = [...this.topByClass].slice(-MAX_CLASSES);
+    return Object.fromEntries(
+      latest.map(([jobClass, top]) => [jobClass, top.map((job) => [job.id, job.tasks] as const)]),
+    );
   }
 }
 
-/** Keeps the hint. */
-export const largestJobsTask = (p: {
+/** Supervised task that writes the hint to the store periodically. */
+export const largestJobsTask = (context: {
   readonly mayAct: () => boolean;
   readonly store: StatePort;
   readonly leaderTerm: { readonly stamp: number };
   readonly largestJobs: LargestJobs;
 }) => {
-  const write = hintWriter(p.store, { key: TERM, stamp: p.leaderTerm.stamp }, LARGEST_JOBS);
-  const look = Effect.suspend(() => (p.mayAct() ? write(p.largestJobs.hint()) : Effect.void));
-  return supervise('largest', Effect.sleep(EVERY_MS).pipe(Effect.zipRight(look), Effect.forever));
+  const write = hintWriter(context.store, { key: TERM, stamp: context.leaderTerm.stamp }, LARGEST_JOBS);
+  const writeHint = Effect.suspend(() =>
+    context.mayAct() ? write(context.largestJobs.hint()) : Effect.void,
+  );
+  return supervise(
+    'largest',
+    Effect.sleep(WRITE_INTERVAL_MS).pipe(Effect.zipRight(writeHint), Effect.forever),
+  );
 };
--- a/packages/controller/src/scheduler/model.ts
+++ b/packages/controller/src/scheduler/model.ts
@@ -1,152 +1,169 @@
+/** Input and result of a scheduling cycle, and arithmetic on resources. */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Job } from '../jobs/model.js';
 import type { ImageStatus, Victim } from '../lending/replica-cost.js';
 import type { TeamSettings } from '../settings/settings.js';
 
-/** CPUs, GPUs, memory. */
+/** CPUs, GPUs and memory in GB. */
 export type Resources = [number, number, number];
 
-export const resourcesOf = (s: { cpus: number; gpus: number; memGb: number }): Resources => [
-  s.cpus,
-  s.gpus,
-  s.memGb,
+export const resourcesOf = (source: { cpus: number; gpus: number; memGb: number }): Resources => [
+  source.cpus,
+  source.gpus,
+  source.memGb,
 ];
+/** Tolerance of comparisons between amounts of a resource, which may be fractions. */
 export const EPSILON = 1e-6;
-export const fits = (need: Resources, have: Resources): boolean =>
-  need[0] <= have[0] + EPSILON && need[1] <= have[1] + EPSILON && need[2] <= have[2] + EPSILON;
-/** How often a task that wants so much of one kind goes into what there is of it. */
-export const countOfKind = (want: number, have: number): number =>
-  Math.floor((have + EPSILON) / want + EPSILON);
-/** How many times `need` goes into `have`; as often as one likes if it needs nothing. */
-export const countFitting = (need: Resources, have: Resources): number => {
-  let k = Number.POSITIVE_INFINITY;
-  for (let i = 0; i < 3; i++) if (need[i]! > 0) k = Math.min(k, countOfKind(need[i]!, have[i]!));
-  return Math.max(0, k);
+/** Whether `available` resources suffice for `need`. */
+export const fits = (need: Resources, available: Resources): boolean =>
+  need[0] <= available[0] + EPSILON && need[1] <= available[1] + EPSILON && need[2] <= available[2] + EPSILON;
+/** Returns how many tasks fit by one resource, from the positive amount that a task needs and the available amount. */
+export const countFittingAmount = (amountPerTask: number, available: number): number =>
+  Math.floor((available + EPSILON) / amountPerTask + EPSILON);
+/** Returns how many tasks that need `need` each fit into `available`; infinite if a task needs nothing. */
+export const countFitting = (need: Resources, available: Resources): number => {
+  let count = Number.POSITIVE_INFINITY;
+  for (let i = 0; i < 3; i++)
+    if (need[i]! > 0) count = Math.min(count, countFittingAmount(need[i]!, available[i]!));
+  return Math.max(0, count);
 };
-export const add = (a: Resources, b: Resources, times = 1): void => {
-  a[0] += b[0] * times;
-  a[1] += b[1] * times;
-  a[2] += b[2] * times;
+/** Adds `times` times the resources `amount` to `sum`, in place. */
+export const add = (sum: Resources, amount: Resources, times = 1): void => {
+  sum[0] += amount[0] * times;
+  sum[1] += amount[1] * times;
+  sum[2] += amount[2] * times;
 };
 
-/** A machine that may get work. */
+/** A machine whose worker has reported. */
 export interface NodeView {
   readonly id: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
   readonly total: Resources;
+  /** Images that the machine holds. */
   readonly images: ReadonlySet<string>;
-  /** A service's weights are on their way there: other images would share the rate. */
+  /** Whether the machine fetches the weights of a service: fetching another image would share its download rate. */
   readonly fetchingWeights?: boolean;
-  /** May take new tasks now; if not, its tasks still count. */
+  /** Whether the machine may be given new tasks. The tasks of a machine that may not still count as running. */
   readonly open: boolean;
 }
 
-/** A task that holds room. */
+/** A task that holds resources of a machine. */
 export interface PlacedTask {
   readonly job: Job;
   readonly task: number;
   readonly machine: string;
-  /** null: the machine is on record, but where it stands is not known yet. */
+  /** null: the task's log entry names the machine, but the machine's zone is not known yet. */
   readonly zone: string | null;
-  /** Told to stop, or otherwise about to leave: its room is coming, it can't be displaced again. */
+  /** Whether the task is being stopped or otherwise about to exit: its resources will be freed, and it can't be preempted. */
   readonly leaving: boolean;
-  /** What stopping it now would throw away. */
+  /** Work that is lost if the task is stopped now. */
   readonly loss: Micros;
-  /** How long it will still run, by its estimate. */
+  /** Remaining run time according to the job's estimate. */
   readonly left: Micros;
 }
 
-/** What lending asks of the world beside what the cycle knows. */
+/** Information for placing replicas of GPU services, beside the rest of the cycle's input. */
 export interface LendingView {
-  /** Of a job's image on a machine. */
+  /** State of the job's image on a machine. */
   readonly imageStatus: (job: Job, machine: NodeView) => ImageStatus;
-  readonly victim: (h: PlacedTask) => Victim;
-  /** An order to stop reaches it now. */
+  readonly victim: (placedTask: PlacedTask) => Victim;
+  /** Whether an order to stop a task would reach the machine now. */
   readonly reachable: (machine: string) => boolean;
-  /** Until the class's aim on a start has passed for this job; null: there is none. */
+  /** Time until the class's objective for the start of this job expires; null: the class has no such objective. */
   readonly due: (job: Job) => Micros | null;
-  /** How soon a machine rented now would be up, and what a fetch there takes; null: none can be had for this job. */
+  /** Boot time and image fetch time of a machine rented now; null: no machine can be rented for this job. */
   readonly rental: (job: Job) => { readonly boot: Micros; readonly fetch: Micros } | null;
 }
 
+/** Everything that a scheduling cycle decides by. */
 export interface CycleInput {
   readonly now: Micros;
   readonly teams: readonly TeamSettings[];
-  /** Reciprocal of the priority factor; 1 where nothing says otherwise. */
+  /** Reciprocal of each team's priority factor; teams that are not listed have 1. */
   readonly weights: ReadonlyMap<string, number>;
   readonly nodes: readonly NodeView[];
   readonly placedTasks: readonly PlacedTask[];
-  /** Jobs with tasks to start, and how many may be started at once. */
+  /** Jobs with tasks to start, and the tasks that may be started at once. */
   readonly queued: readonly QueuedJob[];
-  /** What the GPU jobs of the day take beside each GPU, by urgency. */
+  /** CPUs and memory that recent GPU jobs need beside each GPU, by urgency. */
   readonly coLocatedDemand: readonly CoLocatedDemand[];
-  /** Machines beyond need: last choice, and not for low work without GPUs. */
+  /** Machines in excess of the demand: they are chosen last, and not for low-urgency work without GPUs. */
   readonly idleNodes: ReadonlySet<string>;
-  /** Jobs for which others were stopped in an earlier cycle, with how many tasks: they go before all others. */
+  /** Jobs for which an earlier cycle preempted tasks, with their number of tasks to place before all other jobs' tasks. */
   readonly reservations: ReadonlyMap<string, number>;
-  /** Machines a job should avoid, because it failed there; null: none. */
+  /** Machines that a job avoids because it failed there; null: none. */
   readonly avoid: (job: Job) => ReadonlySet<string> | null;
-  /** Attempts up to this one may have been used before a loss; none if left out. */
+  /** Attempt numbers up to this one may have been used before a data loss; none if undefined. */
   readonly attemptFloor?: number;
   /**
-   * So many places, a job's start on one machine each, are all that can be recorded: the refill ends once it has filled
-   * them. None if left out.
+   * Maximum number of placements (starts of a job on one machine) that can be recorded. The refill ends when the cycle has
+   * made this many; unlimited if undefined.
    */
   readonly maxPlacements?: number;
-  /** Left out: replicas go where any task would. */
+  /** If undefined, replicas of services are placed like any other task. */
   readonly lending?: LendingView;
 }
 
+/** CPUs and memory that a class of GPU jobs needs on a machine beside each GPU. */
 export interface CoLocatedDemand {
   readonly urgency: number;
   readonly cpusPerGpu: number;
   readonly memPerGpu: number;
-  /** Some of its tasks wait for room now. */
+  /** Whether some of the class's tasks wait for resources now. */
   readonly waiting: boolean;
-  /** A wait its jobs can bear, should one come: tasks shorter than this may use the room meanwhile. */
+  /** Wait that the class's future jobs can tolerate: tasks that run for less may use the resources in the meantime. */
   readonly patience: Micros;
 }
 
+/** A job with tasks to start. */
 export interface QueuedJob {
   readonly job: Job;
   readonly tasks: readonly number[];
-  /** Smaller goes first among the same urgency in the team's queue. */
+  /** Position among jobs of the same urgency in the team's queue: smaller ranks are served first. */
   readonly rank: number;
-  /** A gang that is starving, see reserve.ts. */
+  /** Whether the job is a starving gang, see reserve.ts. */
   readonly starving: boolean;
-  /** It failed wherever it ran: it gets room that is free and displaces nobody. */
+  /** Whether the job failed wherever it ran: it is only given free resources and preempts no task. */
   readonly cautious: boolean;
-  /** Machines may be rented for it. */
+  /** Whether machines may be rented for the job. */
   readonly mayRent: boolean;
-  /** Nothing of it has been started for long, see start-waits.ts: its next task need not leave GPUs what those to come might need. */
+  /**
+   * Whether no task of the job has been started for a long time, see start-waits.ts. Its next task may use resources that
+   * are kept for GPU jobs that have not been submitted yet.
+   */
   readonly overdue?: boolean;
 }
 
+/** An attempt of a job to start on machines. */
 export interface Start {
   readonly job: Job;
   readonly attempt: number;
+  /** The tasks to start, by machine. */
   readonly on: Map<string, number[]>;
 }
+/** A task to stop so that other work gets its resources. */
 export interface Preemption {
   readonly job: Job;
   readonly task: number;
   readonly machine: string;
-  /** The service that borrows its GPUs: the stop waits until that is durable. */
+  /** The service that borrows the task's GPUs: the stop is sent only when the loan is durable. */
   readonly taker?: Job;
 }
+/** A job whose tasks the cycle could not place. */
 export interface Unplaced {
   readonly job: Job;
-  /** How many of its tasks found no room. */
+  /** Number of tasks that were not placed. */
   readonly count: number;
 }
+/** Decisions of a scheduling cycle. */
 export interface CycleResult {
   readonly starts: Start[];
   readonly preemptions: Preemption[];
   readonly unplaced: Unplaced[];
-  /** Tasks that were promised room which is still being left. */
+  /** By job, the number of tasks placed on resources that terminating tasks still hold. */
   readonly reservations: ReadonlyMap<string, number>;
-  /** Room still free on each machine after the cycle. */
+  /** Free resources of each machine after the cycle. */
   readonly free: Map<string, Resources>;
 }
--- a/packages/controller/src/scheduler/placement-search.ts
+++ b/packages/controller/src/scheduler/placement-search.ts
@@ -1,13 +1,15 @@
 /**
- * Where a gang or a task goes: on free capacity if it can, then on capacity that is being left, then by preempting; a gang
- * whole, and in one zone if it must. The choice is that of the plain search in `test/support/plain-placement-search.ts`
- * (a property test holds both alike); this one skips what can't matter, since a cycle over thousands of machines has a few
- * milliseconds: lists of candidate machines are shared by all jobs that allow the same, machines are ranked once for all
- * tasks of an array, and an upper bound on what fits ends most searches before any machine is weighed.
+ * Searches machines for a gang or a task: on free resources if possible, then on resources that terminating tasks still hold,
+ * then by preemption. A gang is placed as a whole, and in one zone if its job requires that.
+ *
+ * The choice is that of the plain search in `test/support/plain-placement-search.ts`; a property test compares the two. This
+ * search skips machines that can't be chosen, since a cycle over thousands of machines has a few milliseconds: jobs with
+ * the same constraints share lists of candidate machines, machines are ranked once for all tasks of an array, and an upper
+ * bound on the tasks that fit ends most searches before any machine is scored.
  */
 import type { Job } from '../jobs/model.js';
 import { add, type CoLocatedDemand, EPSILON, fits, type Resources, resourcesOf } from './model.js';
-import { NodeRanking, type WeighedNode } from './node-ranking.js';
+import { MachineRanking, type ScoredMachine } from './machine-ranking.js';
 import {
   type PlacementChoice,
   preemptionPenalty,
@@ -18,11 +20,11 @@
   isReservedAgainst,
   type SearchLevel,
   mayPreempt,
-  type NodeState,
+  type MachineState,
   preemptibleBelow,
-  PROMISED_PENALTY,
-  reachableAmount,
-  score,
+  TERMINATING_PENALTY,
+  freeableAmount,
+  placementScore,
   slotBounds,
   strandsGpus,
   type TeamState,
@@ -31,47 +33,48 @@
   allowedZones,
 } from './cluster-capacity.js';
 
-const NONE: Resources = [0, 0, 0];
+const NO_RESOURCES: Resources = [0, 0, 0];
 const NO_VICTIMS: ReadonlySet<EvictedUnit> = new Set();
 
-/** A place for the next task: a machine, its score, and whom it would preempt there. */
-interface Option extends WeighedNode {
+/** A machine on which the next task fits, its score, and the units to preempt there. */
+interface PlacementOption extends ScoredMachine {
   readonly victims: readonly EvictedUnit[];
+  /** Whether the task fits into the machine's free resources. */
   readonly free: boolean;
 }
 
-/** Machines that a job's types, spot and zones allow, in order. */
+/** Machines that a job's types, spot setting and zones allow, ordered by index. */
 interface Candidates {
-  readonly list: readonly NodeState[];
-  /** By a machine's index: whether it is one of them. */
+  readonly machines: readonly MachineState[];
+  /** Whether a machine is a candidate, by machine index. */
   readonly allowed: Uint8Array;
-  /** By level, those that have CPUs left. Shared: on a full fleet they are few, and hundreds of jobs look for them. */
-  readonly withCpus: NodesWithCpus[];
+  /** By level, the candidates with CPUs left. Shared by hundreds of jobs: on a full fleet these machines are few. */
+  readonly withCpus: MachinesWithCpus[];
 }
-interface NodesWithCpus {
-  readonly list: readonly NodeState[];
-  /** How many of the cycle's changes it includes. */
-  readonly asOf: number;
+interface MachinesWithCpus {
+  readonly machines: readonly MachineState[];
+  /** Number of the cycle's changes that the list takes into account. */
+  readonly changeCount: number;
 }
 
-/** What is searched for: places for `count` tasks of a job at once. */
+/** A search for machines for `count` tasks of a job at once. */
 interface SearchRequest {
   readonly job: Job;
   readonly team: TeamState;
   readonly count: number;
-  /** Of one task. */
+  /** Resources of one task. */
   readonly need: Resources;
-  /** Evicted tasks of an urgency under this may be preempted, as far as an upper bound goes. */
-  readonly below: number;
+  /** At most the evicted tasks with a smaller urgency may be preempted. */
+  readonly belowUrgency: number;
 }
 
-/** The places of one group of tasks, found one after the other: each takes what the ones before it left. */
+/** Places the tasks of one group one after the other; each task gets what the tasks before it have left. */
 class GroupPlacement {
-  /** What the group's tasks placed so far take, by machine. */
-  private readonly used = new Map<NodeState, Resources>();
+  /** Resources of the group's tasks placed so far, by machine. */
+  private readonly used = new Map<MachineState, Resources>();
   private readonly victims = new Set<EvictedUnit>();
   private readonly overdue: boolean;
-  private readonly guards: readonly CoLocatedDemand[];
+  private readonly protectedDemands: readonly CoLocatedDemand[];
 
   constructor(
     private readonly capacity: ClusterCapacity,
@@ -80,135 +83,163 @@
   ) {
     const { job } = request;
     this.overdue = capacity.overdue.has(job);
-    this.guards = protectedDemand(capacity.coLocatedDemand, job, this.overdue);
+    this.protectedDemands = protectedDemand(capacity.coLocatedDemand, job, this.overdue);
   }
 
-  /** The place on a machine as things stand; null: there is none at this level. */
-  weigh(n: NodeState): Option | null {
+  /** Scores a machine for the next task; null if the task does not fit at this level. */
+  scoreMachine(machine: MachineState): PlacementOption | null {
     const { capacity, level, victims } = this;
     const { job, need } = this.request;
-    if (isReservedAgainst(n, job) || !this.isReachable(n)) return null;
-    const mine = this.used.get(n) ?? NONE;
-    const left: Resources = [n.free[0] - mine[0], n.free[1] - mine[1], n.free[2] - mine[2]];
-    const after: Resources = [left[0] - need[0], left[1] - need[1], left[2] - need[2]];
-    if (strandsGpus(this.guards, job, n.view.total, n.idle, after, this.overdue)) return null;
+    if (isReservedAgainst(machine, job) || !this.mayFit(machine)) return null;
+    const used = this.used.get(machine) ?? NO_RESOURCES;
+    const available: Resources = [
+      machine.free[0] - used[0],
+      machine.free[1] - used[1],
+      machine.free[2] - used[2],
+    ];
+    const remaining: Resources = [available[0] - need[0], available[1] - need[1], available[2] - need[2]];
+    if (strandsGpus(this.protectedDemands, job, machine.view.total, machine.idle, remaining, this.overdue))
+      return null;
     const demand = capacity.coLocatedDemand;
-    if (fits(need, left)) return { n, score: score(demand, job, n, after), victims: [], free: true };
+    if (fits(need, available))
+      return { machine, score: placementScore(demand, job, machine, remaining), victims: [], free: true };
     if (level === 0) return null;
-    add(left, n.leaving);
-    for (const v of victims)
-      for (const m of v.members) if (m.machine === n.view.id) add(left, resourcesOf(v.job.spec));
-    if (fits(need, left))
-      return { n, score: PROMISED_PENALTY + score(demand, job, n, left), victims: [], free: false };
+    add(available, machine.terminating);
+    for (const victim of victims)
+      for (const member of victim.members)
+        if (member.machine === machine.view.id) add(available, resourcesOf(victim.job.spec));
+    if (fits(need, available))
+      return {
+        machine,
+        score: TERMINATING_PENALTY + placementScore(demand, job, machine, available),
+        victims: [],
+        free: false,
+      };
     if (level === 1) return null;
-    const more = this.victimsOn(n, left);
-    if (more === null) return null;
-    return { n, score: preemptionPenalty(more) + score(demand, job, n, left), victims: more, free: false };
+    const newVictims = this.victimsOn(machine, available);
+    if (newVictims === null) return null;
+    return {
+      machine,
+      score: preemptionPenalty(newVictims) + placementScore(demand, job, machine, available),
+      victims: newVictims,
+      free: false,
+    };
   }
 
-  /** All of the group's places among `list`; null: not all of them fit. */
-  placeAll(list: readonly NodeState[]): PlacementChoice | null {
+  /** Places all tasks of the group on some of the candidates; null if they don't all fit. */
+  placeAll(candidates: readonly MachineState[]): PlacementChoice | null {
     const { count, job, need } = this.request;
-    const options: Option[] = [];
-    for (const n of list) {
-      const option = this.weigh(n);
+    const options: PlacementOption[] = [];
+    for (const machine of candidates) {
+      const option = this.scoreMachine(machine);
       if (option !== null) options.push(option);
     }
-    const current: (Option | null)[] = options;
-    const indexOf = count > 1 ? new Map(options.map((o, i) => [o.n, i])) : null;
-    const byZone = new Map(this.capacity.zonesHeld.get(job) ?? []);
-    const machines: NodeState[] = [];
+    const current: (PlacementOption | null)[] = options;
+    const indexOf = count > 1 ? new Map(options.map((option, i) => [option.machine, i])) : null;
+    const tasksByZone = new Map(this.capacity.zonesHeld.get(job) ?? []);
+    const machines: MachineState[] = [];
     let free = true;
     for (let i = 0; i < count; i++) {
-      const best = this.best(current, byZone);
+      const best = this.best(current, tasksByZone);
       if (best === null) return null;
-      machines.push(best.n);
+      machines.push(best.machine);
       free &&= best.free;
-      for (const v of best.victims) this.victims.add(v);
+      for (const victim of best.victims) this.victims.add(victim);
       if (i + 1 === count) break;
-      const mine = this.used.get(best.n);
-      if (mine) add(mine, need);
-      else this.used.set(best.n, [...need]);
-      byZone.set(best.n.view.zone, (byZone.get(best.n.view.zone) ?? 0) + 1);
-      this.weighAgain(best, current, indexOf);
+      const used = this.used.get(best.machine);
+      if (used) add(used, need);
+      else this.used.set(best.machine, [...need]);
+      tasksByZone.set(best.machine.view.zone, (tasksByZone.get(best.machine.view.zone) ?? 0) + 1);
+      this.rescoreChanged(best, current, indexOf);
     }
     return { machines, victims: this.victims, free };
   }
 
-  /** Whether the machine could hold one task, were all gone that may go at this level: most machines end here. */
-  private isReachable(n: NodeState): boolean {
-    const { need, below } = this.request;
+  /**
+   * Whether one task would fit on the machine with all resources freed that may be freed at this level. Most machines are
+   * ruled out by this check.
+   */
+  private mayFit(machine: MachineState): boolean {
+    const { need, belowUrgency } = this.request;
     const { level } = this;
     for (let i = 0; i < 3; i++) {
-      const most = level === 0 ? n.free[i]! : reachableAmount(n, level === 1 ? 0 : below, i);
-      if (need[i]! > most + EPSILON) return false;
+      const amount =
+        level === 0 ? machine.free[i]! : freeableAmount(machine, level === 1 ? 0 : belowUrgency, i);
+      if (need[i]! > amount + EPSILON) return false;
     }
     return true;
   }
 
-  /** Units to preempt on a machine beside those preempted already, so that one task fits on top of `have`; null: it can't. */
-  private victimsOn(n: NodeState, have: Resources): EvictedUnit[] | null {
+  /**
+   * Returns units to preempt on a machine, beside the group's victims so far, so that one task fits in addition to the
+   * `available` resources; null if preemption does not suffice.
+   */
+  private victimsOn(machine: MachineState, available: Resources): EvictedUnit[] | null {
     const { capacity, victims } = this;
     const { job, team, need } = this.request;
     const options: EvictedUnit[] = [];
-    for (const u of capacity.evictedOn(n))
-      if (!victims.has(u) && mayPreempt(capacity, job, team, need, u)) options.push(u);
+    for (const unit of capacity.evictedOn(machine))
+      if (!victims.has(unit) && mayPreempt(capacity, job, team, need, unit)) options.push(unit);
     options.sort(
       (a, b) =>
         a.job.spec.urgency - b.job.spec.urgency ||
         (a.team === b.team ? 0 : capacity.share(b.team) - capacity.share(a.team)) ||
         a.loss - b.loss,
     );
-    const sum: Resources = [...have];
+    const sum: Resources = [...available];
     const chosen: EvictedUnit[] = [];
-    for (const u of options) {
+    for (const unit of options) {
       if (fits(need, sum)) break;
-      for (const m of u.members) if (m.machine === n.view.id) add(sum, resourcesOf(u.job.spec));
-      chosen.push(u);
+      for (const member of unit.members)
+        if (member.machine === machine.view.id) add(sum, resourcesOf(unit.job.spec));
+      chosen.push(unit);
     }
     return fits(need, sum) ? chosen : null;
   }
 
-  /** The first of the options with the lowest score whose zone may take one more of the job's tasks. */
-  private best(options: readonly (Option | null)[], byZone: ReadonlyMap<string, number>): Option | null {
+  /** Returns the first option with the lowest score in a zone that may hold one more of the job's tasks. */
+  private best(
+    options: readonly (PlacementOption | null)[],
+    tasksByZone: ReadonlyMap<string, number>,
+  ): PlacementOption | null {
     const { spread, tasks } = this.request.job.spec;
-    const zoneCap = spread ? Math.ceil(tasks / 2) : Number.POSITIVE_INFINITY;
-    let best: Option | null = null;
+    const maxPerZone = spread ? Math.ceil(tasks / 2) : Number.POSITIVE_INFINITY;
+    let best: PlacementOption | null = null;
     for (const option of options) {
       if (option === null || (best !== null && option.score >= best.score)) continue;
-      if ((byZone.get(option.n.view.zone) ?? 0) < zoneCap) best = option;
+      if ((tasksByZone.get(option.machine.view.zone) ?? 0) < maxPerZone) best = option;
     }
     return best;
   }
 
-  /** Only the machine taken, and those that its victims leave, need weighing again. */
-  private weighAgain(
-    taken: Option,
-    current: (Option | null)[],
-    indexOf: ReadonlyMap<NodeState, number> | null,
+  /** Scores the chosen machine and the machines of its victims again; no other machine has changed. */
+  private rescoreChanged(
+    taken: PlacementOption,
+    current: (PlacementOption | null)[],
+    indexOf: ReadonlyMap<MachineState, number> | null,
   ): void {
-    const again = (n: NodeState): void => {
-      const i = indexOf?.get(n);
-      if (i !== undefined) current[i] = this.weigh(n);
+    const rescore = (machine: MachineState): void => {
+      const i = indexOf?.get(machine);
+      if (i !== undefined) current[i] = this.scoreMachine(machine);
     };
-    again(taken.n);
-    for (const v of taken.victims)
-      for (const m of v.members) {
-        const n = this.capacity.nodes.get(m.machine);
-        if (n && n !== taken.n) again(n);
+    rescore(taken.machine);
+    for (const victim of taken.victims)
+      for (const member of victim.members) {
+        const machine = this.capacity.machines.get(member.machine);
+        if (machine && machine !== taken.machine) rescore(machine);
       }
   }
 }
 
-/** The searches of one cycle, with what they share. */
+/** The placement searches of one cycle, with the data that they share. */
 class CycleSearch {
-  /** Shared by all jobs that allow the same. */
+  /** By constraints, the candidates shared by all jobs with the same types, spot setting and zones. */
   private readonly candidateLists = new Map<string, Candidates>();
   /**
-   * What the machines are worth to a job's next task: of an array's tasks each takes one machine's capacity, and all the
-   * others are worth what they were. By job and level, for tasks that preempt nobody.
+   * Rankings of machines for a job's next task, by job and level, for tasks that preempt no others. They are kept between
+   * the tasks of an array: each task changes the score of one machine only.
    */
-  private readonly rankings = new Map<Job, NodeRanking<Option>[]>();
+  private readonly rankings = new Map<Job, MachineRanking<PlacementOption>[]>();
 
   constructor(private readonly capacity: ClusterCapacity) {}
 
@@ -216,23 +247,23 @@
     const zones = allowedZones(this.capacity, this.capacity.zones, job);
     if (zones.length === 0) return null;
     const need = resourcesOf(job.spec);
-    const below = preemptibleBelow(this.capacity, job, team, need);
-    const request: SearchRequest = { job, team, count, need, below };
-    const one = job.spec.oneZone;
-    const groups = (one ? zones.map((z) => [z]) : [zones]).map((group) => {
-      const nodes = this.candidates(job, group);
-      let known: readonly [number, number, number] | null = null;
-      return { nodes, slots: () => (known ??= slotBounds(need, below, nodes.list)) };
+    const belowUrgency = preemptibleBelow(this.capacity, job, team, need);
+    const request: SearchRequest = { job, team, count, need, belowUrgency };
+    const inOneZone = job.spec.oneZone;
+    const groups = (inOneZone ? zones.map((zone) => [zone]) : [zones]).map((group) => {
+      const candidates = this.candidates(job, group);
+      let bounds: readonly [number, number, number] | null = null;
+      return { candidates, slots: () => (bounds ??= slotBounds(need, belowUrgency, candidates.machines)) };
     });
     for (const level of levels) {
       const found: ZoneChoice[] = [];
-      for (const { nodes, slots } of groups) {
+      for (const { candidates, slots } of groups) {
         const ranked = count === 1 && level < 2 && this.hasStableCandidates(job);
         if (!ranked && (slots()[2] < count || slots()[level] < count)) continue;
         const choice = ranked
-          ? this.bestRanked(request, level, nodes)
-          : new GroupPlacement(this.capacity, request, level).placeAll(nodes.list);
-        if (choice !== null) found.push({ choice, slots: one ? slots()[2] : 0 });
+          ? this.bestRanked(request, level, candidates)
+          : new GroupPlacement(this.capacity, request, level).placeAll(candidates.machines);
+        if (choice !== null) found.push({ choice, slots: inOneZone ? slots()[2] : 0 });
       }
       if (found.length > 0) return tightestZone(found);
     }
@@ -244,63 +275,77 @@
     const key = `${types?.join(',') ?? ''}|${spot}|${zones.join(',')}`;
     let shared = this.candidateLists.get(key);
     if (!shared) {
-      const list = [...this.capacity.nodes.values()].filter(
-        (n) =>
-          n.view.open &&
-          zones.includes(n.view.zone) &&
-          (types === null || types.includes(n.view.type)) &&
-          (!n.view.spot || spot),
+      const machines = [...this.capacity.machines.values()].filter(
+        (machine) =>
+          machine.view.open &&
+          zones.includes(machine.view.zone) &&
+          (types === null || types.includes(machine.view.type)) &&
+          (!machine.view.spot || spot),
       );
-      const allowed = new Uint8Array(this.capacity.nodes.size);
-      for (const n of list) allowed[n.index] = 1;
-      this.candidateLists.set(key, (shared = { list, allowed, withCpus: [] }));
+      const allowed = new Uint8Array(this.capacity.machines.size);
+      for (const machine of machines) allowed[machine.index] = 1;
+      this.candidateLists.set(key, (shared = { machines, allowed, withCpus: [] }));
     }
     const avoided = this.capacity.avoid(job);
     return avoided === null
       ? shared
-      : { ...shared, list: shared.list.filter((n) => !avoided.has(n.view.id)) };
+      : { ...shared, machines: shared.machines.filter((machine) => !avoided.has(machine.view.id)) };
   }
 
-  /** Whether the machines that a job may use are the same for each of its tasks. */
+  /** Whether the set of machines that the job may use is the same for each of its tasks. */
   private hasStableCandidates(job: Job): boolean {
     const { spec } = job;
     const { capacity } = this;
     return !spec.spread && !spec.oneZone && capacity.avoid(job) === null && !capacity.overdue.has(job);
   }
 
-  private bestRanked(request: SearchRequest, level: SearchLevel, nodes: Candidates): PlacementChoice | null {
-    const best = this.rankingOf(request, level, nodes).best();
-    return best === null ? null : { machines: [best.n], victims: NO_VICTIMS, free: best.free };
+  private bestRanked(
+    request: SearchRequest,
+    level: SearchLevel,
+    candidates: Candidates,
+  ): PlacementChoice | null {
+    const best = this.rankingOf(request, level, candidates).best();
+    return best === null ? null : { machines: [best.machine], victims: NO_VICTIMS, free: best.free };
   }
 
-  private rankingOf(request: SearchRequest, level: SearchLevel, nodes: Candidates): NodeRanking<Option> {
+  private rankingOf(
+    request: SearchRequest,
+    level: SearchLevel,
+    candidates: Candidates,
+  ): MachineRanking<PlacementOption> {
     const { job } = request;
     let byLevel = this.rankings.get(job);
     if (!byLevel) this.rankings.set(job, (byLevel = []));
     const known = byLevel[level];
     if (known !== undefined) return known;
-    const first =
+    const initial =
       job.spec.cpus > EPSILON
-        ? this.withCpus(nodes, level)
-        : { list: nodes.list, asOf: this.capacity.changedNodes.length };
+        ? this.withCpus(candidates, level)
+        : { machines: candidates.machines, changeCount: this.capacity.changedMachines.length };
     const placement = new GroupPlacement(this.capacity, request, level);
-    return (byLevel[level] = new NodeRanking(first, nodes.allowed, this.capacity.changedNodes, (n) =>
-      placement.weigh(n),
+    return (byLevel[level] = new MachineRanking(
+      initial,
+      candidates.allowed,
+      this.capacity.changedMachines,
+      (machine) => placement.scoreMachine(machine),
     ));
   }
 
-  /** Machines with CPUs left at a level below preempting: free ones only become fewer, and others are marked as changed. */
-  private withCpus(nodes: Candidates, level: SearchLevel): NodesWithCpus {
-    return (nodes.withCpus[level] ??= {
-      list: nodes.list.filter(
-        (n) => reachableAmount(n, 0, 0) > EPSILON && (level > 0 || n.free[0] > EPSILON),
+  /**
+   * Returns the candidates with CPUs left at a level without preemption. The list can be shared between jobs: machines only
+   * lose free CPUs, and a machine that gains any is marked as changed.
+   */
+  private withCpus(candidates: Candidates, level: SearchLevel): MachinesWithCpus {
+    return (candidates.withCpus[level] ??= {
+      machines: candidates.machines.filter(
+        (machine) => freeableAmount(machine, 0, 0) > EPSILON && (level > 0 || machine.free[0] > EPSILON),
       ),
-      asOf: this.capacity.changedNodes.length,
+      changeCount: this.capacity.changedMachines.length,
     });
   }
 }
 
-/** The search of one cycle over `capacity`. */
+/** Returns the placement search for one cycle over `capacity`. */
 export const placementSearch = (capacity: ClusterCapacity): PlacementSearch => {
   const cycle = new CycleSearch(capacity);
   return (job, team, count, levels) => cycle.search(job, team, count, levels);
--- a/packages/controller/src/scheduler/replica-search.ts
+++ b/packages/controller/src/scheduler/replica-search.ts
@@ -1,7 +1,8 @@
 /**
- * Where a missing replica of a GPU service goes: every machine that may take it is weighed, on free room, on room that is
- * being left, or by stopping others, as src/lending says. Everything else goes as placement-search.ts has it. An exception to the
- * cycle's levels (docs/design.md): free room without the weights can be the worse place by a minute.
+ * Searches a machine for a missing replica of a GPU service. Every machine that the service may use is compared by the cost
+ * of serving from it (lending/replica-cost.ts): on free resources, on resources of terminating tasks, or by preemption. Other
+ * jobs are placed by placement-search.ts. Unlike that search, this one does not prefer free resources by level: free resources
+ * on a machine without the service's weights can delay the replica by a minute.
  */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Job } from '../jobs/model.js';
@@ -27,31 +28,32 @@
   type ClusterCapacity,
   isReservedAgainst,
   type SearchLevel,
-  type NodeState,
-  score,
+  type MachineState,
+  placementScore,
   type TeamState,
   allowedZones,
 } from './cluster-capacity.js';
 
-/** A machine's fit weighs little against seconds: it decides between places that are equal otherwise. */
+/** Weight of a machine's placement score against seconds: the score decides between machines of about equal cost. */
 const FIT_WEIGHT = 0.5;
-/** Room on its way counts as left so much later. */
-const LEAVING_DELAY = STOP_DELAY;
+/** Expected time until the resources of terminating tasks are free. */
+const TERMINATION_DELAY = STOP_DELAY;
 
 const NO_VICTIMS: ReadonlySet<EvictedUnit> = new Set();
 
-/** What stopping an evicted unit for a replica means. */
+/** Consequences of stopping an evicted unit for a replica. */
 interface UnitLoss {
+  /** The member that has run longest. */
   readonly victim: Victim;
-  /** An order to stop reaches all of it now. */
+  /** Whether the whole unit can be stopped now. */
   readonly reachable: boolean;
-  /** Lost by all members, GPU-microseconds. */
+  /** Work lost by all members, in GPU-microseconds. */
   readonly lost: number;
-  /** From the order to stop until its capacity is free. */
+  /** Time from the order to stop until the unit's resources are free. */
   readonly leave: Micros;
 }
 
-/** A missing replica, and how far its search goes. */
+/** A search for a missing replica's machine. */
 interface ReplicaRequest {
   readonly job: Job;
   readonly team: TeamState;
@@ -59,65 +61,75 @@
   readonly level: SearchLevel;
 }
 
-/** A place for a replica; `cost` in seconds, see src/lending. */
-interface Place {
-  readonly n: NodeState;
+/** A machine on which a replica fits. */
+interface ReplicaOption {
+  readonly machine: MachineState;
+  /** Cost in seconds, see `servingCost`. */
   readonly cost: number;
   readonly victims: readonly EvictedUnit[];
+  /** Whether the replica fits into the machine's free resources. */
   readonly free: boolean;
 }
 
-/** The replica searches of one cycle, with what they share. */
+/** The replica searches of one cycle, with the data that they share. */
 class ReplicaSearch {
-  /** Images that this cycle's own replicas will be fetching. */
-  private readonly fetching = new Map<NodeState, Set<string>>();
+  /** Images that the replicas placed in this cycle will fetch, by machine. */
+  private readonly fetching = new Map<MachineState, Set<string>>();
   private readonly losses = new Map<EvictedUnit, UnitLoss>();
 
   constructor(
     private readonly capacity: ClusterCapacity,
     private readonly lending: LendingView,
-    private readonly stopped: ReadonlyMap<Job, number>,
+    private readonly preemptedTasks: ReadonlyMap<Job, number>,
   ) {}
 
-  /** The cheapest place for one replica; null: there is none, or a rented machine serves sooner than any that preempts. */
+  /**
+   * Returns the machine with the smallest cost for one replica; null if the replica fits on none, or if the best option
+   * preempts tasks and renting a machine costs less.
+   */
   search(job: Job, team: TeamState, levels: readonly SearchLevel[]): PlacementChoice | null {
     const level = Math.max(...levels) as SearchLevel;
     const best = this.cheapest({ job, team, need: resourcesOf(job.spec), level });
     if (best === null || (best.victims.length > 0 && this.rentalIsCheaper(job, best.cost))) return null;
-    this.noteFetch(best.n, job.spec.image);
+    this.noteFetch(best.machine, job.spec.image);
     return {
-      machines: [best.n],
+      machines: [best.machine],
       victims: best.victims.length === 0 ? NO_VICTIMS : new Set(best.victims),
       free: best.free,
     };
   }
 
-  private cheapest(request: ReplicaRequest): Place | null {
+  private cheapest(request: ReplicaRequest): ReplicaOption | null {
     const { capacity } = this;
     const { job } = request;
     const { types, spot } = job.spec;
     const zones = this.openZones(job);
     const avoided = capacity.avoid(job);
-    let best: Place | null = null;
-    for (const n of capacity.nodes.values()) {
-      const v = n.view;
-      if (!v.open || !zones.has(v.zone) || (types !== null && !types.includes(v.type)) || (v.spot && !spot))
+    let best: ReplicaOption | null = null;
+    for (const machine of capacity.machines.values()) {
+      const machineView = machine.view;
+      if (
+        !machineView.open ||
+        !zones.has(machineView.zone) ||
+        (types !== null && !types.includes(machineView.type)) ||
+        (machineView.spot && !spot)
+      )
         continue;
-      if (avoided?.has(v.id) || isReservedAgainst(n, job)) continue;
-      const place = this.placeOn(request, n);
-      if (place !== null && (best === null || place.cost < best.cost)) best = place;
+      if (avoided?.has(machineView.id) || isReservedAgainst(machine, job)) continue;
+      const option = this.optionOn(request, machine);
+      if (option !== null && (best === null || option.cost < best.cost)) best = option;
     }
     return best;
   }
 
-  /** Zones that may take one more replica of the job. */
+  /** Returns the zones that may hold one more replica of the job. */
   private openZones(job: Job): ReadonlySet<string> {
     const { capacity } = this;
     const { spread, tasks } = job.spec;
-    const all = [...new Set([...capacity.nodes.values()].map((n) => n.view.zone))].sort();
+    const all = [...new Set([...capacity.machines.values()].map((machine) => machine.view.zone))].sort();
     const held = capacity.zonesHeld.get(job);
-    const zoneCap = spread ? Math.ceil(tasks / 2) : Number.POSITIVE_INFINITY;
-    return new Set(allowedZones(capacity, all, job).filter((z) => (held?.get(z) ?? 0) < zoneCap));
+    const maxPerZone = spread ? Math.ceil(tasks / 2) : Number.POSITIVE_INFINITY;
+    return new Set(allowedZones(capacity, all, job).filter((zone) => (held?.get(zone) ?? 0) < maxPerZone));
   }
 
   private rentalIsCheaper(job: Job, cost: number): boolean {
@@ -127,137 +139,160 @@
     return servingCost(option, this.lending.due(job)) < cost;
   }
 
-  private noteFetch(n: NodeState, image: string): void {
-    const images = this.fetching.get(n);
+  private noteFetch(machine: MachineState, image: string): void {
+    const images = this.fetching.get(machine);
     if (images) images.add(image);
-    else this.fetching.set(n, new Set([image]));
+    else this.fetching.set(machine, new Set([image]));
   }
 
-  /** The place on one machine: on what is free, on what is being left, or by preempting; null: none at this level. */
-  private placeOn(request: ReplicaRequest, n: NodeState): Place | null {
+  /**
+   * Returns the option of placing the replica on a machine, on free resources, on those of terminating tasks or by
+   * preemption; null if the replica does not fit at the request's level.
+   */
+  private optionOn(request: ReplicaRequest, machine: MachineState): ReplicaOption | null {
     const { job, need, level } = request;
-    if (!fits(need, n.view.total)) return null;
-    const fetch = fetchTime(this.imageOn(job, n));
+    if (!fits(need, machine.view.total)) return null;
+    const fetch = fetchTime(this.imageOn(job, machine));
     const due = this.lending.due(job);
-    const after: Resources = [n.free[0] - need[0], n.free[1] - need[1], n.free[2] - need[2]];
-    const cost = (leave: number, lost: number, left: Resources): number =>
+    const afterPlacement: Resources = [
+      machine.free[0] - need[0],
+      machine.free[1] - need[1],
+      machine.free[2] - need[2],
+    ];
+    const cost = (leave: number, lost: number, remaining: Resources): number =>
       servingCost({ leave: leave as Micros, fetch, lost }, due) +
-      FIT_WEIGHT * score(this.capacity.coLocatedDemand, job, n, left);
-    if (fits(need, n.free)) return { n, cost: cost(0, 0, after), victims: [], free: true };
+      FIT_WEIGHT * placementScore(this.capacity.coLocatedDemand, job, machine, remaining);
+    if (fits(need, machine.free))
+      return { machine, cost: cost(0, 0, afterPlacement), victims: [], free: true };
     if (level === 0) return null;
-    const have: Resources = [...n.free];
-    add(have, n.leaving);
-    if (fits(need, have)) return { n, cost: cost(LEAVING_DELAY, 0, have), victims: [], free: false };
+    const available: Resources = [...machine.free];
+    add(available, machine.terminating);
+    if (fits(need, available))
+      return { machine, cost: cost(TERMINATION_DELAY, 0, available), victims: [], free: false };
     if (level === 1) return null;
-    const victims = this.victimsOn(request, n, fetch, have);
+    const victims = this.victimsOn(request, machine, fetch, available);
     if (victims === null) return null;
     let lost = 0;
     let leave = 0;
-    for (const u of victims) {
-      lost += this.lossOf(u).lost;
-      leave = Math.max(leave, this.lossOf(u).leave);
+    for (const unit of victims) {
+      lost += this.lossOf(unit).lost;
+      leave = Math.max(leave, this.lossOf(unit).leave);
     }
-    return { n, cost: cost(STOP_DELAY + leave, lost, have), victims, free: false };
+    return { machine, cost: cost(STOP_DELAY + leave, lost, available), victims, free: false };
   }
 
-  /** Units to stop so that the replica fits, the least loss first; adds what they leave to `have`. null: it can't be. */
+  /**
+   * Returns units to preempt so that the replica fits, those with the least loss first, and adds their resources on the
+   * machine to `available`; null if preemption does not suffice.
+   */
   private victimsOn(
     request: ReplicaRequest,
-    n: NodeState,
+    machine: MachineState,
     fetch: Micros,
-    have: Resources,
+    available: Resources,
   ): EvictedUnit[] | null {
     const { need } = request;
-    const options = this.capacity.evictedOn(n).filter((u) => this.mayStop(request, fetch, u));
+    const options = this.capacity.evictedOn(machine).filter((unit) => this.mayStop(request, fetch, unit));
     if (options.length === 0) return null;
     options.sort(
       (a, b) => a.job.spec.urgency - b.job.spec.urgency || this.lossOf(a).lost - this.lossOf(b).lost,
     );
     const victims: EvictedUnit[] = [];
-    for (const u of options) {
-      if (fits(need, have)) break;
-      // Whoever runs without GPUs is no help where GPUs are short, and the other way round.
-      if (!((have[1] < need[1] - EPSILON && u.need[1] > 0) || have[0] < need[0] || have[2] < need[2]))
+    for (const unit of options) {
+      if (fits(need, available)) break;
+      // Skips units that don't free a resource that is short, such as tasks without GPUs where only GPUs are short.
+      if (!(
+        (available[1] < need[1] - EPSILON && unit.need[1] > 0) ||
+        available[0] < need[0] ||
+        available[2] < need[2]
+      ))
         continue;
-      if (victims.length > 0 && !this.mayStop(request, fetch, u, victims)) continue;
-      for (const m of u.members) if (m.machine === n.view.id) add(have, u.need);
-      victims.push(u);
+      if (victims.length > 0 && !this.mayStop(request, fetch, unit, victims)) continue;
+      for (const member of unit.members) if (member.machine === machine.view.id) add(available, unit.need);
+      victims.push(unit);
     }
-    return fits(need, have) ? victims : null;
+    return fits(need, available) ? victims : null;
   }
 
-  /** `others`: victims of the same replica: each alone may leave its team its guarantee, and both together not. */
+  /**
+   * Whether the unit may be stopped for the replica. `others`: units already chosen for the same replica. Two units that each
+   * alone would leave their team its guarantee may fall below it together.
+   */
   private mayStop(
     { job, team, need }: ReplicaRequest,
     fetch: Micros,
-    u: EvictedUnit,
+    unit: EvictedUnit,
     others: readonly EvictedUnit[] = [],
   ): boolean {
-    const { spec } = u.job;
-    const staying: Resources = [...u.team.staying];
-    let tasks = u.members.length;
-    for (const o of others) {
-      if (o.team === u.team) add(staying, [-o.size[0], -o.size[1], -o.size[2]]);
-      if (o.job === u.job) tasks += o.members.length;
+    const { spec } = unit.job;
+    const retained: Resources = [...unit.team.retained];
+    let tasks = unit.members.length;
+    for (const other of others) {
+      if (other.team === unit.team) add(retained, [-other.size[0], -other.size[1], -other.size[2]]);
+      if (other.job === unit.job) tasks += other.members.length;
     }
     if (
       !mayBorrowFrom({
-        sameTeam: u.team === team,
+        sameTeam: unit.team === team,
         lower: spec.urgency < job.spec.urgency,
         entitlement: entitlementOf(team.held, need, team.settings.guarantee),
-        standing: standingOf(staying, u.size, u.team.settings.guarantee),
+        standing: standingOf(retained, unit.size, unit.team.settings.guarantee),
       })
     )
       return false;
-    const taken = u.job.preemptedForServices + (this.stopped.get(u.job) ?? 0);
+    const taken = unit.job.preemptedForServices + (this.preemptedTasks.get(unit.job) ?? 0);
     const budget = { gang: spec.shape === 'gang', tasks: spec.tasks, taken };
-    // What computes without GPUs beside them has no such budget: it goes by the cycle's own rule.
+    // The budget covers tasks with GPUs only; other tasks are preempted by the cycle's general rules.
     if (spec.gpus > 0 && !withinPreemptionBudget(budget, tasks)) return false;
-    const { reachable, victim } = this.lossOf(u);
+    const { reachable, victim } = this.lossOf(unit);
     return reachable && !endsBeforeFetch(victim, fetch);
   }
 
-  private imageOn(job: Job, n: NodeState): ImageStatus {
-    const status = this.lending.imageStatus(job, n.view);
-    const more = this.fetching.get(n);
-    if (more === undefined || status.present) return status;
-    const mine = more.has(job.spec.image);
+  /** Returns the state of the job's image on a machine, including the fetches of replicas placed in this cycle. */
+  private imageOn(job: Job, machine: MachineState): ImageStatus {
+    const status = this.lending.imageStatus(job, machine.view);
+    const images = this.fetching.get(machine);
+    if (images === undefined || status.present) return status;
+    const includesOwn = images.has(job.spec.image);
     return {
       ...status,
-      fetchedFor: status.fetchedFor ?? (mine ? (0 as Micros) : null),
-      others: status.others + more.size - (mine ? 1 : 0),
+      fetchedFor: status.fetchedFor ?? (includesOwn ? (0 as Micros) : null),
+      others: status.others + images.size - (includesOwn ? 1 : 0),
     };
   }
 
-  private lossOf(u: EvictedUnit): UnitLoss {
-    let loss = this.losses.get(u);
+  private lossOf(unit: EvictedUnit): UnitLoss {
+    let loss = this.losses.get(unit);
     if (loss === undefined) {
-      const all = u.members.map((m) => this.lending.victim(m));
-      // A gang ends with its first member's end and loses with its last.
-      const victim = all.reduce((a, b) => (b.ran > a.ran ? b : a));
+      const victims = unit.members.map((member) => this.lending.victim(member));
+      // A gang stops with the exit of any member, and loses the work of all.
+      const victim = victims.reduce((a, b) => (b.ran > a.ran ? b : a));
       loss = {
         victim,
         reachable:
-          (u.job.spec.shape !== 'gang' || u.members.length === u.job.spec.tasks) &&
-          u.members.every((m) => this.lending.reachable(m.machine)),
-        lost: all.reduce((sum, v) => sum + lostWork(v) * Math.max(u.need[1], EPSILON), 0),
+          (unit.job.spec.shape !== 'gang' || unit.members.length === unit.job.spec.tasks) &&
+          unit.members.every((member) => this.lending.reachable(member.machine)),
+        lost: victims.reduce((sum, member) => sum + lostWork(member) * Math.max(unit.need[1], EPSILON), 0),
         leave: leaveTime(victim),
       };
-      this.losses.set(u, loss);
+      this.losses.set(unit, loss);
     }
     return loss;
   }
 }
 
-/** `plain` for all but GPU services. `stopped`: how many tasks of a job this cycle stops for services so far. */
+/**
+ * Returns the search for all jobs: GPU services are placed by cost, all other jobs by `generalSearch`. `preemptedTasks`: by
+ * job, the number of tasks that this cycle has preempted for services so far.
+ */
 export const replicaSearch = (
   capacity: ClusterCapacity,
-  plain: PlacementSearch,
+  generalSearch: PlacementSearch,
   lending: LendingView | undefined,
-  stopped: ReadonlyMap<Job, number>,
+  preemptedTasks: ReadonlyMap<Job, number>,
 ): PlacementSearch => {
-  if (lending === undefined) return plain;
-  const replicas = new ReplicaSearch(capacity, lending, stopped);
+  if (lending === undefined) return generalSearch;
+  const replicas = new ReplicaSearch(capacity, lending, preemptedTasks);
   return (job, team, count, levels) =>
-    mayBorrow(job.spec) ? replicas.search(job, team, levels) : plain(job, team, count, levels);
+    mayBorrow(job.spec) ? replicas.search(job, team, levels) : generalSearch(job, team, count, levels);
 };
--- a/packages/controller/src/scheduler/reserve.ts
+++ b/packages/controller/src/scheduler/reserve.ts
@@ -1,47 +1,49 @@
 /**
- * Room gathered for a gang that has been passed over and finds none: the zone that has the most places for it now keeps
- * them from work that is no more urgent, instead of letting smaller gangs fill them one by one, and less urgent work that
- * would soon be stopped again. What ends before the gang could begin, though its estimate be wrong by half, may use them.
- * Made anew at each cycle from what is there, for one gang at a time; nothing of it is durable.
+ * Reserves machines for a starving gang that does not fit anywhere: in the zone with the most slots for the gang now, the
+ * machines are withheld from work that is not more urgent. Otherwise smaller gangs would fill the slots one by one, and less
+ * urgent work that soon would be preempted again. Work that finishes before the gang could begin, even if its estimate is
+ * wrong by half, may use reserved machines. Reservations are made anew in each cycle, for one gang at a time, and are not
+ * durable.
  */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Job } from '../jobs/model.js';
 import { type PlacedTask, type Resources, resourcesOf, countFitting } from './model.js';
 import {
   type ClusterCapacity,
-  type NodeState,
+  type MachineState,
   preemptibleBelow,
-  reachableAmount,
+  freeableAmount,
   type TeamState,
   allowedZones,
 } from './cluster-capacity.js';
 
-/** Places for `job` on a machine, were everything displaced that it may displace. */
-const placesOn = (n: NodeState, need: Resources, below: number): number =>
+/** Returns how many of the gang's tasks would fit on a machine if everything that the gang may preempt were preempted. */
+const slotsOn = (machine: MachineState, need: Resources, belowUrgency: number): number =>
   Math.max(
     0,
     countFitting(need, [
-      reachableAmount(n, below, 0),
-      reachableAmount(n, below, 1),
-      reachableAmount(n, below, 2),
+      freeableAmount(machine, belowUrgency, 0),
+      freeableAmount(machine, belowUrgency, 1),
+      freeableAmount(machine, belowUrgency, 2),
     ]),
   );
 
-/** Time until so many more places fall free, as far as the estimates of what holds them tell. */
-const waitFor = (
+/** Returns the estimated time until `slots` tasks that the job may not preempt have finished on the machines. */
+const timeUntilFree = (
   placedTasks: readonly PlacedTask[],
   machines: ReadonlySet<string>,
   job: Job,
-  places: number,
+  slots: number,
 ): Micros => {
-  const left: number[] = [];
-  for (const h of placedTasks)
-    if (h.job.spec.urgency >= job.spec.urgency && machines.has(h.machine)) left.push(h.left);
-  left.sort((a, b) => a - b);
-  return (left[places - 1] ?? 0) as Micros;
+  const remaining: number[] = [];
+  for (const placed of placedTasks)
+    if (placed.job.spec.urgency >= job.spec.urgency && machines.has(placed.machine))
+      remaining.push(placed.left);
+  remaining.sort((a, b) => a - b);
+  return (remaining[slots - 1] ?? 0) as Micros;
 };
 
-/** Keeps machines for `job`, all of whose tasks must begin at once; says whether it did. */
+/** Reserves machines for `job`, a gang whose tasks must all begin at once. Returns whether machines were reserved. */
 export const reserve = (
   capacity: ClusterCapacity,
   placedTasks: readonly PlacedTask[],
@@ -50,31 +52,38 @@
 ): boolean => {
   const { types, spot, tasks, oneZone } = job.spec;
   const need = resourcesOf(job.spec);
-  const below = preemptibleBelow(capacity, job, team, need);
+  const belowUrgency = preemptibleBelow(capacity, job, team, need);
   const avoided = capacity.avoid(job);
   const allowed = new Set(allowedZones(capacity, [...capacity.zones], job));
-  const groups = new Map<string, { places: number; most: number; machines: NodeState[] }>();
-  for (const n of capacity.nodes.values()) {
-    const v = n.view;
-    if (!v.open || !allowed.has(v.zone) || (v.spot && !spot) || avoided?.has(v.id)) continue;
-    if (types !== null && !types.includes(v.type)) continue;
-    const name = oneZone ? v.zone : '';
-    let g = groups.get(name);
-    if (!g) groups.set(name, (g = { places: 0, most: 0, machines: [] }));
-    g.most += countFitting(need, v.total);
-    g.places += placesOn(n, need, below);
-    g.machines.push(n);
+  const groups = new Map<string, { slots: number; maxSlots: number; machines: MachineState[] }>();
+  for (const machine of capacity.machines.values()) {
+    const machineView = machine.view;
+    if (
+      !machineView.open ||
+      !allowed.has(machineView.zone) ||
+      (machineView.spot && !spot) ||
+      avoided?.has(machineView.id)
+    )
+      continue;
+    if (types !== null && !types.includes(machineView.type)) continue;
+    const groupName = oneZone ? machineView.zone : '';
+    let group = groups.get(groupName);
+    if (!group) groups.set(groupName, (group = { slots: 0, maxSlots: 0, machines: [] }));
+    group.maxSlots += countFitting(need, machineView.total);
+    group.slots += slotsOn(machine, need, belowUrgency);
+    group.machines.push(machine);
   }
-  let best: { places: number; most: number; machines: NodeState[] } | null = null;
-  for (const g of groups.values()) if (g.most >= tasks && g.places > (best?.places ?? 0)) best = g;
-  // With places for all, it is kept back by something else.
-  if (best === null || best.places >= tasks) return false;
-  const names = new Set(best.machines.map((n) => n.view.id));
-  const until = waitFor(placedTasks, names, job, tasks - best.places);
-  for (const n of best.machines) {
-    if (placesOn(n, need, below) === 0) continue;
-    n.reservation = { job, until };
-    capacity.markChanged(n);
+  let best: { slots: number; maxSlots: number; machines: MachineState[] } | null = null;
+  for (const group of groups.values())
+    if (group.maxSlots >= tasks && group.slots > (best?.slots ?? 0)) best = group;
+  // With enough slots for all tasks, the gang is held up by something that a reservation does not change.
+  if (best === null || best.slots >= tasks) return false;
+  const machineIds = new Set(best.machines.map((machine) => machine.view.id));
+  const until = timeUntilFree(placedTasks, machineIds, job, tasks - best.slots);
+  for (const machine of best.machines) {
+    if (slotsOn(machine, need, belowUrgency) === 0) continue;
+    machine.reservation = { job, until };
+    capacity.markChanged(machine);
   }
   return true;
 };
