--- a/packages/controller/src/scheduler/run-cycle.ts
+++ b/packages/controller/src/scheduler/run-cycle.ts
@@ -1,6 +1,6 @@
 /**
  * The leader's scheduling cycle: reads the worker registry and the job state, decides (`cycle.ts`, pure), commits starts and
- * ends in log entries, then lets them take effect. A start is never sent before its log entry is committed.
+ * observed exits in log entries, then applies them. A start is never sent to a worker before its log entry is committed.
  */
 import { Effect } from 'effect';
 import { info } from '@lilacvalve/runtime/log';
@@ -31,43 +31,48 @@
   teamWeightsOf,
 } from './cycle-input.js';
 
-/** The state of the cluster in one line, however many machines there are. */
+/** Returns the fields of the log line about the cluster's state: counts by machine type and by job class. */
 export const summary = (context: CycleContext, state: CycleState): Record<string, string | number> => {
   const rows = new Map<string, { up: number; coming: number; empty: number }>();
-  for (const m of context.registry.machines.values()) {
-    const kind = `${m.type}${m.spot ? '-spot' : ''}`;
-    let r = rows.get(kind);
-    if (!r) rows.set(kind, (r = { up: 0, coming: 0, empty: 0 }));
-    if (!m.reported) r.coming++;
+  for (const machine of context.registry.machines.values()) {
+    const kind = `${machine.type}${machine.spot ? '-spot' : ''}`;
+    let row = rows.get(kind);
+    if (!row) rows.set(kind, (row = { up: 0, coming: 0, empty: 0 }));
+    if (!machine.reported) row.coming++;
     else {
-      r.up++;
-      if (!context.jobState.placementsByMachine.has(m.id)) r.empty++;
+      row.up++;
+      if (!context.jobState.placementsByMachine.has(machine.id)) row.empty++;
     }
   }
-  const classes = new Map<string, { on: number; waiting: number; jobs: number }>();
+  const classes = new Map<string, { placed: number; waiting: number; jobs: number }>();
   for (const job of context.jobState.jobs.values()) {
-    let c = classes.get(job.spec.jobClass);
-    if (!c) classes.set(job.spec.jobClass, (c = { on: 0, waiting: 0, jobs: 0 }));
+    let counts = classes.get(job.spec.jobClass);
+    if (!counts) classes.set(job.spec.jobClass, (counts = { placed: 0, waiting: 0, jobs: 0 }));
     const waiting = job.cancelled ? 0 : job.spec.tasks - job.done.size - job.placed.size;
-    c.on += job.placed.size;
-    c.waiting += waiting;
-    if (waiting > 0) c.jobs++;
+    counts.placed += job.placed.size;
+    counts.waiting += waiting;
+    if (waiting > 0) counts.jobs++;
   }
   return {
-    machines: [...rows].map(([k, r]) => `${k}:${r.up}+${r.coming}/${r.empty}`).join(','),
-    tasks: [...classes].map(([k, c]) => `${k}:${c.on}+${c.waiting}/${c.jobs}`).join(','),
+    machines: [...rows].map(([kind, row]) => `${kind}:${row.up}+${row.coming}/${row.empty}`).join(','),
+    tasks: [...classes]
+      .map(([jobClass, counts]) => `${jobClass}:${counts.placed}+${counts.waiting}/${counts.jobs}`)
+      .join(','),
     stopping: context.registry.stopping.size,
     cycleMs: Math.round(state.computeTime / 1000),
   };
 };
 
-/** Orders a task to stop; one that saves has the time for that. */
-const preempt = (context: CycleContext, { job, task }: Preemption, at: Micros): void => {
+/** Orders a task to stop; a task with checkpoints gets the time to save one. */
+const preempt = (context: CycleContext, { job, task }: Preemption, now: Micros): void => {
   const { checkpoint, save } = job.spec;
-  context.registry.stop(job, task, checkpoint > 0 ? plus(save, seconds(2)) : (0 as Micros), at);
+  context.registry.stop(job, task, checkpoint > 0 ? plus(save, seconds(2)) : (0 as Micros), now);
 };
 
-/** Jobs that others are making way for, then lenders with an open loan: by id, how many tasks go before all others. */
+/**
+ * Returns by job id the number of tasks to place before all others: of jobs for which the last cycle preempted tasks, then of
+ * waiting lenders with an open loan.
+ */
 const reservationsOf = (
   context: CycleContext,
   state: CycleState,
@@ -76,73 +81,82 @@
   const reservations = state.result?.reservations ?? new Map<string, number>();
   const loans = loansOf(context.jobState.jobs.values());
   if (loans.length === 0) return reservations;
-  const waiting = queued.filter((q) => !q.cautious).map((q) => ({ job: q.job, tasks: q.tasks.length }));
-  const out = new Map(reservations);
-  for (const [id, n] of lendersToRepay(loans, waiting)) out.set(id, Math.max(n, out.get(id) ?? 0));
-  return out;
+  const waiting = queued
+    .filter((item) => !item.cautious)
+    .map((item) => ({ job: item.job, tasks: item.tasks.length }));
+  const withLenders = new Map(reservations);
+  for (const [id, count] of lendersToRepay(loans, waiting))
+    withLenders.set(id, Math.max(count, withLenders.get(id) ?? 0));
+  return withLenders;
 };
 
-/** For the accounts: who waits after this cycle, and what they have of what they are entitled to. */
-const noteShares = (context: CycleContext, input: CycleInput, result: CycleResult, at: Micros): void => {
-  const all: Resources = [0, 0, 0];
-  for (const n of input.nodes) add(all, n.total);
-  const lately = context.ledger.share.recentCapacity(all, at);
-  const groups = sharesOf(input, result, lately);
-  context.ledger.share.record(groups, at);
-  context.ledger.balance?.record(groups, at);
+/** Records for the accounts which teams wait after this cycle, and how their shares compare with what they are entitled to. */
+const recordShares = (context: CycleContext, input: CycleInput, result: CycleResult, now: Micros): void => {
+  const capacity: Resources = [0, 0, 0];
+  for (const machine of input.nodes) add(capacity, machine.total);
+  const recentCapacity = context.ledger.share.recentCapacity(capacity, now);
+  const groups = sharesOf(input, result, recentCapacity);
+  context.ledger.share.record(groups, now);
+  context.ledger.balance?.record(groups, now);
 };
 
-/** Exception (docs/accounts.md): off, and the weights as they are, unless a file under `deploy/` turns it on. */
+/**
+ * Adjusts the teams' weights by the shares that they are owed (docs/accounts.md). Returns the weights unchanged unless a file
+ * under `deploy/` enables the adjustment.
+ */
 const balancedWeights = (
   context: CycleContext,
   weights: ReadonlyMap<string, number>,
 ): ReadonlyMap<string, number> =>
   context.ledger.balance?.adjust(
     weights,
-    context.settings.teams.map((x) => x.name),
+    context.settings.teams.map((team) => team.name),
   ) ?? weights;
 
-/** Takes in what time has brought since the last cycle: expired leases, faulty jobs and machines, recalls, lost orders. */
-const updateRegistry = (context: CycleContext, at: Micros) =>
+/**
+ * Updates the worker registry for the time passed since the last cycle: expired leases, jobs suspected to be faulty,
+ * quarantined and recalled machines, and orders to stop that an earlier leader did not send to all tasks.
+ */
+const updateRegistry = (context: CycleContext, now: Micros) =>
   Effect.gen(function* () {
     const { registry } = context;
     const term = context.leaderTerm.number;
-    for (const machine of registry.expireLeases(at, context.acknowledged()))
+    for (const machine of registry.expireLeases(now, context.acknowledged()))
       yield* info('worker lease expired', { term, machine });
-    for (const job of registry.newSuspects(at)) yield* info('job suspected faulty', { term, job });
-    for (const { machine, quarantined } of registry.updateQuarantine(at))
+    for (const job of registry.newSuspects(now)) yield* info('job suspected faulty', { term, job });
+    for (const { machine, quarantined } of registry.updateQuarantine(now))
       yield* info(quarantined ? 'machine quarantined' : 'quarantine lifted', { term, machine });
-    for (const job of registry.abandonUnadoptableJobs(at))
+    for (const job of registry.abandonUnadoptableJobs(now))
       yield* info('pre-loss tasks stopped', { term, job });
     registry.needsCycle = false;
-    registry.drainRecalledMachines(at);
+    registry.drainRecalledMachines(now);
     for (const job of registry.newlyCompleteServices(
-      (context.dayTime() - (at - context.leaderTerm.began)) as Micros,
+      (context.dayTime() - (now - context.leaderTerm.began)) as Micros,
     )) {
       const { id, tasks, imageGb, submitted } = job.spec;
       const afterS = Math.round((context.dayTime() - submitted) / 1e6);
       yield* info('service fully running', { term, job: id, replicas: tasks, afterS, imageGb });
     }
-    for (const job of registry.completePartialPreemptions(at))
+    for (const job of registry.completePartialPreemptions(now))
       yield* info('gang partially preempted', { term, job });
     for (const job of context.jobState.jobs.values())
       if (job.placed.size > 0 && (job.cancelled || registry.isBrokenGang(job)))
         registry.stopRemainingTasks(job);
   });
 
-/** All that the pure cycle decides by, as it stands at `at`. Keeps in `state` what others ask of the latest cycle. */
-const gatherInput = (context: CycleContext, state: CycleState, at: Micros): CycleInput => {
-  const queued = context.mayStart() ? queuedJobsOf(context, at) : [];
-  const nodes = nodesOf(context, at);
-  const placedTasks = placedTasksOf(context, at);
-  state.idleNodes = idleNodesOf(nodes, placedTasks, queued);
-  state.coLocatedDemand = coLocatedDemandOf(context, at);
+/** Builds the input of the cycle at `now`; stores the parts that other tasks of the leader need in `state`. */
+const gatherInput = (context: CycleContext, state: CycleState, now: Micros): CycleInput => {
+  const queued = context.mayStart() ? queuedJobsOf(context, now) : [];
+  const machines = nodesOf(context, now);
+  const placedTasks = placedTasksOf(context, now);
+  state.idleNodes = idleNodesOf(machines, placedTasks, queued);
+  state.coLocatedDemand = coLocatedDemandOf(context, now);
   return {
-    now: at,
+    now,
     teams: context.settings.teams,
     weights: balancedWeights(context, teamWeightsOf(context)),
     reservations: reservationsOf(context, state, queued),
-    nodes,
+    nodes: machines,
     placedTasks,
     queued,
     coLocatedDemand: state.coLocatedDemand,
@@ -150,25 +164,25 @@
     avoid: (job) => context.registry.avoidedMachines(job),
     attemptFloor: Math.max(context.jobState.attemptFloor, context.jobState.attemptBase),
     maxPlacements: maxPlacements(context.settings.state),
-    lending: lendingViewOf(context, at, queued),
+    lending: lendingViewOf(context, now, queued),
   };
 };
 
-/** Runs the pure cycle, and notes its result, shares and the time that it took. */
-const decide = (context: CycleContext, state: CycleState, at: Micros): CycleResult => {
+/** Runs the pure cycle and records its result, shares and computing time. */
+const decide = (context: CycleContext, state: CycleState, now: Micros): CycleResult => {
   const began = context.clock();
-  const input = gatherInput(context, state, at);
+  const input = gatherInput(context, state, now);
   const result = schedule(input);
   state.result = result;
-  noteShares(context, input, result, at);
+  recordShares(context, input, result, now);
   state.computeTime = context.clock() - began;
   return result;
 };
 
-/** Stops that a service's loan waits on: whoever reads the store knows of the loan before anybody is told to stop. */
+/** Stops the tasks whose GPUs a service borrows. The loans are durable: every reader of the store knows of a loan before its tasks stop. */
 const preemptForLoans = (context: CycleContext, preemptions: readonly Preemption[]) =>
   Effect.gen(function* () {
-    for (const p of preemptions) preempt(context, p, context.clock());
+    for (const preemption of preemptions) preempt(context, preemption, context.clock());
     for (const { taker, lend } of newLoans(preemptions))
       for (const { lender, gpus, tasks } of lend)
         yield* info('loan made', {
@@ -181,21 +195,22 @@
   });
 
 /**
- * One scheduling cycle: takes in what has happened, decides on what is left once the ends seen so far are committed, tells
- * preempted tasks to stop, and commits ends and starts together.
+ * Runs one scheduling cycle: updates the worker registry, decides on the state that results from the exits observed so far,
+ * stops preempted tasks, and commits exits and starts together.
  */
 export const runCycle = (context: CycleContext, state: CycleState) =>
   Effect.gen(function* () {
-    const at = context.clock();
-    yield* updateRegistry(context, at);
-    if (!context.jobState.quiescent && !context.registry.priorLeasesExpired(at)) {
-      // After a loss somebody may be running what nobody here knows of: until all have shown themselves or their
-      // leases have expired, only what ends and what is found running is committed.
+    const now = context.clock();
+    yield* updateRegistry(context, now);
+    if (!context.jobState.quiescent && !context.registry.priorLeasesExpired(now)) {
+      // After a data loss, workers may run tasks that are missing from the job state. Until every worker has sent a heartbeat or
+      // its lease has expired, only exits and tasks found running are committed.
       yield* commit(context, []);
       return;
     }
-    const { starts, preemptions } = decide(context, state, at);
-    for (const p of preemptions) if (p.taker === undefined) preempt(context, p, at);
+    const { starts, preemptions } = decide(context, state, now);
+    for (const preemption of preemptions)
+      if (preemption.taker === undefined) preempt(context, preemption, now);
     if (preemptions.length > 0)
       yield* info('tasks preempted', { term: context.leaderTerm.number, tasks: preemptions.length });
     const committed = yield* commit(context, starts, preemptions);
--- a/packages/controller/src/scheduler/start-waits.ts
+++ b/packages/controller/src/scheduler/start-waits.ts
@@ -1,28 +1,29 @@
 /**
- * For how long jobs have waited in this term without a start. What is kept for others ends there for them: no job is left
- * waiting for 90 s beside room that it could use.
+ * Tracks how long each job has waited in this leadership term since its last start. A job that has waited too long may use
+ * resources that are kept for future jobs, so that no job waits for 90 s while a machine could run it.
  */
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import type { Job } from '../jobs/model.js';
 
-/** A start takes a cycle, its log entry and the machine's next report. */
-const OVERDUE = seconds(70);
+/** Waiting time after which a job is overdue; a start takes a cycle, its log entry and the machine's next heartbeat in addition. */
+const OVERDUE_AGE = seconds(70);
 
+/** Waiting times of jobs that have tasks to start. */
 export class StartWaits {
-  /** By job: its last attempt as last seen, and since when it has been that. */
-  private readonly known = new Map<string, { readonly attempt: number; readonly since: Micros }>();
+  /** By job: its latest attempt number and when this number was first seen. */
+  private readonly attemptByJob = new Map<string, { readonly attempt: number; readonly since: Micros }>();
 
-  /** Asked at each cycle of every job that has something to start. */
-  overdue(job: Job, at: Micros): boolean {
+  /** Whether the job has waited too long; called in each cycle for every job that has tasks to start. */
+  overdue(job: Job, now: Micros): boolean {
     const { id } = job.spec;
-    const before = this.known.get(id);
-    if (before?.attempt === job.attempt) return at - before.since > OVERDUE;
-    this.known.set(id, { attempt: job.attempt, since: at });
+    const known = this.attemptByJob.get(id);
+    if (known?.attempt === job.attempt) return now - known.since > OVERDUE_AGE;
+    this.attemptByJob.set(id, { attempt: job.attempt, since: now });
     return false;
   }
 
-  /** Forgets what is over. */
+  /** Forgets jobs that are not in `jobs`. */
   retain(jobs: ReadonlyMap<string, Job>): void {
-    for (const id of this.known.keys()) if (!jobs.has(id)) this.known.delete(id);
+    for (const id of this.attemptByJob.keys()) if (!jobs.has(id)) this.attemptByJob.delete(id);
   }
 }
--- a/packages/controller/src/scheduler/team-order.ts
+++ b/packages/controller/src/scheduler/team-order.ts
@@ -1,90 +1,91 @@
 /**
- * The order of teams in a refill: the team whose weighted dominant share would be smallest with the next of its queue
- * placed comes first. A binary heap, since thousands of items of dozens of teams pass through a cycle.
+ * Priority queue of teams in a refill: the team whose weighted dominant share would be smallest with the next item of its
+ * queue placed is served first. A binary heap, since thousands of items of dozens of teams are served in a cycle.
  */
 
+/** A team in the priority queue. */
 export interface OrderedTeam {
-  /** Its share with the next of its queue placed; a team whose share is not below infinity is not served. */
+  /** Share of the team with the next item of its queue placed; a team with an infinite share is not served. */
   share: number;
-  /** Of two teams with equal shares the one with the smaller rank comes first. */
+  /** Of two teams with equal shares, the one with the smaller rank is served first. */
   readonly rank: number;
-  /** Its place in the heap; -1: it is not in it. */
-  place: number;
+  /** Index of the team in the heap; -1 if the team is not in the heap. */
+  heapIndex: number;
 }
 
-const before = (a: OrderedTeam, b: OrderedTeam): boolean =>
+const isBefore = (a: OrderedTeam, b: OrderedTeam): boolean =>
   a.share < b.share || (a.share === b.share && a.rank < b.rank);
 
 export class TeamOrder<T extends OrderedTeam> {
   private readonly heap: T[] = [];
 
-  /** null: no team has anything left. */
+  /** Returns the team to serve next; null if no team has items left. */
   first(): T | null {
     return this.heap[0] ?? null;
   }
 
-  /** The team's share has changed; one without anything left has an infinite one. */
+  /** Moves the team to its place after a change of its share; removes it if the share is infinite. */
   update(team: T): void {
-    const served = team.share < Number.POSITIVE_INFINITY;
-    if (team.place < 0) {
-      if (!served) return;
-      team.place = this.heap.length;
+    const hasItems = team.share < Number.POSITIVE_INFINITY;
+    if (team.heapIndex < 0) {
+      if (!hasItems) return;
+      team.heapIndex = this.heap.length;
       this.heap.push(team);
-    } else if (!served) {
+    } else if (!hasItems) {
       this.remove(team);
       return;
     }
-    this.settle(team);
+    this.restoreOrder(team);
   }
 
   private remove(team: T): void {
-    const { place } = team;
+    const { heapIndex } = team;
     const last = this.heap.pop()!;
-    team.place = -1;
+    team.heapIndex = -1;
     if (last === team) return;
-    this.put(last, place);
-    this.settle(last);
+    this.put(last, heapIndex);
+    this.restoreOrder(last);
   }
 
-  private put(team: T, place: number): void {
-    this.heap[place] = team;
-    team.place = place;
+  private put(team: T, heapIndex: number): void {
+    this.heap[heapIndex] = team;
+    team.heapIndex = heapIndex;
   }
 
-  private settle(team: T): void {
-    this.rise(team);
-    this.sink(team);
+  private restoreOrder(team: T): void {
+    this.siftUp(team);
+    this.siftDown(team);
   }
 
-  private rise(team: T): void {
-    let { place } = team;
-    while (place > 0) {
-      const above = (place - 1) >> 1;
-      const parent = this.heap[above]!;
-      if (!before(team, parent)) break;
-      this.put(parent, place);
-      place = above;
+  private siftUp(team: T): void {
+    let { heapIndex } = team;
+    while (heapIndex > 0) {
+      const parentIndex = (heapIndex - 1) >> 1;
+      const parent = this.heap[parentIndex]!;
+      if (!isBefore(team, parent)) break;
+      this.put(parent, heapIndex);
+      heapIndex = parentIndex;
     }
-    this.put(team, place);
+    this.put(team, heapIndex);
   }
 
-  private sink(team: T): void {
-    let { place } = team;
+  private siftDown(team: T): void {
+    let { heapIndex } = team;
     for (;;) {
-      const left = 2 * place + 1;
-      const right = left + 1;
-      let child = this.heap[left];
+      const leftIndex = 2 * heapIndex + 1;
+      const rightIndex = leftIndex + 1;
+      let child = this.heap[leftIndex];
       if (child === undefined) break;
-      const other = this.heap[right];
-      let below = left;
-      if (other !== undefined && before(other, child)) {
-        child = other;
-        below = right;
+      const rightChild = this.heap[rightIndex];
+      let childIndex = leftIndex;
+      if (rightChild !== undefined && isBefore(rightChild, child)) {
+        child = rightChild;
+        childIndex = rightIndex;
       }
-      if (!before(child, team)) break;
-      this.put(child, place);
-      place = below;
+      if (!isBefore(child, team)) break;
+      this.put(child, heapIndex);
+      heapIndex = childIndex;
     }
-    this.put(team, place);
+    this.put(team, heapIndex);
   }
 }
--- a/packages/controller/src/scheduler/transact-until-known.ts
+++ b/packages/controller/src/scheduler/transact-until-known.ts
@@ -1,17 +1,20 @@
-/** Sends a transaction of a leadership term until its outcome is known. */
+/** Retries a transaction of a leadership term until its outcome is known. */
 import { Effect, Random } from 'effect';
 import { TERM } from '../jobs/keys.js';
 import { Priority } from '../state-store/budget.js';
 import type { Condition, Outcome, Write } from '../state-store/client.js';
 import type { CycleContext } from './cycle-context.js';
 
-/** An outcome; `revision` null: applied, but at which revision is not known. */
+/** Outcome of a transaction; `revision` is null if the transaction was applied at an unknown revision. */
 export type KnownOutcome =
   Exclude<Outcome, { ok: true }> | { readonly ok: true; readonly revision: number | null };
 
 /**
- * Sends one transaction until its outcome is known or the leadership term is over. Without right it waits: giving up
- * in between would leave a log entry that may be applied and that nobody here counts with.
+ * Sends the transaction until its outcome is known, or until the leadership term has ended (null). While the leader may not
+ * act, the function waits: if it gave up, a log entry might be applied without this controller's knowledge.
+ *
+ * `probe`: a key whose condition fails if the transaction was applied before. If a resent transaction fails on it and not on
+ * the term, the first copy was applied.
  */
 export const transactUntilKnown = (
   context: CycleContext,
@@ -21,23 +24,28 @@
   priority = Priority.Commit,
 ): Effect.Effect<KnownOutcome | null> =>
   Effect.gen(function* () {
-    let unsure = false;
+    let mayBeApplied = false;
     for (;;) {
       if (!context.isCurrentTerm()) return null;
       if (!context.mayAct()) {
         yield* Effect.sleep(100);
         continue;
       }
-      const r = yield* Effect.either(context.store.transact(when, then, priority, 1200));
-      if (r._tag === 'Right') {
-        // Sent before without an answer, and now its own key stands in the way: the first copy was applied.
-        if (!r.right.ok && unsure && r.right.failed.includes(probe) && !r.right.failed.includes(TERM)) {
+      const result = yield* Effect.either(context.store.transact(when, then, priority, 1200));
+      if (result._tag === 'Right') {
+        // An earlier copy got no response, and now the probe key has changed: that copy was applied.
+        if (
+          !result.right.ok &&
+          mayBeApplied &&
+          result.right.failed.includes(probe) &&
+          !result.right.failed.includes(TERM)
+        ) {
           return { ok: true, revision: null } as const;
         }
-        if (r.right.ok) context.watcher.noteOwnCommit(r.right.revision);
-        return r.right;
+        if (result.right.ok) context.watcher.noteOwnCommit(result.right.revision);
+        return result.right;
       }
-      if (r.left._tag === 'NoAnswer') unsure = true;
+      if (result.left._tag === 'NoAnswer') mayBeApplied = true;
       yield* Effect.sleep(60 + 80 * (yield* Random.next));
     }
   });
--- a/packages/controller/src/scheduler/upkeep.ts
+++ b/packages/controller/src/scheduler/upkeep.ts
@@ -1,4 +1,7 @@
-/** Tidies up what older log entries and jobs that are over leave behind. Every write is conditional on the term. */
+/**
+ * The leader's periodic maintenance: moves finished jobs to their final keys and compacts the log. Every write is conditional
+ * on the leadership term.
+ */
 import { Effect } from 'effect';
 import { info } from '@lilacvalve/runtime/log';
 import { checkpointWrites, joinOldPages, writePage } from '../accounts/upkeep.js';
@@ -12,31 +15,37 @@
 import type { CycleContext } from './cycle-context.js';
 
 /**
- * Log entries to keep before their jobs are compacted. Most jobs are over before their first log entry is the oldest
- * of so many: then only the log entry is to be deleted, and the job's key is never written again on its account.
+ * Number of log entries kept before compaction. Most jobs finish before their first log entry is the oldest of this many: then
+ * compaction only deletes the log entry and need not write the job's key.
  */
 const LOG_TAIL_KEPT = 160;
-/** Changes in one transaction of upkeep: larger ones would have to wait longer for their part of the budget. */
-const UPKEEP_OPS = 8;
+/** Maximum number of changes in a maintenance transaction: larger ones would wait longer for the write budget. */
+const MAINTENANCE_OPS = 8;
 
-/** Moves jobs that are over to their final keys. Whoever writes a job's key first, cancellation or this, wins. */
+/**
+ * Moves finished jobs to their final keys. If a job is cancelled at the same time, the write of the job's key that is
+ * committed first takes effect. Returns whether there were finished jobs.
+ */
 const closeFinishedJobs = (context: CycleContext) =>
   Effect.gen(function* () {
-    const over: Job[] = [];
+    const finishedJobs: Job[] = [];
     for (const job of context.jobState.jobs.values()) {
-      if (finalState(job) !== null && !context.registry.exits.has(job.spec.id)) over.push(job);
-      // Two changes each, and a third where a bundle lists it.
-      const each = context.jobState.bundleOf.size > 0 ? 3 : 2;
-      // A tied job's occurrence has a count, which changes too.
-      const tied = over.reduce((n, j) => n + (j.spec.tie === null ? 0 : 1), 0);
+      if (finalState(job) !== null && !context.registry.exits.has(job.spec.id)) finishedJobs.push(job);
+      // Two changes per job, and a third if a bundle of rebuilt jobs holds the job.
+      const changesPerJob = context.jobState.bundleOf.size > 0 ? 3 : 2;
+      // A job bound to a cutoff also changes the outcome counts of its occurrence.
+      const countChanges = finishedJobs.reduce(
+        (sum, finished) => sum + (finished.spec.tie === null ? 0 : 1),
+        0,
+      );
       if (
-        (over.length + 1) * each + tied >
-        Math.min(context.settings.state.txnOps, each === 3 ? 12 : UPKEEP_OPS)
+        (finishedJobs.length + 1) * changesPerJob + countChanges >
+        Math.min(context.settings.state.txnOps, changesPerJob === 3 ? 12 : MAINTENANCE_OPS)
       )
         break;
     }
-    if (over.length === 0) return false;
-    const finals = over.map((job) => ({
+    if (finishedJobs.length === 0) return false;
+    const finals = finishedJobs.map((job) => ({
       job,
       id: job.spec.id,
       stamp: job.revision,
@@ -44,55 +53,57 @@
     }));
     const when: Condition[] = [{ key: TERM, stamp: context.leaderTerm.stamp }];
     const then: Write[] = [];
-    for (const f of finals) {
-      when.push({ key: activeJobKey(f.id), stamp: f.stamp });
+    for (const finished of finals) {
+      when.push({ key: activeJobKey(finished.id), stamp: finished.stamp });
       then.push(
-        { delete: activeJobKey(f.id) },
-        { set: finalStateKey(f.id), value: encodeFinalState(f.final) },
+        { delete: activeJobKey(finished.id) },
+        { set: finalStateKey(finished.id), value: encodeFinalState(finished.final) },
       );
     }
-    const packs = context.jobState.removalFromBundles(finals.map((f) => f.id));
+    const removals = context.jobState.removalFromBundles(finals.map((finished) => finished.id));
     const counts = tallyWrites(context.jobState, finals);
-    when.push(...packs.when, ...counts.when);
-    then.push(...packs.then, ...counts.then);
+    when.push(...removals.when, ...counts.when);
+    then.push(...removals.then, ...counts.then);
     const first = finals[0]!;
     const probe = first.stamp > 0 ? activeJobKey(first.id) : (context.jobState.bundleOf.get(first.id) ?? '');
     const outcome = yield* transactUntilKnown(context, when, then, probe, Priority.Upkeep);
     if (outcome === null) return true;
-    // Applied or not, the watch's view decides what became of each job.
+    // Whether or not the transaction was applied, the watcher's view determines the state of each job.
     yield* Effect.ignore(context.watcher.refresh);
     if (outcome.ok)
-      for (const f of finals) {
-        yield* info('job finished', { job: f.id, status: f.final.status });
-        for (const [lender, l] of f.job.loans) {
-          const ended = { taker: f.id, lender, gpus: l.gpus / 1000, reason: 'taker over' };
+      for (const finished of finals) {
+        yield* info('job finished', { job: finished.id, status: finished.final.status });
+        for (const [lender, loan] of finished.job.loans) {
+          const ended = { taker: finished.id, lender, gpus: loan.gpus / 1000, reason: 'taker over' };
           yield* info('loan ended', { term: context.leaderTerm.number, ...ended });
         }
       }
     return true;
   });
 
-/** One transaction of compaction; `checked` is its condition on the accounts' checkpoint. */
+/** A transaction that compacts the log. */
 interface Compaction {
   readonly when: readonly Condition[];
   readonly then: readonly Write[];
-  readonly checked: Condition;
+  /** The condition on the accounts' checkpoint, which is also in `when`. */
+  readonly checkpointCondition: Condition;
 }
 
-/** Bytes of one transaction of compaction. */
+/** Maximum bytes of a transaction that compacts the log. */
 const COMPACTION_BYTES = 48 * 1024;
 
-/** As much of the oldest log entries as one transaction takes: writes of the jobs that they name, then their deletion. */
+/** Drafts the writes of the jobs that the oldest log entries name, and the entries' deletion, as far as they fit. */
 const draftCompaction = (context: CycleContext): Compaction => {
   const { jobState, settings } = context;
   const upTo = jobState.lastSequence;
   const ops = settings.state.txnOps;
   const { checkpoint, accounts } = jobState;
-  // No entry goes whose rows the checkpoint lacks. It is written once in so many entries: the next ones can go by it.
-  const checked: Condition = { key: ACCOUNTS, stamp: checkpoint.revision };
-  const when: Condition[] = [{ key: TERM, stamp: context.leaderTerm.stamp }, checked];
+  // An entry may be deleted only if the checkpoint of the accounts includes the entry's usage rows. A checkpoint is written only
+  // when the last one does not cover the oldest entry, and then covers the following entries, too.
+  const checkpointCondition: Condition = { key: ACCOUNTS, stamp: checkpoint.revision };
+  const when: Condition[] = [{ key: TERM, stamp: context.leaderTerm.stamp }, checkpointCondition];
   const then: Write[] = [];
-  const jobs = new Set<Job>();
+  const writtenJobs = new Set<Job>();
   let bytes = 0;
   const oldest = [...jobState.logTail.keys()].sort((a, b) => a - b).slice(0, -1);
   if (oldest[0]! > checkpoint.upTo) {
@@ -102,41 +113,45 @@
   const covered = then.length > 0 ? accounts.upTo : checkpoint.upTo;
   for (const sequence of oldest) {
     if (sequence > covered) break;
-    const more: Job[] = [];
+    const jobs: Job[] = [];
     for (const id of jobState.logTail.get(sequence)!.jobs.keys()) {
       const job = jobState.jobs.get(id);
-      if (job && job.compactedTo < sequence && !jobs.has(job)) more.push(job);
+      if (job && job.compactedTo < sequence && !writtenJobs.has(job)) jobs.push(job);
     }
-    if (then.length + more.length + 1 > Math.min(ops, UPKEEP_OPS) && then.length > 0) break;
-    const writes: Write[] = more.map((job) => ({
+    if (then.length + jobs.length + 1 > Math.min(ops, MAINTENANCE_OPS) && then.length > 0) break;
+    const writes: Write[] = jobs.map((job) => ({
       set: activeJobKey(job.spec.id),
-      // This view has every entry up to the cancellation. One that completes the job while this write is on its way must not
-      // look as if it had come first, by the key's new revision: what users were told is cancelled would be done.
+      // This view has all log entries up to the job's cancellation. The write gives the key a new revision, so an entry that
+      // completes the job in the meantime would seem to precede the cancellation, and the job would become completed after
+      // users were told that it is cancelled. `cancelledFirst` keeps the order.
       value: encodeJob({ ...job, cancelledFirst: job.cancelled }, upTo),
     }));
     const size = JSON.stringify(writes).length;
     if (bytes + size > COMPACTION_BYTES && then.length > 0) break;
     if (then.length + writes.length + 1 > ops) {
-      // More jobs than one transaction takes: some of them now, the entry goes later.
+      // The entry names more jobs than one transaction can write: some are written now, and the entry is deleted later.
       then.push(...writes.slice(0, ops));
-      for (const job of more.slice(0, ops)) when.push(...jobUnchanged(job.spec.id, job.revision));
+      for (const job of jobs.slice(0, ops)) when.push(...jobUnchanged(job.spec.id, job.revision));
       break;
     }
     bytes += size;
     then.push(...writes, { delete: logEntryKey(sequence) });
-    for (const job of more) {
-      jobs.add(job);
+    for (const job of jobs) {
+      writtenJobs.add(job);
       when.push(...jobUnchanged(job.spec.id, job.revision));
     }
   }
-  return { when, then, checked };
+  return { when, then, checkpointCondition };
 };
 
-/** Compacts the log once its tail is long: jobs' own keys take what the oldest entries say, then the entries are deleted. */
+/**
+ * Compacts the log if it has too many entries: the changes of the oldest entries are written to the jobs' own keys, and the
+ * entries are deleted.
+ */
 const compactLog = (context: CycleContext) =>
   Effect.gen(function* () {
     if (context.jobState.logTail.size <= (context.settings.state.tail ?? LOG_TAIL_KEPT)) return;
-    const { when, then, checked } = draftCompaction(context);
+    const { when, then, checkpointCondition } = draftCompaction(context);
     if (then.length === 0) return;
     const outcome = yield* transactUntilKnown(context, when, then, '', Priority.Upkeep);
     if (outcome === null) return;
@@ -145,12 +160,15 @@
       read &&
       !outcome.ok &&
       outcome.failed.includes(ACCOUNTS) &&
-      context.jobState.checkpoint.revision === checked.stamp
+      context.jobState.checkpoint.revision === checkpointCondition.stamp
     )
-      context.lossDetector.suspect('key lost', `${ACCOUNTS} is not as it was`);
+      context.lossDetector.suspect('key lost', `${ACCOUNTS} is not at its last revision`);
   });
 
-/** Closes jobs that are over and compacts the log, beside the scheduling cycles: these must not wait for its writes. */
+/**
+ * Runs one step of maintenance: the calendar, finished jobs, log compaction and the accounts' pages. Runs concurrently with the
+ * scheduling cycles, which must not wait for its writes.
+ */
 export const upkeep = (context: CycleContext): Effect.Effect<void> =>
   Effect.gen(function* () {
     if (!context.mayAct()) return;
--- a/packages/controller/test/draft.test.ts
+++ b/packages/controller/test/draft.test.ts
@@ -1,4 +1,4 @@
-/** What a turn makes durable when it is more than one record holds. */
+/** Tests of the log entries that a scheduling cycle commits when its changes do not fit into a single entry. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Effect } from 'effect';
@@ -20,7 +20,7 @@
   /** Tasks of the largest arrays. */
   readonly tasks: number;
 }
-/** Values are the limit, then the transaction, then the rows of many small jobs and their conditions. */
+/** Limited by the size of values, by the size of the transaction, and by the usage rows and conditions of many small jobs. */
 const CASES: readonly Case[] = [
   { state: SETTINGS.state, jobs: 60, tasks: 1500 },
   { state: { ...SETTINGS.state, valueBytes: 32_768, txnOps: 24 }, jobs: 60, tasks: 1500 },
@@ -29,12 +29,13 @@
 const TRANSACTION_BYTES = 64 * 1024;
 const MACHINES = 400;
 
-interface Sent {
+/** A transaction that was sent to the store. */
+interface SentTransaction {
   readonly when: readonly Condition[];
   readonly then: readonly Write[];
 }
-const jobOf = (id: number, most: number, luck: Luck): Job => {
-  const gang = luck.int(4) === 0;
+const jobOf = (id: number, maxTasks: number, random: Luck): Job => {
+  const gang = random.int(4) === 0;
   const spec = newJob(`job-${id}`).spec;
   const job = newJob(`job-${id}`, {
     spec: {
@@ -42,122 +43,141 @@
       team: `team-${id % 80}`,
       jobClass: `class-${id % 7}`,
       shape: gang ? 'gang' : 'array',
-      tasks: 1 + luck.int(gang ? Math.min(64, most) : most),
+      tasks: 1 + random.int(gang ? Math.min(64, maxTasks) : maxTasks),
     },
   });
-  // Half of them run already, as far as one value of the store holds that.
+  // Half of the jobs have running tasks, at most as many as the value of a job key can hold.
   if (id % 2 === 0)
     for (let task = 0; task < Math.min(200, job.spec.tasks); task++)
       job.placed.set(task, { task, attempt: 1, machine: `vm-${task}`, since: 5 as Micros });
   return { ...job, attempt: job.placed.size > 0 ? 1 : 0 };
 };
-const startOf = (job: Job, luck: Luck): Start => {
+/** Returns a start of all waiting tasks of the job, on random machines. */
+const startOf = (job: Job, random: Luck): Start => {
   const on = new Map<string, number[]>();
   for (let task = 0; task < job.spec.tasks; task++) {
     if (job.placed.has(task) || job.done.has(task)) continue;
-    const machine = `vm-${String(luck.int(MACHINES)).padStart(6, '0')}`;
+    const machine = `vm-${String(random.int(MACHINES)).padStart(6, '0')}`;
     on.set(machine, [...(on.get(machine) ?? []), task]);
   }
   return { job, attempt: job.attempt + 1, on };
 };
-const tasksOf = (s: Start): number => [...s.on.values()].reduce((n, tasks) => n + tasks.length, 0);
+const taskCount = (start: Start): number =>
+  [...start.on.values()].reduce((sum, tasks) => sum + tasks.length, 0);
 
-/** The turn of a controller that leads, and every transaction that it sends. */
-const leading = (jobs: readonly Job[], state: StateLimits) => {
-  const c = faultFreeController(jobs.map(storedJob));
-  const sent: Sent[] = [];
-  const { store } = c.turn;
+/** Returns a leading controller with a function that commits starts, and all transactions that it sends. */
+const leadingController = (jobs: readonly Job[], state: StateLimits) => {
+  const controller = faultFreeController(jobs.map(storedJob));
+  const sent: SentTransaction[] = [];
+  const { store } = controller.turn;
   const spy = Object.create(store) as typeof store;
   spy.transact = (when, then, ...rest) => {
     sent.push({ when, then });
     return store.transact(when, then, ...rest);
   };
-  const turn: CycleContext = { ...c.turn, store: spy, settings: { ...SETTINGS, state } };
-  const committed = (starts: readonly Start[]): CommitResult => {
-    let out: CommitResult | null = null;
-    c.go(Effect.map(commit(turn, starts), (x) => (out = x)));
-    return out!;
+  const context: CycleContext = { ...controller.turn, store: spy, settings: { ...SETTINGS, state } };
+  const commitStarts = (starts: readonly Start[]): CommitResult => {
+    let result: CommitResult | null = null;
+    controller.go(Effect.map(commit(context, starts), (committed) => (result = committed)));
+    return result!;
   };
-  return { ...c, turn, sent, committed };
+  return { ...controller, context, sent, commitStarts };
 };
 
-const checkLimits = ({ when, then }: Sent, { valueBytes, txnOps }: StateLimits): void => {
-  const written = then.map((w) => JSON.stringify('set' in w ? w.value : '').length);
-  for (const n of written) assert.ok(n <= valueBytes, `a value of ${n} bytes`);
-  const all = JSON.stringify({ when: when.map(({ key, stamp }) => ({ k: key, stamp })), then });
-  assert.ok(all.length <= TRANSACTION_BYTES, `a transaction of ${all.length} bytes`);
-  assert.ok(when.length < txnOps * 4, `${when.length} conditions`);
+const checkLimits = ({ when, then }: SentTransaction, { valueBytes, txnOps }: StateLimits): void => {
+  const valueSizes = then.map((write) => JSON.stringify('set' in write ? write.value : '').length);
+  for (const size of valueSizes)
+    assert.ok(size <= valueBytes, `a value of ${size} bytes exceeds the limit of ${valueBytes}`);
+  const body = JSON.stringify({ when: when.map(({ key, stamp }) => ({ k: key, stamp })), then });
+  assert.ok(
+    body.length <= TRANSACTION_BYTES,
+    `a transaction of ${body.length} bytes exceeds the limit of ${TRANSACTION_BYTES}`,
+  );
+  assert.ok(when.length < txnOps * 4, `a transaction has ${when.length} conditions`);
   assert.ok(then.length <= txnOps);
-  // The accounts' rows are booked once, and times of records only grow.
-  const heads = then.map((w) =>
-    'set' in w ? (w.value as { '@': { t: number; s?: unknown } })['@'] : { t: 0 },
+  // Usage rows are in the first log entry only, and the entries' times increase.
+  const headers = then.map((write) =>
+    'set' in write ? (write.value as { '@': { t: number; s?: unknown } })['@'] : { t: 0 },
   );
-  for (const [i, head] of heads.entries()) {
+  for (const [i, header] of headers.entries()) {
     if (i === 0) continue;
-    assert.ok(head.t > heads[i - 1]!.t);
-    assert.equal(head.s, undefined);
+    assert.ok(header.t > headers[i - 1]!.t);
+    assert.equal(header.s, undefined);
   }
 };
 
-// At 80 teams a turn's ends and the accounts' rows filled its record, and nothing was started for as long as that went on.
-test('what does not fit into one record goes into further ones of the same transaction, within its limits', () => {
-  const seen = { several: 0, cut: 0, behind: 0 };
+// With 80 teams, a cycle's exits and the usage rows of the accounts filled its log entry, and no task was started while that
+// went on.
+test('changes that do not fit into one log entry go into further entries of the same transaction, within its limits', () => {
+  const seen = { severalEntries: 0, partialStarts: 0, backlogs: 0 };
   for (const [seed, { state, jobs, tasks }] of CASES.entries()) {
-    const luck = new Luck(seed + 1);
-    const l = leading(
-      Array.from({ length: jobs }, (_, i) => jobOf(i + 1, tasks, luck)),
+    const random = new Luck(seed + 1);
+    const leader = leadingController(
+      Array.from({ length: jobs }, (_, i) => jobOf(i + 1, tasks, random)),
       state,
     );
-    const { jobState } = l.node;
-    const ended = new Map<string, number>();
+    const { jobState } = leader.node;
+    const completedTasks = new Map<string, number>();
     for (const job of jobState.jobs.values()) {
       if (job.placed.size === 0) continue;
       const placed = [...job.placed.keys()];
-      const done = job.spec.shape === 'gang' ? placed : placed.slice(luck.int(Math.ceil(placed.length / 4)));
-      l.turn.registry.exits.set(job.spec.id, { done: new Set(done), gone: new Set(), failed: new Set() });
-      ended.set(job.spec.id, done.length);
+      const done =
+        job.spec.shape === 'gang' ? placed : placed.slice(random.int(Math.ceil(placed.length / 4)));
+      leader.context.registry.exits.set(job.spec.id, {
+        done: new Set(done),
+        gone: new Set(),
+        failed: new Set(),
+      });
+      completedTasks.set(job.spec.id, done.length);
     }
-    for (let turn = 0; turn < 80; turn++) {
+    for (let cycle = 0; cycle < 80; cycle++) {
       const starts = [...jobState.jobs.values()]
-        .filter((j) => (j.spec.shape === 'gang' ? j.placed.size + j.done.size === 0 : true))
-        .map((j) => startOf(j, luck))
-        .filter((s) => s.on.size > 0);
-      if (starts.length === 0 && l.turn.registry.exits.size === 0) break;
-      const before = new Map([...jobState.jobs].map(([id, j]) => [id, j.placed.size + j.done.size]));
-      const { hasBacklog: behind } = l.committed(starts);
-      checkLimits(l.sent.at(-1)!, state);
-      seen.several += l.sent.at(-1)!.then.length > 1 ? 1 : 0;
-      seen.behind += behind ? 1 : 0;
-      for (const s of starts) {
-        const n = s.job.placed.size + s.job.done.size - before.get(s.job.spec.id)!;
-        if (s.job.spec.shape === 'gang') assert.ok(n === 0 || n === s.job.spec.tasks, 'a gang goes whole');
-        else if (n > 0 && n < tasksOf(s)) {
-          seen.cut++;
-          assert.ok(behind, 'and the next turn comes soon');
+        .filter((job) => (job.spec.shape === 'gang' ? job.placed.size + job.done.size === 0 : true))
+        .map((job) => startOf(job, random))
+        .filter((start) => start.on.size > 0);
+      if (starts.length === 0 && leader.context.registry.exits.size === 0) break;
+      const startedBefore = new Map(
+        [...jobState.jobs].map(([id, job]) => [id, job.placed.size + job.done.size]),
+      );
+      const { hasBacklog } = leader.commitStarts(starts);
+      checkLimits(leader.sent.at(-1)!, state);
+      seen.severalEntries += leader.sent.at(-1)!.then.length > 1 ? 1 : 0;
+      seen.backlogs += hasBacklog ? 1 : 0;
+      for (const start of starts) {
+        const started = start.job.placed.size + start.job.done.size - startedBefore.get(start.job.spec.id)!;
+        if (start.job.spec.shape === 'gang')
+          assert.ok(started === 0 || started === start.job.spec.tasks, 'a gang is started partially');
+        else if (started > 0 && started < taskCount(start)) {
+          seen.partialStarts++;
+          assert.ok(hasBacklog, 'a partial start leaves no backlog for the next cycle');
         }
       }
     }
-    for (const [id, n] of ended) assert.ok(jobState.jobs.get(id)!.done.size >= n, `all ends of ${id}`);
-    assert.equal(l.turn.registry.exits.size, 0);
-    // A controller that reads all of it sees the same.
-    const view = l.service.view();
+    for (const [id, completed] of completedTasks)
+      assert.ok(jobState.jobs.get(id)!.done.size >= completed, `completed tasks of ${id} were not recorded`);
+    assert.equal(leader.context.registry.exits.size, 0);
+    // A controller that reads the store from the beginning has the same view.
+    const view = leader.service.view();
     for (const [id, job] of jobState.jobs) {
       assert.deepEqual([...view.jobs.get(id)!.placed].sort(), [...job.placed].sort(), id);
       assert.deepEqual([...view.jobs.get(id)!.done].sort(), [...job.done].sort(), id);
     }
     assert.deepEqual(view.accounts, jobState.accounts);
-    const seqs = l.service.entries(LOG_ENTRIES).map((e) => Number(e.key.slice(LOG_ENTRIES.length)));
+    const sequences = leader.service
+      .entries(LOG_ENTRIES)
+      .map((entry) => Number(entry.key.slice(LOG_ENTRIES.length)));
     assert.deepEqual(
-      seqs,
-      seqs.map((_, i) => seqs[0]! + i),
-      'without a gap',
+      sequences,
+      sequences.map((_, i) => sequences[0]! + i),
+      'the sequence numbers of the log entries have a gap',
     );
   }
-  for (const [what, n] of Object.entries(seen)) assert.ok(n > 3, `${what} ${n}`);
+  for (const [kind, count] of Object.entries(seen))
+    assert.ok(count > 3, `too few cases of kind ${kind}: ${count}`);
 });
 
-// In a scale run of a region the first record was full of ends, the accounts' rows found no room there, and nothing started.
-test('ends leave the accounts of their turn room in its first record, and starts go out in the same turn', () => {
+// In a scale test of a region, exits filled the first log entry so that the usage rows did not fit, and no task was started.
+test('exits leave space for the usage rows in the first log entry, and tasks start in the same cycle', () => {
   const state = { ...SETTINGS.state, valueBytes: 32_768, txnOps: 24 };
   const jobs = Array.from({ length: 150 }, (_, i) => {
     const base = newJob(`job-${i + 1}`);
@@ -169,50 +189,56 @@
       job.placed.set(task, { task, attempt: 1, machine: `vm-${task}`, since: 5 as Micros });
     return { ...job, attempt: 1 };
   });
-  const l = leading(jobs, state);
-  for (const job of l.node.jobState.jobs.values())
-    l.turn.registry.exits.set(job.spec.id, {
+  const leader = leadingController(jobs, state);
+  for (const job of leader.node.jobState.jobs.values())
+    leader.context.registry.exits.set(job.spec.id, {
       done: new Set(job.placed.keys()),
       gone: new Set(),
       failed: new Set(),
     });
-  const first = l.node.jobState.jobs.get('job-1')!;
-  const { hasBacklog: behind } = l.committed([{ job: first, attempt: 2, on: new Map([['vm-1', [0]]]) }]);
-  checkLimits(l.sent.at(-1)!, state);
-  assert.equal(l.sent.at(-1)!.then.length, 2);
-  assert.equal(behind, false);
-  assert.ok(l.node.jobState.jobs.get('job-1')!.placed.has(0));
+  const first = leader.node.jobState.jobs.get('job-1')!;
+  const { hasBacklog } = leader.commitStarts([{ job: first, attempt: 2, on: new Map([['vm-1', [0]]]) }]);
+  checkLimits(leader.sent.at(-1)!, state);
+  assert.equal(leader.sent.at(-1)!.then.length, 2);
+  assert.equal(hasBacklog, false);
+  assert.ok(leader.node.jobState.jobs.get('job-1')!.placed.has(0));
 });
 
-// The rows of all groups were put into the head of a record that was full already: the value was too large, for ever.
-test('the first record holds the rows also where the first ends are too many to stand beside them', () => {
+// The usage rows of all groups were added to the header of a log entry that was full: the value was too large, and each retry
+// failed in the same way.
+test('the first log entry holds the usage rows even if the first job has too many exits to fit beside them', () => {
   const state = { ...SETTINGS.state, valueBytes: 32_768, txnOps: 24 };
   const jobs = Array.from({ length: 200 }, (_, i) => {
     const base = newJob(`job-${i + 1}`);
     const tasks = i === 0 ? 10_000 : 2;
     const job = { ...base, spec: { ...base.spec, team: `team-${i}`, jobClass: `class-${i}`, tasks } };
     const placed = i === 0 ? 4500 : 1;
-    for (let n = 0; n < placed; n++)
-      job.placed.set(2 * n, { task: 2 * n, attempt: 1, machine: `vm-${n}`, since: 5 as Micros });
+    for (let index = 0; index < placed; index++)
+      job.placed.set(2 * index, {
+        task: 2 * index,
+        attempt: 1,
+        machine: `vm-${index}`,
+        since: 5 as Micros,
+      });
     return { ...job, attempt: 1 };
   });
-  const l = leading([], state);
+  const leader = leadingController([], state);
   for (const job of jobs) {
-    l.node.jobState.jobs.set(job.spec.id, job);
-    l.turn.registry.exits.set(job.spec.id, {
+    leader.node.jobState.jobs.set(job.spec.id, job);
+    leader.context.registry.exits.set(job.spec.id, {
       done: new Set(job.placed.keys()),
       gone: new Set(),
       failed: new Set(),
     });
   }
-  l.committed([]);
-  const sent = l.sent.at(-1)!;
+  leader.commitStarts([]);
+  const sent = leader.sent.at(-1)!;
   checkLimits(sent, state);
   assert.ok(sent.then.length > 1);
-  assert.equal(l.node.jobState.jobs.get('job-1')!.done.size, 4500);
+  assert.equal(leader.node.jobState.jobs.get('job-1')!.done.size, 4500);
 });
 
-test('a turn that has left something is followed without the pause for many machines, but not without its own cost', () => {
+test('the next cycle after one with a backlog comes without the gap for many machines, but after the gap for its computing time', () => {
   assert.equal(cycleGapMs(2634, 20), 800);
   assert.equal(cycleGapMs(2634, 20, true), 250);
   assert.equal(cycleGapMs(2634, 200, true), 600);
--- a/packages/controller/test/scheduler.test.ts
+++ b/packages/controller/test/scheduler.test.ts
@@ -1,4 +1,4 @@
-/** Properties of the pure cycle, over random states. */
+/** Tests of the pure scheduling cycle: properties over random states, and single rules. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -12,11 +12,11 @@
 import { job } from './support/job.js';
 import { input } from './support/cycle.js';
 import { plainSchedule } from './support/plain-cycle.js';
-import { plainFinder } from './support/plain-placement-search.js';
+import { plainPlacementSearch } from './support/plain-placement-search.js';
 import { starvingFrom, type ClassObjective, rankOf } from '../src/scheduler/rank.js';
 
 const ZERO = 0 as Micros;
-const node = (id: string, over: Partial<NodeView> = {}): NodeView => ({
+const machineOf = (id: string, overrides: Partial<NodeView> = {}): NodeView => ({
   id,
   type: 'c8',
   zone: 'a',
@@ -24,18 +24,18 @@
   total: [8, 0, 32],
   images: new Set(),
   open: true,
-  ...over,
+  ...overrides,
 });
-const queued = (j: Job, rank = 0, cautious = false): QueuedJob => ({
-  job: j,
+const queuedJob = (queued: Job, rank = 0, cautious = false): QueuedJob => ({
+  job: queued,
   rank,
   cautious,
   mayRent: !cautious,
   starving: false,
-  tasks: Array.from({ length: j.spec.tasks }, (_, i) => i),
+  tasks: Array.from({ length: queued.spec.tasks }, (_, task) => task),
 });
-const held = (j: Job, machine: string, task = 0, leaving = false): PlacedTask => ({
-  job: j,
+const placedTask = (placed: Job, machine: string, task = 0, leaving = false): PlacedTask => ({
+  job: placed,
   task,
   machine,
   zone: 'a',
@@ -43,11 +43,14 @@
   loss: ZERO,
   left: ZERO,
 });
-const by = (...multiples: number[]): ClassObjective => ({ multiples, within: null });
-const count = (r: CycleResult, id: string): number =>
-  r.starts.filter((s) => s.job.spec.id === id).reduce((n, s) => n + [...s.on.values()].flat().length, 0);
+const deadlineObjective = (...multiples: number[]): ClassObjective => ({ multiples, within: null });
+/** Number of the job's tasks that the cycle starts. */
+const startedTasks = (result: CycleResult, id: string): number =>
+  result.starts
+    .filter((start) => start.job.spec.id === id)
+    .reduce((sum, start) => sum + [...start.on.values()].flat().length, 0);
 
-const arbJob = (i: number) =>
+const arbitraryJob = (index: number) =>
   fc
     .record({
       team: fc.constantFrom('red', 'blue', 'green'),
@@ -62,9 +65,12 @@
       zone: fc.constantFrom(null, null, 'a', 'b'),
       types: fc.constantFrom(null, null, ['c8'], ['g4']),
     })
-    .map((o) => job(`job-${i}`, { ...o, spread: o.spread && !o.oneZone && o.zone === null }));
-const arbState = fc.record({
-  jobs: fc.tuple(...Array.from({ length: 14 }, (_, i) => arbJob(i))),
+    .map((spec) =>
+      job(`job-${index}`, { ...spec, spread: spec.spread && !spec.oneZone && spec.zone === null }),
+    );
+/** A cluster with up to six machines; `runs` is the number of jobs that run before the cycle under test. */
+const arbitraryState = fc.record({
+  jobs: fc.tuple(...Array.from({ length: 14 }, (_, i) => arbitraryJob(i))),
   nodes: fc.array(
     fc.record({ zone: fc.constantFrom('a', 'b'), gpu: fc.boolean(), spot: fc.boolean(), open: fc.boolean() }),
     { minLength: 1, maxLength: 6 },
@@ -82,71 +88,85 @@
   { urgency: 1, cpusPerGpu: 2, memPerGpu: 1, waiting: false, patience: 1e6 as Micros },
 ];
 
-/** Brings a state about by a first cycle over some of the jobs, so that what is held is consistent. */
-const stateOf = (s: typeof arbState extends fc.Arbitrary<infer T> ? T : never): CycleInput => {
-  const nodes = s.nodes.map((n, i) =>
-    node(`vm-${i}`, {
-      zone: n.zone,
-      spot: n.spot,
-      type: n.gpu ? 'g4' : 'c8',
-      total: n.gpu ? [8, 4, 32] : [8, 0, 32],
+/** Creates the input of a cycle. A first cycle starts some of the jobs, so that the placed tasks are consistent. */
+const inputOf = (state: typeof arbitraryState extends fc.Arbitrary<infer T> ? T : never): CycleInput => {
+  const machines = state.nodes.map((machine, i) =>
+    machineOf(`vm-${i}`, {
+      zone: machine.zone,
+      spot: machine.spot,
+      type: machine.gpu ? 'g4' : 'c8',
+      total: machine.gpu ? [8, 4, 32] : [8, 0, 32],
     }),
   );
   const first = schedule(
-    input({ teams, nodes, queued: s.jobs.slice(0, s.runs).map((j, i) => queued(j, i)) }),
+    input({
+      teams,
+      nodes: machines,
+      queued: state.jobs.slice(0, state.runs).map((running, i) => queuedJob(running, i)),
+    }),
   );
   const placedTasks: PlacedTask[] = [];
-  for (const st of first.starts) {
-    for (const [m, tasks] of st.on) {
-      for (const t of tasks) {
-        placedTasks.push({ ...held(st.job, m, t), zone: nodes.find((n) => n.id === m)!.zone });
-        st.job.placed.set(t, { task: t, attempt: 1, machine: m, since: 0 as Micros });
+  for (const start of first.starts) {
+    for (const [machineId, tasks] of start.on) {
+      for (const task of tasks) {
+        placedTasks.push({
+          ...placedTask(start.job, machineId, task),
+          zone: machines.find((machine) => machine.id === machineId)!.zone,
+        });
+        start.job.placed.set(task, { task, attempt: 1, machine: machineId, since: 0 as Micros });
       }
     }
   }
-  const left = s.jobs
-    .filter((j) => (j.spec.shape === 'gang' ? j.placed.size === 0 : j.placed.size < j.spec.tasks))
-    .map((j, i) => ({
-      ...queued(j, i, i % 7 === 6),
-      starving: i % 2 === 0 && j.spec.shape === 'gang',
+  const waiting = state.jobs
+    .filter((candidate) =>
+      candidate.spec.shape === 'gang'
+        ? candidate.placed.size === 0
+        : candidate.placed.size < candidate.spec.tasks,
+    )
+    .map((unplaced, i) => ({
+      ...queuedJob(unplaced, i, i % 7 === 6),
+      starving: i % 2 === 0 && unplaced.spec.shape === 'gang',
       overdue: i % 3 === 1,
-      tasks: queued(j).tasks.filter((t) => !j.placed.has(t)),
+      tasks: queuedJob(unplaced).tasks.filter((task) => !unplaced.placed.has(task)),
     }));
   return input({
     teams,
-    nodes: nodes.map((n, i) => ({ ...n, open: s.nodes[i]!.open })),
+    nodes: machines.map((machine, i) => ({ ...machine, open: state.nodes[i]!.open })),
     placedTasks,
-    queued: left,
+    queued: waiting,
   });
 };
 
-test('the quick search for machines chooses what the plain one does', () => {
-  // Guards the passing over of machines that can't matter: a cycle over a thousand machines took a second.
+// The placement search skips machines that can't be chosen: without this, a cycle over a thousand machines took a second.
+test('the placement search chooses the same machines as the plain search', () => {
   const seen = { free: 0, preemptions: 0, unplaced: 0 };
   fc.assert(
-    fc.property(arbState, fc.boolean(), fc.nat({ max: 5 }), (s, guarded, avoided) => {
-      const i = {
-        ...stateOf(s),
-        coLocatedDemand: guarded ? coLocatedDemand : [],
+    fc.property(arbitraryState, fc.boolean(), fc.nat({ max: 5 }), (state, withDemand, avoided) => {
+      const cycle = {
+        ...inputOf(state),
+        coLocatedDemand: withDemand ? coLocatedDemand : [],
         idleNodes: new Set([`vm-${avoided}`]),
-        avoid: (j: Job) => (j.spec.id.endsWith('3') ? new Set([`vm-${avoided}`]) : null),
+        avoid: (avoiding: Job) => (avoiding.spec.id.endsWith('3') ? new Set([`vm-${avoided}`]) : null),
       };
-      const quick = schedule(i);
-      assert.deepEqual(quick, schedule(i, plainFinder));
-      seen.free += quick.starts.length;
-      seen.preemptions += quick.preemptions.length;
-      seen.unplaced += quick.unplaced.length;
+      const result = schedule(cycle);
+      assert.deepEqual(result, schedule(cycle, plainPlacementSearch));
+      seen.free += result.starts.length;
+      seen.preemptions += result.preemptions.length;
+      seen.unplaced += result.unplaced.length;
     }),
     { seed: 71, numRuns: 600 },
   );
-  for (const [what, n] of Object.entries(seen)) assert.ok(n > 200, `${what} ${n}`);
+  for (const [kind, count] of Object.entries(seen))
+    assert.ok(count > 200, `too few results of kind ${kind}: ${count}`);
 });
 
-/** Tasks of seconds on a dozen machines, by jobs of many teams: some have just ended, some are leaving, more wait. */
-const arbShortTasks = fc.record({
+/** Short tasks of many teams on up to a dozen machines: some run, some are being stopped, and more wait. */
+const arbitraryShortTasks = fc.record({
   teams: fc.integer({ min: 2, max: 9 }),
   machines: fc.integer({ min: 2, max: 12 }),
-  held: fc.array(fc.record({ job: fc.nat(19), leaving: fc.boolean(), at: fc.nat(11) }), { maxLength: 90 }),
+  placed: fc.array(fc.record({ job: fc.nat(19), leaving: fc.boolean(), machine: fc.nat(11) }), {
+    maxLength: 90,
+  }),
   jobs: fc.array(
     fc.record({
       team: fc.nat(8),
@@ -156,7 +176,7 @@
       tasks: fc.integer({ min: 1, max: 24 }),
       rank: fc.integer({ min: -2, max: 4 }),
       oneZone: fc.boolean(),
-      claimed: fc.nat(3),
+      reserved: fc.nat(3),
       waits: fc.boolean(),
     }),
     { minLength: 20, maxLength: 20 },
@@ -165,134 +185,167 @@
   maxPlacements: fc.constantFrom(undefined, undefined, 3, 8),
 });
 
-test('the cycle decides what the plain one does', () => {
-  // Guards the heap of teams, the ranking of machines and the queues made without sorting: at 45,000 tasks the plain cycle
-  // takes most of a second.
-  const seen = { starts: 0, preemptions: 0, reservations: 0, unplaced: 0, cut: 0 };
+// Checks the heap of teams, the machine ranking and the queues built without sorting: with 45,000 tasks the plain cycle takes
+// most of a second.
+test('the cycle decides the same as the plain cycle', () => {
+  const seen = { starts: 0, preemptions: 0, reservations: 0, unplaced: 0, limited: 0 };
   fc.assert(
-    fc.property(arbShortTasks, (s) => {
-      const jobs = s.jobs.map((j, i) =>
+    fc.property(arbitraryShortTasks, (state) => {
+      const jobs = state.jobs.map((spec, i) =>
         job(`job-${i}`, {
-          team: `team-${j.team % s.teams}`,
-          urgency: j.urgency,
-          cpus: j.cpus,
-          tasks: j.tasks,
-          shape: j.gang ? 'gang' : 'array',
-          oneZone: j.oneZone && j.gang,
+          team: `team-${spec.team % state.teams}`,
+          urgency: spec.urgency,
+          cpus: spec.cpus,
+          tasks: spec.tasks,
+          shape: spec.gang ? 'gang' : 'array',
+          oneZone: spec.oneZone && spec.gang,
         }),
       );
-      const nodes = Array.from({ length: s.machines }, (_, i) =>
-        node(`vm-${i}`, { zone: i % 2 === 0 ? 'a' : 'b', open: i % 5 !== 4 }),
+      const machines = Array.from({ length: state.machines }, (_, i) =>
+        machineOf(`vm-${i}`, { zone: i % 2 === 0 ? 'a' : 'b', open: i % 5 !== 4 }),
       );
-      const placedTasks: PlacedTask[] = s.held.flatMap((h) => {
-        const j = jobs[h.job]!;
-        const task = j.placed.size;
-        if (task >= j.spec.tasks || (j.spec.shape === 'gang' && s.jobs[h.job]!.waits)) return [];
-        const on = nodes[h.at % nodes.length]!;
-        j.placed.set(task, { task, attempt: 1, machine: on.id, since: ZERO });
-        const zone = h.at === 11 ? null : on.zone;
-        return [{ ...held(j, on.id, task, h.leaving && h.job % 3 === 0), zone, left: seconds(task) }];
+      const placedTasks: PlacedTask[] = state.placed.flatMap((placement) => {
+        const owner = jobs[placement.job]!;
+        const task = owner.placed.size;
+        if (task >= owner.spec.tasks || (owner.spec.shape === 'gang' && state.jobs[placement.job]!.waits))
+          return [];
+        const machine = machines[placement.machine % machines.length]!;
+        owner.placed.set(task, { task, attempt: 1, machine: machine.id, since: ZERO });
+        const zone = placement.machine === 11 ? null : machine.zone;
+        return [
+          {
+            ...placedTask(owner, machine.id, task, placement.leaving && placement.job % 3 === 0),
+            zone,
+            left: seconds(task),
+          },
+        ];
       });
-      const waiting = jobs.flatMap((j, i) => {
-        const rest = queued(j, s.jobs[i]!.rank).tasks.filter((t) => !j.placed.has(t));
-        if (!s.jobs[i]!.waits || rest.length === 0) return [];
-        return [{ ...queued(j, s.jobs[i]!.rank, i === 7), starving: j.spec.shape === 'gang', tasks: rest }];
+      const waiting = jobs.flatMap((owner, i) => {
+        const rest = queuedJob(owner, state.jobs[i]!.rank).tasks.filter((task) => !owner.placed.has(task));
+        if (!state.jobs[i]!.waits || rest.length === 0) return [];
+        return [
+          {
+            ...queuedJob(owner, state.jobs[i]!.rank, i === 7),
+            starving: owner.spec.shape === 'gang',
+            tasks: rest,
+          },
+        ];
       });
       const cycle = input({
         teams: [
           { name: 'team-0', guarantee: { cpus: 9, gpus: 0 }, limit: { cpus: 20, gpus: 0 } },
           { name: 'team-1', guarantee: { cpus: 4, gpus: 0 }, limit: { cpus: 0, gpus: 0 } },
         ],
-        weights: new Map(s.weights.map((w, i) => [`team-${i}`, w])),
-        nodes,
+        weights: new Map(state.weights.map((weight, i) => [`team-${i}`, weight])),
+        nodes: machines,
         placedTasks,
         queued: waiting,
-        maxPlacements: s.maxPlacements,
-        reservations: new Map(s.jobs.flatMap((j, i) => (j.claimed === 1 ? [[`job-${i}`, 2]] : []))),
+        maxPlacements: state.maxPlacements,
+        reservations: new Map(
+          state.jobs.flatMap((spec, i) => (spec.reserved === 1 ? [[`job-${i}`, 2]] : [])),
+        ),
       });
-      const quick = schedule(cycle);
-      assert.deepEqual(quick, plainSchedule(cycle));
-      seen.starts += quick.starts.length;
-      seen.preemptions += quick.preemptions.length;
-      seen.reservations += quick.reservations.size;
-      seen.unplaced += quick.unplaced.length;
-      const places = quick.starts.reduce((n, x) => n + x.on.size, 0);
-      seen.cut += places >= (s.maxPlacements ?? Number.POSITIVE_INFINITY) ? 1 : 0;
+      const result = schedule(cycle);
+      assert.deepEqual(result, plainSchedule(cycle));
+      seen.starts += result.starts.length;
+      seen.preemptions += result.preemptions.length;
+      seen.reservations += result.reservations.size;
+      seen.unplaced += result.unplaced.length;
+      const placements = result.starts.reduce((sum, start) => sum + start.on.size, 0);
+      seen.limited += placements >= (state.maxPlacements ?? Number.POSITIVE_INFINITY) ? 1 : 0;
     }),
     { seed: 2026, numRuns: 500 },
   );
-  for (const [what, n] of Object.entries(seen)) assert.ok(n > 100, `${what} ${n}`);
-  // The states of the older property as well: GPU machines, services, shunned machines.
+  for (const [kind, count] of Object.entries(seen))
+    assert.ok(count > 100, `too few results of kind ${kind}: ${count}`);
+  // The other states have GPU machines, services and avoided machines.
   fc.assert(
-    fc.property(arbState, fc.nat({ max: 5 }), (s, avoided) => {
-      const i = {
-        ...stateOf(s),
+    fc.property(arbitraryState, fc.nat({ max: 5 }), (state, avoided) => {
+      const cycle = {
+        ...inputOf(state),
         coLocatedDemand,
         idleNodes: new Set([`vm-${avoided}`]),
-        avoid: (j: Job) => (j.spec.id.endsWith('3') ? new Set([`vm-${avoided}`]) : null),
+        avoid: (avoiding: Job) => (avoiding.spec.id.endsWith('3') ? new Set([`vm-${avoided}`]) : null),
       };
-      assert.deepEqual(schedule(i), plainSchedule(i));
+      assert.deepEqual(schedule(cycle), plainSchedule(cycle));
     }),
     { seed: 72, numRuns: 200 },
   );
 });
 
-test('random cycles keep rooms, limits, places and gangs whole, and displace only for somebody', () => {
+test('a cycle respects capacities, limits, placement rules and gangs, and preempts only for waiting tasks', () => {
   fc.assert(
-    fc.property(arbState, (s) => {
-      const i = stateOf(s);
-      const r = schedule(i);
-      const byId = new Map(i.nodes.map((n) => [n.id, n]));
-      const used = new Map<string, [number, number, number]>();
-      const team = new Map<string, [number, number]>();
-      const zones = new Map<Job, Map<string, number>>();
-      const put = (j: Job, machine: string): void => {
-        const u = used.get(machine) ?? [0, 0, 0];
-        used.set(machine, [u[0] + j.spec.cpus, u[1] + j.spec.gpus, u[2] + j.spec.memGb]);
-        const t = team.get(j.spec.team) ?? [0, 0];
-        team.set(j.spec.team, [t[0] + j.spec.cpus, t[1] + j.spec.gpus]);
-        const z = zones.get(j) ?? new Map<string, number>();
-        const zone = byId.get(machine)!.zone;
-        zones.set(j, z.set(zone, (z.get(zone) ?? 0) + 1));
+    fc.property(arbitraryState, (state) => {
+      const cycle = inputOf(state);
+      const result = schedule(cycle);
+      const machineById = new Map(cycle.nodes.map((machine) => [machine.id, machine]));
+      const usedByMachine = new Map<string, [number, number, number]>();
+      const usedByTeam = new Map<string, [number, number]>();
+      const tasksByZone = new Map<Job, Map<string, number>>();
+      const addTask = (placed: Job, machineId: string): void => {
+        const used = usedByMachine.get(machineId) ?? [0, 0, 0];
+        usedByMachine.set(machineId, [
+          used[0] + placed.spec.cpus,
+          used[1] + placed.spec.gpus,
+          used[2] + placed.spec.memGb,
+        ]);
+        const teamUse = usedByTeam.get(placed.spec.team) ?? [0, 0];
+        usedByTeam.set(placed.spec.team, [teamUse[0] + placed.spec.cpus, teamUse[1] + placed.spec.gpus]);
+        const zones = tasksByZone.get(placed) ?? new Map<string, number>();
+        const zone = machineById.get(machineId)!.zone;
+        tasksByZone.set(placed, zones.set(zone, (zones.get(zone) ?? 0) + 1));
       };
-      // What was held stays counted until it is gone, stopped or not.
-      for (const h of i.placedTasks) put(h.job, h.machine);
-      for (const st of r.starts) {
-        const tasks = [...st.on.values()].flat();
-        assert.equal(new Set(tasks).size, tasks.length, 'a task started twice');
-        if (st.job.spec.shape === 'gang') assert.equal(tasks.length, st.job.spec.tasks, 'a gang in part');
-        for (const [m, on] of st.on) {
-          const n = byId.get(m)!;
-          assert.ok(n.open);
-          assert.ok(st.job.spec.types === null || st.job.spec.types.includes(n.type));
-          assert.ok(st.job.spec.zone === null || st.job.spec.zone === n.zone);
-          assert.ok(!n.spot || st.job.spec.spot);
-          on.forEach(() => put(st.job, m));
+      // Placed tasks count until they have exited, whether or not they are being stopped.
+      for (const placed of cycle.placedTasks) addTask(placed.job, placed.machine);
+      for (const start of result.starts) {
+        const tasks = [...start.on.values()].flat();
+        assert.equal(new Set(tasks).size, tasks.length, 'a task is started twice');
+        if (start.job.spec.shape === 'gang')
+          assert.equal(tasks.length, start.job.spec.tasks, 'a gang is started partially');
+        for (const [machineId, on] of start.on) {
+          const machine = machineById.get(machineId)!;
+          assert.ok(machine.open);
+          assert.ok(start.job.spec.types === null || start.job.spec.types.includes(machine.type));
+          assert.ok(start.job.spec.zone === null || start.job.spec.zone === machine.zone);
+          assert.ok(!machine.spot || start.job.spec.spot);
+          on.forEach(() => addTask(start.job, machineId));
         }
-        const z = zones.get(st.job)!;
-        if (st.job.spec.oneZone) assert.equal(z.size, 1, 'one zone');
-        if (st.job.spec.spread)
-          for (const c of z.values()) assert.ok(c <= Math.ceil(st.job.spec.tasks / 2), 'spread');
+        const zones = tasksByZone.get(start.job)!;
+        if (start.job.spec.oneZone) assert.equal(zones.size, 1, 'a job for one zone has tasks in several');
+        if (start.job.spec.spread)
+          for (const count of zones.values())
+            assert.ok(
+              count <= Math.ceil(start.job.spec.tasks / 2),
+              'a spread job has most of its tasks in one zone',
+            );
       }
-      for (const [m, u] of used)
-        u.forEach((x, k) => assert.ok(x <= byId.get(m)!.total[k]! + 1e-6, 'over capacity'));
-      for (const t of teams) {
-        const u = team.get(t.name) ?? [0, 0];
-        if (t.limit.cpus > 0) assert.ok(u[0] <= t.limit.cpus, `limit of ${t.name}`);
-        if (t.limit.gpus > 0) assert.ok(u[1] <= t.limit.gpus, `limit of ${t.name}`);
+      for (const [machineId, used] of usedByMachine)
+        used.forEach((amount, i) =>
+          assert.ok(
+            amount <= machineById.get(machineId)!.total[i]! + 1e-6,
+            `more than the capacity of ${machineId} is used`,
+          ),
+        );
+      for (const team of teams) {
+        const used = usedByTeam.get(team.name) ?? [0, 0];
+        if (team.limit.cpus > 0)
+          assert.ok(used[0] <= team.limit.cpus, `team ${team.name} exceeds its CPU limit`);
+        if (team.limit.gpus > 0)
+          assert.ok(used[1] <= team.limit.gpus, `team ${team.name} exceeds its GPU limit`);
       }
-      if (i.queued.length === 0) assert.equal(r.preemptions.length, 0, 'preemptions for nobody');
-      const waits = r.unplaced.reduce((n, u) => n + u.count, 0);
-      const all = i.queued.reduce((n, q) => n + q.tasks.length, 0);
-      const started = r.starts.reduce((n, st) => n + [...st.on.values()].flat().length, 0);
-      if (waits + started === all)
-        assert.equal(r.preemptions.length, 0, 'preemptions though nobody waits for the room');
-      for (const stop of r.preemptions) {
-        if (stop.job.spec.shape === 'gang') {
+      if (cycle.queued.length === 0)
+        assert.equal(result.preemptions.length, 0, 'tasks are preempted with no jobs queued');
+      const unplaced = result.unplaced.reduce((sum, item) => sum + item.count, 0);
+      const queued = cycle.queued.reduce((sum, item) => sum + item.tasks.length, 0);
+      const started = result.starts.reduce((sum, start) => sum + [...start.on.values()].flat().length, 0);
+      if (unplaced + started === queued)
+        assert.equal(result.preemptions.length, 0, 'tasks are preempted with no tasks waiting for them');
+      for (const preemption of result.preemptions) {
+        if (preemption.job.spec.shape === 'gang') {
           assert.equal(
-            r.preemptions.filter((x) => x.job === stop.job).length,
-            stop.job.placed.size,
-            'a gang stopped in part',
+            result.preemptions.filter((other) => other.job === preemption.job).length,
+            preemption.job.placed.size,
+            'a gang is preempted partially',
           );
         }
       }
@@ -301,251 +354,305 @@
   );
 });
 
-test('the same state gives the same cycle', () => {
+test('cycles with equal inputs return equal results', () => {
   fc.assert(
-    fc.property(arbState, (s) => {
-      const i = stateOf(s);
-      assert.deepEqual(schedule(i), schedule(i));
+    fc.property(arbitraryState, (state) => {
+      const cycle = inputOf(state);
+      assert.deepEqual(schedule(cycle), schedule(cycle));
     }),
     { seed: 8, numRuns: 50 },
   );
 });
 
-test('the team whose weighted dominant share would be smallest goes next', () => {
-  const a = job('job-1', { team: 'red', tasks: 8 });
-  const b = job('job-2', { team: 'blue', tasks: 8 });
-  const even = schedule(input({ nodes: [node('m')], queued: [queued(a), queued(b)] }));
-  assert.deepEqual([count(even, 'job-1'), count(even, 'job-2')], [4, 4]);
+test('the team with the smallest weighted dominant share after its next task is served first', () => {
+  const red = job('job-1', { team: 'red', tasks: 8 });
+  const blue = job('job-2', { team: 'blue', tasks: 8 });
+  const equalWeights = schedule(
+    input({ nodes: [machineOf('m')], queued: [queuedJob(red), queuedJob(blue)] }),
+  );
+  assert.deepEqual([startedTasks(equalWeights, 'job-1'), startedTasks(equalWeights, 'job-2')], [4, 4]);
   const weighted = schedule(
-    input({ nodes: [node('m')], queued: [queued(a), queued(b)], weights: new Map([['red', 3]]) }),
+    input({
+      nodes: [machineOf('m')],
+      queued: [queuedJob(red), queuedJob(blue)],
+      weights: new Map([['red', 3]]),
+    }),
   );
-  assert.deepEqual([count(weighted, 'job-1'), count(weighted, 'job-2')], [6, 2]);
-  const behind = schedule(
+  assert.deepEqual([startedTasks(weighted, 'job-1'), startedTasks(weighted, 'job-2')], [6, 2]);
+  const redRunning = schedule(
     input({
-      nodes: [node('m')],
-      placedTasks: [held(job('job-3', { team: 'red', cpus: 4 }), 'm')],
-      queued: [queued(a), queued(b)],
+      nodes: [machineOf('m')],
+      placedTasks: [placedTask(job('job-3', { team: 'red', cpus: 4 }), 'm')],
+      queued: [queuedJob(red), queuedJob(blue)],
     }),
   );
-  assert.deepEqual([count(behind, 'job-1'), count(behind, 'job-2')], [0, 4]);
+  assert.deepEqual([startedTasks(redRunning, 'job-1'), startedTasks(redRunning, 'job-2')], [0, 4]);
 });
 
-test('more urgent work displaces less urgent, never its own class, and the least urgent first', () => {
+test('a job preempts the least urgent tasks first, and none of its own urgency', () => {
   const low = job('job-1', { cpus: 8, urgency: 0 });
   const normal = job('job-2', { cpus: 8, urgency: 1 });
-  const nodes = [node('m0'), node('m1')];
-  const placedTasks = [held(low, 'm0'), held(normal, 'm1')];
-  const high = schedule(
-    input({ nodes, placedTasks, queued: [queued(job('job-3', { cpus: 8, urgency: 2, team: 'blue' }))] }),
+  const nodes = [machineOf('m0'), machineOf('m1')];
+  const placedTasks = [placedTask(low, 'm0'), placedTask(normal, 'm1')];
+  const urgent = schedule(
+    input({ nodes, placedTasks, queued: [queuedJob(job('job-3', { cpus: 8, urgency: 2, team: 'blue' }))] }),
   );
   assert.deepEqual(
-    high.preemptions.map((s) => s.job.spec.id),
+    urgent.preemptions.map((preemption) => preemption.job.spec.id),
     ['job-1'],
   );
-  assert.equal(high.starts.length, 0, 'room that is still held is not given out');
-  const same = schedule(
-    input({ nodes, placedTasks, queued: [queued(job('job-3', { cpus: 8, urgency: 0, team: 'blue' }))] }),
+  assert.equal(urgent.starts.length, 0, 'a task is started on resources that a stopping task still holds');
+  const sameUrgency = schedule(
+    input({ nodes, placedTasks, queued: [queuedJob(job('job-3', { cpus: 8, urgency: 0, team: 'blue' }))] }),
   );
-  assert.equal(same.preemptions.length, 0);
+  assert.equal(sameUrgency.preemptions.length, 0);
   assert.deepEqual(
-    same.unplaced.map((u) => u.job.spec.id),
+    sameUrgency.unplaced.map((item) => item.job.spec.id),
     ['job-3'],
   );
 });
 
-test('a gang waits for room that is leaving instead of stopping more', () => {
-  const nodes = [node('m0'), node('m1')];
-  const placedTasks = [held(job('job-1', { cpus: 8 }), 'm0', 0, true), held(job('job-2', { cpus: 8 }), 'm1')];
-  const r = schedule(input({ nodes, placedTasks, queued: [queued(job('job-3', { cpus: 8, urgency: 3 }))] }));
-  assert.equal(r.preemptions.length, 0);
-  assert.equal(r.starts.length, 0);
+test('a job waits for the resources of a terminating task instead of preempting another one', () => {
+  const nodes = [machineOf('m0'), machineOf('m1')];
+  const placedTasks = [
+    placedTask(job('job-1', { cpus: 8 }), 'm0', 0, true),
+    placedTask(job('job-2', { cpus: 8 }), 'm1'),
+  ];
+  const result = schedule(
+    input({ nodes, placedTasks, queued: [queuedJob(job('job-3', { cpus: 8, urgency: 3 }))] }),
+  );
+  assert.equal(result.preemptions.length, 0);
+  assert.equal(result.starts.length, 0);
 });
 
-test('a team gets its guarantee back from whoever runs beyond theirs', () => {
-  const borrowed = [0, 1].map((i) => held(job(`job-${i}`, { cpus: 4, team: 'blue', urgency: 2 }), 'm'));
-  const r = schedule(
+test('a team within its guarantee preempts tasks of a team that exceeds its own', () => {
+  const borrowing = [0, 1].map((i) =>
+    placedTask(job(`job-${i}`, { cpus: 4, team: 'blue', urgency: 2 }), 'm'),
+  );
+  const result = schedule(
     input({
       teams,
-      nodes: [node('m')],
-      placedTasks: borrowed,
-      queued: [queued(job('job-9', { cpus: 4, team: 'red', urgency: 0 }))],
+      nodes: [machineOf('m')],
+      placedTasks: borrowing,
+      queued: [queuedJob(job('job-9', { cpus: 4, team: 'red', urgency: 0 }))],
     }),
   );
-  assert.equal(r.preemptions.length, 1);
+  assert.equal(result.preemptions.length, 1);
 });
 
-// CPU tasks once filled the GPU machines while GPU jobs waited and could not displace their own class.
-test('a task without GPUs leaves free GPUs what they need beside them', () => {
+// Without this rule, CPU tasks fill GPU machines while GPU jobs wait that may not preempt tasks of their own urgency.
+test('a task without GPUs leaves the CPUs and memory that free GPUs need', () => {
   const coLocatedDemand = [{ urgency: 0, cpusPerGpu: 3, memPerGpu: 1, waiting: true, patience: ZERO }];
-  const nodes = [node('m', { type: 'g4', total: [8, 2, 32] })];
-  const gpu = held(job('job-0', { cpus: 3, gpus: 1 }), 'm');
-  const many = (over: Partial<JobSpec>) => [queued(job('job-1', { tasks: 8, ...over }))];
-  const placed = (over: Partial<CycleInput>, spec: Partial<JobSpec> = {}) =>
-    count(
-      schedule(input({ nodes, coLocatedDemand, placedTasks: [gpu], queued: many(spec), ...over })),
+  const nodes = [machineOf('m', { type: 'g4', total: [8, 2, 32] })];
+  const gpuTask = placedTask(job('job-0', { cpus: 3, gpus: 1 }), 'm');
+  const cpuJob = (overrides: Partial<JobSpec>) => [queuedJob(job('job-1', { tasks: 8, ...overrides }))];
+  const started = (overrides: Partial<CycleInput>, spec: Partial<JobSpec> = {}) =>
+    startedTasks(
+      schedule(input({ nodes, coLocatedDemand, placedTasks: [gpuTask], queued: cpuJob(spec), ...overrides })),
       'job-1',
     );
-  assert.equal(placed({}), 2);
-  assert.equal(placed({}, { urgency: 1 }), 5);
-  // While none of them waits, short tasks may use the room.
-  const calm = [{ ...coLocatedDemand[0]!, waiting: false, patience: 30e6 as Micros }];
-  assert.equal(placed({ coLocatedDemand: calm }, { estimate: 20e6 as Micros }), 5);
-  assert.equal(placed({ coLocatedDemand: calm }, { estimate: 40e6 as Micros }), 2);
-  // A GPU machine without GPU tasks is to become empty and go back.
-  assert.equal(placed({ placedTasks: [] }), 0);
+  assert.equal(started({}), 2);
+  assert.equal(started({}, { urgency: 1 }), 5);
+  // While no GPU job waits, short tasks may use these resources.
+  const notWaiting = [{ ...coLocatedDemand[0]!, waiting: false, patience: 30e6 as Micros }];
+  assert.equal(started({ coLocatedDemand: notWaiting }, { estimate: 20e6 as Micros }), 5);
+  assert.equal(started({ coLocatedDemand: notWaiting }, { estimate: 40e6 as Micros }), 2);
+  // A GPU machine without GPU tasks should become idle and be returned.
+  assert.equal(started({ placedTasks: [] }), 0);
 });
 
-// A new leader knows of tasks on machines it has not heard from: wherever they stand, they still count.
+// A new leader knows of tasks on machines that have not sent a heartbeat yet: these tasks count for the zone rules.
 test('zone rules count tasks on machines that have not reported', () => {
-  const nodes = [node('m', { zone: 'b' })];
-  const j = job('job-1', { tasks: 4, oneZone: true });
-  const rest = [{ ...queued(j), tasks: [1, 2, 3] }];
-  const starts = (zone: string | null) =>
-    count(schedule(input({ nodes, placedTasks: [{ ...held(j, 'unheard'), zone }], queued: rest })), 'job-1');
-  assert.deepEqual([starts('a'), starts(null), starts('b')], [0, 0, 3]);
-  const s = job('job-2', { tasks: 4, spread: true });
-  const two = [0, 1].map((t) => ({ ...held(s, 'unheard', t), zone: 'b' }));
-  const r = schedule(input({ nodes, placedTasks: two, queued: [{ ...queued(s), tasks: [2, 3] }] }));
-  assert.equal(count(r, 'job-2'), 0);
+  const nodes = [machineOf('m', { zone: 'b' })];
+  const oneZone = job('job-1', { tasks: 4, oneZone: true });
+  const waiting = [{ ...queuedJob(oneZone), tasks: [1, 2, 3] }];
+  const startedWith = (zone: string | null) =>
+    startedTasks(
+      schedule(
+        input({ nodes, placedTasks: [{ ...placedTask(oneZone, 'unreported'), zone }], queued: waiting }),
+      ),
+      'job-1',
+    );
+  assert.deepEqual([startedWith('a'), startedWith(null), startedWith('b')], [0, 0, 3]);
+  const spread = job('job-2', { tasks: 4, spread: true });
+  const placedTasks = [0, 1].map((task) => ({ ...placedTask(spread, 'unreported', task), zone: 'b' }));
+  const result = schedule(input({ nodes, placedTasks, queued: [{ ...queuedJob(spread), tasks: [2, 3] }] }));
+  assert.equal(startedTasks(result, 'job-2'), 0);
 });
 
-// A guest team held less than the owners, so it went first in the next cycle and took the room that its own tasks
-// had been stopped to leave for a gang; the gang had others stopped again and again.
-test('room that others were stopped to leave goes to whom they were stopped for', () => {
+// The team of the preempted tasks had a smaller share than the gang's team, so it was served first in the next cycle and its
+// tasks took the freed resources; the gang then preempted tasks again and again.
+test('resources freed by preemption go to the job for which the tasks were preempted', () => {
   const gang = job('job-1', { urgency: 1, shape: 'gang', tasks: 2, cpus: 6 });
-  const guests = job('job-2', { team: 'blue', tasks: 4, cpus: 6 });
-  const nodes = ['m', 'n', 'o'].map((id) => node(id));
-  const placedTasks = nodes.map((n, i) => held(guests, n.id, i));
-  for (const h of placedTasks)
-    guests.placed.set(h.task, { task: h.task, attempt: 1, machine: h.machine, since: 0 as Micros });
-  const waiting = { ...queued(guests), tasks: [3] };
-  const first = schedule(input({ nodes, placedTasks, queued: [queued(gang), waiting] }));
+  const array = job('job-2', { team: 'blue', tasks: 4, cpus: 6 });
+  const nodes = ['m', 'n', 'o'].map((id) => machineOf(id));
+  const placedTasks = nodes.map((machine, i) => placedTask(array, machine.id, i));
+  for (const placed of placedTasks)
+    array.placed.set(placed.task, {
+      task: placed.task,
+      attempt: 1,
+      machine: placed.machine,
+      since: 0 as Micros,
+    });
+  const waiting = { ...queuedJob(array), tasks: [3] };
+  const first = schedule(input({ nodes, placedTasks, queued: [queuedJob(gang), waiting] }));
   assert.deepEqual([first.preemptions.length, first.reservations.get('job-1')], [2, 2]);
-  // One of the two is gone, the other is leaving; the owner of the gang holds more elsewhere than the guests do.
-  const [a, b] = first.preemptions.map((s) => s.machine);
-  const owned = held(job('job-3', { urgency: 1, cpus: 8 }), 'p');
+  // One preempted task has exited and the other one is being stopped; the gang's team uses more on another machine than the
+  // other team.
+  const [exitedOn, stoppingOn] = first.preemptions.map((preemption) => preemption.machine);
+  const otherTask = placedTask(job('job-3', { urgency: 1, cpus: 8 }), 'p');
   const next = {
-    nodes: [...nodes, node('p')],
+    nodes: [...nodes, machineOf('p')],
     placedTasks: [
-      owned,
-      ...placedTasks.filter((h) => h.machine !== a).map((h) => ({ ...h, leaving: h.machine === b })),
+      otherTask,
+      ...placedTasks
+        .filter((placed) => placed.machine !== exitedOn)
+        .map((placed) => ({ ...placed, leaving: placed.machine === stoppingOn })),
     ],
-    queued: [queued(gang), waiting],
+    queued: [queuedJob(gang), waiting],
   };
-  assert.equal(count(schedule(input(next)), 'job-2'), 1, 'without the claim the guest goes first');
-  const kept = schedule(input({ ...next, reservations: first.reservations }));
+  assert.equal(
+    startedTasks(schedule(input(next)), 'job-2'),
+    1,
+    'without the reservation the other team is served first',
+  );
+  const reserved = schedule(input({ ...next, reservations: first.reservations }));
   assert.deepEqual(
-    [count(kept, 'job-2'), kept.preemptions.length, kept.reservations.get('job-1')],
+    [startedTasks(reserved, 'job-2'), reserved.preemptions.length, reserved.reservations.get('job-1')],
     [0, 0, 2],
   );
 });
 
-// A job submitted with a mistake displaced others at each try, kept the room it waited for, and had machines rented.
-test('a job that looks broken takes free room only, last, and asks for none', () => {
+// A job submitted with a mistake preempted tasks with each attempt, reserved the freed resources and had machines rented.
+test('a job suspected to be faulty is ranked last, uses free resources only and has no machines rented', () => {
   const low = job('job-1', { team: 'blue', cpus: 8 });
   const urgent = job('job-2', { urgency: 2, cpus: 8 });
   low.placed.set(0, { task: 0, attempt: 1, machine: 'm', since: 0 as Micros });
-  const full = { nodes: [node('m')], placedTasks: [held(low, 'm')] };
-  assert.equal(schedule(input({ ...full, queued: [queued(urgent)] })).preemptions.length, 1);
-  const cautious = schedule(input({ ...full, queued: [queued(urgent, 0, true)] }));
-  assert.deepEqual([cautious.starts, cautious.preemptions, cautious.unplaced], [[], [], []]);
-  assert.equal(count(schedule(input({ nodes: [node('m')], queued: [queued(urgent, 0, true)] })), 'job-2'), 1);
+  const full = { nodes: [machineOf('m')], placedTasks: [placedTask(low, 'm')] };
+  assert.equal(schedule(input({ ...full, queued: [queuedJob(urgent)] })).preemptions.length, 1);
+  const suspect = schedule(input({ ...full, queued: [queuedJob(urgent, 0, true)] }));
+  assert.deepEqual([suspect.starts, suspect.preemptions, suspect.unplaced], [[], [], []]);
+  assert.equal(
+    startedTasks(schedule(input({ nodes: [machineOf('m')], queued: [queuedJob(urgent, 0, true)] })), 'job-2'),
+    1,
+  );
   assert.ok(
-    rankOf(urgent, ZERO, by(1), true) > rankOf(job('job-3', { deadline: seconds(1) }), seconds(9), by(1, 2)),
+    rankOf(urgent, ZERO, deadlineObjective(1), true) >
+      rankOf(job('job-3', { deadline: seconds(1) }), seconds(9), deadlineObjective(1, 2)),
   );
 });
 
-test('several hundred tasks of one array cost little', () => {
-  const nodes = Array.from({ length: 48 }, (_, i) => node(`m${i}`));
-  const r = schedule(input({ nodes, queued: [queued(job('job-1', { tasks: 400 }))] }));
-  assert.equal(count(r, 'job-1'), 384);
+test('several hundred tasks of one array are placed on all machines, and the rest is unplaced', () => {
+  const nodes = Array.from({ length: 48 }, (_, i) => machineOf(`m${i}`));
+  const result = schedule(input({ nodes, queued: [queuedJob(job('job-1', { tasks: 400 }))] }));
+  assert.equal(startedTasks(result, 'job-1'), 384);
   assert.deepEqual(
-    r.unplaced.map((u) => u.count),
+    result.unplaced.map((item) => item.count),
     [16],
   );
 });
 
-// One GPU task on each of many GPU machines, and low CPU tasks beside it, once kept all of them for ever.
-test('GPU machines beyond need are left to become empty', () => {
-  const nodes = Array.from({ length: 5 }, (_, i) => node(`m${i}`, { type: 'g4', total: [8, 2, 32] }));
-  const gpu = (machine: string) => held(job('job-1', { gpus: 1, tasks: 5 }), machine);
-  const placedTasks = [gpu('m0'), gpu('m1'), gpu('m2')];
+// One GPU task on each of many GPU machines, with low-urgency CPU tasks beside it, would keep all of them rented forever.
+test('GPU machines in excess of the demand are chosen last, so that they become idle', () => {
+  const nodes = Array.from({ length: 5 }, (_, i) => machineOf(`m${i}`, { type: 'g4', total: [8, 2, 32] }));
+  const gpuTask = (machine: string) => placedTask(job('job-1', { gpus: 1, tasks: 5 }), machine);
+  const placedTasks = [gpuTask('m0'), gpuTask('m1'), gpuTask('m2')];
   const idleNodes = idleNodesOf(nodes, placedTasks, []);
   assert.deepEqual([...idleNodes].sort(), ['m2', 'm3', 'm4']);
-  assert.equal(idleNodesOf(nodes, placedTasks, [queued(job('job-2', { gpus: 1, tasks: 6 }))]).size, 0);
-  const r = schedule(
+  assert.equal(idleNodesOf(nodes, placedTasks, [queuedJob(job('job-2', { gpus: 1, tasks: 6 }))]).size, 0);
+  const result = schedule(
     input({
       nodes,
       placedTasks,
       idleNodes: idleNodes,
-      queued: [queued(job('job-3', { gpus: 1, urgency: 1 }))],
+      queued: [queuedJob(job('job-3', { gpus: 1, urgency: 1 }))],
     }),
   );
-  assert.ok(!idleNodes.has([...r.starts[0]!.on.keys()][0]!));
+  assert.ok(!idleNodes.has([...result.starts[0]!.on.keys()][0]!));
 });
 
-// Past its deadline a job once kept its place, and one late job made the next one late.
-test('what is past its deadline queues behind what is not', () => {
-  const s = (n: number): Micros => (n * 1e6) as Micros;
+// If late jobs kept their positions, each late job would make the next one late.
+test('a job past its deadline is ranked behind jobs that can still meet theirs', () => {
+  const s = (time: number): Micros => (time * 1e6) as Micros;
   const late = job('job-1', { submitted: s(0), deadline: s(100) });
-  const timely = job('job-2', { submitted: s(90), deadline: s(100), tasks: 9, estimate: s(20) });
-  assert.ok(rankOf(late, s(50), by(1)) < rankOf(timely, s(50), by(1)), 'least work left first');
-  assert.ok(rankOf(late, s(101), by(1)) > rankOf(timely, s(101), by(1)));
-  assert.ok(rankOf(late, s(101), by(1, 1.75)) < rankOf(late, s(176), by(1, 1.75)));
+  const inTime = job('job-2', { submitted: s(90), deadline: s(100), tasks: 9, estimate: s(20) });
+  assert.ok(
+    rankOf(late, s(50), deadlineObjective(1)) < rankOf(inTime, s(50), deadlineObjective(1)),
+    'before the deadlines, the job with the least remaining work is first',
+  );
+  assert.ok(rankOf(late, s(101), deadlineObjective(1)) > rankOf(inTime, s(101), deadlineObjective(1)));
+  assert.ok(
+    rankOf(late, s(101), deadlineObjective(1, 1.75)) < rankOf(late, s(176), deadlineObjective(1, 1.75)),
+  );
 });
 
-// 552 tiny jobs waited a minute and more behind one array of 25,000 tasks of the same team, submitted before them.
-test('jobs promised an end only go by the work they have left, and before those promised nothing', () => {
+// 552 tiny jobs waited for a minute and more behind an array of 25,000 tasks that the same team had submitted before them.
+test('jobs with a finish objective are ranked by remaining work, before jobs without an objective', () => {
   const within: ClassObjective = { multiples: [1], within: seconds(400) };
   const huge = job('job-1', { tasks: 25_000, estimate: seconds(3), submitted: seconds(1) });
   const tiny = job('job-2', { estimate: seconds(150), submitted: seconds(2) });
-  const idle = job('job-3', { estimate: seconds(1), submitted: ZERO });
+  const noObjective = job('job-3', { estimate: seconds(1), submitted: ZERO });
   const ranks = [
     rankOf(tiny, seconds(9), within),
     rankOf(huge, seconds(9), within),
-    rankOf(idle, seconds(9), by(1)),
+    rankOf(noObjective, seconds(9), deadlineObjective(1)),
   ];
   assert.ok(ranks[0]! < ranks[1]!);
-  // Times of submission are times of day.
-  const day = { ...idle, spec: { ...idle.spec, submitted: seconds(1_790_000_000) } };
-  assert.ok(ranks[1]! < rankOf(day, seconds(9), by(1)));
+  // Submission times are times of day, so ranks by submission are large numbers.
+  const submittedToday = {
+    ...noObjective,
+    spec: { ...noObjective.spec, submitted: seconds(1_790_000_000) },
+  };
+  assert.ok(ranks[1]! < rankOf(submittedToday, seconds(9), deadlineObjective(1)));
 });
 
 // A fifth of the tiny jobs of 150 s lost their work on spot machines, some of them twice.
-test('long tasks that save nothing go to spot machines last, others that may go there first', () => {
-  const nodes = [node('m'), node('s', { spot: true })];
-  const where = (over: Partial<JobSpec>): string =>
-    [...schedule(input({ nodes, queued: [queued(job('job-1', over))] })).starts[0]!.on.keys()][0]!;
-  assert.equal(where({ estimate: seconds(20) }), 's');
-  assert.equal(where({ estimate: seconds(150) }), 'm');
-  assert.equal(where({ estimate: seconds(150), checkpoint: seconds(15) }), 's');
-  assert.equal(where({ estimate: seconds(20), spot: false }), 'm');
+test('long tasks without checkpoints avoid spot machines, and other jobs that may use them prefer them', () => {
+  const nodes = [machineOf('m'), machineOf('s', { spot: true })];
+  const chosenMachine = (overrides: Partial<JobSpec>): string =>
+    [...schedule(input({ nodes, queued: [queuedJob(job('job-1', overrides))] })).starts[0]!.on.keys()][0]!;
+  assert.equal(chosenMachine({ estimate: seconds(20) }), 's');
+  assert.equal(chosenMachine({ estimate: seconds(150) }), 'm');
+  assert.equal(chosenMachine({ estimate: seconds(150), checkpoint: seconds(15) }), 's');
+  assert.equal(chosenMachine({ estimate: seconds(20), spot: false }), 'm');
 });
 
-test('the largest of a class go before younger work once they have waited, until it is too late', () => {
-  // Guards against least work first alone: on large days the largest of a class began last, after up to 15 minutes.
-  const s = (x: number): Micros => seconds(1000 + x);
+// With an order by remaining work alone, the largest jobs of a class began last on large days, after up to 15 minutes.
+test('the largest jobs of a class go first after a wait, until they cannot begin in time any more', () => {
+  const s = (time: number): Micros => seconds(1000 + time);
   const none = { cpus: 0, gpus: 0 };
   const large = job('job-1', { tasks: 80, estimate: seconds(90), submitted: s(0), deadline: seconds(240) });
   const young = job('job-2', { estimate: seconds(1), submitted: s(100), deadline: seconds(240) });
-  const rank = (j: Job, day: Micros, limit = none): number =>
-    rankOf(j, day, by(1, 1.5), false, starvingFrom(j, day, limit, 100));
-  assert.ok(rank(large, s(164)) > rank(young, s(164)), 'first the least work, as long as it can wait');
+  const rank = (ranked: Job, day: Micros, limit = none): number =>
+    rankOf(ranked, day, deadlineObjective(1, 1.5), false, starvingFrom(ranked, day, limit, 100));
+  assert.ok(
+    rank(large, s(164)) > rank(young, s(164)),
+    'before it is starving, the large job is ranked by its remaining work',
+  );
   assert.ok(rank(large, s(166)) < rank(young, s(166)));
-  assert.ok(rank(large, s(241)) > rank(young, s(241)), 'what begins late anyhow is not worth others');
-  // Once it has begun, the rest of it goes by the work left. It has begun with what the team's limit lets run at once.
+  assert.ok(
+    rank(large, s(241)) > rank(young, s(241)),
+    'a job that cannot begin in time does not delay others',
+  );
+  // A job that has begun is ranked by its remaining work. A job has begun with as many tasks as the team's limit allows.
   for (let i = 0; i < 20; i++) large.placed.set(i, { task: i, attempt: 1, machine: 'm', since: ZERO });
   assert.ok(rank(large, s(166)) < rank(young, s(166)));
   assert.ok(rank(large, s(166), { cpus: 20, gpus: 0 }) > rank(young, s(166)));
   const huge = { ...large, spec: { ...large.spec, tasks: 101 } };
-  assert.ok(rank(huge, s(166)) > rank(young, s(166)), 'what can not begin in time holds up nobody');
-  const looksBroken = rankOf(large, s(166), by(1), true, s(120));
-  assert.ok(looksBroken > rank(job('job-4', { submitted: s(9) }), s(900)), 'what failed stays last');
-  // Of a class, those within a tenth of the greatest, and five at least.
-  // A new leader sees only what is not over: without the hint of the one before it, ordinary jobs are its largest.
+  assert.ok(
+    rank(huge, s(166)) > rank(young, s(166)),
+    'a job with more tasks than can be placed at a time does not delay others',
+  );
+  const suspect = rankOf(large, s(166), deadlineObjective(1), true, s(120));
+  assert.ok(
+    suspect > rank(job('job-4', { submitted: s(9) }), s(900)),
+    'a starving job suspected to be faulty is still ranked last',
+  );
+  // The largest jobs of a class are those within a tenth of the greatest, and at least five. A new leader sees unfinished
+  // jobs only: without the hint of the leader before, it would take ordinary jobs for the largest.
   const before = new LargestJobs();
   for (const tasks of [80, 75, 72, 71, 70]) before.observe(job(`job-${tasks}`, { tasks }).spec);
-  for (const [hint, taken] of [
+  for (const [hint, expected] of [
     [JSON.parse(JSON.stringify(before.hint())) as unknown, [70, 80]],
     [null, [3, 5, 6, 10, 12, 70, 80]],
     [{ x: [['job-1', 'y'], 7], y: 3 }, [3, 5, 6, 10, 12, 70, 80]],
@@ -555,7 +662,7 @@
     const sizes = [3, 5, 6, 10, 12, 70, 80];
     assert.deepEqual(
       sizes.filter((tasks) => next.has(job('job-9', { tasks }).spec)),
-      taken,
+      expected,
     );
   }
   const largest = new LargestJobs();
@@ -566,7 +673,7 @@
   assert.deepEqual([72, 71].map(has), [true, false]);
 });
 
-test('a starving gang reserves nodes that younger jobs of its urgency would fill', () => {
+test('machines are reserved for a starving gang against younger jobs that are not more urgent', () => {
   const large = job('job-1', { shape: 'gang', urgency: 1, tasks: 2, cpus: 8, oneZone: true });
   const other = job('job-2', { urgency: 1, cpus: 8 });
   const small = job('job-3', { shape: 'gang', urgency: 1, cpus: 8, estimate: seconds(90) });
@@ -574,44 +681,78 @@
   const low = job('job-5', { cpus: 8, estimate: seconds(90) });
   const urgent = job('job-6', { urgency: 2, team: 'blue', cpus: 8, estimate: seconds(90) });
   other.placed.set(0, { task: 0, attempt: 1, machine: 'm2', since: ZERO });
-  // The task on m2 ends in about a minute. In the other zone there is no room for two.
-  const nodes = [node('m1'), node('m2'), node('m3', { zone: 'b' })];
-  const full: PlacedTask = { ...held(other, 'm2'), left: seconds(60) };
-  const placed = (next: Job, starving = true, rest = nodes): string[] => {
-    const first = { ...queued(large), starving };
-    // Whoever is not of the gang's team comes after it.
+  // The task on m2 finishes in about a minute. The other zone has one machine only, and the gang needs two.
+  const nodes = [machineOf('m1'), machineOf('m2'), machineOf('m3', { zone: 'b' })];
+  const running: PlacedTask = { ...placedTask(other, 'm2'), left: seconds(60) };
+  const placements = (next: Job, starving = true, machines = nodes): string[] => {
+    const first = { ...queuedJob(large), starving };
+    // With this weight the other team is served after the gang's team.
     const weights = new Map([['blue', 0.01]]);
-    const r = schedule(
-      input({ nodes: rest, placedTasks: [full], queued: [first, queued(next, 1)], weights }),
+    const result = schedule(
+      input({
+        nodes: machines,
+        placedTasks: [running],
+        queued: [first, queuedJob(next, 1)],
+        weights,
+      }),
+    );
+    return result.starts.flatMap((start) =>
+      [...start.on.keys()].map((machine) => `${start.job.spec.id} ${machine}`),
     );
-    return r.starts.flatMap((s) => [...s.on.keys()].map((m) => `${s.job.spec.id} ${m}`));
   };
-  assert.deepEqual(placed(small, false), ['job-3 m1'], 'else the small one takes what the large one needs');
-  assert.deepEqual(placed(small), ['job-3 m3'], 'it goes elsewhere');
-  assert.deepEqual(placed(small, true, nodes.slice(0, 2)), [], 'or waits');
-  const two = nodes.slice(0, 2);
-  assert.deepEqual(placed(low, true, two), [], 'nor does it let in what it would stop again');
-  assert.deepEqual(placed(urgent, true, two), ['job-6 m1'], 'the more urgent is not held up');
-  assert.deepEqual(placed(short, true, nodes.slice(0, 2)), ['job-4 m1'], 'and what is gone by then');
-  assert.deepEqual(placed(small, true, [node('m2'), node('m3', { zone: 'b' })]), ['job-3 m3'], 'never whole');
+  assert.deepEqual(
+    placements(small, false),
+    ['job-3 m1'],
+    'without a reservation the small gang takes a machine that the large gang needs',
+  );
+  assert.deepEqual(placements(small), ['job-3 m3'], 'the small gang is placed in the other zone');
+  assert.deepEqual(
+    placements(small, true, nodes.slice(0, 2)),
+    [],
+    'the small gang waits if there is no machine elsewhere',
+  );
+  const oneZone = nodes.slice(0, 2);
+  assert.deepEqual(
+    placements(low, true, oneZone),
+    [],
+    'a less urgent job, which the gang would soon preempt, waits',
+  );
+  assert.deepEqual(placements(urgent, true, oneZone), ['job-6 m1'], 'a more urgent job is not delayed');
+  assert.deepEqual(
+    placements(short, true, nodes.slice(0, 2)),
+    ['job-4 m1'],
+    'a job that finishes before the gang can begin is not delayed',
+  );
+  assert.deepEqual(
+    placements(small, true, [machineOf('m2'), machineOf('m3', { zone: 'b' })]),
+    ['job-3 m3'],
+    'nothing is reserved if no zone can ever hold the whole gang',
+  );
 });
 
-// Small arrays waited for minutes beside GPU machines that nobody used, until other machines were free.
-test('a job that has waited for long gets one task on room that is kept for GPU jobs to come, not for those that wait', () => {
-  const companion = { urgency: 1, cpusPerGpu: 2, memPerGpu: 2, patience: 0 as Micros };
-  const placed = (overdue: boolean, waiting: boolean): number => {
-    const j = job('job-1', { cpus: 1, memGb: 1, tasks: 4, urgency: 0, estimate: 60e6 as Micros });
-    const nodes = [node('m1', { type: 'g4', total: [8, 4, 64] })];
-    const coLocatedDemand = [{ ...companion, waiting }];
-    return count(schedule(input({ nodes, queued: [{ ...queued(j), overdue }], coLocatedDemand })), 'job-1');
+// Small arrays waited for minutes beside unused GPU machines, until other machines were free.
+test('an overdue job starts one task on resources kept for future GPU jobs, but not on those of waiting GPU jobs', () => {
+  const gpuDemand = { urgency: 1, cpusPerGpu: 2, memPerGpu: 2, patience: 0 as Micros };
+  const started = (overdue: boolean, waiting: boolean): number => {
+    const array = job('job-1', { cpus: 1, memGb: 1, tasks: 4, urgency: 0, estimate: 60e6 as Micros });
+    const nodes = [machineOf('m1', { type: 'g4', total: [8, 4, 64] })];
+    const coLocatedDemand = [{ ...gpuDemand, waiting }];
+    return startedTasks(
+      schedule(input({ nodes, queued: [{ ...queuedJob(array), overdue }], coLocatedDemand })),
+      'job-1',
+    );
   };
-  assert.equal(placed(false, false), 0);
-  assert.equal(placed(true, false), 1);
-  assert.equal(placed(true, true), 0);
+  assert.equal(started(false, false), 0);
+  assert.equal(started(true, false), 1);
+  assert.equal(started(true, true), 0);
   const waits = new StartWaits();
-  const j = job('job-1');
-  const asked = (at: number): boolean => waits.overdue(j, seconds(at));
-  assert.deepEqual([asked(100), asked(170), asked(171)], [false, false, true]);
-  j.attempt = 7;
-  assert.deepEqual([asked(172), asked(242), asked(243)], [false, false, true], 'a start begins it anew');
+  const waitingJob = job('job-1');
+  const isOverdue = (at: number): boolean => waits.overdue(waitingJob, seconds(at));
+  assert.deepEqual([isOverdue(100), isOverdue(170), isOverdue(171)], [false, false, true]);
+  waitingJob.attempt = 7;
+  assert.deepEqual(
+    [isOverdue(172), isOverdue(242), isOverdue(243)],
+    [false, false, true],
+    'the waiting time begins anew with a start',
+  );
 });
--- a/packages/controller/test/support/cycle.ts
+++ b/packages/controller/test/support/cycle.ts
@@ -1,8 +1,9 @@
-/** What a cycle is given, with nothing in it but what a test says. */
+/** Input of a scheduling cycle for tests. */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { CycleInput } from '../../src/scheduler/model.js';
 
-export const input = (over: Partial<CycleInput>): CycleInput => ({
+/** Returns an empty input with some properties overridden. */
+export const input = (overrides: Partial<CycleInput>): CycleInput => ({
   now: 0 as Micros,
   teams: [],
   weights: new Map(),
@@ -13,5 +14,5 @@
   idleNodes: new Set(),
   reservations: new Map(),
   avoid: () => null,
-  ...over,
+  ...overrides,
 });
--- a/packages/controller/test/support/plain-cycle.ts
+++ b/packages/controller/test/support/plain-cycle.ts
@@ -1,6 +1,6 @@
 /**
- * The scheduling cycle in its plainest form: every item of every team's queue is looked at for every step of the refill.
- * `src/scheduler/cycle.ts` must decide the same; this one is only there to compare it with.
+ * Reference implementation of the scheduling cycle, without optimisations: each step of the refill visits every team. A
+ * property test checks that `src/scheduler/cycle.ts` decides the same.
  */
 import type { Job } from '../../src/jobs/model.js';
 import type { TeamSettings } from '../../src/settings/settings.js';
@@ -18,7 +18,7 @@
   type Unplaced,
 } from '../../src/scheduler/model.js';
 import { mayBorrow } from '../../src/lending/loans.js';
-import { plainFinder } from './plain-placement-search.js';
+import { plainPlacementSearch } from './plain-placement-search.js';
 import { reserve } from '../../src/scheduler/reserve.js';
 import { replicaSearch } from '../../src/scheduler/replica-search.js';
 import {
@@ -29,8 +29,8 @@
   protectedDemand,
   isReservedAgainst,
   strandsGpus,
-  type NodeState as Node,
-  type TeamState as TeamRooms,
+  type MachineState,
+  type TeamState,
   WITH_PREEMPTION,
   FREE_ONLY,
   WITHOUT_PREEMPTION,
@@ -38,7 +38,7 @@
 
 const NO_TEAM: TeamSettings = { name: '', guarantee: { cpus: 0, gpus: 0 }, limit: { cpus: 0, gpus: 0 } };
 
-interface NodeState extends Node {
+interface PlainMachineState extends MachineState {
   readonly evicted: Set<EvictedUnit>;
 }
 interface QueuedItem {
@@ -46,30 +46,34 @@
   readonly queued: QueuedJob;
   readonly urgency: number;
   readonly rank: number;
-  at: number;
-  last: { readonly n: Node; readonly free: boolean } | null;
+  /** Index of the next task. */
+  nextTask: number;
+  /** The machine that took the last task without preemption, and whether the task fitted into its free resources. */
+  lastPlacement: { readonly machine: MachineState; readonly free: boolean } | null;
 }
 type Item =
   | { readonly kind: 'evicted'; readonly unit: EvictedUnit; readonly urgency: number; readonly rank: number }
   | QueuedItem;
-interface TeamState extends TeamRooms {
+interface PlainTeamState extends TeamState {
   readonly queue: Item[];
+  /** Index of the next item. */
   next: number;
+  /** Share with the next item placed; null: must be computed again. */
   share: number | null;
 }
 
 export const plainSchedule = (
   input: CycleInput,
-  search: (capacity: ClusterCapacity) => PlacementSearch = plainFinder,
+  search: (capacity: ClusterCapacity) => PlacementSearch = plainPlacementSearch,
 ): CycleResult => {
-  const nodes = new Map<string, NodeState>();
+  const machines = new Map<string, PlainMachineState>();
   const total: Resources = [0, 0, 0];
   for (const view of input.nodes) {
-    nodes.set(view.id, {
+    machines.set(view.id, {
       view,
-      index: nodes.size,
+      index: machines.size,
       free: [...view.total],
-      leaving: [0, 0, 0],
+      terminating: [0, 0, 0],
       evicted: new Set(),
       evictedResources: [
         [0, 0, 0],
@@ -82,82 +86,82 @@
     });
     add(total, view.total);
   }
-  const teams = new Map<string, TeamState>();
-  const teamOf = (name: string): TeamState => {
-    let t = teams.get(name);
-    if (!t) {
-      t = {
-        settings: input.teams.find((s) => s.name === name) ?? { ...NO_TEAM, name },
+  const teams = new Map<string, PlainTeamState>();
+  const teamOf = (name: string): PlainTeamState => {
+    let team = teams.get(name);
+    if (!team) {
+      team = {
+        settings: input.teams.find((settings) => settings.name === name) ?? { ...NO_TEAM, name },
         weight: input.weights.get(name) ?? 1,
         used: [0, 0, 0],
         held: [0, 0, 0],
-        staying: [0, 0, 0],
+        retained: [0, 0, 0],
         queue: [],
         next: 0,
         share: null,
       };
-      teams.set(name, t);
+      teams.set(name, team);
     }
-    return t;
+    return team;
   };
 
-  // Eviction. Everything held takes room; what is evicted may be displaced from it later.
+  // Eviction: all placed tasks hold resources; evicted ones may be preempted later.
   const gangs = new Map<Job, PlacedTask[]>();
   const zonesHeld = new Map<Job, Map<string, number>>();
-  /** Jobs with a task that may be anywhere: zone rules can't be kept for them yet. */
+  /** Jobs with a task on a machine whose zone is not known: their zone rules can't be followed yet. */
   const zoneUnknown = new Set<Job>();
   const evict = (job: Job, members: readonly PlacedTask[]): void => {
     const team = teamOf(job.spec.team);
     const need = resourcesOf(job.spec);
-    const k = members.length;
-    const size: Resources = k === 1 ? need : [need[0] * k, need[1] * k, need[2] * k];
+    const count = members.length;
+    const size: Resources = count === 1 ? need : [need[0] * count, need[1] * count, need[2] * count];
     const unit = new EvictedUnit(team, job, members, need, size);
-    add(team.staying, size);
-    for (const m of members) {
-      const n = nodes.get(m.machine);
-      n?.evicted.add(unit);
-      if (n) add(n.evictedResources[job.spec.urgency]!, need);
+    add(team.retained, size);
+    for (const member of members) {
+      const machine = machines.get(member.machine);
+      machine?.evicted.add(unit);
+      if (machine) add(machine.evictedResources[job.spec.urgency]!, need);
     }
     team.queue.push({ kind: 'evicted', unit, urgency: job.spec.urgency, rank: -1 });
   };
-  for (const h of input.placedTasks) {
-    const need = resourcesOf(h.job.spec);
-    const team = teamOf(h.job.spec.team);
+  for (const placed of input.placedTasks) {
+    const need = resourcesOf(placed.job.spec);
+    const team = teamOf(placed.job.spec.team);
     add(team.held, need);
-    const node = nodes.get(h.machine);
-    if (node) add(node.free, need, -1);
-    if (h.zone === null) zoneUnknown.add(h.job);
+    const machine = machines.get(placed.machine);
+    if (machine) add(machine.free, need, -1);
+    if (placed.zone === null) zoneUnknown.add(placed.job);
     else {
-      let zones = zonesHeld.get(h.job);
-      if (!zones) zonesHeld.set(h.job, (zones = new Map()));
-      zones.set(h.zone, (zones.get(h.zone) ?? 0) + 1);
+      let zones = zonesHeld.get(placed.job);
+      if (!zones) zonesHeld.set(placed.job, (zones = new Map()));
+      zones.set(placed.zone, (zones.get(placed.zone) ?? 0) + 1);
     }
-    if (h.leaving) {
-      if (node) add(node.leaving, need);
+    if (placed.leaving) {
+      if (machine) add(machine.terminating, need);
       add(team.used, need);
-    } else if (h.job.spec.shape === 'gang') {
-      const members = gangs.get(h.job);
-      if (members) members.push(h);
-      else gangs.set(h.job, [h]);
+    } else if (placed.job.spec.shape === 'gang') {
+      const members = gangs.get(placed.job);
+      if (members) members.push(placed);
+      else gangs.set(placed.job, [placed]);
     } else {
-      evict(h.job, [h]);
+      evict(placed.job, [placed]);
     }
   }
   for (const [job, members] of gangs) evict(job, members);
 
-  for (const q of input.queued) {
-    if (q.tasks.length === 0) continue;
-    teamOf(q.job.spec.team).queue.push({
+  for (const queuedJob of input.queued) {
+    if (queuedJob.tasks.length === 0) continue;
+    teamOf(queuedJob.job.spec.team).queue.push({
       kind: 'queued',
-      queued: q,
-      urgency: q.job.spec.urgency,
-      rank: q.rank,
-      at: 0,
-      last: null,
+      queued: queuedJob,
+      urgency: queuedJob.job.spec.urgency,
+      rank: queuedJob.rank,
+      nextTask: 0,
+      lastPlacement: null,
     });
   }
-  for (const t of teams.values()) {
-    t.queue.sort(
+  for (const team of teams.values()) {
+    team.queue.sort(
       (a, b) =>
         b.urgency - a.urgency ||
         a.rank - b.rank ||
@@ -173,8 +177,11 @@
   const preemptions: Preemption[] = [];
   const unplaced: Unplaced[] = [];
   const reservations = new Map<string, number>();
-  /** Shapes of task that found no room in this cycle, and how many of them: what fails once fails again. */
-  const hopeless = new Map<string, number>();
+  /**
+   * By failure key, the smallest number of tasks for which a search failed in this cycle: a search for as many similar tasks
+   * or more fails, too, and is skipped.
+   */
+  const unplaceable = new Map<string, number>();
 
   const sizeOf = (item: Item): Resources => {
     if (item.kind === 'evicted') return item.unit.size;
@@ -183,74 +190,85 @@
     const need = resourcesOf(job.spec);
     return [need[0] * count, need[1] * count, need[2] * count];
   };
-  /** Dominant share over weight, as it would be with `more` placed. */
-  const share = (team: TeamRooms, more: Resources): number => {
-    let worst = 0;
+  /** Returns the team's dominant share divided by its weight, with `more` resources in use. */
+  const share = (team: TeamState, more: Resources): number => {
+    let dominant = 0;
     for (let i = 0; i < 3; i++) {
-      if (total[i]! > 0) worst = Math.max(worst, (team.used[i]! + more[i]!) / total[i]!);
+      if (total[i]! > 0) dominant = Math.max(dominant, (team.used[i]! + more[i]!) / total[i]!);
     }
-    return worst / team.weight;
+    return dominant / team.weight;
   };
-  const withinGuarantee = (team: TeamRooms, more: Resources): boolean => {
-    const g = team.settings.guarantee;
-    return team.used[0] + more[0] <= g.cpus + 1e-6 && team.used[1] + more[1] <= g.gpus + 1e-6;
+  const withinGuarantee = (team: TeamState, more: Resources): boolean => {
+    const teamGuarantee = team.settings.guarantee;
+    return (
+      team.used[0] + more[0] <= teamGuarantee.cpus + 1e-6 &&
+      team.used[1] + more[1] <= teamGuarantee.gpus + 1e-6
+    );
   };
-  const overLimit = (team: TeamState, more: Resources): boolean => {
-    const l = team.settings.limit;
+  const overLimit = (team: PlainTeamState, more: Resources): boolean => {
+    const teamLimit = team.settings.limit;
     return (
-      (l.cpus > 0 && team.held[0] + more[0] > l.cpus + 1e-6) ||
-      (l.gpus > 0 && team.held[1] + more[1] > l.gpus + 1e-6)
+      (teamLimit.cpus > 0 && team.held[0] + more[0] > teamLimit.cpus + 1e-6) ||
+      (teamLimit.gpus > 0 && team.held[1] + more[1] > teamLimit.gpus + 1e-6)
     );
   };
 
-  /** Tasks of each job that services take in this cycle. */
-  const taken = new Map<Job, number>();
-  const displace = (unit: EvictedUnit, by: Job): void => {
-    unit.displaced = true;
+  /** By job, the number of tasks with GPUs that this cycle preempts for services. */
+  const takenForServices = new Map<Job, number>();
+  const preempt = (unit: EvictedUnit, borrower: Job): void => {
+    unit.preempted = true;
     const { need } = unit;
-    add(unit.team.staying, unit.size, -1);
-    const lent = input.lending !== undefined && mayBorrow(by.spec) && need[1] > 0;
-    if (lent) taken.set(unit.job, (taken.get(unit.job) ?? 0) + unit.members.length);
-    for (const m of unit.members) {
-      const n = nodes.get(m.machine);
-      if (n) {
-        n.evicted.delete(unit);
-        add(n.evictedResources[unit.job.spec.urgency]!, need, -1);
-        add(n.leaving, need);
+    add(unit.team.retained, unit.size, -1);
+    const lent = input.lending !== undefined && mayBorrow(borrower.spec) && need[1] > 0;
+    if (lent) takenForServices.set(unit.job, (takenForServices.get(unit.job) ?? 0) + unit.members.length);
+    for (const member of unit.members) {
+      const machine = machines.get(member.machine);
+      if (machine) {
+        machine.evicted.delete(unit);
+        add(machine.evictedResources[unit.job.spec.urgency]!, need, -1);
+        add(machine.terminating, need);
       }
-      const stop = { job: unit.job, task: m.task, machine: m.machine };
-      preemptions.push(lent ? { ...stop, taker: by } : stop);
+      const preemption = { job: unit.job, task: member.task, machine: member.machine };
+      preemptions.push(lent ? { ...preemption, taker: borrower } : preemption);
     }
   };
 
-  const NONE: Resources = [0, 0, 0];
-  const NOBODY: ReadonlySet<EvictedUnit> = new Set();
-  /** One task of each, or one gang: they have waited for that, and the rest of the GPU machines' room stays theirs. */
-  const overdue = new Set(input.queued.flatMap((q) => (q.overdue === true ? [q.job] : [])));
+  const NO_RESOURCES: Resources = [0, 0, 0];
+  const NO_VICTIMS: ReadonlySet<EvictedUnit> = new Set();
+  /**
+   * Overdue jobs of which this cycle has placed nothing yet. Only one task of each, or one gang, may use resources kept for
+   * future GPU jobs.
+   */
+  const overdue = new Set(input.queued.flatMap((queued) => (queued.overdue === true ? [queued.job] : [])));
   const capacity: ClusterCapacity = {
-    nodes,
-    evictedOn: (n) => [...(n as NodeState).evicted],
+    machines,
+    evictedOn: (machine) => [...(machine as PlainMachineState).evicted],
     markChanged: () => undefined,
-    changedNodes: [],
-    zones: [...new Set(input.nodes.map((n) => n.zone))].sort(),
+    changedMachines: [],
+    zones: [...new Set(input.nodes.map((machine) => machine.zone))].sort(),
     zonesHeld,
     zoneUnknown,
     coLocatedDemand: input.coLocatedDemand,
     avoid: input.avoid,
     overdue,
-    share: (t) => share(t, NONE),
+    share: (team) => share(team, NO_RESOURCES),
     withinGuarantee,
   };
-  const find = replicaSearch(capacity, search(capacity), input.lending, taken);
+  const findMachines = replicaSearch(capacity, search(capacity), input.lending, takenForServices);
 
-  const take = (job: Job, team: TeamState, tasks: readonly number[], choice: PlacementChoice): void => {
+  const occupy = (
+    job: Job,
+    team: PlainTeamState,
+    tasks: readonly number[],
+    choice: PlacementChoice,
+  ): void => {
     const need = resourcesOf(job.spec);
-    for (const v of choice.victims) {
-      if (v.displaced) continue;
-      // A unit that was already refilled gives back what was counted for it.
-      if (returned.has(v)) add(v.team.used, v.size, -1);
-      (v.team as TeamState).share = null;
-      displace(v, job);
+    for (const victim of choice.victims) {
+      if (victim.preempted) continue;
+      // The resources of a unit that has returned to its machines were counted as used by its team.
+      if (returned.has(victim)) add(victim.team.used, victim.size, -1);
+      (victim.team as PlainTeamState).share = null;
+      preempt(victim, job);
     }
     let start = starts.get(job);
     if (choice.free && !start) {
@@ -260,86 +278,103 @@
     let zones = zonesHeld.get(job);
     if (!zones) zonesHeld.set(job, (zones = new Map()));
     tasks.forEach((task, i) => {
-      const n = choice.machines[i]!;
-      add(n.free, need, -1);
+      const machine = choice.machines[i]!;
+      add(machine.free, need, -1);
       add(team.used, need);
       add(team.held, need);
-      zones.set(n.view.zone, (zones.get(n.view.zone) ?? 0) + 1);
+      zones.set(machine.view.zone, (zones.get(machine.view.zone) ?? 0) + 1);
       if (choice.free) {
-        const on = start!.on.get(n.view.id);
-        if (on) on.push(task);
+        const startedOn = start!.on.get(machine.view.id);
+        if (startedOn) startedOn.push(task);
         else {
-          start!.on.set(n.view.id, [task]);
-          places++;
+          start!.on.set(machine.view.id, [task]);
+          placements++;
         }
       }
     });
-    // Room that is only promised is taken from what is leaving, so that nobody else counts on it.
+    // Resources that the tasks wait for are taken from those of terminating tasks, so that no other task gets them.
     if (!choice.free) {
-      for (const n of choice.machines) {
+      for (const machine of choice.machines) {
         for (let i = 0; i < 3; i++) {
-          if (n.free[i]! < 0) {
-            n.leaving[i]! += n.free[i]!;
-            n.free[i] = 0;
+          if (machine.free[i]! < 0) {
+            machine.terminating[i]! += machine.free[i]!;
+            machine.free[i] = 0;
           }
         }
       }
     }
   };
+  /** Evicted units that have returned to their machines. */
   const returned = new Set<EvictedUnit>();
-  let places = 0;
+  /** Number of placements (starts of a job on one machine) so far. */
+  let placements = 0;
 
-  /** Places `group`, the next tasks of `item`, and says whether there was room. */
-  const put = (
-    team: TeamState,
+  /** Places `group`, the next tasks of the item, as chosen; returns false if `choice` is null. */
+  const place = (
+    team: PlainTeamState,
     item: QueuedItem,
     group: readonly number[],
     choice: PlacementChoice | null,
   ): boolean => {
     if (choice === null) return false;
     const { job } = item.queued;
-    take(job, team, group, choice);
+    occupy(job, team, group, choice);
     overdue.delete(job);
-    item.last =
+    item.lastPlacement =
       choice.victims.size === 0 && job.spec.shape !== 'gang'
-        ? { n: choice.machines[0]!, free: choice.free }
+        ? { machine: choice.machines[0]!, free: choice.free }
         : null;
     if (!choice.free) reservations.set(job.spec.id, (reservations.get(job.spec.id) ?? 0) + group.length);
-    item.at += group.length;
+    item.nextTask += group.length;
     return true;
   };
-  const nextOf = (item: QueuedItem): readonly number[] =>
-    item.queued.job.spec.shape === 'gang' ? item.queued.tasks : [item.queued.tasks[item.at]!];
+  /** Returns the tasks to place together: all tasks of a gang, otherwise the next task. */
+  const nextTasks = (item: QueuedItem): readonly number[] =>
+    item.queued.job.spec.shape === 'gang' ? item.queued.tasks : [item.queued.tasks[item.nextTask]!];
 
   /**
-   * The machine that took the last task of an array takes the next one while there is room of the same kind, free or
-   * promised: it was the tightest fit, and is tighter now. Arrays of thousands of small tasks need one search a machine,
-   * not one a task. Free room that the last one did not find is not there now either.
+   * Returns the machine of the item's last task if the next task fits there at the same level, into free resources or those
+   * of terminating tasks: the machine was the tightest fit and now fits tighter. If the last task did not fit into free
+   * resources of any machine, the next one does not either.
    */
-  const besideLast = (item: QueuedItem, job: Job): PlacementChoice | null => {
-    if (item.last === null || job.spec.spread || isReservedAgainst(item.last.n, job)) return null;
+  const sameMachineAsLast = (item: QueuedItem, job: Job): PlacementChoice | null => {
+    if (item.lastPlacement === null || job.spec.spread || isReservedAgainst(item.lastPlacement.machine, job))
+      return null;
     if (input.lending !== undefined && mayBorrow(job.spec)) return null;
-    const { n, free } = item.last;
+    const { machine, free } = item.lastPlacement;
     const need = resourcesOf(job.spec);
-    const after: Resources = [n.free[0] - need[0], n.free[1] - need[1], n.free[2] - need[2]];
-    if (strandsGpus(protectedDemand(input.coLocatedDemand, job), job, n.view.total, n.idle, after))
+    const remaining: Resources = [
+      machine.free[0] - need[0],
+      machine.free[1] - need[1],
+      machine.free[2] - need[2],
+    ];
+    if (
+      strandsGpus(
+        protectedDemand(input.coLocatedDemand, job),
+        job,
+        machine.view.total,
+        machine.idle,
+        remaining,
+      )
+    )
       return null;
-    if (!free) add(after, n.leaving);
-    if (!fits(NONE, after)) return null;
-    return { machines: [n], victims: NOBODY, free };
+    if (!free) add(remaining, machine.terminating);
+    if (!fits(NO_RESOURCES, remaining)) return null;
+    return { machines: [machine], victims: NO_VICTIMS, free };
   };
 
-  /** One gang that is starving gathers room. */
-  let reserved = false;
+  /** Whether machines have been reserved in this cycle: at most one starving gang gets a reservation. */
+  let madeReservation = false;
 
-  /** Places the next of what `item` wants; false: there is nothing more to be had for it now. */
-  const serve = (team: TeamState, item: QueuedItem): boolean => {
+  /** Places the next task or gang of the item. Returns whether the item has tasks left that may be placed in this cycle. */
+  const serve = (team: PlainTeamState, item: QueuedItem): boolean => {
     const { job, tasks, cautious, mayRent } = item.queued;
     const gang = job.spec.shape === 'gang';
-    const group = nextOf(item);
+    const group = nextTasks(item);
     const { spec } = job;
-    // What is cautious looks for less than others of its shape, and what failed somewhere is not sent there again.
-    const key =
+    // Equal for items whose searches fail alike; empty if the search depends on the job itself, such as that of a suspect job,
+    // which only uses free resources, or of a gang that avoids machines where it failed.
+    const failureKey =
       cautious ||
       overdue.has(job) ||
       (gang && input.avoid(job) !== null) ||
@@ -359,50 +394,57 @@
           ].join('|');
     const limited = overLimit(team, sizeOf(item));
     const choice =
-      limited || (key !== '' && group.length >= (hopeless.get(key) ?? Number.POSITIVE_INFINITY))
+      limited ||
+      (failureKey !== '' && group.length >= (unplaceable.get(failureKey) ?? Number.POSITIVE_INFINITY))
         ? null
-        : (besideLast(item, job) ?? find(job, team, group.length, cautious ? FREE_ONLY : WITH_PREEMPTION));
-    if (!put(team, item, group, choice)) {
-      if (key !== '' && !limited)
-        hopeless.set(key, Math.min(group.length, hopeless.get(key) ?? Number.POSITIVE_INFINITY));
-      if (!limited && !reserved && item.queued.starving)
-        reserved = reserve(capacity, input.placedTasks, job, team);
+        : (sameMachineAsLast(item, job) ??
+          findMachines(job, team, group.length, cautious ? FREE_ONLY : WITH_PREEMPTION));
+    if (!place(team, item, group, choice)) {
+      if (failureKey !== '' && !limited)
+        unplaceable.set(
+          failureKey,
+          Math.min(group.length, unplaceable.get(failureKey) ?? Number.POSITIVE_INFINITY),
+        );
+      if (!limited && !madeReservation && item.queued.starving)
+        madeReservation = reserve(capacity, input.placedTasks, job, team);
       // More machines would not help a team at its limit.
-      if (!limited && mayRent) unplaced.push({ job, count: gang ? tasks.length : tasks.length - item.at });
+      if (!limited && mayRent)
+        unplaced.push({ job, count: gang ? tasks.length : tasks.length - item.nextTask });
       return false;
     }
-    return item.at < tasks.length;
+    return item.nextTask < tasks.length;
   };
 
-  // Those whose room is being left for them by others had their turn when the others were stopped.
-  const over = new Set<Item>();
+  // Tasks for which earlier cycles preempted others are placed first: they were selected when the others were stopped.
+  const finished = new Set<Item>();
   for (const [id, count] of input.reservations) {
     for (const team of teams.values()) {
-      const item = team.queue.find((i) => i.kind === 'queued' && i.queued.job.spec.id === id);
+      const item = team.queue.find((queued) => queued.kind === 'queued' && queued.queued.job.spec.id === id);
       if (item?.kind !== 'queued' || item.queued.cautious) continue;
-      while (item.at < Math.min(count, item.queued.tasks.length) && !overLimit(team, sizeOf(item))) {
-        const group = nextOf(item);
-        if (!put(team, item, group, find(item.queued.job, team, group.length, WITHOUT_PREEMPTION))) break;
+      while (item.nextTask < Math.min(count, item.queued.tasks.length) && !overLimit(team, sizeOf(item))) {
+        const group = nextTasks(item);
+        if (!place(team, item, group, findMachines(item.queued.job, team, group.length, WITHOUT_PREEMPTION)))
+          break;
       }
-      if (item.at >= item.queued.tasks.length) over.add(item);
+      if (item.nextTask >= item.queued.tasks.length) finished.add(item);
     }
   }
 
   // Refill.
   for (;;) {
-    let team: TeamState | null = null;
-    let smallest = Number.POSITIVE_INFINITY;
-    for (const t of teams.values()) {
-      while (t.next < t.queue.length && over.has(t.queue[t.next]!)) {
-        t.next++;
-        t.share = null;
+    let team: PlainTeamState | null = null;
+    let smallestShare = Number.POSITIVE_INFINITY;
+    for (const candidate of teams.values()) {
+      while (candidate.next < candidate.queue.length && finished.has(candidate.queue[candidate.next]!)) {
+        candidate.next++;
+        candidate.share = null;
       }
-      const item = t.queue[t.next];
+      const item = candidate.queue[candidate.next];
       if (!item) continue;
-      const s = (t.share ??= share(t, sizeOf(item)));
-      if (s < smallest) {
-        smallest = s;
-        team = t;
+      const candidateShare = (candidate.share ??= share(candidate, sizeOf(item)));
+      if (candidateShare < smallestShare) {
+        smallestShare = candidateShare;
+        team = candidate;
       }
     }
     if (team === null) break;
@@ -410,17 +452,26 @@
     const item = team.queue[team.next]!;
     if (item.kind === 'evicted') {
       team.next++;
-      if (item.unit.displaced) continue;
+      if (item.unit.preempted) continue;
       add(team.used, item.unit.size);
       returned.add(item.unit);
       continue;
     }
-    if (places >= (input.maxPlacements ?? Number.POSITIVE_INFINITY)) {
-      for (const t of teams.values())
-        for (const i of t.queue.slice(t.next)) {
-          if (i.kind === 'evicted' || over.has(i) || !i.queued.mayRent || overLimit(t, sizeOf(i))) continue;
-          const { job, tasks } = i.queued;
-          unplaced.push({ job, count: job.spec.shape === 'gang' ? tasks.length : tasks.length - i.at });
+    if (placements >= (input.maxPlacements ?? Number.POSITIVE_INFINITY)) {
+      for (const unserved of teams.values())
+        for (const waiting of unserved.queue.slice(unserved.next)) {
+          if (
+            waiting.kind === 'evicted' ||
+            finished.has(waiting) ||
+            !waiting.queued.mayRent ||
+            overLimit(unserved, sizeOf(waiting))
+          )
+            continue;
+          const { job, tasks } = waiting.queued;
+          unplaced.push({
+            job,
+            count: job.spec.shape === 'gang' ? tasks.length : tasks.length - waiting.nextTask,
+          });
         }
       break;
     }
@@ -428,6 +479,6 @@
   }
 
   const free = new Map<string, Resources>();
-  for (const n of nodes.values()) free.set(n.view.id, [...n.free]);
+  for (const machine of machines.values()) free.set(machine.view.id, [...machine.free]);
   return { starts: [...starts.values()], preemptions, unplaced, reservations, free };
 };
--- a/packages/controller/test/support/plain-placement-search.ts
+++ b/packages/controller/test/support/plain-placement-search.ts
@@ -1,6 +1,6 @@
 /**
- * The choice of machines in its plainest form: every machine is looked at for every task. `placement-search.ts` must
- * choose the same; this one is only there to compare it with.
+ * Reference implementation of the placement search, without optimisations: every machine is scored for every task. A property
+ * test checks that `src/scheduler/placement-search.ts` chooses the same.
  */
 import type { Job } from '../../src/jobs/model.js';
 import { add, fits, type Resources, resourcesOf } from '../../src/scheduler/model.js';
@@ -13,10 +13,10 @@
   protectedDemand,
   isReservedAgainst,
   mayPreempt,
-  type NodeState,
+  type MachineState,
   preemptibleBelow,
-  PROMISED_PENALTY,
-  score,
+  TERMINATING_PENALTY,
+  placementScore,
   slotBounds,
   strandsGpus,
   type TeamState,
@@ -25,20 +25,38 @@
   allowedZones,
 } from '../../src/scheduler/cluster-capacity.js';
 
-const leftBy = (units: Iterable<EvictedUnit>, n: NodeState, have: Resources): Resources => {
-  const got: Resources = [...have];
-  for (const u of units)
-    for (const m of u.members) if (m.machine === n.view.id) add(got, resourcesOf(u.job.spec));
-  return got;
+/** Returns `available` plus the resources of the units' members on a machine. */
+const withFreedBy = (
+  units: Iterable<EvictedUnit>,
+  machine: MachineState,
+  available: Resources,
+): Resources => {
+  const sum: Resources = [...available];
+  for (const unit of units)
+    for (const member of unit.members)
+      if (member.machine === machine.view.id) add(sum, resourcesOf(unit.job.spec));
+  return sum;
 };
 
-const allows = (capacity: ClusterCapacity, job: Job, zones: readonly string[], n: NodeState): boolean => {
+/** Whether the job may use the machine. */
+const mayUse = (
+  capacity: ClusterCapacity,
+  job: Job,
+  zones: readonly string[],
+  machine: MachineState,
+): boolean => {
   const { types, spot } = job.spec;
-  const v = n.view;
-  if (!v.open || !zones.includes(v.zone) || (types !== null && !types.includes(v.type))) return false;
-  return !(v.spot && !spot) && !capacity.avoid(job)?.has(v.id);
+  const machineView = machine.view;
+  if (
+    !machineView.open ||
+    !zones.includes(machineView.zone) ||
+    (types !== null && !types.includes(machineView.type))
+  )
+    return false;
+  return !(machineView.spot && !spot) && !capacity.avoid(job)?.has(machineView.id);
 };
 
+/** Chooses machines for `count` tasks in the zones at one level; null if they don't all fit. */
 const choose = (
   capacity: ClusterCapacity,
   job: Job,
@@ -48,76 +66,86 @@
   level: number,
 ): PlacementChoice | null => {
   const need = resourcesOf(job.spec);
-  const taken: NodeState[] = [];
+  const chosen: MachineState[] = [];
   const victims = new Set<EvictedUnit>();
   let allFree = true;
-  while (taken.length < count) {
-    let best: { n: NodeState; score: number; out: EvictedUnit[]; free: boolean } | null = null;
-    for (const n of capacity.nodes.values()) {
-      const v = n.view;
-      if (!allows(capacity, job, zones, n) || isReservedAgainst(n, job)) continue;
-      const there =
-        (capacity.zonesHeld.get(job)?.get(v.zone) ?? 0) + taken.filter((x) => x.view.zone === v.zone).length;
-      if (job.spec.spread && there >= Math.ceil(job.spec.tasks / 2)) continue;
-      const left: Resources = [...n.free];
-      add(left, need, -taken.filter((x) => x === n).length);
-      const after: Resources = [...left];
-      add(after, need, -1);
+  while (chosen.length < count) {
+    let best: { machine: MachineState; score: number; newVictims: EvictedUnit[]; free: boolean } | null =
+      null;
+    for (const machine of capacity.machines.values()) {
+      const machineView = machine.view;
+      if (!mayUse(capacity, job, zones, machine) || isReservedAgainst(machine, job)) continue;
+      const tasksInZone =
+        (capacity.zonesHeld.get(job)?.get(machineView.zone) ?? 0) +
+        chosen.filter((other) => other.view.zone === machineView.zone).length;
+      if (job.spec.spread && tasksInZone >= Math.ceil(job.spec.tasks / 2)) continue;
+      const available: Resources = [...machine.free];
+      add(available, need, -chosen.filter((other) => other === machine).length);
+      const remaining: Resources = [...available];
+      add(remaining, need, -1);
       if (
         strandsGpus(
           protectedDemand(capacity.coLocatedDemand, job, capacity.overdue.has(job)),
           job,
-          v.total,
-          n.idle,
-          after,
+          machineView.total,
+          machine.idle,
+          remaining,
           capacity.overdue.has(job),
         )
       )
         continue;
-      const promised = leftBy(victims, n, left);
-      add(promised, n.leaving);
-      const out: EvictedUnit[] = [];
-      let s: number;
-      const free = fits(need, left);
-      if (free) s = score(capacity.coLocatedDemand, job, n, after);
-      else if (level >= 1 && fits(need, promised))
-        s = PROMISED_PENALTY + score(capacity.coLocatedDemand, job, n, promised);
+      const withTerminating = withFreedBy(victims, machine, available);
+      add(withTerminating, machine.terminating);
+      const newVictims: EvictedUnit[] = [];
+      let machineScore: number;
+      const free = fits(need, available);
+      if (free) machineScore = placementScore(capacity.coLocatedDemand, job, machine, remaining);
+      else if (level >= 1 && fits(need, withTerminating))
+        machineScore =
+          TERMINATING_PENALTY + placementScore(capacity.coLocatedDemand, job, machine, withTerminating);
       else if (level >= 2) {
-        const order = [...capacity.evictedOn(n)]
-          .filter((u) => !victims.has(u) && mayPreempt(capacity, job, team, need, u))
+        const options = [...capacity.evictedOn(machine)]
+          .filter((unit) => !victims.has(unit) && mayPreempt(capacity, job, team, need, unit))
           .sort(
             (a, b) =>
               a.job.spec.urgency - b.job.spec.urgency ||
               capacity.share(b.team) - capacity.share(a.team) ||
               a.loss - b.loss,
           );
-        for (const u of order) if (!fits(need, leftBy(out, n, promised))) out.push(u);
-        if (!fits(need, leftBy(out, n, promised))) continue;
-        s = preemptionPenalty(out) + score(capacity.coLocatedDemand, job, n, promised);
+        for (const unit of options)
+          if (!fits(need, withFreedBy(newVictims, machine, withTerminating))) newVictims.push(unit);
+        if (!fits(need, withFreedBy(newVictims, machine, withTerminating))) continue;
+        machineScore =
+          preemptionPenalty(newVictims) +
+          placementScore(capacity.coLocatedDemand, job, machine, withTerminating);
       } else continue;
-      if (best === null || s < best.score) best = { n, score: s, out, free };
+      if (best === null || machineScore < best.score)
+        best = { machine, score: machineScore, newVictims, free };
     }
     if (best === null) return null;
-    for (const u of best.out) victims.add(u);
-    taken.push(best.n);
+    for (const unit of best.newVictims) victims.add(unit);
+    chosen.push(best.machine);
     allFree &&= best.free;
   }
-  return { machines: taken, victims, free: allFree };
+  return { machines: chosen, victims, free: allFree };
 };
 
-export const plainFinder =
+/** Returns the plain placement search for one cycle over `capacity`. */
+export const plainPlacementSearch =
   (capacity: ClusterCapacity): PlacementSearch =>
   (job, team, count, levels) => {
-    const all = [...new Set([...capacity.nodes.values()].map((n) => n.view.zone))].sort();
+    const all = [...new Set([...capacity.machines.values()].map((machine) => machine.view.zone))].sort();
     const zones = allowedZones(capacity, all, job);
-    const groups = job.spec.oneZone ? zones.map((z) => [z]) : [zones];
+    const groups = job.spec.oneZone ? zones.map((zone) => [zone]) : [zones];
     const need = resourcesOf(job.spec);
     for (const level of levels) {
       const found: ZoneChoice[] = [];
-      for (const g of groups) {
-        const choice = choose(capacity, job, team, count, g, level);
-        const there = [...capacity.nodes.values()].filter((n) => allows(capacity, job, g, n));
-        const slots = slotBounds(need, preemptibleBelow(capacity, job, team, need), there)[2];
+      for (const group of groups) {
+        const choice = choose(capacity, job, team, count, group, level);
+        const candidates = [...capacity.machines.values()].filter((machine) =>
+          mayUse(capacity, job, group, machine),
+        );
+        const slots = slotBounds(need, preemptibleBelow(capacity, job, team, need), candidates)[2];
         if (choice !== null) found.push({ choice, slots });
       }
       if (found.length > 0) return tightestZone(found);
