--- a/packages/controller/src/scheduler/cluster-capacity.ts
+++ b/packages/controller/src/scheduler/cluster-capacity.ts
@@ -69,7 +69,7 @@
 export interface TeamState {
   readonly settings: TeamSettings;
   readonly weight: number;
-  /** Resources of tasks that can't be evicted, that have returned, or that this cycle placed: the basis of the team's share. */
+  /** Resources of terminating tasks, restored evicted tasks and tasks placed in this cycle: the basis of the team's share. */
   readonly used: Resources;
   /** Resources of all tasks that may still be running and of those placed in this cycle; the team's limit applies to these. */
   readonly held: Resources;
@@ -104,7 +104,7 @@
 /** The cycle's state as the placement searches see it. */
 export interface ClusterCapacity {
   readonly machines: ReadonlyMap<string, MachineState>;
-  /** Returns the evicted units on a machine that are not preempted, after the returns that precede the item being served. */
+  /** Returns the evicted units on a machine that are not preempted; some of them are restored already. */
   readonly evictedOn: (machine: MachineState) => readonly EvictedUnit[];
   /** Must be called whenever a machine's resources or reservation have changed. */
   readonly markChanged: (machine: MachineState) => void;
@@ -192,7 +192,7 @@
   return false;
 };
 
-/** Returns how many of the remaining free GPUs could not be used for lack of the CPUs or memory that GPU jobs need beside them. */
+/** Returns how many of the remaining free GPUs could not be used because the CPUs or memory that they need are missing. */
 const strandedGpus = (coLocatedDemand: readonly CoLocatedDemand[], remaining: Resources): number => {
   let maxStranded = 0;
   for (const demand of coLocatedDemand) {
@@ -250,7 +250,7 @@
 const prefersSpot = (job: Job): boolean =>
   job.spec.spot && (job.spec.checkpoint > 0 || job.spec.estimate < LONG_TASK);
 
-/** Added to the score of a machine where the task must wait for terminating tasks: any free place is better. */
+/** Added to the score of a machine where the task must wait for terminating tasks: any machine with free capacity is better. */
 export const TERMINATING_PENALTY = 100;
 /** Returns the penalty of a machine where tasks must be preempted: greater for more urgent victims, then for more lost work. */
 export const preemptionPenalty = (victims: readonly EvictedUnit[]): number => {
--- a/packages/controller/src/scheduler/commit.ts
+++ b/packages/controller/src/scheduler/commit.ts
@@ -116,13 +116,13 @@
   Effect.gen(function* () {
     // Later than the preceding log entry, which another controller may have written: clocks differ, and the durations that
     // the accounts compute from these times must not be negative.
-    const at = Math.max(context.dayTime(), context.jobState.lastAt + 1) as Micros;
-    const booking = new Booking(context, at);
-    const draft = draftOf(context, starts, preemptions, booking, cutoffRisksOf(context, at));
+    const entryTime = Math.max(context.dayTime(), context.jobState.lastAt + 1) as Micros;
+    const booking = new Booking(context, entryTime);
+    const draft = draftOf(context, starts, preemptions, booking, cutoffRisksOf(context, entryTime));
     if (draft.entries.length === 0) return NOTHING_COMMITTED;
     const usage = booking.usage();
     const calendar = context.jobState.calendars.current?.version ?? 0;
-    const entries = logEntriesOf(context, draft, { at, calendar, usage });
+    const entries = logEntriesOf(context, draft, { at: entryTime, calendar, usage });
     const keys = entries.map((entry) => logEntryKey(entry.sequence));
     const predecessor = predecessorCondition(context);
     const outcome = yield* transactUntilKnown(
--- a/packages/controller/src/scheduler/cycle-input.ts
+++ b/packages/controller/src/scheduler/cycle-input.ts
@@ -97,7 +97,7 @@
 };
 
 /** Returns the machines of known types whose workers have reported. */
-export const nodesOf = (context: CycleContext, now: Micros): NodeView[] => {
+export const reportedMachines = (context: CycleContext, now: Micros): NodeView[] => {
   const types = new Map(context.types().map((type) => [type.name, type]));
   const machines: NodeView[] = [];
   const fetching = machinesFetchingWeights(context);
@@ -234,7 +234,7 @@
   if (!queued.some((item) => mayBorrow(item.job.spec))) return undefined;
   const { registry, jobState } = context;
   const day = context.dayTime();
-  const types = new Map(context.types().map((k) => [k.name, k]));
+  const types = new Map(context.types().map((type) => [type.name, type]));
   const waitObjectives = new Map<string, number>();
   for (const objective of context.settings.objectives)
     if (objective.kind === 'wait')
--- a/packages/controller/src/scheduler/cycle.ts
+++ b/packages/controller/src/scheduler/cycle.ts
@@ -80,7 +80,7 @@
   private madeReservation = false;
   /** Number of placements (starts of a job on one machine) so far. */
   private placements = 0;
-  /** The team being served; null once the other teams' evicted tasks that come before it have returned. */
+  /** The team being served; null once the other teams' evicted units that come before it are restored. */
   private beingServed: QueueTeam | null = null;
 
   constructor(
@@ -171,8 +171,8 @@
 
   /**
    * Serves teams in the order of the share that they would have with their next waiting gang or task placed and all evicted
-   * tasks before it returned. Which evicted tasks of the other teams have returned by then matters only to a search with
-   * preemption, so it is determined only when such a search asks for the evicted units of a machine.
+   * units before it restored. Which evicted units of the other teams are restored by then matters only to a search with
+   * preemption, so they are restored only when such a search asks for the evicted units of a machine.
    */
   private refill(): void {
     for (const team of this.evictions.teams.values()) this.reorder(team);
@@ -180,9 +180,9 @@
       const team = this.teamOrder.first();
       if (team === null) return;
       if (this.placements >= (this.input.maxPlacements ?? Number.POSITIVE_INFINITY))
-        return this.noteUnreached();
-      const item = this.returnEvicted(team);
-      this.noteServed(team);
+        return this.recordUnserved();
+      const item = this.restoreEvicted(team);
+      this.recordServed(team);
       this.beingServed = team;
       if (!this.serve(team, item)) team.next++;
       this.beingServed = null;
@@ -193,7 +193,7 @@
   }
 
   /** Counts the items that were not served as unplaced, so that machines needed for them are not returned. */
-  private noteUnreached(): void {
+  private recordUnserved(): void {
     for (const team of this.evictions.teams.values())
       for (const item of team.queue.slice(team.next))
         if (
@@ -205,13 +205,13 @@
           this.unplaced.push({ job: item.queued.job, count: unplacedCount(item) });
   }
 
-  /** Returns all of the team's evicted tasks before its next waiting item to their machines; returns that item. */
-  private returnEvicted(team: QueueTeam): QueuedItem {
+  /** Restores all of the team's evicted units before its next waiting item to their machines, and returns that item. */
+  private restoreEvicted(team: QueueTeam): QueuedItem {
     for (;;) {
       const item = team.queue[team.next]!;
       if (item.kind === 'queued') {
         if (!item.finished) return item;
-      } else while (item.next < item.length) returnNext(team, item);
+      } else while (item.next < item.length) restoreNext(team, item);
       team.next++;
     }
   }
@@ -220,7 +220,7 @@
    * Updates `servedBefore` of all teams. The position is kept as a maximum since the share at which teams are served falls
    * when tasks were preempted or when a larger item could not be placed.
    */
-  private noteServed(served: QueueTeam): void {
+  private recordServed(served: QueueTeam): void {
     for (const { servedBefore: position } of this.evictions.teams.values()) {
       if (!isBefore(position, served)) continue;
       position.share = served.share;
@@ -237,39 +237,39 @@
   /** Returns the team's share with its next waiting item placed; infinite if it has none. */
   private shareAtNext(team: QueueTeam): number {
     const used: Resources = [...team.used];
-    let minShare = Number.NEGATIVE_INFINITY;
+    let lowerBound = Number.NEGATIVE_INFINITY;
     for (let i = team.next; i < team.queue.length; i++) {
       const item = team.queue[i]!;
       if (item.kind === 'queued') {
         if (item.finished) continue;
-        return Math.max(minShare, this.shareOf(used, item.size, team.weight));
+        return Math.max(lowerBound, this.shareOf(used, item.size, team.weight));
       }
       for (let unit = item.next; unit < item.length; unit++) {
         const size = item.sizeOf(unit);
         // A preempted unit keeps its place in the team's queue, but uses no resources.
-        if (item.isPreempted(unit)) minShare = Math.max(minShare, this.shareOf(used, size, team.weight));
+        if (item.isPreempted(unit)) lowerBound = Math.max(lowerBound, this.shareOf(used, size, team.weight));
         else add(used, size);
       }
     }
     return Number.POSITIVE_INFINITY;
   }
 
-  /** Returns the evicted units on a machine that are not preempted, after the returns due before the team being served. */
+  /** Restores the units that come before the team being served; returns a machine's evicted units that are not preempted. */
   private evictedOn(machine: MachineState): readonly EvictedUnit[] {
-    this.returnOthers();
+    this.restoreOthers();
     return this.evictions.on(machine).filter((unit) => !unit.preempted);
   }
 
-  /** Returns the other teams' evicted units that come before the team being served to their machines. */
-  private returnOthers(): void {
+  /** Restores the other teams' evicted units that come before the team being served. */
+  private restoreOthers(): void {
     const served = this.beingServed;
     if (served === null) return;
     this.beingServed = null;
-    for (const team of this.evictions.teams.values()) if (team !== served) this.returnServedBefore(team);
+    for (const team of this.evictions.teams.values()) if (team !== served) this.restoreServedBefore(team);
   }
 
-  /** Returns the team's evicted units that come before the position `servedBefore`, and resets the position. */
-  private returnServedBefore(team: QueueTeam): void {
+  /** Restores the team's evicted units that come before the position `servedBefore`, and resets the position. */
+  private restoreServedBefore(team: QueueTeam): void {
     const { servedBefore: position, rank } = team;
     team.servedBefore = noneServed();
     for (; team.next < team.queue.length; team.next++) {
@@ -278,7 +278,7 @@
         if (!item.finished) return;
         continue;
       }
-      for (; item.next < item.length; returnNext(team, item))
+      for (; item.next < item.length; restoreNext(team, item))
         if (!isBefore({ share: this.share(team, item.sizeOf(item.next)), rank }, position)) return;
     }
   }
@@ -298,12 +298,12 @@
           this.search(job, team, group.length, cautious ? FREE_ONLY : WITH_PREEMPTION));
     if (this.place(team, item, group, choice)) return item.nextTask < tasks.length;
     // A team at its limit says nothing about free resources, and more machines would not help it.
-    if (!limited) this.noteUnplaced(team, item, failureKey);
+    if (!limited) this.recordUnplaced(team, item, failureKey);
     return false;
   }
 
   /** Records that the item's next task or gang fits nowhere. */
-  private noteUnplaced(team: QueueTeam, item: QueuedItem, failureKey: string | null): void {
+  private recordUnplaced(team: QueueTeam, item: QueuedItem, failureKey: string | null): void {
     const { job, starving, mayRent } = item.queued;
     const { length } = nextTasks(item);
     if (failureKey !== null)
@@ -401,7 +401,7 @@
       this.changedMachines.push(machine);
       add(team.used, need);
       add(team.held, need);
-      if (hasZoneRules(job)) this.noteZone(job, machine.view.zone);
+      if (hasZoneRules(job)) this.recordZone(job, machine.view.zone);
       if (start === null) return;
       const startedOn = start.on.get(machine.view.id);
       if (startedOn) startedOn.push(task);
@@ -422,7 +422,7 @@
     return start;
   }
 
-  private noteZone(job: Job, zone: string): void {
+  private recordZone(job: Job, zone: string): void {
     const { zonesHeld } = this.evictions;
     let zones = zonesHeld.get(job);
     if (!zones) zonesHeld.set(job, (zones = new Map()));
@@ -432,8 +432,8 @@
   /** Preempts an evicted unit for `job`. */
   private preempt(unit: RunUnit, borrower: Job): void {
     const team = unit.team as QueueTeam;
-    // The resources of a unit that has returned to its machines were counted as used by its team.
-    if (unit.returned) add(team.used, unit.size, -1);
+    // The resources of a restored unit were counted as used by its team.
+    if (unit.restored) add(team.used, unit.size, -1);
     this.teamsPreempted.add(team);
     unit.preempt();
     const { need } = unit;
@@ -462,8 +462,8 @@
 const isBefore = (a: ServedAt, b: ServedAt): boolean =>
   a.share < b.share || (a.share === b.share && a.rank < b.rank);
 
-/** Returns a team's next evicted unit to its machines, unless it was preempted. */
-const returnNext = (team: QueueTeam, run: EvictedRun): void => {
+/** Restores a team's next evicted unit to its machines, unless it was preempted. */
+const restoreNext = (team: QueueTeam, run: EvictedRun): void => {
   if (!run.isPreempted(run.next)) add(team.used, run.sizeOf(run.next));
   run.next++;
 };
--- a/packages/controller/src/scheduler/draft.ts
+++ b/packages/controller/src/scheduler/draft.ts
@@ -245,14 +245,15 @@
 
 /** Returns the tasks of a start on its first machines, as many as fit into `maxBytes`. */
 const firstTasks = (start: Start, maxBytes: number): Start['on'] => {
-  const on = new Map<string, number[]>();
-  let bytesLeft = maxBytes - sizeOf(start.job.spec.id, { start: { attempt: start.attempt, on } });
+  const tasksByMachine = new Map<string, number[]>();
+  let bytesLeft =
+    maxBytes - sizeOf(start.job.spec.id, { start: { attempt: start.attempt, on: tasksByMachine } });
   for (const [machine, tasks] of start.on) {
     bytesLeft -= JSON.stringify(machine).length + JSON.stringify(encodeRanges(tasks)).length + 2;
     if (bytesLeft < 0) break;
-    on.set(machine, tasks);
+    tasksByMachine.set(machine, tasks);
   }
-  return on;
+  return tasksByMachine;
 };
 
 /** Returns the exits that the worker registry has observed and no log entry records yet. */
--- a/packages/controller/src/scheduler/evicted-run.ts
+++ b/packages/controller/src/scheduler/evicted-run.ts
@@ -1,6 +1,6 @@
 /**
- * The evicted tasks of one team and urgency, in the order in which they return to their machines. Each cycle evicts
- * thousands of tasks and nearly all of them just return, so tasks and sizes are kept in arrays; a unit object is created
+ * The evicted tasks of one team and urgency, in the order in which the refill restores them to their machines. Each
+ * cycle evicts thousands of tasks and restores nearly all of them, so tasks and sizes are kept in arrays; a unit object is created
  * only when a search considers preempting the task.
  */
 import type { Job } from '../jobs/model.js';
@@ -20,8 +20,8 @@
     super(run.team, job, members, need, size);
   }
 
-  /** Whether the unit has returned to its machines: its resources then count as used by its team. */
-  get returned(): boolean {
+  /** Whether the unit has been restored to its machines: its resources then count as used by its team. */
+  get restored(): boolean {
     return this.index < this.run.next;
   }
 
@@ -35,7 +35,7 @@
 /** The evicted units of one team and urgency. */
 export class EvictedRun {
   readonly kind = 'evicted';
-  /** Index of the next unit to return. */
+  /** Index of the next unit to restore. */
   next = 0;
   /** Whether any unit has been preempted. */
   anyPreempted = false;
--- a/packages/controller/src/scheduler/eviction.ts
+++ b/packages/controller/src/scheduler/eviction.ts
@@ -43,8 +43,8 @@
   /** Index of the next item. */
   next: number;
   /**
-   * The position furthest back in the order of teams (share and rank) at which a team was served since evicted tasks of this
-   * team last returned. This team's evicted tasks that come before that position should have returned by now.
+   * The last position in the order of teams (share and rank) at which a team was served since evicted units of this team were
+   * last restored. This team's evicted units that come before that position are to be restored.
    */
   servedBefore: { share: number; rank: number };
 }
@@ -198,7 +198,7 @@
       const machine = this.machines.get(placed.machine);
       add(team.held, need);
       if (machine !== undefined) add(machine.free, need, -1);
-      if (eviction.zoneRules) this.noteZone(placed);
+      if (eviction.zoneRules) this.recordZone(placed);
       if (placed.leaving) {
         if (machine !== undefined) add(machine.terminating, need);
         add(team.used, need);
@@ -224,7 +224,7 @@
     this.gangs.push(run.addGang(job, members, need, size));
   }
 
-  private noteZone(placed: PlacedTask): void {
+  private recordZone(placed: PlacedTask): void {
     if (placed.zone === null) {
       this.zoneUnknown.add(placed.job);
       return;
--- a/packages/controller/src/scheduler/replica-search.ts
+++ b/packages/controller/src/scheduler/replica-search.ts
@@ -91,7 +91,7 @@
     const level = Math.max(...levels) as SearchLevel;
     const best = this.cheapest({ job, team, need: resourcesOf(job.spec), level });
     if (best === null || (best.victims.length > 0 && this.rentalIsCheaper(job, best.cost))) return null;
-    this.noteFetch(best.machine, job.spec.image);
+    this.recordFetch(best.machine, job.spec.image);
     return {
       machines: [best.machine],
       victims: best.victims.length === 0 ? NO_VICTIMS : new Set(best.victims),
@@ -139,7 +139,7 @@
     return servingCost(option, this.lending.due(job)) < cost;
   }
 
-  private noteFetch(machine: MachineState, image: string): void {
+  private recordFetch(machine: MachineState, image: string): void {
     const images = this.fetching.get(machine);
     if (images) images.add(image);
     else this.fetching.set(machine, new Set([image]));
--- a/packages/controller/src/scheduler/reserve.ts
+++ b/packages/controller/src/scheduler/reserve.ts
@@ -1,7 +1,7 @@
 /**
  * Reserves machines for a starving gang that does not fit anywhere: in the zone with the most slots for the gang now, the
  * machines are withheld from work that is not more urgent. Otherwise smaller gangs would fill the slots one by one, and less
- * urgent work that soon would be preempted again. Work that finishes before the gang could begin, even if its estimate is
+ * urgent work would start there only to be preempted soon. Work that finishes before the gang could begin, even if its estimate is
  * wrong by half, may use reserved machines. Reservations are made anew in each cycle, for one gang at a time, and are not
  * durable.
  */
--- a/packages/controller/src/scheduler/run-cycle.ts
+++ b/packages/controller/src/scheduler/run-cycle.ts
@@ -26,7 +26,7 @@
   coLocatedDemandOf,
   placedTasksOf,
   lendingViewOf,
-  nodesOf,
+  reportedMachines,
   queuedJobsOf,
   teamWeightsOf,
 } from './cycle-input.js';
@@ -115,7 +115,8 @@
 
 /**
  * Updates the worker registry for the time passed since the last cycle: expired leases, jobs suspected to be faulty,
- * quarantined and recalled machines, and orders to stop that an earlier leader did not send to all tasks.
+ * quarantined and recalled machines, jobs whose orphaned tasks can't be adopted, and tasks of cancelled jobs and broken gangs
+ * that are still to be stopped.
  */
 const updateRegistry = (context: CycleContext, now: Micros) =>
   Effect.gen(function* () {
@@ -147,7 +148,7 @@
 /** Builds the input of the cycle at `now`; stores the parts that other tasks of the leader need in `state`. */
 const gatherInput = (context: CycleContext, state: CycleState, now: Micros): CycleInput => {
   const queued = context.mayStart() ? queuedJobsOf(context, now) : [];
-  const machines = nodesOf(context, now);
+  const machines = reportedMachines(context, now);
   const placedTasks = placedTasksOf(context, now);
   state.idleNodes = idleNodesOf(machines, placedTasks, queued);
   state.coLocatedDemand = coLocatedDemandOf(context, now);
@@ -179,7 +180,10 @@
   return result;
 };
 
-/** Stops the tasks whose GPUs a service borrows. The loans are durable: every reader of the store knows of a loan before its tasks stop. */
+/**
+ * Stops the tasks whose GPUs a service borrows. Their loans are durable, so that every reader of the store knows of a loan
+ * before any of its tasks stops.
+ */
 const preemptForLoans = (context: CycleContext, preemptions: readonly Preemption[]) =>
   Effect.gen(function* () {
     for (const preemption of preemptions) preempt(context, preemption, context.clock());
--- a/packages/controller/src/scheduler/start-waits.ts
+++ b/packages/controller/src/scheduler/start-waits.ts
@@ -5,7 +5,7 @@
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import type { Job } from '../jobs/model.js';
 
-/** Waiting time after which a job is overdue; a start takes a cycle, its log entry and the machine's next heartbeat in addition. */
+/** Waiting time after which a job is overdue. A start then takes a cycle, its log entry and the machine's next heartbeat. */
 const OVERDUE_AGE = seconds(70);
 
 /** Waiting times of jobs that have tasks to start. */
--- a/packages/controller/test/support/plain-cycle.ts
+++ b/packages/controller/test/support/plain-cycle.ts
@@ -265,8 +265,8 @@
     const need = resourcesOf(job.spec);
     for (const victim of choice.victims) {
       if (victim.preempted) continue;
-      // The resources of a unit that has returned to its machines were counted as used by its team.
-      if (returned.has(victim)) add(victim.team.used, victim.size, -1);
+      // The resources of a restored unit were counted as used by its team.
+      if (restored.has(victim)) add(victim.team.used, victim.size, -1);
       (victim.team as PlainTeamState).share = null;
       preempt(victim, job);
     }
@@ -304,8 +304,8 @@
       }
     }
   };
-  /** Evicted units that have returned to their machines. */
-  const returned = new Set<EvictedUnit>();
+  /** Evicted units that were restored to their machines. */
+  const restored = new Set<EvictedUnit>();
   /** Number of placements (starts of a job on one machine) so far. */
   let placements = 0;
 
@@ -430,7 +430,8 @@
     }
   }
 
-  // Refill.
+  // Refill: serves the team with the smallest share, restoring evicted units and placing waiting items in the order of its
+  // queue.
   for (;;) {
     let team: PlainTeamState | null = null;
     let smallestShare = Number.POSITIVE_INFINITY;
@@ -454,7 +455,7 @@
       team.next++;
       if (item.unit.preempted) continue;
       add(team.used, item.unit.size);
-      returned.add(item.unit);
+      restored.add(item.unit);
       continue;
     }
     if (placements >= (input.maxPlacements ?? Number.POSITIVE_INFINITY)) {
