--- a/packages/controller/src/scheduler/cluster-capacity.ts
+++ b/packages/controller/src/scheduler/cluster-capacity.ts
@@ -90,8 +90,11 @@
  * freed by preemption (2).
  */
 export type SearchLevel = 0 | 1 | 2;
+/** Levels of a search for most jobs. */
 export const WITH_PREEMPTION: readonly SearchLevel[] = [0, 1, 2];
+/** Levels of a search for tasks for which others were preempted before. */
 export const WITHOUT_PREEMPTION: readonly SearchLevel[] = [0, 1];
+/** Level of a search for jobs that are suspected to be faulty. */
 export const FREE_ONLY: readonly SearchLevel[] = [0];
 /** Searches machines for `count` tasks of a job, level by level; null if the tasks don't fit at any of the levels. */
 export type PlacementSearch = (
--- a/packages/controller/src/scheduler/cycle-input.ts
+++ b/packages/controller/src/scheduler/cycle-input.ts
@@ -77,8 +77,8 @@
       }
       // The log entry that records the exit also records the starts on the freed resources.
       if (current.exits !== undefined && hasExited(current.exits, task)) return;
-      const leaving = unconfirmed || current.terminating || (anyStopping && registry.stopping.has(key));
-      placedTasks.push(new PlacedTaskView(job, task, machineId, zone, leaving, key, now, registry));
+      const terminating = unconfirmed || current.terminating || (anyStopping && registry.stopping.has(key));
+      placedTasks.push(new PlacedTaskView(job, task, machineId, zone, terminating, key, now, registry));
     });
   }
   return placedTasks;
--- a/packages/controller/src/scheduler/cycle.ts
+++ b/packages/controller/src/scheduler/cycle.ts
@@ -285,7 +285,7 @@
 
   /** Places the next task or gang of the item. Returns whether the item has tasks left that may be placed in this cycle. */
   private serve(team: QueueTeam, item: QueuedItem): boolean {
-    const { job, tasks, cautious } = item.queued;
+    const { job, tasks, cautious: suspect } = item.queued;
     const group = nextTasks(item);
     const limited = this.overLimit(team, item.size);
     const failureKey = this.failureKey(item);
@@ -295,7 +295,7 @@
       limited || knownToFail
         ? null
         : (this.sameMachineAsLast(item, job) ??
-          this.search(job, team, group.length, cautious ? FREE_ONLY : WITH_PREEMPTION));
+          this.search(job, team, group.length, suspect ? FREE_ONLY : WITH_PREEMPTION));
     if (this.place(team, item, group, choice)) return item.nextTask < tasks.length;
     // A team at its limit says nothing about free resources, and more machines would not help it.
     if (!limited) this.recordUnplaced(team, item, failureKey);
@@ -318,10 +318,10 @@
 
   /** Returns a key that is equal for items whose searches fail alike; null if the search depends on the job itself. */
   private failureKey(item: QueuedItem): string | null {
-    const { job, cautious } = item.queued;
+    const { job, cautious: suspect } = item.queued;
     const { spec } = job;
     const gang = isGang(job);
-    if (cautious || this.overdue.has(job)) return null;
+    if (suspect || this.overdue.has(job)) return null;
     // A gang that failed on machines avoids them.
     if (gang && this.input.avoid(job) !== null) return null;
     if (this.input.lending !== undefined && mayBorrow(spec)) return null;
--- a/packages/controller/src/scheduler/eviction.ts
+++ b/packages/controller/src/scheduler/eviction.ts
@@ -34,6 +34,7 @@
   /** Whether all tasks were placed before the refill, on resources reserved by an earlier cycle. */
   finished: boolean;
 }
+/** An item of a team's queue. */
 export type Item = EvictedRun | QueuedItem;
 
 /** A team with its queue. */
--- a/packages/controller/src/scheduler/model.ts
+++ b/packages/controller/src/scheduler/model.ts
@@ -7,6 +7,7 @@
 /** CPUs, GPUs and memory in GB. */
 export type Resources = [number, number, number];
 
+/** Returns the resources of one task, or of a machine. */
 export const resourcesOf = (source: { cpus: number; gpus: number; memGb: number }): Resources => [
   source.cpus,
   source.gpus,
--- a/packages/controller/src/scheduler/team-order.ts
+++ b/packages/controller/src/scheduler/team-order.ts
@@ -16,6 +16,7 @@
 const isBefore = (a: OrderedTeam, b: OrderedTeam): boolean =>
   a.share < b.share || (a.share === b.share && a.rank < b.rank);
 
+/** The teams with waiting items, ordered by share. */
 export class TeamOrder<T extends OrderedTeam> {
   private readonly heap: T[] = [];
 
--- a/packages/controller/test/scheduler.test.ts
+++ b/packages/controller/test/scheduler.test.ts
@@ -26,20 +26,20 @@
   open: true,
   ...overrides,
 });
-const queuedJob = (queued: Job, rank = 0, cautious = false): QueuedJob => ({
+const queuedJob = (queued: Job, rank = 0, suspect = false): QueuedJob => ({
   job: queued,
   rank,
-  cautious,
-  mayRent: !cautious,
+  cautious: suspect,
+  mayRent: !suspect,
   starving: false,
   tasks: Array.from({ length: queued.spec.tasks }, (_, task) => task),
 });
-const placedTask = (placed: Job, machine: string, task = 0, leaving = false): PlacedTask => ({
+const placedTask = (placed: Job, machine: string, task = 0, terminating = false): PlacedTask => ({
   job: placed,
   task,
   machine,
   zone: 'a',
-  leaving,
+  leaving: terminating,
   loss: ZERO,
   left: ZERO,
 });
@@ -71,7 +71,7 @@
 /** A cluster with up to six machines; `runs` is the number of jobs that run before the cycle under test. */
 const arbitraryState = fc.record({
   jobs: fc.tuple(...Array.from({ length: 14 }, (_, i) => arbitraryJob(i))),
-  nodes: fc.array(
+  machines: fc.array(
     fc.record({ zone: fc.constantFrom('a', 'b'), gpu: fc.boolean(), spot: fc.boolean(), open: fc.boolean() }),
     { minLength: 1, maxLength: 6 },
   ),
@@ -90,7 +90,7 @@
 
 /** Creates the input of a cycle. A first cycle starts some of the jobs, so that the placed tasks are consistent. */
 const inputOf = (state: typeof arbitraryState extends fc.Arbitrary<infer T> ? T : never): CycleInput => {
-  const machines = state.nodes.map((machine, i) =>
+  const machines = state.machines.map((machine, i) =>
     machineOf(`vm-${i}`, {
       zone: machine.zone,
       spot: machine.spot,
@@ -131,7 +131,7 @@
     }));
   return input({
     teams,
-    nodes: machines.map((machine, i) => ({ ...machine, open: state.nodes[i]!.open })),
+    nodes: machines.map((machine, i) => ({ ...machine, open: state.machines[i]!.open })),
     placedTasks,
     queued: waiting,
   });
@@ -142,7 +142,7 @@
   const seen = { free: 0, preemptions: 0, unplaced: 0 };
   fc.assert(
     fc.property(arbitraryState, fc.boolean(), fc.nat({ max: 5 }), (state, withDemand, avoided) => {
-      const cycle = {
+      const cycle: CycleInput = {
         ...inputOf(state),
         coLocatedDemand: withDemand ? coLocatedDemand : [],
         idleNodes: new Set([`vm-${avoided}`]),
@@ -164,7 +164,7 @@
 const arbitraryShortTasks = fc.record({
   teams: fc.integer({ min: 2, max: 9 }),
   machines: fc.integer({ min: 2, max: 12 }),
-  placed: fc.array(fc.record({ job: fc.nat(19), leaving: fc.boolean(), machine: fc.nat(11) }), {
+  placed: fc.array(fc.record({ job: fc.nat(19), terminating: fc.boolean(), machine: fc.nat(11) }), {
     maxLength: 90,
   }),
   jobs: fc.array(
@@ -204,7 +204,7 @@
       const machines = Array.from({ length: state.machines }, (_, i) =>
         machineOf(`vm-${i}`, { zone: i % 2 === 0 ? 'a' : 'b', open: i % 5 !== 4 }),
       );
-      const placedTasks: PlacedTask[] = state.placed.flatMap((placement) => {
+      const placedTasks: PlacedTask[] = state.placed.flatMap((placement): PlacedTask[] => {
         const owner = jobs[placement.job]!;
         const task = owner.placed.size;
         if (task >= owner.spec.tasks || (owner.spec.shape === 'gang' && state.jobs[placement.job]!.waits))
@@ -214,7 +214,7 @@
         const zone = placement.machine === 11 ? null : machine.zone;
         return [
           {
-            ...placedTask(owner, machine.id, task, placement.leaving && placement.job % 3 === 0),
+            ...placedTask(owner, machine.id, task, placement.terminating && placement.job % 3 === 0),
             zone,
             left: seconds(task),
           },
@@ -261,7 +261,7 @@
   // The other states have GPU machines, services and avoided machines.
   fc.assert(
     fc.property(arbitraryState, fc.nat({ max: 5 }), (state, avoided) => {
-      const cycle = {
+      const cycle: CycleInput = {
         ...inputOf(state),
         coLocatedDemand,
         idleNodes: new Set([`vm-${avoided}`]),
@@ -392,10 +392,14 @@
 test('a job preempts the least urgent tasks first, and none of its own urgency', () => {
   const low = job('job-1', { cpus: 8, urgency: 0 });
   const normal = job('job-2', { cpus: 8, urgency: 1 });
-  const nodes = [machineOf('m0'), machineOf('m1')];
+  const machines = [machineOf('m0'), machineOf('m1')];
   const placedTasks = [placedTask(low, 'm0'), placedTask(normal, 'm1')];
   const urgent = schedule(
-    input({ nodes, placedTasks, queued: [queuedJob(job('job-3', { cpus: 8, urgency: 2, team: 'blue' }))] }),
+    input({
+      nodes: machines,
+      placedTasks,
+      queued: [queuedJob(job('job-3', { cpus: 8, urgency: 2, team: 'blue' }))],
+    }),
   );
   assert.deepEqual(
     urgent.preemptions.map((preemption) => preemption.job.spec.id),
@@ -403,7 +407,11 @@
   );
   assert.equal(urgent.starts.length, 0, 'a task is started on resources that a stopping task still holds');
   const sameUrgency = schedule(
-    input({ nodes, placedTasks, queued: [queuedJob(job('job-3', { cpus: 8, urgency: 0, team: 'blue' }))] }),
+    input({
+      nodes: machines,
+      placedTasks,
+      queued: [queuedJob(job('job-3', { cpus: 8, urgency: 0, team: 'blue' }))],
+    }),
   );
   assert.equal(sameUrgency.preemptions.length, 0);
   assert.deepEqual(
@@ -413,13 +421,13 @@
 });
 
 test('a job waits for the resources of a terminating task instead of preempting another one', () => {
-  const nodes = [machineOf('m0'), machineOf('m1')];
+  const machines = [machineOf('m0'), machineOf('m1')];
   const placedTasks = [
     placedTask(job('job-1', { cpus: 8 }), 'm0', 0, true),
     placedTask(job('job-2', { cpus: 8 }), 'm1'),
   ];
   const result = schedule(
-    input({ nodes, placedTasks, queued: [queuedJob(job('job-3', { cpus: 8, urgency: 3 }))] }),
+    input({ nodes: machines, placedTasks, queued: [queuedJob(job('job-3', { cpus: 8, urgency: 3 }))] }),
   );
   assert.equal(result.preemptions.length, 0);
   assert.equal(result.starts.length, 0);
@@ -443,12 +451,20 @@
 // Without this rule, CPU tasks fill GPU machines while GPU jobs wait that may not preempt tasks of their own urgency.
 test('a task without GPUs leaves the CPUs and memory that free GPUs need', () => {
   const coLocatedDemand = [{ urgency: 0, cpusPerGpu: 3, memPerGpu: 1, waiting: true, patience: ZERO }];
-  const nodes = [machineOf('m', { type: 'g4', total: [8, 2, 32] })];
+  const machines = [machineOf('m', { type: 'g4', total: [8, 2, 32] })];
   const gpuTask = placedTask(job('job-0', { cpus: 3, gpus: 1 }), 'm');
   const cpuJob = (overrides: Partial<JobSpec>) => [queuedJob(job('job-1', { tasks: 8, ...overrides }))];
   const started = (overrides: Partial<CycleInput>, spec: Partial<JobSpec> = {}) =>
     startedTasks(
-      schedule(input({ nodes, coLocatedDemand, placedTasks: [gpuTask], queued: cpuJob(spec), ...overrides })),
+      schedule(
+        input({
+          nodes: machines,
+          coLocatedDemand,
+          placedTasks: [gpuTask],
+          queued: cpuJob(spec),
+          ...overrides,
+        }),
+      ),
       'job-1',
     );
   assert.equal(started({}), 2);
@@ -463,20 +479,26 @@
 
 // A new leader knows of tasks on machines that have not sent a heartbeat yet: these tasks count for the zone rules.
 test('zone rules count tasks on machines that have not reported', () => {
-  const nodes = [machineOf('m', { zone: 'b' })];
+  const machines = [machineOf('m', { zone: 'b' })];
   const oneZone = job('job-1', { tasks: 4, oneZone: true });
   const waiting = [{ ...queuedJob(oneZone), tasks: [1, 2, 3] }];
   const startedWith = (zone: string | null) =>
     startedTasks(
       schedule(
-        input({ nodes, placedTasks: [{ ...placedTask(oneZone, 'unreported'), zone }], queued: waiting }),
+        input({
+          nodes: machines,
+          placedTasks: [{ ...placedTask(oneZone, 'unreported'), zone }],
+          queued: waiting,
+        }),
       ),
       'job-1',
     );
   assert.deepEqual([startedWith('a'), startedWith(null), startedWith('b')], [0, 0, 3]);
   const spread = job('job-2', { tasks: 4, spread: true });
   const placedTasks = [0, 1].map((task) => ({ ...placedTask(spread, 'unreported', task), zone: 'b' }));
-  const result = schedule(input({ nodes, placedTasks, queued: [{ ...queuedJob(spread), tasks: [2, 3] }] }));
+  const result = schedule(
+    input({ nodes: machines, placedTasks, queued: [{ ...queuedJob(spread), tasks: [2, 3] }] }),
+  );
   assert.equal(startedTasks(result, 'job-2'), 0);
 });
 
@@ -485,8 +507,8 @@
 test('resources freed by preemption go to the job for which the tasks were preempted', () => {
   const gang = job('job-1', { urgency: 1, shape: 'gang', tasks: 2, cpus: 6 });
   const array = job('job-2', { team: 'blue', tasks: 4, cpus: 6 });
-  const nodes = ['m', 'n', 'o'].map((id) => machineOf(id));
-  const placedTasks = nodes.map((machine, i) => placedTask(array, machine.id, i));
+  const machines = ['m', 'n', 'o'].map((id) => machineOf(id));
+  const placedTasks = machines.map((machine, i) => placedTask(array, machine.id, i));
   for (const placed of placedTasks)
     array.placed.set(placed.task, {
       task: placed.task,
@@ -495,19 +517,19 @@
       since: 0 as Micros,
     });
   const waiting = { ...queuedJob(array), tasks: [3] };
-  const first = schedule(input({ nodes, placedTasks, queued: [queuedJob(gang), waiting] }));
+  const first = schedule(input({ nodes: machines, placedTasks, queued: [queuedJob(gang), waiting] }));
   assert.deepEqual([first.preemptions.length, first.reservations.get('job-1')], [2, 2]);
   // One preempted task has exited and the other one is being stopped; the gang's team uses more on another machine than the
   // other team.
   const [exitedOn, stoppingOn] = first.preemptions.map((preemption) => preemption.machine);
   const otherTask = placedTask(job('job-3', { urgency: 1, cpus: 8 }), 'p');
-  const next = {
-    nodes: [...nodes, machineOf('p')],
+  const next: Partial<CycleInput> = {
+    nodes: [...machines, machineOf('p')],
     placedTasks: [
       otherTask,
       ...placedTasks
         .filter((placed) => placed.machine !== exitedOn)
-        .map((placed) => ({ ...placed, leaving: placed.machine === stoppingOn })),
+        .map((placed): PlacedTask => ({ ...placed, leaving: placed.machine === stoppingOn })),
     ],
     queued: [queuedJob(gang), waiting],
   };
@@ -528,7 +550,7 @@
   const low = job('job-1', { team: 'blue', cpus: 8 });
   const urgent = job('job-2', { urgency: 2, cpus: 8 });
   low.placed.set(0, { task: 0, attempt: 1, machine: 'm', since: 0 as Micros });
-  const full = { nodes: [machineOf('m')], placedTasks: [placedTask(low, 'm')] };
+  const full: Partial<CycleInput> = { nodes: [machineOf('m')], placedTasks: [placedTask(low, 'm')] };
   assert.equal(schedule(input({ ...full, queued: [queuedJob(urgent)] })).preemptions.length, 1);
   const suspect = schedule(input({ ...full, queued: [queuedJob(urgent, 0, true)] }));
   assert.deepEqual([suspect.starts, suspect.preemptions, suspect.unplaced], [[], [], []]);
@@ -543,8 +565,8 @@
 });
 
 test('several hundred tasks of one array are placed on all machines, and the rest is unplaced', () => {
-  const nodes = Array.from({ length: 48 }, (_, i) => machineOf(`m${i}`));
-  const result = schedule(input({ nodes, queued: [queuedJob(job('job-1', { tasks: 400 }))] }));
+  const machines = Array.from({ length: 48 }, (_, i) => machineOf(`m${i}`));
+  const result = schedule(input({ nodes: machines, queued: [queuedJob(job('job-1', { tasks: 400 }))] }));
   assert.equal(startedTasks(result, 'job-1'), 384);
   assert.deepEqual(
     result.unplaced.map((item) => item.count),
@@ -554,35 +576,43 @@
 
 // One GPU task on each of many GPU machines, with low-urgency CPU tasks beside it, would keep all of them rented forever.
 test('GPU machines in excess of the demand are chosen last, so that they become idle', () => {
-  const nodes = Array.from({ length: 5 }, (_, i) => machineOf(`m${i}`, { type: 'g4', total: [8, 2, 32] }));
+  const machines = Array.from({ length: 5 }, (_, i) => machineOf(`m${i}`, { type: 'g4', total: [8, 2, 32] }));
   const gpuTask = (machine: string) => placedTask(job('job-1', { gpus: 1, tasks: 5 }), machine);
   const placedTasks = [gpuTask('m0'), gpuTask('m1'), gpuTask('m2')];
-  const idleNodes = idleNodesOf(nodes, placedTasks, []);
-  assert.deepEqual([...idleNodes].sort(), ['m2', 'm3', 'm4']);
-  assert.equal(idleNodesOf(nodes, placedTasks, [queuedJob(job('job-2', { gpus: 1, tasks: 6 }))]).size, 0);
+  const idle = idleNodesOf(machines, placedTasks, []);
+  assert.deepEqual([...idle].sort(), ['m2', 'm3', 'm4']);
+  assert.equal(idleNodesOf(machines, placedTasks, [queuedJob(job('job-2', { gpus: 1, tasks: 6 }))]).size, 0);
   const result = schedule(
     input({
-      nodes,
+      nodes: machines,
       placedTasks,
-      idleNodes: idleNodes,
+      idleNodes: idle,
       queued: [queuedJob(job('job-3', { gpus: 1, urgency: 1 }))],
     }),
   );
-  assert.ok(!idleNodes.has([...result.starts[0]!.on.keys()][0]!));
+  assert.ok(!idle.has([...result.starts[0]!.on.keys()][0]!));
 });
 
 // If late jobs kept their positions, each late job would make the next one late.
 test('a job past its deadline is ranked behind jobs that can still meet theirs', () => {
-  const s = (time: number): Micros => (time * 1e6) as Micros;
-  const late = job('job-1', { submitted: s(0), deadline: s(100) });
-  const inTime = job('job-2', { submitted: s(90), deadline: s(100), tasks: 9, estimate: s(20) });
+  const timeOf = (second: number): Micros => (second * 1e6) as Micros;
+  const late = job('job-1', { submitted: timeOf(0), deadline: timeOf(100) });
+  const inTime = job('job-2', {
+    submitted: timeOf(90),
+    deadline: timeOf(100),
+    tasks: 9,
+    estimate: timeOf(20),
+  });
   assert.ok(
-    rankOf(late, s(50), deadlineObjective(1)) < rankOf(inTime, s(50), deadlineObjective(1)),
+    rankOf(late, timeOf(50), deadlineObjective(1)) < rankOf(inTime, timeOf(50), deadlineObjective(1)),
     'before the deadlines, the job with the least remaining work is first',
   );
-  assert.ok(rankOf(late, s(101), deadlineObjective(1)) > rankOf(inTime, s(101), deadlineObjective(1)));
   assert.ok(
-    rankOf(late, s(101), deadlineObjective(1, 1.75)) < rankOf(late, s(176), deadlineObjective(1, 1.75)),
+    rankOf(late, timeOf(101), deadlineObjective(1)) > rankOf(inTime, timeOf(101), deadlineObjective(1)),
+  );
+  assert.ok(
+    rankOf(late, timeOf(101), deadlineObjective(1, 1.75)) <
+      rankOf(late, timeOf(176), deadlineObjective(1, 1.75)),
   );
 });
 
@@ -608,9 +638,13 @@
 
 // A fifth of the tiny jobs of 150 s lost their work on spot machines, some of them twice.
 test('long tasks without checkpoints avoid spot machines, and other jobs that may use them prefer them', () => {
-  const nodes = [machineOf('m'), machineOf('s', { spot: true })];
+  const machines = [machineOf('m'), machineOf('s', { spot: true })];
   const chosenMachine = (overrides: Partial<JobSpec>): string =>
-    [...schedule(input({ nodes, queued: [queuedJob(job('job-1', overrides))] })).starts[0]!.on.keys()][0]!;
+    [
+      ...schedule(
+        input({ nodes: machines, queued: [queuedJob(job('job-1', overrides))] }),
+      ).starts[0]!.on.keys(),
+    ][0]!;
   assert.equal(chosenMachine({ estimate: seconds(20) }), 's');
   assert.equal(chosenMachine({ estimate: seconds(150) }), 'm');
   assert.equal(chosenMachine({ estimate: seconds(150), checkpoint: seconds(15) }), 's');
@@ -619,33 +653,38 @@
 
 // With an order by remaining work alone, the largest jobs of a class began last on large days, after up to 15 minutes.
 test('the largest jobs of a class go first after a wait, until they cannot begin in time any more', () => {
-  const s = (time: number): Micros => seconds(1000 + time);
+  const timeOf = (second: number): Micros => seconds(1000 + second);
   const none = { cpus: 0, gpus: 0 };
-  const large = job('job-1', { tasks: 80, estimate: seconds(90), submitted: s(0), deadline: seconds(240) });
-  const young = job('job-2', { estimate: seconds(1), submitted: s(100), deadline: seconds(240) });
+  const large = job('job-1', {
+    tasks: 80,
+    estimate: seconds(90),
+    submitted: timeOf(0),
+    deadline: seconds(240),
+  });
+  const young = job('job-2', { estimate: seconds(1), submitted: timeOf(100), deadline: seconds(240) });
   const rank = (ranked: Job, day: Micros, limit = none): number =>
     rankOf(ranked, day, deadlineObjective(1, 1.5), false, starvingFrom(ranked, day, limit, 100));
   assert.ok(
-    rank(large, s(164)) > rank(young, s(164)),
+    rank(large, timeOf(164)) > rank(young, timeOf(164)),
     'before it is starving, the large job is ranked by its remaining work',
   );
-  assert.ok(rank(large, s(166)) < rank(young, s(166)));
+  assert.ok(rank(large, timeOf(166)) < rank(young, timeOf(166)));
   assert.ok(
-    rank(large, s(241)) > rank(young, s(241)),
+    rank(large, timeOf(241)) > rank(young, timeOf(241)),
     'a job that cannot begin in time does not delay others',
   );
   // A job that has begun is ranked by its remaining work. A job has begun with as many tasks as the team's limit allows.
   for (let i = 0; i < 20; i++) large.placed.set(i, { task: i, attempt: 1, machine: 'm', since: ZERO });
-  assert.ok(rank(large, s(166)) < rank(young, s(166)));
-  assert.ok(rank(large, s(166), { cpus: 20, gpus: 0 }) > rank(young, s(166)));
+  assert.ok(rank(large, timeOf(166)) < rank(young, timeOf(166)));
+  assert.ok(rank(large, timeOf(166), { cpus: 20, gpus: 0 }) > rank(young, timeOf(166)));
   const huge = { ...large, spec: { ...large.spec, tasks: 101 } };
   assert.ok(
-    rank(huge, s(166)) > rank(young, s(166)),
+    rank(huge, timeOf(166)) > rank(young, timeOf(166)),
     'a job with more tasks than can be placed at a time does not delay others',
   );
-  const suspect = rankOf(large, s(166), deadlineObjective(1), true, s(120));
+  const suspect = rankOf(large, timeOf(166), deadlineObjective(1), true, timeOf(120));
   assert.ok(
-    suspect > rank(job('job-4', { submitted: s(9) }), s(900)),
+    suspect > rank(job('job-4', { submitted: timeOf(9) }), timeOf(900)),
     'a starving job suspected to be faulty is still ranked last',
   );
   // The largest jobs of a class are those within a tenth of the greatest, and at least five. A new leader sees unfinished
@@ -682,15 +721,15 @@
   const urgent = job('job-6', { urgency: 2, team: 'blue', cpus: 8, estimate: seconds(90) });
   other.placed.set(0, { task: 0, attempt: 1, machine: 'm2', since: ZERO });
   // The task on m2 finishes in about a minute. The other zone has one machine only, and the gang needs two.
-  const nodes = [machineOf('m1'), machineOf('m2'), machineOf('m3', { zone: 'b' })];
+  const machines = [machineOf('m1'), machineOf('m2'), machineOf('m3', { zone: 'b' })];
   const running: PlacedTask = { ...placedTask(other, 'm2'), left: seconds(60) };
-  const placements = (next: Job, starving = true, machines = nodes): string[] => {
+  const placements = (next: Job, starving = true, available = machines): string[] => {
     const first = { ...queuedJob(large), starving };
     // With this weight the other team is served after the gang's team.
     const weights = new Map([['blue', 0.01]]);
     const result = schedule(
       input({
-        nodes: machines,
+        nodes: available,
         placedTasks: [running],
         queued: [first, queuedJob(next, 1)],
         weights,
@@ -707,11 +746,11 @@
   );
   assert.deepEqual(placements(small), ['job-3 m3'], 'the small gang is placed in the other zone');
   assert.deepEqual(
-    placements(small, true, nodes.slice(0, 2)),
+    placements(small, true, machines.slice(0, 2)),
     [],
     'the small gang waits if there is no machine elsewhere',
   );
-  const oneZone = nodes.slice(0, 2);
+  const oneZone = machines.slice(0, 2);
   assert.deepEqual(
     placements(low, true, oneZone),
     [],
@@ -719,7 +758,7 @@
   );
   assert.deepEqual(placements(urgent, true, oneZone), ['job-6 m1'], 'a more urgent job is not delayed');
   assert.deepEqual(
-    placements(short, true, nodes.slice(0, 2)),
+    placements(short, true, machines.slice(0, 2)),
     ['job-4 m1'],
     'a job that finishes before the gang can begin is not delayed',
   );
@@ -735,10 +774,10 @@
   const gpuDemand = { urgency: 1, cpusPerGpu: 2, memPerGpu: 2, patience: 0 as Micros };
   const started = (overdue: boolean, waiting: boolean): number => {
     const array = job('job-1', { cpus: 1, memGb: 1, tasks: 4, urgency: 0, estimate: 60e6 as Micros });
-    const nodes = [machineOf('m1', { type: 'g4', total: [8, 4, 64] })];
+    const machines = [machineOf('m1', { type: 'g4', total: [8, 4, 64] })];
     const coLocatedDemand = [{ ...gpuDemand, waiting }];
     return startedTasks(
-      schedule(input({ nodes, queued: [{ ...queuedJob(array), overdue }], coLocatedDemand })),
+      schedule(input({ nodes: machines, queued: [{ ...queuedJob(array), overdue }], coLocatedDemand })),
       'job-1',
     );
   };
--- a/packages/controller/test/support/plain-cycle.ts
+++ b/packages/controller/test/support/plain-cycle.ts
@@ -368,14 +368,14 @@
 
   /** Places the next task or gang of the item. Returns whether the item has tasks left that may be placed in this cycle. */
   const serve = (team: PlainTeamState, item: QueuedItem): boolean => {
-    const { job, tasks, cautious, mayRent } = item.queued;
+    const { job, tasks, cautious: suspect, mayRent } = item.queued;
     const gang = job.spec.shape === 'gang';
     const group = nextTasks(item);
     const { spec } = job;
     // Equal for items whose searches fail alike; empty if the search depends on the job itself, such as that of a suspect job,
     // which only uses free resources, or of a gang that avoids machines where it failed.
     const failureKey =
-      cautious ||
+      suspect ||
       overdue.has(job) ||
       (gang && input.avoid(job) !== null) ||
       (input.lending !== undefined && mayBorrow(spec))
@@ -398,7 +398,7 @@
       (failureKey !== '' && group.length >= (unplaceable.get(failureKey) ?? Number.POSITIVE_INFINITY))
         ? null
         : (sameMachineAsLast(item, job) ??
-          findMachines(job, team, group.length, cautious ? FREE_ONLY : WITH_PREEMPTION));
+          findMachines(job, team, group.length, suspect ? FREE_ONLY : WITH_PREEMPTION));
     if (!place(team, item, group, choice)) {
       if (failureKey !== '' && !limited)
         unplaceable.set(
