--- a/packages/controller/src/accounts/booking.ts
+++ b/packages/controller/src/accounts/booking.ts
@@ -1,4 +1,4 @@
-/** What the leader's next log entry says for the accounts: prepared before it is drafted, as of the log entry's time of day. */
+/** Collects the usage that the leader's next log entry books, as of the time of day of that entry. */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Job } from '../jobs/model.js';
 import { borrowedBy } from '../lending/loans.js';
@@ -9,22 +9,24 @@
 import { type UsageSources, totalCapacity, UsageRows } from './usage-rows.js';
 
 /**
- * Whether a replica ran on lent capacity: loans are of the job, so they are taken to be of the replicas that were started last,
- * as many as what is lent when it ends suffices for.
+ * Whether a replica runs on lent GPUs. A loan belongs to the job and not to one replica, so the lent GPUs are attributed to
+ * the replicas that were started last, to as many as the GPUs that are still lent when the replica ends cover.
  */
 export const onLentCapacity = (job: Job, task: number): boolean => {
   const borrowed = borrowedBy(job);
-  const p = job.placed.get(task);
-  if (borrowed === 0 || p === undefined) return false;
-  let later = 0;
-  for (const q of job.placed.values())
-    if (q.since > p.since || (q.since === p.since && q.task > task)) later++;
-  return later * Math.round(job.spec.gpus * 1000) < borrowed;
+  const placement = job.placed.get(task);
+  if (borrowed === 0 || placement === undefined) return false;
+  let startedLater = 0;
+  for (const other of job.placed.values())
+    if (other.since > placement.since || (other.since === placement.since && other.task > task))
+      startedLater++;
+  return startedLater * Math.round(job.spec.gpus * 1000) < borrowed;
 };
 
+/** The accounts' content of one log entry that is being drafted. */
 export class Booking {
   readonly usageRows: UsageRows;
-  /** What stands open where a period ends, before the log entry's own ends and starts. */
+  /** Usage of the placements that are running when a period ends, before the log entry's own exits and starts. */
   private open: Rows = new Map();
 
   constructor(
@@ -33,19 +35,19 @@
   ) {
     const { registry, leaderTerm, clock, dayTime } = context;
     const [now, day] = [clock(), dayTime()];
-    const dayOf = (c: Micros): Micros => (day - (now - c)) as Micros;
-    const books: UsageSources = {
+    const dayOf = (clockTime: Micros): Micros => (day - (now - clockTime)) as Micros;
+    const sources: UsageSources = {
       phases: registry.phases,
       kindOf: (id) => registry.kindOf(id),
-      types: new Map(context.types().map((k) => [k.name, k])),
+      types: new Map(context.types().map((type) => [type.name, type])),
       onLentCapacity: onLentCapacity,
       termFrom: dayOf(leaderTerm.began),
       dayTimeOf: dayOf,
     };
-    this.usageRows = new UsageRows(books, at);
+    this.usageRows = new UsageRows(sources, at);
   }
 
-  /** The log entry that says so is committed. */
+  /** Called once the log entry with this usage is committed: keeps what the page of the closed period needs. */
   committed(usage: Usage): void {
     const { context } = this;
     if (usage.closes === null) return;
@@ -55,12 +57,12 @@
     });
   }
 
-  /** What the head of the log entry says. */
+  /** Returns the usage for the header of the log entry. */
   usage(): Usage {
     const { context, at } = this;
     const { accounts } = context.jobState;
     const minute = (at - (at % MINUTE)) as Micros;
-    const types = new Map(context.types().map((k) => [k.name, k]));
+    const types = new Map(context.types().map((type) => [type.name, type]));
     const closes = minute > accounts.closed ? minute : null;
     if (closes !== null)
       this.open = openPlacementsAt(context.jobState, closes, (id) => context.registry.kindOf(id), types);
--- a/packages/controller/src/accounts/codec.ts
+++ b/packages/controller/src/accounts/codec.ts
@@ -1,6 +1,6 @@
-/** Durable forms of accounts: a log entry's part in its head, the checkpoint, pages. Amounts are hexadecimal text. */
+/** Stored forms of the accounts: their fields of a log entry's header, the checkpoint, and the rows of pages. Amounts are hexadecimal text. */
 import type { Micros } from '@lilacvalve/runtime/micros';
-import { compact } from './fold.js';
+import { mergeSmallGroups } from './fold.js';
 import {
   type Accounts,
   type Amounts,
@@ -17,7 +17,7 @@
   type UsageRow,
   SPLITS,
   UNITS,
-  WIDTH,
+  AMOUNTS_LENGTH,
 } from './model.js';
 
 type WireUsage = [
@@ -30,71 +30,78 @@
   rate: number,
   ...us: number[],
 ];
-/** The members of a log entry's header that are the accounts'. */
+/** Fields of a log entry's header that belong to the accounts. */
 export interface StoredUsage {
   readonly s?: readonly WireUsage[];
   readonly p?: number;
   readonly b?: readonly [...room: [number, number, number], shut: 0 | 1];
 }
 
-const wireRow = (r: UsageRow): WireUsage => {
-  const us = [...r.us];
+const encodeUsageRow = (row: UsageRow): WireUsage => {
+  const us = [...row.us];
   while (us.length > 0 && us[us.length - 1] === 0) us.pop();
-  return [...r.group, ...r.shape, r.rate, ...us];
+  return [...row.group, ...row.shape, row.rate, ...us];
 };
-/** Bytes of a row in a log entry, with the sign after it. */
-export const bytesOfRow = (r: UsageRow): number => JSON.stringify(wireRow(r)).length + 1;
-/** Bytes of a row in a log entry, at the most. */
-export const rowBytes = (group: Group): number => JSON.stringify(group).length + 130;
+/** Bytes that a row takes in a log entry, including the comma that follows it. */
+export const rowByteLength = (row: UsageRow): number => JSON.stringify(encodeUsageRow(row)).length + 1;
+/** Maximum number of bytes that a row of this group takes in a log entry. */
+export const maxRowBytes = (group: Group): number => JSON.stringify(group).length + 130;
 
-export const encodeUsage = (s: Usage): StoredUsage => ({
-  ...(s.rows.length > 0 ? { s: s.rows.map(wireRow) } : {}),
-  ...(s.closes === null ? {} : { p: s.closes }),
-  ...(s.bound === null ? {} : { b: [...s.bound.room, s.bound.shut ? 1 : 0] as const }),
+export const encodeUsage = (usage: Usage): StoredUsage => ({
+  ...(usage.rows.length > 0 ? { s: usage.rows.map(encodeUsageRow) } : {}),
+  ...(usage.closes === null ? {} : { p: usage.closes }),
+  ...(usage.bound === null ? {} : { b: [...usage.bound.room, usage.bound.shut ? 1 : 0] as const }),
 });
 
-/** Throws on what `encodeUsage` can't have written. */
-export const decodeUsage = (v: StoredUsage): Usage => {
-  if (v.s === undefined && v.p === undefined && v.b === undefined) return NO_USAGE;
+/** Throws on values that `encodeUsage` cannot have written. */
+export const decodeUsage = (stored: StoredUsage): Usage => {
+  if (stored.s === undefined && stored.p === undefined && stored.b === undefined) return NO_USAGE;
   return {
-    rows: (v.s ?? []).map(([team, jobClass, kind, cpus, gpus, mem, rate, ...us]) => {
-      if (![cpus, gpus, mem, rate, ...us].every(Number.isSafeInteger)) throw new Error('not an account row');
+    rows: (stored.s ?? []).map(([team, jobClass, kind, cpus, gpus, mem, rate, ...us]) => {
+      if (![cpus, gpus, mem, rate, ...us].every(Number.isSafeInteger))
+        throw new Error(`account row of team ${team}, class ${jobClass}: expected only safe integers`);
       return { group: [team, jobClass, kind], shape: [cpus, gpus, mem], rate, us };
     }),
-    closes: v.p === undefined ? null : (v.p as Micros),
-    bound: v.b === undefined ? null : { room: [v.b[0], v.b[1], v.b[2]], shut: v.b[3] === 1 },
+    closes: stored.p === undefined ? null : (stored.p as Micros),
+    bound:
+      stored.b === undefined
+        ? null
+        : { room: [stored.b[0], stored.b[1], stored.b[2]], shut: stored.b[3] === 1 },
   };
 };
 
-/** One letter for each split. */
+/** The stored letter of each category, in the order of `SPLITS`. */
 const LETTERS = 'urgflxn';
 
-const hex = (n: bigint): string => (n < 0n ? `-${(-n).toString(16)}` : n.toString(16));
-const unhex = (text: string): bigint =>
+const toHex = (value: bigint): string => (value < 0n ? `-${(-value).toString(16)}` : value.toString(16));
+const fromHex = (text: string): bigint =>
   text.startsWith('-') ? -BigInt(`0x${text.slice(1)}`) : BigInt(`0x${text}`);
 
-/** `u3e8.7d0.0.1f4,f...,$2a`: what is zero is left out. */
-export const encodeAmounts = (a: Amounts): string => {
+/** Encodes amounts as in `u3e8.7d0.0.1f4,f...,$2a`. Categories and costs that are zero are left out. */
+export const encodeAmounts = (amounts: Amounts): string => {
   const out: string[] = [];
-  SPLITS.forEach((_, s) => {
-    const part = a.slice(s * UNITS.length, (s + 1) * UNITS.length);
-    if (part.some((x) => x !== 0n)) out.push(LETTERS[s]! + part.map(hex).join('.'));
+  SPLITS.forEach((_, split) => {
+    const values = amounts.slice(split * UNITS.length, (split + 1) * UNITS.length);
+    if (values.some((value) => value !== 0n)) out.push(LETTERS[split]! + values.map(toHex).join('.'));
   });
-  if (a[MONEY] !== 0n) out.push(`$${hex(a[MONEY]!)}`);
+  if (amounts[MONEY] !== 0n) out.push(`$${toHex(amounts[MONEY]!)}`);
   return out.join();
 };
 export const decodeAmounts = (text: string): Amounts => {
-  const out = Array.from({ length: WIDTH }, () => 0n);
-  for (const part of text === '' ? [] : text.split(',')) {
-    const rest = part.slice(1);
-    if (part.startsWith('$')) {
-      out[MONEY] = unhex(rest);
+  const out = Array.from({ length: AMOUNTS_LENGTH }, () => 0n);
+  for (const item of text === '' ? [] : text.split(',')) {
+    const rest = item.slice(1);
+    if (item.startsWith('$')) {
+      out[MONEY] = fromHex(rest);
       continue;
     }
-    const s = LETTERS.indexOf(part[0]!);
-    const numbers = rest.split('.');
-    if (s < 0 || numbers.length !== UNITS.length) throw new Error('not amounts');
-    numbers.forEach((n, u) => (out[s * UNITS.length + u] = unhex(n)));
+    const split = LETTERS.indexOf(item[0]!);
+    const values = rest.split('.');
+    if (split < 0 || values.length !== UNITS.length)
+      throw new Error(
+        `stored amounts: expected a category letter and ${UNITS.length} numbers, found "${item}"`,
+      );
+    values.forEach((value, unit) => (out[split * UNITS.length + unit] = fromHex(value)));
   }
   return out;
 };
@@ -102,23 +109,28 @@
 export type StoredRow = readonly [team: string, jobClass: string, kind: string, amounts: string];
 export const encodeRows = (rows: Rows): StoredRow[] =>
   [...rows]
-    .sort(([a], [b]) => (a < b ? -1 : 1))
-    .map(([key, a]) => [...groupOf(key), encodeAmounts(a)] as const);
+    .sort(([keyA], [keyB]) => (keyA < keyB ? -1 : 1))
+    .map(([key, amounts]) => [...groupOf(key), encodeAmounts(amounts)] as const);
 export const decodeRows = (rows: readonly StoredRow[]): Map<string, Amounts> =>
-  new Map(rows.map(([team, jobClass, kind, a]) => [groupKey([team, jobClass, kind]), decodeAmounts(a)]));
+  new Map(
+    rows.map(([team, jobClass, kind, amounts]) => [groupKey([team, jobClass, kind]), decodeAmounts(amounts)]),
+  );
 
-/** `items` in groups of at most `bytes` of JSON. At least one group, perhaps empty. */
+/**
+ * Splits `items` into chunks of at most `bytes` of JSON; an item that is larger has a chunk of its own. `first`: bytes that
+ * are already used in the first chunk. Returns at least one chunk, which may be empty.
+ */
 export const chunks = <A>(items: readonly A[], first: number, bytes: number): A[][] => {
   const out: A[][] = [[]];
   let size = first;
   for (const item of items) {
-    const n = JSON.stringify(item).length + 1;
-    if (size + n > bytes && out[out.length - 1]!.length > 0) {
+    const itemBytes = JSON.stringify(item).length + 1;
+    if (size + itemBytes > bytes && out[out.length - 1]!.length > 0) {
       out.push([]);
       size = 0;
     }
     out[out.length - 1]!.push(item);
-    size += n;
+    size += itemBytes;
   }
   return out;
 };
@@ -132,7 +144,14 @@
   open: 0 | 1,
   room: CapacityBound | null,
 ];
-const encodeGap = (g: Gap): StoredGap => [g.why, g.from, g.to, ...g.seqs, g.open ? 1 : 0, g.room];
+const encodeGap = (gap: Gap): StoredGap => [
+  gap.why,
+  gap.from,
+  gap.to,
+  ...gap.seqs,
+  gap.open ? 1 : 0,
+  gap.room,
+];
 const decodeGap = ([why, from, to, first, last, open, room]: StoredGap): Gap => ({
   why,
   from: from as Micros,
@@ -142,64 +161,72 @@
   room,
 });
 
-/** The checkpoint's first value; the rows of all lists stand one after the other, in it and in its parts. */
+/** First value of the checkpoint. The rows of all lists follow one another, in this value and in the further ones. */
 interface StoredHead {
   readonly l: number;
   readonly g: number;
   readonly t: number;
   readonly c: number;
-  /** Periods without a page: from, to. */
+  /** Periods whose page is not written yet: from, to. */
   readonly q: readonly (readonly [number, number])[];
   readonly x: readonly StoredGap[];
-  /** How many values there are. */
+  /** Number of values of the checkpoint. */
   readonly n: number;
   readonly r: readonly ListedRow[];
 }
-/** With the list it is of: 0 all, 1 since the last period, from 2 on the periods without a page. */
+/** A row with the list it belongs to: 0 all usage, 1 usage since the last period, 2 and up the periods whose page is not written yet. */
 type ListedRow = readonly [list: number, ...row: StoredRow];
-interface StoredPart {
+/** A further value of the checkpoint. `g`: the last log entry included, by which the values of one checkpoint are matched. */
+interface StoredContinuation {
   readonly g: number;
   readonly r: readonly ListedRow[];
 }
 
-/** Values that a checkpoint may take: they are written in one transaction, which has 64 KiB. */
-const PARTS = 4;
+/** Maximum number of values of a checkpoint: they are written in one transaction, which is limited to 64 KiB. */
+const MAX_VALUES = 4;
 
-/** The checkpoint as values, the first one's key first, each at most `bytes` long. Rows that find no room are joined. */
-export const encodeAccounts = (a: Accounts, bytes: number): unknown[] => {
+/**
+ * Encodes the checkpoint as values of at most `bytes` each, the one for the first key first. Small groups are merged until
+ * the rows fit.
+ */
+export const encodeAccounts = (accounts: Accounts, bytes: number): unknown[] => {
   const limit = Math.min(bytes, 12 * 1024);
   const head = (n: number, r: readonly ListedRow[]): StoredHead => ({
-    l: a.life,
-    g: a.upTo,
-    t: a.at,
-    c: a.closed,
-    q: a.pending.map((p) => [p.from, p.to]),
-    x: a.gaps.map(encodeGap),
+    l: accounts.life,
+    g: accounts.upTo,
+    t: accounts.at,
+    c: accounts.closed,
+    q: accounts.pending.map((period) => [period.from, period.to]),
+    x: accounts.gaps.map(encodeGap),
     n,
     r,
   });
-  const lists = [a.rows, a.current, ...a.pending.map((p) => p.rows)];
-  for (let most = 4096; ; most = Math.floor(most * 0.8)) {
+  const lists = [accounts.rows, accounts.current, ...accounts.pending.map((period) => period.rows)];
+  for (let maxGroups = 4096; ; maxGroups = Math.floor(maxGroups * 0.8)) {
     const rows = lists.flatMap((list, i) =>
-      encodeRows(compact(list, most)).map((r): ListedRow => [i, ...r] as const),
+      encodeRows(mergeSmallGroups(list, maxGroups)).map((row): ListedRow => [i, ...row] as const),
     );
-    const parts = chunks(rows, JSON.stringify(head(1, [])).length + 10, limit);
-    if (parts.length > PARTS && most > 1) continue;
-    const [first, ...rest] = parts;
-    return [head(parts.length, first!), ...rest.map((r): StoredPart => ({ g: a.upTo, r }))];
+    const rowsByValue = chunks(rows, JSON.stringify(head(1, [])).length + 10, limit);
+    if (rowsByValue.length > MAX_VALUES && maxGroups > 1) continue;
+    const [first, ...rest] = rowsByValue;
+    return [
+      head(rowsByValue.length, first!),
+      ...rest.map((r): StoredContinuation => ({ g: accounts.upTo, r })),
+    ];
   }
 };
 
-/** null: a part is missing, or of another checkpoint. Throws on what was never written. */
+/** Returns null if a value of the checkpoint is missing or belongs to another checkpoint. Throws on values that were never written. */
 export const decodeAccounts = (values: readonly unknown[]): Accounts | null => {
   const head = values[0] as StoredHead | undefined;
   if (head === undefined) return null;
-  if (![head.l, head.g, head.t, head.c, head.n].every(Number.isSafeInteger)) throw new Error('not accounts');
-  const parts = values.slice(1, head.n) as (StoredPart | undefined)[];
-  if (parts.length < head.n - 1 || parts.some((p) => p?.g !== head.g)) return null;
-  const rows = [...head.r, ...parts.flatMap((p) => p!.r)];
-  const list = (i: number): Map<string, Amounts> =>
-    decodeRows(rows.filter(([of]) => of === i).map(([, ...row]) => row));
+  if (![head.l, head.g, head.t, head.c, head.n].every(Number.isSafeInteger))
+    throw new Error('accounts checkpoint: expected safe integers in l, g, t, c and n');
+  const continuations = values.slice(1, head.n) as (StoredContinuation | undefined)[];
+  if (continuations.length < head.n - 1 || continuations.some((value) => value?.g !== head.g)) return null;
+  const rows = [...head.r, ...continuations.flatMap((value) => value!.r)];
+  const list = (index: number): Map<string, Amounts> =>
+    decodeRows(rows.filter(([of]) => of === index).map(([, ...row]) => row));
   return {
     life: head.l,
     upTo: head.g,
--- a/packages/controller/src/accounts/fold.ts
+++ b/packages/controller/src/accounts/fold.ts
@@ -1,16 +1,16 @@
-/** Folds log entries into accounts: pure, in the log entries' order, the same on every controller. */
+/** Aggregates log entries into accounts. Pure functions, applied in log order, with the same result on every controller. */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import {
   type Accounts,
   type Amounts,
   type Gap,
-  GAPS_KEPT,
+  MAX_GAPS,
   type Group,
   groupKey,
   groupOf,
   MONEY,
-  OTHERS,
-  PENDING_KEPT,
+  MERGED,
+  MAX_PENDING_PERIODS,
   type Period,
   type CapacityBound,
   type Rows,
@@ -18,91 +18,93 @@
   type UsageRow,
   SPLITS,
   UNITS,
-  WIDTH,
+  AMOUNTS_LENGTH,
 } from './model.js';
 
-export const NONE: Amounts = Array.from({ length: WIDTH }, () => 0n);
+export const NONE: Amounts = Array.from({ length: AMOUNTS_LENGTH }, () => 0n);
 const UNSURE = SPLITS.indexOf('unsure');
 
-export const addAmounts = (a: Amounts, b: Amounts): Amounts => a.map((x, i) => x + b[i]!);
-export const subtract = (a: Amounts, b: Amounts): Amounts => a.map((x, i) => x - b[i]!);
-const isNone = (a: Amounts): boolean => a.every((x) => x === 0n);
+export const addAmounts = (a: Amounts, b: Amounts): Amounts => a.map((value, i) => value + b[i]!);
+export const subtractAmounts = (a: Amounts, b: Amounts): Amounts => a.map((value, i) => value - b[i]!);
+const isZero = (amounts: Amounts): boolean => amounts.every((value) => value === 0n);
 
-/** Microseconds times units pass 2^53 within days: they are multiplied and kept as big integers. */
-export const amountsOf = (r: UsageRow): Amounts => {
+/** Returns the amounts of a row. Microseconds times units exceed 2^53 within days, so the products are big integers. */
+export const amountsOf = (row: UsageRow): Amounts => {
   const out = [...NONE];
-  const each = [1n, ...r.shape.map(BigInt)];
-  let placed = 0n;
-  SPLITS.forEach((_, s) => {
-    const us = BigInt(r.us[s] ?? 0);
+  const perTask = [1n, ...row.shape.map(BigInt)];
+  let placedUs = 0n;
+  SPLITS.forEach((_, split) => {
+    const us = BigInt(row.us[split] ?? 0);
     if (us === 0n) return;
-    if (s !== UNSURE) placed += us;
-    UNITS.forEach((__, u) => (out[s * UNITS.length + u] = us * each[u]!));
+    if (split !== UNSURE) placedUs += us;
+    UNITS.forEach((__, unit) => (out[split * UNITS.length + unit] = us * perTask[unit]!));
   });
-  out[MONEY] = placed * BigInt(r.rate);
+  out[MONEY] = placedUs * BigInt(row.rate);
   return out;
 };
 
-const addTo = (rows: Map<string, Amounts>, key: string, a: Amounts): void => {
+const addTo = (rows: Map<string, Amounts>, key: string, amounts: Amounts): void => {
   const old = rows.get(key);
-  rows.set(key, old === undefined ? a : addAmounts(old, a));
+  rows.set(key, old === undefined ? amounts : addAmounts(old, amounts));
 };
 
+/** Returns the sums of several sets of rows, by group. */
 export const joinRows = (...all: readonly Rows[]): Rows => {
   const [first, ...rest] = all;
   const out = new Map(first);
-  for (const rows of rest) for (const [key, a] of rows) addTo(out, key, a);
+  for (const rows of rest) for (const [key, amounts] of rows) addTo(out, key, amounts);
   return out;
 };
-/** `a` without `b`; groups of which nothing is left are left out. */
+/** Returns `a` minus `b`, without the groups whose amounts are all zero. */
 export const subtractRows = (a: Rows, b: Rows): Rows => {
   const out = new Map(a);
-  for (const [key, x] of b) out.set(key, subtract(out.get(key) ?? NONE, x));
-  for (const [key, x] of out) if (isNone(x)) out.delete(key);
+  for (const [key, amounts] of b) out.set(key, subtractAmounts(out.get(key) ?? NONE, amounts));
+  for (const [key, amounts] of out) if (isZero(amounts)) out.delete(key);
   return out;
 };
 
 /**
- * At most `most` groups: the smallest classes of a team on a kind of machine are joined, then kinds, never teams. The
- * sum of all rows stays what it is.
+ * Reduces rows to at most `maxGroups` groups: merges the smallest classes of a team on one kind of machine, then the kinds
+ * of a team. Teams are never merged, so one group per team may remain above the limit. The sum of all rows is unchanged.
  */
-export const compact = (rows: Rows, most: number): Rows => {
-  if (rows.size <= most) return rows;
-  const size = (a: Amounts): bigint => a.reduce((n, x) => n + x, 0n);
-  const order = [...rows].sort(([ka, a], [kb, b]) => {
-    const d = size(a) - size(b);
-    return d < 0n ? -1 : d > 0n ? 1 : ka < kb ? -1 : 1;
+export const mergeSmallGroups = (rows: Rows, maxGroups: number): Rows => {
+  if (rows.size <= maxGroups) return rows;
+  const size = (amounts: Amounts): bigint => amounts.reduce((sum, value) => sum + value, 0n);
+  const order = [...rows].sort(([keyA, a], [keyB, b]) => {
+    const difference = size(a) - size(b);
+    return difference < 0n ? -1 : difference > 0n ? 1 : keyA < keyB ? -1 : 1;
   });
-  const join = (to: (g: Group) => Group): Map<string, Amounts> => {
+  const merge = (to: (group: Group) => Group): Map<string, Amounts> => {
     const out = new Map(rows);
-    for (const [key, a] of order) {
-      if (out.size <= most) break;
-      const joined = groupKey(to(groupOf(key)));
-      if (joined === key) continue;
+    for (const [key, amounts] of order) {
+      if (out.size <= maxGroups) break;
+      const mergedKey = groupKey(to(groupOf(key)));
+      if (mergedKey === key) continue;
       out.delete(key);
-      addTo(out, joined, a);
+      addTo(out, mergedKey, amounts);
     }
     return out;
   };
-  const byClass = join(([team, , kind]) => [team, OTHERS, kind]);
-  return byClass.size <= most ? byClass : join(([team]) => [team, OTHERS, OTHERS]);
+  const byClass = merge(([team, , kind]) => [team, MERGED, kind]);
+  return byClass.size <= maxGroups ? byClass : merge(([team]) => [team, MERGED, MERGED]);
 };
 
-/** All groups' sum. */
+/** Returns the sum over all groups. */
 export const total = (rows: Rows): Amounts => {
   let out = NONE;
-  for (const a of rows.values()) out = addAmounts(out, a);
+  for (const amounts of rows.values()) out = addAmounts(out, amounts);
   return out;
 };
 
 const maxBound = (a: CapacityBound | null, b: CapacityBound): CapacityBound =>
   a === null ? b : [Math.max(a[0], b[0]), Math.max(a[1], b[1]), Math.max(a[2], b[2])];
 
+/** Returns the gaps with `gap` added; the two oldest are merged if there are more than `MAX_GAPS`. */
 export const addGap = (gaps: readonly Gap[], gap: Gap): readonly Gap[] => {
   const all = [...gaps, gap];
-  if (all.length <= GAPS_KEPT) return all;
+  if (all.length <= MAX_GAPS) return all;
   const [a, b, ...rest] = all as [Gap, Gap, ...Gap[]];
-  const joined: Gap = {
+  const merged: Gap = {
     why: 'several',
     from: Math.min(a.from, b.from) as Micros,
     to: Math.max(a.to, b.to) as Micros,
@@ -110,44 +112,65 @@
     room: a.room !== null && b.room !== null ? maxBound(a.room, b.room) : (a.room ?? b.room),
     open: a.open || b.open,
   };
-  return [joined, ...rest];
+  return [merged, ...rest];
 };
 
-/** Whether a log entry should say how much room there is (`Usage.bound`). */
-export const needsCapacityBound = (a: Accounts): boolean => a.gaps.some((g) => g.open || g.room === null);
+/** Whether the next log entry should state the capacity of all machines (`Usage.bound`). */
+export const needsCapacityBound = (accounts: Accounts): boolean =>
+  accounts.gaps.some((gap) => gap.open || gap.room === null);
 
+/** Extends the open gaps to `at`, and applies the capacity that a log entry states to the gaps that need it. */
 const boundGaps = (gaps: readonly Gap[], at: Micros, bound: Usage['bound']): readonly Gap[] =>
-  gaps.map((g) => {
-    if (!g.open && (g.room !== null || bound === null)) return g;
+  gaps.map((gap) => {
+    if (!gap.open && (gap.room !== null || bound === null)) return gap;
     return {
-      ...g,
-      to: g.open ? (Math.max(g.to, at) as Micros) : g.to,
-      room: bound === null ? g.room : g.open || g.room === null ? maxBound(g.room, bound.room) : g.room,
-      open: g.open && bound?.shut !== true,
+      ...gap,
+      to: gap.open ? (Math.max(gap.to, at) as Micros) : gap.to,
+      room:
+        bound === null ? gap.room : gap.open || gap.room === null ? maxBound(gap.room, bound.room) : gap.room,
+      open: gap.open && bound?.shut !== true,
     };
   });
 
-export const addPending = (pending: readonly Period[], p: Period): readonly Period[] => {
-  const all = [...pending, p];
-  if (all.length <= PENDING_KEPT) return all;
+/** Returns the periods with `period` added; the two oldest are merged if there are more than `MAX_PENDING_PERIODS`. */
+export const addPending = (pending: readonly Period[], period: Period): readonly Period[] => {
+  const all = [...pending, period];
+  if (all.length <= MAX_PENDING_PERIODS) return all;
   const [a, b, ...rest] = all as [Period, Period, ...Period[]];
   return [{ from: a.from, to: b.to, rows: joinRows(a.rows, b.rows) }, ...rest];
 };
 
-/** The accounts with one log entry more. `at`: its time of day; 0: it has none. Log entries already in them change nothing. */
-export const foldLogEntry = (a: Accounts, seq: number, at: Micros, usage: Usage): Accounts => {
-  if (seq <= a.upTo) return a;
-  let { gaps, pending, current, closed } = a;
-  const now = at === 0 ? a.at : at;
-  if (seq > a.upTo + 1) {
-    const why = a.upTo === 0 ? 'before' : 'records';
-    gaps = addGap(gaps, { why, from: a.at, to: now, seqs: [a.upTo + 1, seq - 1], room: null, open: false });
+/**
+ * Returns the accounts with one more log entry applied. `at`: time of day of the entry; 0: it has none. A log entry that the
+ * accounts already include changes nothing.
+ */
+export const foldLogEntry = (accounts: Accounts, seq: number, at: Micros, usage: Usage): Accounts => {
+  if (seq <= accounts.upTo) return accounts;
+  let { gaps, pending, current, closed } = accounts;
+  const now = at === 0 ? accounts.at : at;
+  if (seq > accounts.upTo + 1) {
+    const why = accounts.upTo === 0 ? 'before' : 'records';
+    gaps = addGap(gaps, {
+      why,
+      from: accounts.at,
+      to: now,
+      seqs: [accounts.upTo + 1, seq - 1],
+      room: null,
+      open: false,
+    });
   }
   if (at === 0)
-    gaps = addGap(gaps, { why: 'untimed', from: a.at, to: a.at, seqs: [seq, seq], room: null, open: true });
+    gaps = addGap(gaps, {
+      why: 'untimed',
+      from: accounts.at,
+      to: accounts.at,
+      seqs: [seq, seq],
+      room: null,
+      open: true,
+    });
   else {
-    // What can't be read ends where the next log entry begins to be.
-    gaps = gaps.map((g) => (g.why === 'untimed' && g.open ? { ...g, to: at, open: false } : g));
+    // The gap of an unreadable log entry ends at the next log entry that has a time of day.
+    gaps = gaps.map((gap) => (gap.why === 'untimed' && gap.open ? { ...gap, to: at, open: false } : gap));
     gaps = boundGaps(gaps, at, usage.bound);
   }
   if (usage.closes !== null && usage.closes > closed) {
@@ -156,25 +179,26 @@
     closed = usage.closes;
   }
   const { rows: usageRows } = usage;
-  if (usageRows.length === 0) return { ...a, upTo: seq, at: now, gaps, pending, current, closed };
-  const rows = new Map(a.rows);
-  const cur = new Map(current);
-  for (const r of usageRows) {
-    const key = groupKey(r.group);
-    const amounts = amountsOf(r);
+  if (usageRows.length === 0) return { ...accounts, upTo: seq, at: now, gaps, pending, current, closed };
+  const rows = new Map(accounts.rows);
+  const newCurrent = new Map(current);
+  for (const row of usageRows) {
+    const key = groupKey(row.group);
+    const amounts = amountsOf(row);
     addTo(rows, key, amounts);
-    addTo(cur, key, amounts);
+    addTo(newCurrent, key, amounts);
   }
-  return { ...a, upTo: seq, at: now, rows, current: cur, closed, pending, gaps };
+  return { ...accounts, upTo: seq, at: now, rows, current: newCurrent, closed, pending, gaps };
 };
 
-/** The later of two views of the accounts: within a life each is the beginning of one history. */
+/** Returns the later of two views of the accounts. With the same `life`, one view is always a continuation of the other. */
 const laterOf = (a: Accounts, b: Accounts): Accounts =>
   b.life > a.life || (b.life === a.life && b.upTo > a.upTo) ? b : a;
 
 /**
- * What a rebuild writes back: the latest of the views. `whole`: somebody among them knew every log entry. Else what comes
- * after the view is a gap, that stands open until nothing from before can be running any more.
+ * Returns the accounts that a rebuild of the store writes back: the latest of the controllers' views. `whole`: one of the
+ * views included every log entry. Otherwise the time after the latest view becomes a gap, which stays open until no task
+ * from before the data loss can still be running.
  */
 export const joinAccounts = (
   views: readonly Accounts[],
--- a/packages/controller/src/accounts/ledger.ts
+++ b/packages/controller/src/accounts/ledger.ts
@@ -1,4 +1,4 @@
-/** What a leader gathers in its leadership term for the next pages. Nothing of it is durable before its page is. */
+/** What a leader gathers during its term for the next pages of the accounts. It is kept in memory until the page is written. */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { JobState } from '../jobs/job-state.js';
 import { addAmounts, amountsOf } from './fold.js';
@@ -7,7 +7,10 @@
 import { kindName, type KindOf, rateOf } from './usage-rows.js';
 import type { MachineType } from '../provisioning/model.js';
 
-/** What is placed now, from its start until `at`, under the split `unknown`: what the time was is known at its end. */
+/**
+ * Returns the usage of the placements that have not ended, from the start of each until `at`. All of it is in the category
+ * `unknown`, because a placement's time is split into categories only when it ends.
+ */
 export const openPlacementsAt = (
   jobState: JobState,
   at: Micros,
@@ -15,25 +18,34 @@
   types: ReadonlyMap<string, MachineType>,
 ): Rows => {
   const out = new Map<string, Amounts>();
-  const split = SPLITS.indexOf('unknown');
+  const unknownIndex = SPLITS.indexOf('unknown');
   for (const job of jobState.jobs.values()) {
     const { spec } = job;
-    const shape = [spec.cpus, spec.gpus, spec.memGb].map((x) => Math.round(x * 1000)) as [
+    const shape = [spec.cpus, spec.gpus, spec.memGb].map((amount) => Math.round(amount * 1000)) as [
       number,
       number,
       number,
     ];
-    const us = new Map<string, number>();
-    for (const p of job.placed.values())
-      if (p.since > 0 && p.since < at) us.set(p.machine, (us.get(p.machine) ?? 0) + (at - p.since));
-    for (const [machine, n] of us) {
+    const usByMachine = new Map<string, number>();
+    for (const placement of job.placed.values())
+      if (placement.since > 0 && placement.since < at)
+        usByMachine.set(
+          placement.machine,
+          (usByMachine.get(placement.machine) ?? 0) + (at - placement.since),
+        );
+    for (const [machine, openUs] of usByMachine) {
       const kind = kindOf(machine);
       const rate = kind === null ? 0 : rateOf(job, types.get(kind.type), kind.spot);
       const group = [spec.team, spec.jobClass, kindName(kind)] as const;
-      const a = amountsOf({ group, shape, rate, us: SPLITS.map((_, i) => (i === split ? n : 0)) });
+      const amounts = amountsOf({
+        group,
+        shape,
+        rate,
+        us: SPLITS.map((_, i) => (i === unknownIndex ? openUs : 0)),
+      });
       const key = groupKey(group);
       const old = out.get(key);
-      out.set(key, old === undefined ? a : addAmounts(old, a));
+      out.set(key, old === undefined ? amounts : addAmounts(old, amounts));
     }
   }
   return out;
@@ -41,11 +53,11 @@
 
 export class Ledger {
   readonly share = new ShareRecorder();
-  /** null: it is off, as always in `run`. */
+  /** null: the balance between teams is off, which is the default. */
   readonly balance: Balance | null;
-  /** By the end of a period: what stood open then, and who waited in it as far as this leader saw. */
+  /** By the end of a closed period: usage of the placements that were open then, and the shares that this leader recorded. */
   readonly closing = new Map<Micros, { readonly open: Rows; readonly shares: Shares }>();
-  /** When pages were last looked through for those that are to be joined. */
+  /** Clock time of the last search for pages to join. */
   joinedAt = Number.NEGATIVE_INFINITY;
 
   constructor(halfLife: Micros | null = null) {
--- a/packages/controller/src/accounts/model.ts
+++ b/packages/controller/src/accounts/model.ts
@@ -1,107 +1,122 @@
 /**
- * Accounts of machine time: what is booked, for whom, and what is known to be missing (docs/accounts.md). All amounts are
- * integers: microseconds of placement times whole units (tasks, thousandths of a CPU, of a GPU, of a GB of memory).
+ * Data model of the accounts of machine time: the usage that is booked for each team, and the gaps in which usage is known
+ * to be missing (docs/accounts.md). All amounts are integers: microseconds of placement time multiplied by whole units
+ * (tasks, or thousandths of a CPU, of a GPU or of a GB of memory).
  */
 import type { Micros } from '@lilacvalve/runtime/micros';
 
 /**
- * What the time of a placement was: running what need not be run again; running what must be run again after a loss;
- * waiting for the other members of a gang; on its way and fetching the image; running on lent capacity; not known, because
- * another leader saw it; and `unsure`: an upper bound where it is not known since when it was placed, part of no sum.
+ * Categories into which the time of a placement is split:
+ * - `useful`: the task ran, and that work need not be repeated;
+ * - `repeated`: the task ran, but the work was lost and must be repeated;
+ * - `gathering`: the task waited for the other members of its gang;
+ * - `fetching`: the start order was on its way to the worker, or the worker fetched the image;
+ * - `lent`: the task ran on GPUs that were lent to its job;
+ * - `unknown`: the phase is not known, because another leader observed it;
+ * - `unsure`: an upper bound for a placement whose start time is not known; it is part of no sum.
  */
 export const SPLITS = ['useful', 'repeated', 'gathering', 'fetching', 'lent', 'unknown', 'unsure'] as const;
 export type Split = (typeof SPLITS)[number];
-/** Of each, four amounts: tasks, CPUs, GPUs, memory. */
+/** Each category has four amounts, one per unit. */
 export const UNITS = ['tasks', 'cpus', 'gpus', 'mem'] as const;
 export type Unit = (typeof UNITS)[number];
-/** Behind them stands the money: millionths of a price unit an hour, times microseconds. */
+/** Index of the cost, which follows the amounts of all categories: millionths of a price unit per hour, times microseconds. */
 export const MONEY = SPLITS.length * UNITS.length;
-export const WIDTH = MONEY + 1;
+export const AMOUNTS_LENGTH = MONEY + 1;
 export const indexOf = (split: Split, unit: Unit): number =>
   SPLITS.indexOf(split) * UNITS.length + UNITS.indexOf(unit);
 
-/** `WIDTH` sums. Never changed once made: states share them. */
+/** `AMOUNTS_LENGTH` sums. Immutable, because several states share one array. */
 export type Amounts = readonly bigint[];
-/** Who, as a key of rows: team, class, kind of machine (`type`, or `type-spot`). */
+/** Who used which kind of machine: team, job class, and machine type (`type`, or `type-spot` for a spot machine). */
 export type Group = readonly [team: string, jobClass: string, kind: string];
-export const groupKey = (g: Group): string => JSON.stringify(g);
+export const groupKey = (group: Group): string => JSON.stringify(group);
 export const groupOf = (key: string): Group => JSON.parse(key) as unknown as Group;
+/** Amounts by group key. */
 export type Rows = ReadonlyMap<string, Amounts>;
-/** Kind of machine where nobody knows it any more. */
+/** Kind of a machine whose type is no longer known. */
 export const NO_KIND = 'unknown';
-/** Class of rows that were joined for want of room: still of their team and kind. */
-export const OTHERS = '*';
+/** Stands for the class, or for the class and the kind, of groups that were merged because there were too many. */
+export const MERGED = '*';
 
 /** Placements of one shape that ended in one log entry. */
 export interface UsageRow {
   readonly group: Group;
-  /** Thousandths of a CPU, a GPU and a GB that each of them took. */
+  /** Thousandths of a CPU, of a GPU and of a GB that each placement took. */
   readonly shape: readonly [cpus: number, gpus: number, mem: number];
-  /** Millionths of a price unit an hour that each of them cost. */
+  /** Cost of each placement, in millionths of a price unit per hour. */
   readonly rate: number;
-  /** Microseconds by split, over all of them. */
+  /** Microseconds by category, summed over the placements. */
   readonly us: readonly number[];
 }
 
-/** Room of all machines: thousandths of CPUs, GPUs, GB. */
+/** Total capacity of all machines: thousandths of CPUs, of GPUs and of GB. */
 export type CapacityBound = readonly [cpus: number, gpus: number, mem: number];
 
-/** What one log entry says for the accounts. */
+/** The usage that one log entry books. */
 export interface Usage {
   readonly rows: readonly UsageRow[];
-  /** The log entry is the first one at or after this time of day: what was booked before it is a period of its own. */
+  /**
+   * End of the period that this log entry closes, which is the first entry at or after this time of day; null: the entry
+   * closes none. Everything booked before the entry since the last period belongs to the closed period.
+   */
   readonly closes: Micros | null;
-  /** While a gap stands open: the room of all machines, and whether the gap ends with this log entry. */
+  /** While a gap is open: the capacity of all machines (`room`), and whether this log entry closes the gap (`shut`). */
   readonly bound: { readonly room: CapacityBound; readonly shut: boolean } | null;
 }
 export const NO_USAGE: Usage = { rows: [], closes: null, bound: null };
 
 /**
- * Why something is missing: `before`: there were log entries before there were accounts; `loss`: the state service lost
- * data, and nobody who knew all of it was left; `records`: log entries went without a trace; `untimed`: a log entry that can't
- * be read, or of an older version; `several`: older gaps, joined.
+ * Why usage is missing:
+ * - `before`: log entries were written before accounts were kept;
+ * - `loss`: the state service lost data, and no surviving controller had a complete view;
+ * - `records`: log entries are missing;
+ * - `untimed`: a log entry is unreadable or was written by an older version;
+ * - `several`: older gaps that were merged.
  */
 export type GapReason = 'before' | 'loss' | 'records' | 'untimed' | 'several';
 
-/** A stretch of time for which the sums may be wrong, at most by the room of all machines over it. */
+/** A time interval in which the sums may be wrong, at most by the capacity of all machines over the interval. */
 export interface Gap {
   readonly why: GapReason;
   readonly from: Micros;
   readonly to: Micros;
-  /** Sequence numbers of the log entries in question. */
+  /** Sequence numbers of the log entries whose usage is missing. */
   readonly seqs: readonly [first: number, last: number];
-  /** null: not known yet. */
+  /** Maximum capacity of all machines during the gap; null: not known yet. */
   readonly room: CapacityBound | null;
-  /** It goes on: something from before the loss may still be running that no log entry knows of. */
+  /** The gap has not ended: a task from before the loss that no log entry knows may still be running. */
   readonly open: boolean;
 }
-export const GAPS_KEPT = 24;
+/** Maximum number of gaps; the oldest ones are merged beyond it. */
+export const MAX_GAPS = 24;
 
-/** What was booked from one time of day to another. */
+/** Usage that was booked between two times of day. */
 export interface Period {
   readonly from: Micros;
   readonly to: Micros;
   readonly rows: Rows;
 }
-/** Periods that wait for their page; more than these are joined. */
-export const PENDING_KEPT = 2;
-/** Length of a period. */
+/** Maximum number of periods whose page is not written yet; the oldest ones are merged beyond it. */
+export const MAX_PENDING_PERIODS = 2;
+/** Length of a period, in microseconds. */
 export const MINUTE = 60_000_000;
 
-/** The accounts as of one log entry: the same on every controller that has read as far. */
+/** The accounts as of one log entry: identical on every controller that has applied the log up to that entry. */
 export interface Accounts {
-  /** Grows with each rebuild of the store. */
+  /** Increases with each rebuild of the store. */
   readonly life: number;
-  /** The last log entry in them, and its time of day. */
+  /** Sequence number of the last log entry that is included. */
   readonly upTo: number;
+  /** Time of day of that log entry. */
   readonly at: Micros;
-  /** Everything booked so far. */
+  /** All usage booked so far. */
   readonly rows: Rows;
-  /** The same since the end of the last period. */
+  /** Usage booked since the end of the last period. */
   readonly current: Rows;
-  /** End of the last period; 0: there was none. */
+  /** End of the last period; 0: no period has ended. */
   readonly closed: Micros;
-  /** Periods without a page. */
+  /** Periods whose page is not written yet. */
   readonly pending: readonly Period[];
   readonly gaps: readonly Gap[];
 }
--- a/packages/controller/src/accounts/phases.ts
+++ b/packages/controller/src/accounts/phases.ts
@@ -1,26 +1,30 @@
 /**
- * What the leader has seen of a placement: from when on it was on its way, waited for its gang, ran. Kept in the leader's
- * worker registry by task; times are the worker registry's clock.
+ * When the leader first observed each phase of a placement: fetching its image, waiting for its gang, running. Kept by task
+ * in the leader's worker registry; all times are on the registry's clock.
  */
 import type { Micros } from '@lilacvalve/runtime/micros';
 
 export type Phase = 'fetching' | 'gathering' | 'running';
 
-interface Seen {
+interface Observation {
   readonly attempt: number;
-  /** When it was first seen, and as what. */
+  /** Time of the first heartbeat that showed the placement. */
   readonly at: Micros;
+  /** The phase in that heartbeat. */
   readonly as: Phase;
-  /** When it was first seen waiting for its gang, and first seen running; null: never. */
+  /** When the task was first seen waiting for its gang; null: never. */
   gathering: Micros | null;
+  /** When the task was first seen running; null: never. */
   running: Micros | null;
-  /** All that it had done was saved when it was stopped. */
+  /** All work of the task was saved when it was stopped. */
   saved: boolean;
 }
 
-/** Boundaries of a placement's time. `known`: what was before the first of them is known to be its way and the image. */
-export interface Course {
+/** Boundaries between the phases of a placement; null: the phase was never observed. */
+export interface PhaseTimes {
+  /** The time before the first observed phase was spent on the start order's way and on fetching the image. */
   readonly known: boolean;
+  /** Time of the first observation, whatever its phase. */
   readonly first: Micros | null;
   readonly gathering: Micros | null;
   readonly running: Micros | null;
@@ -28,41 +32,41 @@
 }
 
 export class Phases {
-  private readonly seen = new Map<string, Seen>();
+  private readonly observations = new Map<string, Observation>();
 
-  /** A report shows it. */
+  /** Records that a worker's heartbeat shows the task in a phase. */
   note(key: string, attempt: number, as: Phase, at: Micros): void {
-    let s = this.seen.get(key);
-    if (s?.attempt !== attempt) {
-      s = { attempt, at, as, gathering: null, running: null, saved: false };
-      this.seen.set(key, s);
+    let observation = this.observations.get(key);
+    if (observation?.attempt !== attempt) {
+      observation = { attempt, at, as, gathering: null, running: null, saved: false };
+      this.observations.set(key, observation);
     }
-    if (as === 'gathering') s.gathering ??= at;
-    else if (as === 'running') s.running ??= at;
+    if (as === 'gathering') observation.gathering ??= at;
+    else if (as === 'running') observation.running ??= at;
   }
 
-  /** Its end is reported. */
+  /** Records that a heartbeat reports the task's exit, and whether all its work was saved. */
   ended(key: string, attempt: number, saved: boolean): void {
-    const s = this.seen.get(key);
-    if (s?.attempt === attempt) s.saved = saved;
+    const observation = this.observations.get(key);
+    if (observation?.attempt === attempt) observation.saved = saved;
   }
 
   forget(key: string): void {
-    this.seen.delete(key);
+    this.observations.delete(key);
   }
 
-  /** `own`: this leader started it, so whatever it has not seen of its beginning was its way to the machine. */
-  courseOf(key: string, attempt: number, own: boolean): Course {
-    const s = this.seen.get(key);
-    if (s?.attempt !== attempt)
+  /** `own`: this leader started the attempt, so the time before its first observation was spent on reaching the machine. */
+  timesOf(key: string, attempt: number, own: boolean): PhaseTimes {
+    const observation = this.observations.get(key);
+    if (observation?.attempt !== attempt)
       return { known: own, first: null, gathering: null, running: null, saved: false };
     return {
-      // Seen while its image was fetched: it had done nothing else before.
-      known: own || s.as === 'fetching',
-      first: s.at,
-      gathering: s.gathering,
-      running: s.running,
-      saved: s.saved,
+      // A task that was first seen while it fetched its image has been in no other phase before.
+      known: own || observation.as === 'fetching',
+      first: observation.at,
+      gathering: observation.gathering,
+      running: observation.running,
+      saved: observation.saved,
     };
   }
 }
--- a/packages/controller/src/accounts/share.ts
+++ b/packages/controller/src/accounts/share.ts
@@ -1,18 +1,26 @@
 /**
- * Who waited, and what they had of what they were entitled to. All figures are integers: milliseconds, or
- * millionths of the room of all machines (by the resource that a group takes most of) times milliseconds; a month of all
- * room is 2.7e15 and exact.
+ * Shares: how long groups of a team's jobs waited, what fair share of the cluster they were entitled to, and what they had
+ * of it. All figures are integers: milliseconds, or millionths of the capacity of all machines (of the resource of which the
+ * group takes the largest fraction) times milliseconds. A month of the whole capacity is 2.7e15, which a number still
+ * holds exactly.
  */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Job } from '../jobs/model.js';
 import type { CycleInput, CycleResult, Resources } from '../scheduler/model.js';
 import { add, fits, resourcesOf } from '../scheduler/model.js';
 
-/** Why a group that waited had less than it was entitled to. */
+/**
+ * Why a group that waited had less than it was entitled to: the team's limit (`limit`), too few free resources (`room`),
+ * free resources for single members of a gang but not for all at once (`gang`), a recent loss of capacity (`lost`), or
+ * capacity that was lent (`lent`, which no cycle assigns at present).
+ */
 export const SHORTFALL_REASONS = ['limit', 'room', 'gang', 'lost', 'lent'] as const;
 export type ShortfallReason = (typeof SHORTFALL_REASONS)[number];
 
-/** Team, class, how long it waited, what it was entitled to then, what it had, and by why what it was owed. */
+/**
+ * Team, class, milliseconds waited, what the group was entitled to and what it had while it waited, and the owed share by
+ * reason (in the order of `SHORTFALL_REASONS`).
+ */
 export type ShareRow = readonly [
   team: string,
   jobClass: string,
@@ -27,7 +35,7 @@
   readonly had: bigint;
   readonly owed: readonly bigint[];
 }
-/** By `[team, class]` as JSON. */
+/** Sums by group; the key is `[team, class]` as JSON. */
 export type Shares = ReadonlyMap<string, ShareSum>;
 
 const sumOf = ([, , waited, entitled, had, ...owed]: ShareRow): ShareSum => ({
@@ -40,53 +48,56 @@
   waited: a.waited + b.waited,
   entitled: a.entitled + b.entitled,
   had: a.had + b.had,
-  owed: a.owed.map((x, i) => x + b.owed[i]!),
+  owed: a.owed.map((value, i) => value + b.owed[i]!),
 });
 
+/** Returns the sums of rows by group. */
 export const joinShares = (rows: Iterable<ShareRow>): Shares => {
   const out = new Map<string, ShareSum>();
-  for (const r of rows) {
-    const key = JSON.stringify([r[0], r[1]]);
+  for (const row of rows) {
+    const key = JSON.stringify([row[0], row[1]]);
     const old = out.get(key);
-    out.set(key, old === undefined ? sumOf(r) : addShare(old, sumOf(r)));
+    out.set(key, old === undefined ? sumOf(row) : addShare(old, sumOf(row)));
   }
   return out;
 };
 
-/** Rows, at most `most` (or one a team): the classes that waited least are joined as class `*`. */
-export const compactShares = (shares: Shares, most: number): ShareRow[] => {
+/** Returns at most `maxRows` rows, or one per team: the classes that waited least are merged into the class `*` of their team. */
+export const compactShares = (shares: Shares, maxRows: number): ShareRow[] => {
   const out = new Map(shares);
   const order = [...shares].sort(([, a], [, b]) => (a.waited < b.waited ? -1 : 1));
-  for (const [key, s] of order) {
-    if (out.size <= most) break;
+  for (const [key, sum] of order) {
+    if (out.size <= maxRows) break;
     const [team, jobClass] = JSON.parse(key) as [string, string];
     if (jobClass === '*') continue;
-    const joined = JSON.stringify([team, '*']);
-    const old = out.get(joined);
+    const mergedKey = JSON.stringify([team, '*']);
+    const old = out.get(mergedKey);
     out.delete(key);
-    out.set(joined, old === undefined ? s : addShare(old, s));
+    out.set(mergedKey, old === undefined ? sum : addShare(old, sum));
   }
   return [...out]
-    .sort(([a], [b]) => (a < b ? -1 : 1))
-    .map(([key, s]) => {
+    .sort(([keyA], [keyB]) => (keyA < keyB ? -1 : 1))
+    .map(([key, sum]) => {
       const [team, jobClass] = JSON.parse(key) as [string, string];
-      const owed = s.owed.map(Number);
+      const owed = sum.owed.map(Number);
       while (owed.length > 0 && owed[owed.length - 1] === 0) owed.pop();
-      return [team, jobClass, Number(s.waited), Number(s.entitled), Number(s.had), ...owed];
+      return [team, jobClass, Number(sum.waited), Number(sum.entitled), Number(sum.had), ...owed];
     });
 };
 
 const PPM = 1e6;
-const dominantShare = (r: Resources, of: Resources): number => {
-  let most = 0;
-  for (let i = 0; i < 3; i++) if (of[i]! > 0) most = Math.max(most, r[i]! / of[i]!);
-  return most;
+/** Returns the largest fraction that `amounts` takes of any resource of `capacity`. */
+const dominantShare = (amounts: Resources, capacity: Resources): number => {
+  let largest = 0;
+  for (let i = 0; i < 3; i++) if (capacity[i]! > 0) largest = Math.max(largest, amounts[i]! / capacity[i]!);
+  return largest;
 };
 
+/** The share of one group of jobs that waits after a scheduling cycle. */
 export interface GroupShare {
   readonly team: string;
   readonly jobClass: string;
-  /** Parts of all room, from 0 to 1. */
+  /** `entitled`, `had` and `owed` are fractions of the capacity of all machines, from 0 to 1. */
   readonly entitled: number;
   readonly had: number;
   readonly owed: number;
@@ -94,72 +105,73 @@
 }
 
 /**
- * One cycle's outcome as shares, of the groups that wait after it. A team is entitled to its weight among the teams that
- * have or want anything, or to its guarantee if that is more, up to its limit; its waiting groups divide among them what
- * the team has less than that, by what they want.
+ * Returns the shares of the groups that still wait after a scheduling cycle. A team is entitled to the fraction that its
+ * weight has among the teams that hold or request resources, or to its guarantee if that is more, up to its limit. What the
+ * team has less than that is divided among its waiting groups in proportion to what they request.
  */
 export const sharesOf = (
   input: Pick<CycleInput, 'teams' | 'weights' | 'nodes' | 'placedTasks'>,
   result: Pick<CycleResult, 'unplaced' | 'starts' | 'free'>,
-  /** The most room that there was lately. */
-  lately: Resources,
+  /** The recent peak of the total capacity. */
+  recentPeak: Resources,
 ): GroupShare[] => {
   if (result.unplaced.length === 0) return [];
-  const all: Resources = [0, 0, 0];
-  for (const n of input.nodes) add(all, n.total);
+  const capacity: Resources = [0, 0, 0];
+  for (const node of input.nodes) add(capacity, node.total);
   const groups = new Map<
     string,
     { team: string; jobClass: string; had: Resources; want: Resources; jobs: Job[] }
   >();
   const teams = new Map<string, { had: Resources; want: Resources }>();
-  const at = (job: Job) => {
+  const sumsFor = (job: Job) => {
     const { team, jobClass } = job.spec;
     const key = JSON.stringify([team, jobClass]);
-    let g = groups.get(key);
-    if (!g) groups.set(key, (g = { team, jobClass, had: [0, 0, 0], want: [0, 0, 0], jobs: [] }));
-    let t = teams.get(team);
-    if (!t) teams.set(team, (t = { had: [0, 0, 0], want: [0, 0, 0] }));
-    return { g, t };
+    let group = groups.get(key);
+    if (!group) groups.set(key, (group = { team, jobClass, had: [0, 0, 0], want: [0, 0, 0], jobs: [] }));
+    let teamSums = teams.get(team);
+    if (!teamSums) teams.set(team, (teamSums = { had: [0, 0, 0], want: [0, 0, 0] }));
+    return { group, teamSums };
   };
-  const have = (job: Job, times: number): void => {
-    const { g, t } = at(job);
-    add(g.had, resourcesOf(job.spec), times);
-    add(t.had, resourcesOf(job.spec), times);
+  const addHeld = (job: Job, taskCount: number): void => {
+    const { group, teamSums } = sumsFor(job);
+    add(group.had, resourcesOf(job.spec), taskCount);
+    add(teamSums.had, resourcesOf(job.spec), taskCount);
   };
-  const held = new Map<Job, number>();
-  for (const h of input.placedTasks) held.set(h.job, (held.get(h.job) ?? 0) + 1);
-  for (const s of result.starts)
-    for (const tasks of s.on.values()) held.set(s.job, (held.get(s.job) ?? 0) + tasks.length);
-  for (const [job, n] of held) have(job, n);
+  const heldTasks = new Map<Job, number>();
+  for (const placed of input.placedTasks) heldTasks.set(placed.job, (heldTasks.get(placed.job) ?? 0) + 1);
+  for (const start of result.starts)
+    for (const tasks of start.on.values())
+      heldTasks.set(start.job, (heldTasks.get(start.job) ?? 0) + tasks.length);
+  for (const [job, taskCount] of heldTasks) addHeld(job, taskCount);
   for (const { job, count } of result.unplaced) {
     if (count <= 0) continue;
-    const { g, t } = at(job);
-    add(g.want, resourcesOf(job.spec), count);
-    add(t.want, resourcesOf(job.spec), count);
-    g.jobs.push(job);
+    const { group, teamSums } = sumsFor(job);
+    add(group.want, resourcesOf(job.spec), count);
+    add(teamSums.want, resourcesOf(job.spec), count);
+    group.jobs.push(job);
   }
   const weight = (team: string): number => input.weights.get(team) ?? 1;
-  const weights = [...teams.keys()].reduce((n, t) => n + weight(t), 0);
+  const weights = [...teams.keys()].reduce((sum, team) => sum + weight(team), 0);
   const out: GroupShare[] = [];
-  for (const g of groups.values()) {
-    if (g.jobs.length === 0) continue;
-    const t = teams.get(g.team)!;
-    const settings = input.teams.find((x) => x.name === g.team);
+  for (const group of groups.values()) {
+    if (group.jobs.length === 0) continue;
+    const teamSums = teams.get(group.team)!;
+    const settings = input.teams.find((team) => team.name === group.team);
     const guarantee = settings?.guarantee ?? { cpus: 0, gpus: 0 };
     const limit = settings?.limit ?? { cpus: 0, gpus: 0 };
-    const least = dominantShare([guarantee.cpus, guarantee.gpus, 0], all);
-    const most = Math.min(
+    const guaranteed = dominantShare([guarantee.cpus, guarantee.gpus, 0], capacity);
+    const max = Math.min(
       1,
-      limit.cpus > 0 && all[0] > 0 ? limit.cpus / all[0] : 1,
-      limit.gpus > 0 && all[1] > 0 ? Math.max(limit.gpus / all[1], 0) : 1,
+      limit.cpus > 0 && capacity[0] > 0 ? limit.cpus / capacity[0] : 1,
+      limit.gpus > 0 && capacity[1] > 0 ? Math.max(limit.gpus / capacity[1], 0) : 1,
     );
-    const had = dominantShare(g.had, all);
-    const wants = dominantShare(g.want, all);
-    const teamWants = dominantShare(t.want, all);
-    const entitled = Math.min(most, Math.max(weight(g.team) / weights, least));
-    const missing = Math.max(0, Math.min(entitled - dominantShare(t.had, all), teamWants));
+    const had = dominantShare(group.had, capacity);
+    const wants = dominantShare(group.want, capacity);
+    const teamWants = dominantShare(teamSums.want, capacity);
+    const entitled = Math.min(max, Math.max(weight(group.team) / weights, guaranteed));
+    const missing = Math.max(0, Math.min(entitled - dominantShare(teamSums.had, capacity), teamWants));
     const owed = teamWants > 0 ? Math.min(wants, (missing * wants) / teamWants) : 0;
-    out.push({ team: g.team, jobClass: g.jobClass, entitled: had + owed, had, owed, why: reasonOf(g.jobs, t.had, limit, result.free, all, lately) }); // prettier-ignore
+    out.push({ team: group.team, jobClass: group.jobClass, entitled: had + owed, had, owed, why: reasonOf(group.jobs, teamSums.had, limit, result.free, capacity, recentPeak) }); // prettier-ignore
   }
   return out;
 };
@@ -169,33 +181,33 @@
   teamHad: Resources,
   limit: { readonly cpus: number; readonly gpus: number },
   free: ReadonlyMap<string, Resources>,
-  all: Resources,
-  lately: Resources,
+  capacity: Resources,
+  recentPeak: Resources,
 ): ShortfallReason => {
-  const beyond = (j: Job): boolean =>
-    (limit.cpus > 0 && teamHad[0] + j.spec.cpus > limit.cpus) ||
-    (limit.gpus > 0 && j.spec.gpus > 0 && teamHad[1] + j.spec.gpus > limit.gpus);
-  if (jobs.every(beyond)) return 'limit';
-  // Its members would fit one by one, but not together.
-  const one = jobs.find((j) => j.spec.shape === 'gang' && j.spec.tasks > 1);
-  if (one !== undefined && jobs.every((j) => j.spec.shape === 'gang')) {
-    const need = resourcesOf(one.spec);
-    for (const f of free.values()) if (fits(need, f)) return 'gang';
+  const exceedsLimit = (job: Job): boolean =>
+    (limit.cpus > 0 && teamHad[0] + job.spec.cpus > limit.cpus) ||
+    (limit.gpus > 0 && job.spec.gpus > 0 && teamHad[1] + job.spec.gpus > limit.gpus);
+  if (jobs.every(exceedsLimit)) return 'limit';
+  // Some machine has enough free resources for one member of the gang, but there are not enough for all at once.
+  const gang = jobs.find((job) => job.spec.shape === 'gang' && job.spec.tasks > 1);
+  if (gang !== undefined && jobs.every((job) => job.spec.shape === 'gang')) {
+    const need = resourcesOf(gang.spec);
+    for (const resources of free.values()) if (fits(need, resources)) return 'gang';
   }
-  return all.some((x, i) => x < 0.9 * lately[i]!) ? 'lost' : 'room';
+  return capacity.some((amount, i) => amount < 0.9 * recentPeak[i]!) ? 'lost' : 'room';
 };
 
-/** A group is spoken of when it was owed more than this part of what it was entitled to, over a whole minute. */
-export const SHORTFALL_PART = 0.25;
-
-/** The balance raises a team's weight by at most this part. */
+/** A group is reported if the owed share is more than this fraction of what it was entitled to. */
+export const SHORTFALL_RATIO = 0.25;
+/** Maximum fraction by which the balance raises a team's weight. */
 export const MAX_ADJUSTMENT = 0.25;
-/** A team that was owed so much of all room, on the average of the half-life, has the whole of it. */
+/** A team's weight gets the maximum adjustment if this fraction of the capacity was owed to it, on the decaying average. */
 const FULL_ADJUSTMENT_AT = 0.1;
 
 /**
- * What teams were owed lately, decayed by half every `halfLife`: parts of all room. Leans on the order between teams, within
- * `LEAN`. A leadership term begins without any.
+ * Raises the weights of teams that were owed a share recently, by at most `MAX_ADJUSTMENT`, and so influences the order
+ * between teams. Keeps a decaying average by team of the owed share, as a fraction of the total capacity; its half-life is
+ * `halfLife`. Every leadership term starts with empty averages.
  */
 export class Balance {
   private readonly owed = new Map<string, number>();
@@ -203,18 +215,18 @@
 
   constructor(private readonly halfLife: Micros) {}
 
-  /** Until `at` the groups that waited were owed what `groups` say. */
+  /** Adds the shares of the groups that waited from the last call until `at`, over at most 10 s. */
   record(groups: readonly GroupShare[], at: Micros): void {
     const us = this.at === null ? 0 : Math.min(10e6, Math.max(0, at - this.at));
     this.at = at;
     const kept = 2 ** (-us / this.halfLife);
     const now = new Map<string, number>();
-    for (const g of groups) now.set(g.team, (now.get(g.team) ?? 0) + g.owed);
+    for (const group of groups) now.set(group.team, (now.get(group.team) ?? 0) + group.owed);
     for (const team of new Set([...this.owed.keys(), ...now.keys()]))
       this.owed.set(team, (this.owed.get(team) ?? 0) * kept + (now.get(team) ?? 0) * (1 - kept));
   }
 
-  /** Weights with the balance leaning on them: never below what they are, never above `1 + LEAN` times that. */
+  /** Returns the weights adjusted by the balance: at least the given weight, and at most `1 + MAX_ADJUSTMENT` times it. */
   adjust(weights: ReadonlyMap<string, number>, teams: Iterable<string>): ReadonlyMap<string, number> {
     const out = new Map(weights);
     for (const team of teams)
@@ -227,22 +239,22 @@
   }
 }
 
-/** Sums of the leader's cycles since the last page. */
+/** Sums the shares of the leader's scheduling cycles since the last page. */
 export class ShareRecorder {
   private rows = new Map<string, ShareSum>();
   private last: { readonly at: Micros; readonly groups: readonly GroupShare[] } | null = null;
-  /** The most room lately: falls by a tenth a minute. */
+  /** Recent peak of the total capacity; it decays by a tenth per minute. */
   private peak: Resources = [0, 0, 0];
 
-  /** What the room was at its most, a cycle's own included. */
+  /** Returns the recent peak of the total capacity. `all`: the total capacity in this cycle. */
   recentCapacity(all: Resources, at: Micros): Resources {
     const passed = this.last === null ? 0 : at - this.last.at;
-    const fall = Math.exp((-0.1 * passed) / 60e6);
-    this.peak = [0, 1, 2].map((i) => Math.max(all[i]!, this.peak[i]! * fall)) as Resources;
+    const decay = Math.exp((-0.1 * passed) / 60e6);
+    this.peak = [0, 1, 2].map((i) => Math.max(all[i]!, this.peak[i]! * decay)) as Resources;
     return this.peak;
   }
 
-  /** A cycle ended so: until the next one this is how it stands, for at most 10 s. */
+  /** Records the result of a cycle. It counts until the next cycle, for at most 10 s. */
   record(groups: readonly GroupShare[], at: Micros): void {
     this.advance(at);
     this.last = { at, groups };
@@ -251,24 +263,24 @@
   private advance(at: Micros): void {
     if (this.last === null) return;
     const ms = Math.min(10_000, Math.max(0, Math.round((at - this.last.at) / 1000)));
-    const ppm = (x: number): number => Math.round(x * PPM) * ms;
-    for (const g of this.last.groups) {
+    const ppmMs = (fraction: number): number => Math.round(fraction * PPM) * ms;
+    for (const group of this.last.groups) {
       const row: ShareRow = [
-        g.team,
-        g.jobClass,
+        group.team,
+        group.jobClass,
         ms,
-        ppm(g.entitled),
-        ppm(g.had),
-        ...SHORTFALL_REASONS.map((w) => (w === g.why ? ppm(g.owed) : 0)),
+        ppmMs(group.entitled),
+        ppmMs(group.had),
+        ...SHORTFALL_REASONS.map((reason) => (reason === group.why ? ppmMs(group.owed) : 0)),
       ];
-      const key = JSON.stringify([g.team, g.jobClass]);
+      const key = JSON.stringify([group.team, group.jobClass]);
       const old = this.rows.get(key);
       this.rows.set(key, old === undefined ? sumOf(row) : addShare(old, sumOf(row)));
     }
     this.last = { ...this.last, at };
   }
 
-  /** What has been gathered, and begins anew. */
+  /** Returns the sums recorded until `at` and resets them. */
   take(at: Micros): Shares {
     this.advance(at);
     const out = this.rows;
@@ -280,22 +292,25 @@
 export interface Shortfall {
   readonly team: string;
   readonly jobClass: string;
+  /** Seconds. */
   readonly waited: number;
-  /** Parts of all room, on the average of the time waited. */
+  /** `entitled` and `had` are fractions of the total capacity, averaged over the time waited. */
   readonly entitled: number;
   readonly had: number;
+  /** The reason behind the largest part of the owed share. */
   readonly why: ShortfallReason;
 }
-/** Groups to speak of: owed more than `SHORT` of what they were entitled to, having waited for at least half a minute. */
+/** Returns the groups to report: those that waited for at least 30 s and whose owed share exceeds `SHORTFALL_RATIO`. */
 export const shortfalls = (shares: Shares): Shortfall[] => {
   const out: Shortfall[] = [];
-  for (const [key, s] of shares) {
-    const owed = s.owed.reduce((a, b) => a + b, 0n);
-    if (s.waited < 30_000n || Number(owed) <= SHORTFALL_PART * Number(s.entitled)) continue;
+  for (const [key, sum] of shares) {
+    const owed = sum.owed.reduce((a, b) => a + b, 0n);
+    if (sum.waited < 30_000n || Number(owed) <= SHORTFALL_RATIO * Number(sum.entitled)) continue;
     const [team, jobClass] = JSON.parse(key) as [string, string];
-    const most = s.owed.reduce((best, x, i) => (x > s.owed[best]! ? i : best), 0);
-    const part = (x: bigint): number => Math.round((Number(x) / Number(s.waited) / PPM) * 1e4) / 1e4;
-    out.push({ team, jobClass, waited: Math.round(Number(s.waited) / 1e3), entitled: part(s.entitled), had: part(s.had), why: SHORTFALL_REASONS[most]! }); // prettier-ignore
+    const mainReason = sum.owed.reduce((best, value, i) => (value > sum.owed[best]! ? i : best), 0);
+    const averageFraction = (value: bigint): number =>
+      Math.round((Number(value) / Number(sum.waited) / PPM) * 1e4) / 1e4;
+    out.push({ team, jobClass, waited: Math.round(Number(sum.waited) / 1e3), entitled: averageFraction(sum.entitled), had: averageFraction(sum.had), why: SHORTFALL_REASONS[mainReason]! }); // prettier-ignore
   }
   return out;
 };
--- a/packages/controller/src/accounts/usage-rows.ts
+++ b/packages/controller/src/accounts/usage-rows.ts
@@ -1,81 +1,92 @@
-/** The rows that a log entry books: the placements that end in it, by what the leader's worker registry knows of them. */
+/** Builds the usage rows of a log entry from the placements that end in it and from the phases that the worker registry has observed. */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { MachineType } from '../provisioning/model.js';
 import type { Job } from '../jobs/model.js';
 import { taskKey } from '../jobs/model.js';
-import { bytesOfRow, rowBytes } from './codec.js';
+import { rowByteLength, maxRowBytes } from './codec.js';
 import { type Group, groupKey, NO_KIND, type CapacityBound, type UsageRow, SPLITS } from './model.js';
-import type { Course, Phases } from './phases.js';
+import type { PhaseTimes, Phases } from './phases.js';
 
-/** A machine as rows name it. */
+/** What determines the kind of a machine in usage rows. */
 export interface KindOf {
   readonly type: string;
   readonly spot: boolean;
 }
-export const kindName = (k: KindOf | null): string =>
-  k === null || k.type === '' ? NO_KIND : k.spot ? `${k.type}-spot` : k.type;
+export const kindName = (machine: KindOf | null): string =>
+  machine === null || machine.type === '' ? NO_KIND : machine.spot ? `${machine.type}-spot` : machine.type;
 
 export interface UsageSources {
   readonly phases: Phases;
   readonly kindOf: (machine: string) => KindOf | null;
   readonly types: ReadonlyMap<string, MachineType>;
-  /** Room that was lent to the job: its time there counts as lent. */
+  /** Whether the task ran on GPUs that were lent to its job: its running time then counts as lent. */
   readonly onLentCapacity: (job: Job, task: number) => boolean;
-  /** Placements of this time of day or later were started by this leader. */
+  /** Start of this leader's term: placements of this time of day or later were started by this leader. */
   readonly termFrom: Micros;
-  /** The worker registry's clock as time of day. */
+  /** Converts the worker registry's clock to time of day. */
   readonly dayTimeOf: (clock: Micros) => Micros;
 }
 
-const milli = (x: number): number => Math.round(x * 1000);
-const SPLIT = Object.fromEntries(SPLITS.map((s, i) => [s, i])) as Record<(typeof SPLITS)[number], number>;
+const thousandths = (amount: number): number => Math.round(amount * 1000);
+const SPLIT = Object.fromEntries(SPLITS.map((name, i) => [name, i])) as Record<
+  (typeof SPLITS)[number],
+  number
+>;
 
-/** Millionths of a price unit an hour: the largest part of the machine that the task takes, at the machine's price. */
+/**
+ * Returns the cost of a task in millionths of a price unit per hour: the price of the machine times the largest fraction of
+ * any of its resources that the task takes.
+ */
 export const rateOf = (job: Job, type: MachineType | undefined, spot: boolean): number => {
   if (type === undefined) return 0;
   const { cpus, gpus, memGb } = job.spec;
-  const part = (want: number, have: number): number => (have > 0 ? want / have : 0);
-  const most = Math.max(part(cpus, type.cpus), part(gpus, type.gpus), part(memGb, type.memGb));
-  return Math.round(Math.min(1, most) * (spot && type.spotPrice > 0 ? type.spotPrice : type.price) * 1e6);
+  const fraction = (want: number, have: number): number => (have > 0 ? want / have : 0);
+  const largest = Math.max(fraction(cpus, type.cpus), fraction(gpus, type.gpus), fraction(memGb, type.memGb));
+  return Math.round(Math.min(1, largest) * (spot && type.spotPrice > 0 ? type.spotPrice : type.price) * 1e6);
 };
 
 /**
- * Microseconds by split of one placement from `since` to `at`; their sum is `at - since` exactly. `how`: it completed, it
- * went without completing, or it went because its user cancelled the job.
+ * Splits the time of one placement, from `since` to `at`, into microseconds by category. The sum is exactly `at - since`.
+ * `how`: the task completed (`done`), ended without completing (`gone`), or ended because its user cancelled the job.
  */
 export const splitOf = (
   job: Job,
   since: Micros,
   at: Micros,
-  c: Course,
+  times: PhaseTimes,
   how: 'done' | 'gone' | 'cancelled',
   lent: boolean,
   day: (clock: Micros) => Micros,
 ): number[] => {
   const us = SPLITS.map(() => 0);
-  const within = (x: Micros, low: number): number => Math.min(at, Math.max(low, day(x)));
-  if (c.first === null) {
-    // Never seen: it never got there, or another leader saw it.
-    us[c.known ? SPLIT.fetching : SPLIT.unknown] = at - since;
+  const clamped = (clockTime: Micros, min: number): number => Math.min(at, Math.max(min, day(clockTime)));
+  if (times.first === null) {
+    // Never observed: if this leader started it, it never reached its machine; otherwise another leader may have seen it.
+    us[times.known ? SPLIT.fetching : SPLIT.unknown] = at - since;
     return us;
   }
   let to = since as number;
-  const until = (x: number, split: number): void => {
-    us[split] = us[split]! + (x - to);
-    to = x;
+  /** Assigns the time from the last boundary to `end` to a category. */
+  const until = (end: number, split: number): void => {
+    us[split] = us[split]! + (end - to);
+    to = end;
   };
-  const begins = c.gathering ?? c.running;
-  until(within(c.known ? (begins ?? c.first) : c.first, to), c.known ? SPLIT.fetching : SPLIT.unknown);
+  const begins = times.gathering ?? times.running;
+  until(
+    clamped(times.known ? (begins ?? times.first) : times.first, to),
+    times.known ? SPLIT.fetching : SPLIT.unknown,
+  );
   if (begins === null) {
     until(at, SPLIT.fetching);
     return us;
   }
-  if (c.gathering !== null) until(c.running === null ? at : within(c.running, to), SPLIT.gathering);
+  if (times.gathering !== null)
+    until(times.running === null ? at : clamped(times.running, to), SPLIT.gathering);
   const ran = at - to;
   if (ran === 0) return us;
   const { checkpoint, shape } = job.spec;
   const kept =
-    how !== 'gone' || c.saved || shape === 'service'
+    how !== 'gone' || times.saved || shape === 'service'
       ? ran
       : checkpoint > 0
         ? Math.floor(ran / checkpoint) * checkpoint
@@ -85,68 +96,81 @@
   return us;
 };
 
-/** Gathers the rows of one log entry. */
+/** Gathers the usage rows of one log entry. */
 export class UsageRows {
   private readonly rows = new Map<string, UsageRow[]>();
-  /** Bytes of the rows as they stand. */
+  /** Encoded size of the rows gathered so far, in bytes. */
   bytes = 0;
 
   constructor(
-    private readonly books: UsageSources,
+    private readonly sources: UsageSources,
     private readonly at: Micros,
   ) {}
 
   private rowOf(job: Job, machine: string): { key: string; group: Group; make: () => UsageRow } {
     const { cpus, gpus, memGb, team, jobClass } = job.spec;
-    const kind = this.books.kindOf(machine);
+    const kind = this.sources.kindOf(machine);
     const group: Group = [team, jobClass, kindName(kind)];
-    const shape = [milli(cpus), milli(gpus), milli(memGb)] as const;
-    const rate = kind === null ? 0 : rateOf(job, this.books.types.get(kind.type), kind.spot);
+    const shape = [thousandths(cpus), thousandths(gpus), thousandths(memGb)] as const;
+    const rate = kind === null ? 0 : rateOf(job, this.sources.types.get(kind.type), kind.spot);
     const key = `${groupKey(group)}${shape.join()},${rate}`;
     return { key, group, make: () => ({ group, shape, rate, us: SPLITS.map(() => 0) }) };
   }
 
-  /** Bytes that these ends would add. */
+  /** Returns the maximum number of bytes that the exits of these tasks would add. */
   bytesToAdd(job: Job, tasks: Iterable<number>): number {
     let bytes = 0;
     const seen = new Set<string>();
-    for (const t of tasks) {
-      const p = job.placed.get(t);
-      if (!p) continue;
-      const { key, group } = this.rowOf(job, p.machine);
+    for (const task of tasks) {
+      const placement = job.placed.get(task);
+      if (!placement) continue;
+      const { key, group } = this.rowOf(job, placement.machine);
       if (seen.has(key) || this.rows.has(key)) continue;
       seen.add(key);
-      bytes += rowBytes(group);
+      bytes += maxRowBytes(group);
     }
     return bytes;
   }
 
+  /** Adds the placements of tasks that completed (`done`) or ended without completing (`gone`). */
   add(job: Job, tasks: Iterable<number>, how: 'done' | 'gone'): void {
-    const { books, at } = this;
-    for (const t of tasks) {
-      const p = job.placed.get(t);
-      if (!p) continue;
-      const { key, make } = this.rowOf(job, p.machine);
-      const ended = how === 'gone' && job.cancelled ? 'cancelled' : how;
+    const { sources, at } = this;
+    for (const task of tasks) {
+      const placement = job.placed.get(task);
+      if (!placement) continue;
+      const { key, make } = this.rowOf(job, placement.machine);
+      const exit = how === 'gone' && job.cancelled ? 'cancelled' : how;
       let us: number[];
-      if (p.since > 0 && p.since < at) {
-        const course = books.phases.courseOf(taskKey(job.spec.id, t), p.attempt, p.since >= books.termFrom);
-        us = splitOf(job, p.since, at, course, ended, books.onLentCapacity(job, t), books.dayTimeOf);
+      if (placement.since > 0 && placement.since < at) {
+        const times = sources.phases.timesOf(
+          taskKey(job.spec.id, task),
+          placement.attempt,
+          placement.since >= sources.termFrom,
+        );
+        us = splitOf(
+          job,
+          placement.since,
+          at,
+          times,
+          exit,
+          sources.onLentCapacity(job, task),
+          sources.dayTimeOf,
+        );
       } else {
-        // Since when is not known: at the longest since its job was submitted.
+        // The start time is not known: the time since the job's submission is an upper bound.
         us = SPLITS.map(() => 0);
         us[SPLIT.unsure] = Math.max(0, at - job.spec.submitted);
       }
       let list = this.rows.get(key);
       if (!list) this.rows.set(key, (list = []));
       let last = list[list.length - 1];
-      // A row more where a number would pass what is exact.
-      if (!last || last.us.some((x, i) => x + us[i]! > Number.MAX_SAFE_INTEGER)) {
+      // A new row is begun where a sum would exceed the safe integers.
+      if (!last || last.us.some((sum, i) => sum + us[i]! > Number.MAX_SAFE_INTEGER)) {
         list.push((last = make()));
-      } else this.bytes -= bytesOfRow(last);
+      } else this.bytes -= rowByteLength(last);
       const sums = last.us as number[];
-      us.forEach((x, i) => (sums[i] = sums[i]! + x));
-      this.bytes += bytesOfRow(last);
+      us.forEach((duration, i) => (sums[i] = sums[i]! + duration));
+      this.bytes += rowByteLength(last);
     }
   }
 
@@ -155,18 +179,18 @@
   }
 }
 
-/** Room of all machines that are known. */
+/** Returns the total capacity of the machines whose types are known. */
 export const totalCapacity = (
   machines: Iterable<KindOf>,
   types: ReadonlyMap<string, MachineType>,
 ): CapacityBound => {
   const out: [number, number, number] = [0, 0, 0];
-  for (const m of machines) {
-    const k = types.get(m.type);
-    if (!k) continue;
-    out[0] += milli(k.cpus);
-    out[1] += milli(k.gpus);
-    out[2] += milli(k.memGb);
+  for (const machine of machines) {
+    const type = types.get(machine.type);
+    if (!type) continue;
+    out[0] += thousandths(type.cpus);
+    out[1] += thousandths(type.gpus);
+    out[2] += thousandths(type.memGb);
   }
   return out;
 };
--- a/packages/controller/src/calendar/calendars.ts
+++ b/packages/controller/src/calendar/calendars.ts
@@ -3,7 +3,7 @@
  * once all its pages are there and are what its digest stands for; until then the calendar before it holds.
  */
 import { CALENDAR_HEAD, CALENDAR_PAGE, OCCURRENCE, CLASS_DURATIONS } from '../jobs/keys.js';
-import { decodeCalendar, decodeHead, decodeTally, encodeCalendar, type Head, type Paged } from './codec.js';
+import { decodeCalendar, decodeHead, decodeTally, encodeCalendar, type Head, type PagedCalendar } from './codec.js';
 import { type Calendar, laterTally, type Tally } from './model.js';
 import { decodeClassDurations, type ClassDurations } from './class-durations.js';
 
@@ -107,4 +107,4 @@
 }
 
 /** `bytes`: what a value may be long. Leaves room for what the service counts beside the JSON. */
-export const pagesOf = (c: Calendar, bytes: number): Paged => encodeCalendar(c, Math.floor(bytes * 0.85));
+export const pagesOf = (c: Calendar, bytes: number): PagedCalendar => encodeCalendar(c, Math.floor(bytes * 0.85));
--- a/packages/controller/src/calendar/class-durations.ts
+++ b/packages/controller/src/calendar/class-durations.ts
@@ -3,20 +3,20 @@
  * that ended them. A distribution in fixed buckets, a quarter of an octave each, that forgets by halving: a few hundred
  * bytes a class, the same on every node. (A histogram library keeps thousands of counters for its precision.)
  */
-export const BUCKETS = 33;
+export const BUCKET_COUNT = 33;
 /** The middle bucket is a task that took what was estimated; the outer ones hold an eighth and 16 times. */
 const FIRST_EXPONENT = -12;
 /** More samples than this are halved, so that a class that changes is seen. */
 const MAX_SAMPLES = 512;
 /** Fewer tell nothing yet. */
 const MIN_SAMPLES = 8;
-export const MOST_CLASSES = 64;
+export const MAX_CLASSES = 64;
 
 /** By class, the counts by bucket. */
 export type ClassDurations = ReadonlyMap<string, readonly number[]>;
 
 const bucketOf = (ratio: number): number =>
-  Math.max(0, Math.min(BUCKETS - 1, Math.round(Math.log2(Math.max(ratio, 1e-6)) * 4) - FIRST_EXPONENT));
+  Math.max(0, Math.min(BUCKET_COUNT - 1, Math.round(Math.log2(Math.max(ratio, 1e-6)) * 4) - FIRST_EXPONENT));
 
 /** `ratios` by class: samples that came since. */
 export const addSamples = (
@@ -25,7 +25,7 @@
 ): ClassDurations => {
   const out = new Map(shown);
   for (const [jobClass, list] of ratios) {
-    let counts = [...(out.get(jobClass) ?? new Array<number>(BUCKETS).fill(0))];
+    let counts = [...(out.get(jobClass) ?? new Array<number>(BUCKET_COUNT).fill(0))];
     for (const r of list) {
       const b = bucketOf(r);
       counts[b] = counts[b]! + 1;
@@ -36,7 +36,7 @@
     out.set(jobClass, counts);
   }
   for (const jobClass of out.keys()) {
-    if (out.size <= MOST_CLASSES) break;
+    if (out.size <= MAX_CLASSES) break;
     out.delete(jobClass);
   }
   return out;
@@ -62,7 +62,7 @@
   const list = value as [string, number[]][];
   if (!Array.isArray(list)) throw new Error('not what classes have shown');
   for (const e of list)
-    if (!Array.isArray(e) || typeof e[0] !== 'string' || !Array.isArray(e[1]) || e[1].length !== BUCKETS)
+    if (!Array.isArray(e) || typeof e[0] !== 'string' || !Array.isArray(e[1]) || e[1].length !== BUCKET_COUNT)
       throw new Error('not what classes have shown');
   return new Map(list);
 };
--- a/packages/controller/src/calendar/codec.ts
+++ b/packages/controller/src/calendar/codec.ts
@@ -47,7 +47,7 @@
     .digest('hex')
     .slice(0, 32);
 
-export interface Paged {
+export interface PagedCalendar {
   readonly head: Head;
   readonly pages: readonly { readonly key: string; readonly value: unknown }[];
 }
@@ -56,7 +56,7 @@
  * `bytes`: what one page's JSON may be long. A page's key holds a part of the digest, so that what another apply of the
  * same version left behind is never taken for this one's.
  */
-export const encodeCalendar = (c: Calendar, bytes: number): Paged => {
+export const encodeCalendar = (c: Calendar, bytes: number): PagedCalendar => {
   const items = itemsOf(c);
   const digest = digestOf(c.version, c.until, c.notice, items);
   const pages: { key: string; value: Item[] }[] = [];
--- a/packages/controller/src/calendar/cutoff-tracking.ts
+++ b/packages/controller/src/calendar/cutoff-tracking.ts
@@ -11,7 +11,7 @@
 import { encodeTally } from './codec.js';
 import { addTally, isRisk, NO_TALLY, CUTOFF_RISK, type Tally, RISK_REASONS } from './model.js';
 import { addSamples, encodeClassDurations } from './class-durations.js';
-import { type Pace, newCutoffRisk } from './slack.js';
+import { type SlackInputs, newCutoffRisk } from './slack.js';
 import { occurrenceOf } from './tie.js';
 
 /** In one log entry: the rest follows with the next ones. */
@@ -26,8 +26,8 @@
   Math.max(context.dayTime(), context.jobState.lastAt) as Micros;
 
 /** The speed that jobs can get, made once when it is first asked for: most days no job has a tie. */
-export const paceOf = (context: CycleContext): (() => Pace) => {
-  let made: Pace | null = null;
+export const paceOf = (context: CycleContext): (() => SlackInputs) => {
+  let made: SlackInputs | null = null;
   return () => {
     if (made !== null) return made;
     const types = new Map(context.types().map((k) => [k.name, k]));
--- a/packages/controller/src/calendar/model.ts
+++ b/packages/controller/src/calendar/model.ts
@@ -10,7 +10,7 @@
 export const MOST_CUTOFFS = 200;
 
 /** What a cutoff ties; null: any. All that are named must hold. */
-export interface Match {
+export interface JobFilter {
   readonly teams: readonly string[] | null;
   readonly classes: readonly string[] | null;
   readonly shapes: readonly Shape[] | null;
@@ -20,7 +20,7 @@
   readonly name: string;
   /** What is submitted later than so long before an occurrence is tied to the next one. */
   readonly lead: Micros;
-  readonly match: Match;
+  readonly match: JobFilter;
 }
 export interface Occurrence {
   /** `cutoff@date`, the date that the recurrence names: an occurrence that moves keeps it. */
--- a/packages/controller/src/calendar/publish.ts
+++ b/packages/controller/src/calendar/publish.ts
@@ -9,7 +9,7 @@
 import { Priority } from '../state-store/budget.js';
 import type { Condition, Entry, StateFailure, Write } from '../state-store/client.js';
 import type { StatePort } from '../state-store/port.js';
-import { decodeCalendar, decodeHead, type Head, type Paged } from './codec.js';
+import { decodeCalendar, decodeHead, type Head, type PagedCalendar } from './codec.js';
 import { pagesOf } from './calendars.js';
 import { type Calendar, makeCalendar } from './model.js';
 
@@ -69,7 +69,7 @@
 const putPage = (
   store: Store,
   base: readonly Condition[],
-  page: Paged['pages'][number],
+  page: PagedCalendar['pages'][number],
 ): Effect.Effect<number | null, StateFailure> =>
   Effect.gen(function* () {
     const set = { set: page.key, value: page.value };
--- a/packages/controller/src/calendar/slack.ts
+++ b/packages/controller/src/calendar/slack.ts
@@ -27,7 +27,7 @@
 export type ResourceTotal = readonly [number, number, number];
 
 /** Tasks of a job that can run at once: by its team's limit, and by all the room there is (null: whatever is needed). */
-export const slotsOf = (
+export const maxConcurrentTasks = (
   spec: JobSpec,
   limit: TeamSettings['limit'] | undefined,
   total: ResourceTotal | null,
@@ -64,32 +64,32 @@
   return Math.round(Math.max(longest, waiting > 0 ? each : 0, (running + waiting * each) / atOnce)) as Micros;
 };
 
-export interface Pace {
+export interface SlackInputs {
   readonly classDurations: ClassDurations;
   readonly limit: (team: string) => TeamSettings['limit'] | undefined;
   /** All the room that there is now. */
   readonly total: ResourceTotal;
 }
 
-export const carefulLeft = (job: Job, day: Micros, pace: Pace): Micros =>
+export const conservativeTimeLeft = (job: Job, day: Micros, pace: SlackInputs): Micros =>
   timeLeft(
     job,
     day,
     ratioQuantile(pace.classDurations, job.spec.jobClass, CAREFUL),
-    Math.max(job.placed.size, slotsOf(job.spec, pace.limit(job.spec.team), pace.total)),
+    Math.max(job.placed.size, maxConcurrentTasks(job.spec, pace.limit(job.spec.team), pace.total)),
   );
 
 /** Machines can be rented: only the team's limit bounds what may run at once. */
-const hopefulLeft = (job: Job, day: Micros, pace: Pace): Micros => {
+const hopefulLeft = (job: Job, day: Micros, pace: SlackInputs): Micros => {
   const { jobClass, team } = job.spec;
   const ratio = pace.classDurations.has(jobClass)
     ? Math.min(1, ratioQuantile(pace.classDurations, jobClass, HOPEFUL))
     : UNKNOWN;
-  return timeLeft(job, day, ratio, slotsOf(job.spec, pace.limit(team), null));
+  return timeLeft(job, day, ratio, maxConcurrentTasks(job.spec, pace.limit(team), null));
 };
 
 /** What the job is to be done by: the nearer of its cutoff and its own due time, unless that has passed. */
-export const dueOf = (job: Job, o: Occurrence, day: Micros): Micros => {
+export const effectiveDeadline = (job: Job, o: Occurrence, day: Micros): Micros => {
   const { deadline, submitted } = job.spec;
   const own = deadline === null ? Number.POSITIVE_INFINITY : submitted + deadline;
   return (own >= day ? Math.min(own, o.at) : o.at) as Micros;
@@ -104,17 +104,17 @@
   job: Job,
   calendar: Calendar | null,
   day: Micros,
-  pace: () => Pace,
+  pace: () => SlackInputs,
 ): number | null => {
   const o = occurrenceOf(calendar, job.spec);
   if (o === null) return null;
   if (day > o.at) return MISSED + o.at;
   const p = pace();
   const hopeful = hopefulLeft(job, day, p);
-  let due = dueOf(job, o, day);
+  let due = effectiveDeadline(job, o, day);
   if (day + hopeful > due) due = o.at;
   if (day + hopeful > due) return HOPELESS + due;
-  const usual = carefulLeft(job, day, p);
+  const usual = conservativeTimeLeft(job, day, p);
   const slack = due - day - usual;
   return slack < Math.max(usual, PRESSING) ? slack - SPAN : slack + SPAN;
 };
@@ -129,12 +129,12 @@
   const o = occurrenceOf(calendar, job.spec);
   if (o === null || day > o.at) return null;
   const ratio = ratioQuantile(shown, job.spec.jobClass, CAREFUL);
-  const left = timeLeft(job, day, ratio, slotsOf(job.spec, undefined, null));
+  const left = timeLeft(job, day, ratio, maxConcurrentTasks(job.spec, undefined, null));
   return o.at - day - left < Math.max(left, PRESSING) ? o.at : null;
 };
 
 /** What makes a job late, as far as it shows. `held`: what its team holds of each resource. */
-export interface Hindrance {
+export interface DelayCauses {
   /** Its next tasks would take the team over its limit. */
   readonly limited: boolean;
   /** Tasks of it ended without completing lately. */
@@ -149,8 +149,8 @@
   job: Job,
   calendar: Calendar | null,
   day: Micros,
-  pace: () => Pace,
-  hindered: () => Hindrance,
+  pace: () => SlackInputs,
+  hindered: () => DelayCauses,
 ): number | null => {
   const o = occurrenceOf(calendar, job.spec);
   if (o === null) return null;
@@ -159,7 +159,7 @@
   if (said === CUTOFF_RISK.missed) return CUTOFF_RISK.nothing;
   if (said !== CUTOFF_RISK.nothing) return null;
   const p = pace();
-  const left = carefulLeft(job, day, p);
+  const left = conservativeTimeLeft(job, day, p);
   if (day + left <= o.at) return null;
   const { spec } = job;
   if (spec.tasks - job.done.size === job.placed.size) return CUTOFF_RISK.estimate;
@@ -167,6 +167,6 @@
   if (limited) return CUTOFF_RISK.limit;
   if (lost) return CUTOFF_RISK.lost;
   // With the estimate as it was given, it would make it.
-  const stated = timeLeft(job, day, 1, Math.max(job.placed.size, slotsOf(spec, p.limit(spec.team), p.total)));
+  const stated = timeLeft(job, day, 1, Math.max(job.placed.size, maxConcurrentTasks(spec, p.limit(spec.team), p.total)));
   return day + stated <= o.at ? CUTOFF_RISK.estimate : CUTOFF_RISK.noRoom;
 };
--- a/packages/controller/src/calendar/tie.ts
+++ b/packages/controller/src/calendar/tie.ts
@@ -1,10 +1,10 @@
 /** Which cutoff a job is tied to: decided once, by the node that accepts it, and durable with the job. Pure. */
 import type { JobSpec } from '../jobs/model.js';
-import type { Calendar, Match, Occurrence } from './model.js';
+import type { Calendar, JobFilter, Occurrence } from './model.js';
 
 type Tied = Pick<JobSpec, 'team' | 'jobClass' | 'shape' | 'urgency' | 'submitted'>;
 
-const matches = (m: Match, s: Tied): boolean =>
+const matches = (m: JobFilter, s: Tied): boolean =>
   (m.teams === null || m.teams.includes(s.team)) &&
   (m.classes === null || m.classes.includes(s.jobClass)) &&
   (m.shapes === null || m.shapes.includes(s.shape)) &&
--- a/packages/controller/src/lending/image-weights-task.ts
+++ b/packages/controller/src/lending/image-weights-task.ts
@@ -10,7 +10,7 @@
 
 const EVERY_MS = 10_000;
 
-export interface ImageWeightsParts {
+export interface ImageWeightsDependencies {
   readonly mayAct: () => boolean;
   readonly store: StatePort;
   readonly leaderTerm: { readonly stamp: number };
@@ -22,7 +22,7 @@
   readonly machines: () => Iterable<{ readonly id: string; readonly images: ReadonlySet<string> }>;
 }
 
-export const imageWeightsTask = (p: ImageWeightsParts) => {
+export const imageWeightsTask = (p: ImageWeightsDependencies) => {
   /** Images of services, those seen last behind. */
   const images = new Set<string>();
   for (const list of p.jobState.weights.values()) for (const image of list) images.add(image);
--- a/packages/controller/test/calendar.test.ts
+++ b/packages/controller/test/calendar.test.ts
@@ -5,7 +5,7 @@
 import { makeCalendar } from '../src/calendar/model.js';
 import { CUTOFF_RISK } from '../src/calendar/model.js';
 import { addSamples, ratioQuantile } from '../src/calendar/class-durations.js';
-import { cutoffRank, type Pace, newCutoffRisk, slotsOf, timeLeft } from '../src/calendar/slack.js';
+import { cutoffRank, type SlackInputs, newCutoffRisk, maxConcurrentTasks, timeLeft } from '../src/calendar/slack.js';
 import { tieOf } from '../src/calendar/tie.js';
 import { decodeJob, encodeJob } from '../src/jobs/codec.js';
 import { decodeViewResponse, encodeViewResponse } from '../src/recovery/codec.js';
@@ -102,7 +102,7 @@
     },
     [{ id: 'c@1', cutoff: 0, at: seconds(at) }],
   );
-const pace: Pace = { classDurations: new Map(), limit: () => ({ cpus: 0, gpus: 0 }), total: [1000, 0, 1000] };
+const pace: SlackInputs = { classDurations: new Map(), limit: () => ({ cpus: 0, gpus: 0 }), total: [1000, 0, 1000] };
 const tied = (id: string, over: Parameters<typeof job>[1] = {}) =>
   job(id, { tie: 'c@1', estimate: seconds(100), ...over });
 
@@ -176,7 +176,7 @@
     CUTOFF_RISK.nothing,
     'it moved: said anew if need be',
   );
-  assert.equal(slotsOf(j.spec, { cpus: 600, gpus: 0 }, null), 1);
+  assert.equal(maxConcurrentTasks(j.spec, { cpus: 600, gpus: 0 }, null), 1);
 });
 
 test('what a class has shown corrects its estimates, forgets slowly, and keeps to its bounds', () => {
