--- a/packages/controller/src/calendar/calendars.ts
+++ b/packages/controller/src/calendar/calendars.ts
@@ -1,9 +1,17 @@
 /**
- * What the keys below `s/c/` say, folded from the watch: every node has the same calendar at a revision. A head counts
- * once all its pages are there and are what its digest stands for; until then the calendar before it holds.
+ * The calendar, the outcome counts and the class durations, built from the watched keys below `s/c/`. All controllers have
+ * the same calendar at the same revision of the store. A new head takes effect once all its pages have arrived and their
+ * content has the head's digest; until then the previous calendar stays in effect.
  */
 import { CALENDAR_HEAD, CALENDAR_PAGE, OCCURRENCE, CLASS_DURATIONS } from '../jobs/keys.js';
-import { decodeCalendar, decodeHead, decodeTally, encodeCalendar, type Head, type PagedCalendar } from './codec.js';
+import {
+  decodeCalendar,
+  decodeHead,
+  decodeTally,
+  encodeCalendar,
+  type Head,
+  type PagedCalendar,
+} from './codec.js';
 import { type Calendar, laterTally, type Tally } from './model.js';
 import { decodeClassDurations, type ClassDurations } from './class-durations.js';
 
@@ -13,18 +21,18 @@
 }
 
 export class Calendars {
-  /** As the store has them. */
+  /** Contents of the store, by the latest change that was applied: head, pages, outcome counts, class durations. */
   head: Versioned<Head> | null = null;
   readonly pages = new Map<string, Versioned<unknown>>();
   readonly tallies = new Map<string, Versioned<Tally>>();
   classDurations: Versioned<ClassDurations> | null = null;
-  /** What holds: also through a loss, until the store says something newer. */
+  /** The calendar in effect. It stays in effect through a data loss, until the store has a newer one. */
   current: Calendar | null = null;
-  /** The latest of each that this node has seen: what it tells after a loss. */
+  /** The highest outcome counts and latest class durations this controller has seen, which it contributes to a rebuild. */
   private readonly latestTallies = new Map<string, Tally>();
   private latestDurations: ClassDurations = new Map();
 
-  /** Changes below `s/c/`; throws on values that can't be read. */
+  /** Applies a change of a key below `s/c/`. Throws on values that cannot be decoded. */
   apply(key: string, value: unknown, stamp: number): void {
     if (key === CALENDAR_HEAD) {
       this.head = value === undefined ? null : { value: decodeHead(value), revision: stamp };
@@ -40,10 +48,10 @@
         this.latestTallies.delete(id);
         return;
       }
-      const tally = decodeTally(value);
-      this.tallies.set(id, { value: tally, revision: stamp });
+      const counts = decodeTally(value);
+      this.tallies.set(id, { value: counts, revision: stamp });
       const before = this.latestTallies.get(id);
-      this.latestTallies.set(id, before === undefined ? tally : laterTally(before, tally));
+      this.latestTallies.set(id, before === undefined ? counts : laterTally(before, counts));
     } else if (key === CLASS_DURATIONS) {
       this.classDurations =
         value === undefined ? null : { value: decodeClassDurations(value), revision: stamp };
@@ -51,7 +59,7 @@
     }
   }
 
-  /** The store's content is to be read anew; what held and what was seen stays. */
+  /** Forgets the store's contents before they are read again. Keeps the calendar in effect and what was seen. */
   clear(): void {
     this.head = null;
     this.classDurations = null;
@@ -59,52 +67,55 @@
     this.tallies.clear();
   }
 
-  /** What the store's head names is there, and is what it stands for. */
+  /** Whether all pages that the store's head names are present and have the head's digest. */
   get complete(): boolean {
     if (this.head === null) return true;
-    const values = this.head.value.pages.map((k) => this.pages.get(k)?.value);
+    const values = this.head.value.pages.map((key) => this.pages.get(key)?.value);
     return decodeCalendar(this.head.value, values) !== null;
   }
 
-  /** The keys that the store has below `s/c/`, with their revisions. */
+  /** Returns the store's keys below `s/c/` with their revisions. */
   keys(): [string, number][] {
-    const out: [string, number][] = [...this.pages].map(([key, p]) => [key, p.revision]);
-    for (const [id, t] of this.tallies) out.push([OCCURRENCE + id, t.revision]);
+    const out: [string, number][] = [...this.pages].map(([key, page]) => [key, page.revision]);
+    for (const [id, counts] of this.tallies) out.push([OCCURRENCE + id, counts.revision]);
     if (this.head !== null) out.push([CALENDAR_HEAD, this.head.revision]);
     if (this.classDurations !== null) out.push([CLASS_DURATIONS, this.classDurations.revision]);
     return out;
   }
 
-  /** What became of an occurrence's jobs, as far as this node knows. */
+  /** Returns the highest outcome counts of an occurrence that this controller has seen. */
   tally(id: string): Tally | undefined {
     return this.latestTallies.get(id);
   }
 
-  /** For a rebuild: what this node remembers. */
+  /** Returns what this controller contributes to a rebuild of the store. */
   remembered(): Remembered {
     return { calendar: this.current, tallies: new Map(this.latestTallies), shown: this.latestDurations };
   }
 
+  /** Puts the store's calendar into effect if it is newer and complete. */
   private adopt(): void {
     if (this.head === null) return;
     const { value } = this.head;
-    // After a loss an older one may be back: the newer one holds until it is written back.
+    // After a data loss the store may have an older calendar: the newer one stays in effect until it is written back.
     if (this.current !== null && value.version <= this.current.version) return;
-    const pages = value.pages.map((k) => this.pages.get(k));
-    if (pages.some((p) => p === undefined)) return;
-    const read = decodeCalendar(
+    const pages = value.pages.map((key) => this.pages.get(key));
+    if (pages.some((page) => page === undefined)) return;
+    const calendar = decodeCalendar(
       value,
-      pages.map((p) => p!.value),
+      pages.map((page) => page!.value),
     );
-    if (read !== null) this.current = read;
+    if (calendar !== null) this.current = calendar;
   }
 }
 
+/** What a controller remembers of the calendar, independently of the store's present contents. */
 export interface Remembered {
   readonly calendar: Calendar | null;
   readonly tallies: ReadonlyMap<string, Tally>;
   readonly shown: ClassDurations;
 }
 
-/** `bytes`: what a value may be long. Leaves room for what the service counts beside the JSON. */
-export const pagesOf = (c: Calendar, bytes: number): PagedCalendar => encodeCalendar(c, Math.floor(bytes * 0.85));
+/** Encodes a calendar for the store. `bytes`: maximum size of a value, of which a margin is left for the service's own overhead. */
+export const pagesOf = (calendar: Calendar, bytes: number): PagedCalendar =>
+  encodeCalendar(calendar, Math.floor(bytes * 0.85));
--- a/packages/controller/src/calendar/class-samples.ts
+++ b/packages/controller/src/calendar/class-samples.ts
@@ -1,10 +1,11 @@
-/** What a leader sees of classes' durations between two writes of them; kept in memory for a leadership term. */
+/** Samples of class durations that a leader has gathered since it last stored them. Kept in memory for one leadership term. */
 import type { Micros } from '@lilacvalve/runtime/micros';
 
-/** Samples that are not written yet, and when the leader last wrote them and warned of the calendar's end. */
 export class ClassSamples {
-  /** By class: how many times their estimate tasks took. */
+  /** Ratios of task durations to their estimates that are not stored yet, by class. */
   readonly ratios = new Map<string, number[]>();
+  /** Clock time when samples were last stored; null: not in this term. */
   writtenAt: Micros | null = null;
+  /** Clock time when the leader last logged that the calendar expires soon; null: not in this term. */
   noticedAt: Micros | null = null;
 }
--- a/packages/controller/src/calendar/codec.ts
+++ b/packages/controller/src/calendar/codec.ts
@@ -1,19 +1,20 @@
-/** Durable form of the calendar: a head and its pages. Durable names stay in this file. */
+/** Stored form of the calendar: a head and its pages, and the outcome counts of occurrences. */
 import { createHash } from 'node:crypto';
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { CALENDAR_PAGE } from '../jobs/keys.js';
 import type { Shape, Urgency } from '../jobs/model.js';
 import { type Calendar, type Cutoff, makeCalendar, type Occurrence, type Tally } from './model.js';
 
-/** What switches controllers to a calendar: one key, changed under a condition on its own revision. */
+/** Names the pages of a calendar. Controllers switch to the calendar by this one key, which is changed on condition of its revision. */
 export interface Head {
   readonly version: number;
-  /** Keys of its pages, in order. */
+  /** Keys of the pages, in order. */
   readonly pages: readonly string[];
   readonly until: number;
   readonly notice: number;
-  /** Of all that the table says. */
+  /** Digest of the version, `until`, `notice` and the content of all pages. */
   readonly digest: string;
+  /** Number of occurrences. */
   readonly count: number;
 }
 
@@ -25,20 +26,25 @@
   shapes: readonly Shape[] | null,
   urgencies: readonly Urgency[] | null,
 ];
-/** Cutoffs and occurrences in one list, cut into pages: an occurrence begins with its cutoff's number. */
+/** `cutoff`: index of the occurrence's cutoff. The number in first position distinguishes an occurrence from a cutoff. */
 type WireOccurrence = readonly [cutoff: number, date: string, at: number];
+/** The pages hold one list of items, the cutoffs before the occurrences. */
 type Item = WireCutoff | WireOccurrence;
 
-const itemsOf = (c: Calendar): Item[] => [
-  ...c.cutoffs.map((k): WireCutoff => [
-    k.name,
-    k.lead,
-    k.match.teams,
-    k.match.classes,
-    k.match.shapes,
-    k.match.urgencies,
+const itemsOf = (calendar: Calendar): Item[] => [
+  ...calendar.cutoffs.map((cutoff): WireCutoff => [
+    cutoff.name,
+    cutoff.lead,
+    cutoff.match.teams,
+    cutoff.match.classes,
+    cutoff.match.shapes,
+    cutoff.match.urgencies,
+  ]),
+  ...calendar.occurrences.map((occurrence): WireOccurrence => [
+    occurrence.cutoff,
+    occurrence.id.slice(occurrence.id.lastIndexOf('@') + 1),
+    occurrence.at,
   ]),
-  ...c.occurrences.map((o): WireOccurrence => [o.cutoff, o.id.slice(o.id.lastIndexOf('@') + 1), o.at]),
 ];
 
 const digestOf = (version: number, until: number, notice: number, items: readonly Item[]): string =>
@@ -53,53 +59,56 @@
 }
 
 /**
- * `bytes`: what one page's JSON may be long. A page's key holds a part of the digest, so that what another apply of the
- * same version left behind is never taken for this one's.
+ * Encodes a calendar as a head and pages. `bytes`: maximum size of a page's JSON. The key of a page contains a prefix of the
+ * digest, so that pages left behind by another `calendar apply` of the same version are never used by mistake.
  */
-export const encodeCalendar = (c: Calendar, bytes: number): PagedCalendar => {
-  const items = itemsOf(c);
-  const digest = digestOf(c.version, c.until, c.notice, items);
+export const encodeCalendar = (calendar: Calendar, bytes: number): PagedCalendar => {
+  const items = itemsOf(calendar);
+  const digest = digestOf(calendar.version, calendar.until, calendar.notice, items);
   const pages: { key: string; value: Item[] }[] = [];
   let size = 0;
   for (const item of items) {
-    const n = JSON.stringify(item).length + 1;
-    // Between controllers there is no bound on a page: none that is too long must not mean that none is begun.
-    if (pages.length === 0 || size + n > bytes) {
-      pages.push({ key: `${CALENDAR_PAGE}${c.version}-${digest.slice(0, 8)}-${pages.length}`, value: [] });
+    const itemBytes = JSON.stringify(item).length + 1;
+    // Messages between controllers have no limit on a page (`bytes` is infinite): the first page is begun all the same.
+    if (pages.length === 0 || size + itemBytes > bytes) {
+      pages.push({
+        key: `${CALENDAR_PAGE}${calendar.version}-${digest.slice(0, 8)}-${pages.length}`,
+        value: [],
+      });
       size = 2;
     }
     pages[pages.length - 1]!.value.push(item);
-    size += n;
+    size += itemBytes;
   }
   const head: Head = {
-    version: c.version,
-    pages: pages.map((p) => p.key),
-    until: c.until,
-    notice: c.notice,
+    version: calendar.version,
+    pages: pages.map((page) => page.key),
+    until: calendar.until,
+    notice: calendar.notice,
     digest,
-    count: c.occurrences.length,
+    count: calendar.occurrences.length,
   };
   return { head, pages };
 };
 
-/** Throws on what `encodeCalendar` can't have written. */
+/** Throws on values that `encodeCalendar` cannot have written. */
 export const decodeHead = (value: unknown): Head => {
-  const h = value as Head | null;
+  const head = value as Head | null;
   if (
-    typeof h !== 'object' ||
-    h === null ||
-    !Number.isSafeInteger(h.version) ||
-    !Array.isArray(h.pages) ||
-    !Number.isSafeInteger(h.until) ||
-    typeof h.digest !== 'string'
+    typeof head !== 'object' ||
+    head === null ||
+    !Number.isSafeInteger(head.version) ||
+    !Array.isArray(head.pages) ||
+    !Number.isSafeInteger(head.until) ||
+    typeof head.digest !== 'string'
   )
-    throw new Error('not a calendar head');
-  return h;
+    throw new Error('calendar head: expected version, pages, until and digest');
+  return head;
 };
 
-/** The calendar of a head and its pages' values, in order; null: they are not what the head stands for. */
+/** Returns the calendar of a head and its pages' values, in order; null if the values do not have the head's digest. */
 export const decodeCalendar = (head: Head, values: readonly unknown[]): Calendar | null => {
-  if (values.some((v) => !Array.isArray(v))) return null;
+  if (values.some((value) => !Array.isArray(value))) return null;
   const items = (values as Item[][]).flat();
   if (digestOf(head.version, head.until, head.notice, items) !== head.digest) return null;
   const cutoffs: Cutoff[] = [];
@@ -117,10 +126,15 @@
   return makeCalendar({ version, until: until as Micros, notice: notice as Micros, cutoffs }, occurrences);
 };
 
-export const encodeTally = (t: Tally): unknown => [t.done, t.risked, t.missed, t.cancelled];
+export const encodeTally = (counts: Tally): unknown => [
+  counts.done,
+  counts.risked,
+  counts.missed,
+  counts.cancelled,
+];
 export const decodeTally = (value: unknown): Tally => {
-  if (!Array.isArray(value) || value.length !== 4 || !value.every((n) => Number.isSafeInteger(n)))
-    throw new Error('not a tally');
+  if (!Array.isArray(value) || value.length !== 4 || !value.every((count) => Number.isSafeInteger(count)))
+    throw new Error(`outcome counts: expected four safe integers, found ${JSON.stringify(value)}`);
   const [done, risked, missed, cancelled] = value as [number, number, number, number];
   return { done, risked, missed, cancelled };
 };
--- a/packages/controller/src/calendar/cutoff-tracking.ts
+++ b/packages/controller/src/calendar/cutoff-tracking.ts
@@ -1,4 +1,4 @@
-/** The leader's part: what is said of cutoffs with each log entry, the counts of what is over, and what classes have shown. */
+/** The leader's tracking of cutoffs: which jobs are at risk or late, the outcome counts of finished jobs, and the durations of classes. */
 import { Effect } from 'effect';
 import { info } from '@lilacvalve/runtime/log';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
@@ -14,33 +14,34 @@
 import { type SlackInputs, newCutoffRisk } from './slack.js';
 import { occurrenceOf } from './tie.js';
 
-/** In one log entry: the rest follows with the next ones. */
+/** Maximum number of risk changes in one log entry; the remaining ones follow in the next entries. */
 const MAX_RISKS = 50;
-/** Samples of one job in one log entry: members of an array are much alike. */
-const SAMPLES = 8;
-const WRITE_EVERY = seconds(30);
-const NOTICE_EVERY = seconds(86_400);
+/** Maximum number of samples of one array job in one log entry, because tasks of one array take similar times. */
+const MAX_SAMPLES_PER_JOB = 8;
+/** Minimum intervals between two writes of the class durations, and between two notices that the calendar expires. */
+const WRITE_INTERVAL = seconds(30);
+const NOTICE_INTERVAL = seconds(86_400);
 
-/** Never earlier than the latest log entry: a clock that was set back does not give a cutoff its time back. */
+/** Returns the time of day, but never earlier than the latest log entry: a clock that is set back must not extend a cutoff. */
 export const dayOf = (context: Pick<CycleContext, 'dayTime' | 'jobState'>): Micros =>
   Math.max(context.dayTime(), context.jobState.lastAt) as Micros;
 
-/** The speed that jobs can get, made once when it is first asked for: most days no job has a tie. */
+/** Returns a function that computes the slack inputs on its first call only: on most days no job is bound to a cutoff. */
 export const paceOf = (context: CycleContext): (() => SlackInputs) => {
-  let made: SlackInputs | null = null;
+  let computed: SlackInputs | null = null;
   return () => {
-    if (made !== null) return made;
-    const types = new Map(context.types().map((k) => [k.name, k]));
+    if (computed !== null) return computed;
+    const types = new Map(context.types().map((type) => [type.name, type]));
     const total: [number, number, number] = [0, 0, 0];
-    for (const m of context.registry.machines.values()) {
-      const k = types.get(m.type);
-      if (!k) continue;
-      total[0] += k.cpus;
-      total[1] += k.gpus;
-      total[2] += k.memGb;
+    for (const machine of context.registry.machines.values()) {
+      const type = types.get(machine.type);
+      if (!type) continue;
+      total[0] += type.cpus;
+      total[1] += type.gpus;
+      total[2] += type.memGb;
     }
-    const limits = new Map(context.settings.teams.map((s) => [s.name, s.limit]));
-    return (made = {
+    const limits = new Map(context.settings.teams.map((team) => [team.name, team.limit]));
+    return (computed = {
       classDurations: context.jobState.calendars.classDurations?.value ?? new Map(),
       limit: (team) => limits.get(team),
       total,
@@ -48,103 +49,108 @@
   };
 };
 
-const hindranceOf = (context: CycleContext, job: Job) => {
+const delayCausesOf = (context: CycleContext, job: Job) => {
   const { spec } = job;
-  const limit = context.settings.teams.find((s) => s.name === spec.team)?.limit;
+  const limit = context.settings.teams.find((team) => team.name === spec.team)?.limit;
   let cpus = 0;
   let gpus = 0;
-  for (const j of context.jobState.jobs.values()) {
-    if (j.spec.team !== spec.team) continue;
-    cpus += j.spec.cpus * j.placed.size;
-    gpus += j.spec.gpus * j.placed.size;
+  for (const other of context.jobState.jobs.values()) {
+    if (other.spec.team !== spec.team) continue;
+    cpus += other.spec.cpus * other.placed.size;
+    gpus += other.spec.gpus * other.placed.size;
   }
-  const more = spec.shape === 'array' ? 1 : spec.tasks;
-  const over = (most: number | undefined, held: number, need: number): boolean =>
-    most !== undefined && most > 0 && held + need * more > most + 1e-6;
+  const nextTasks = spec.shape === 'array' ? 1 : spec.tasks;
+  const exceeds = (max: number | undefined, held: number, perTask: number): boolean =>
+    max !== undefined && max > 0 && held + perTask * nextTasks > max + 1e-6;
   let lost = false;
-  for (const r of context.jobState.logTail.values()) {
-    const c = r.jobs.get(spec.id);
-    if ((c?.gone?.length ?? 0) > (c?.failed?.length ?? 0)) lost = true;
+  for (const logEntry of context.jobState.logTail.values()) {
+    const change = logEntry.jobs.get(spec.id);
+    if ((change?.gone?.length ?? 0) > (change?.failed?.length ?? 0)) lost = true;
   }
-  return { limited: over(limit?.cpus, cpus, spec.cpus) || over(limit?.gpus, gpus, spec.gpus), lost };
+  return {
+    limited: exceeds(limit?.cpus, cpus, spec.cpus) || exceeds(limit?.gpus, gpus, spec.gpus),
+    lost,
+  };
 };
 
-/** By job, what a log entry of this time says of its cutoff. */
+/** Returns, by job, the changes of cutoff risks that a log entry at this time of day contains. */
 export const cutoffRisksOf = (context: CycleContext, day: Micros): Map<string, number> => {
   const out = new Map<string, number>();
   const { calendars } = context.jobState;
   if (calendars.current === null || calendars.current.cutoffs.length === 0) return out;
-  const pace = paceOf(context);
+  const slackInputs = paceOf(context);
   for (const job of context.jobState.jobs.values()) {
     if (job.spec.tie === null || job.cancelled || isComplete(job)) continue;
-    // What the same log entry completes is not at risk; it may have missed.
-    const ends = context.registry.exits.get(job.spec.id);
-    const over = ends !== undefined && job.done.size + ends.done.size >= job.spec.tasks;
-    const say = newCutoffRisk(job, calendars.current, day, pace, () => hindranceOf(context, job));
-    if (say === null || (over && isRisk(say))) continue;
-    out.set(job.spec.id, say);
+    // A job that the same log entry completes is not at risk, but it may have missed its cutoff.
+    const exits = context.registry.exits.get(job.spec.id);
+    const completes = exits !== undefined && job.done.size + exits.done.size >= job.spec.tasks;
+    const risk = newCutoffRisk(job, calendars.current, day, slackInputs, () => delayCausesOf(context, job));
+    if (risk === null || (completes && isRisk(risk))) continue;
+    out.set(job.spec.id, risk);
     if (out.size >= MAX_RISKS) break;
   }
   return out;
 };
 
-/** Once the log entry is durable. */
+/** Logs the risk changes of a log entry. Called once the entry is durable. */
 export const logCutoffRisks = (
   context: CycleContext,
   jobs: ReadonlyMap<string, JobChange>,
   day: Micros,
 ): Effect.Effect<void> =>
   Effect.forEach(
-    [...jobs].filter(([, c]) => c.cutoffRisk !== undefined && c.cutoffRisk !== CUTOFF_RISK.nothing),
-    ([id, c]) => {
+    [...jobs].filter(
+      ([, change]) => change.cutoffRisk !== undefined && change.cutoffRisk !== CUTOFF_RISK.nothing,
+    ),
+    ([id, change]) => {
       const spec = context.jobState.jobs.get(id)?.spec;
-      const o = spec === undefined ? null : occurrenceOf(context.jobState.calendars.current, spec);
-      const fields = { term: context.leaderTerm.number, job: id, cutoff: o?.id };
-      return c.cutoffRisk === CUTOFF_RISK.missed
+      const occurrence = spec === undefined ? null : occurrenceOf(context.jobState.calendars.current, spec);
+      const fields = { term: context.leaderTerm.number, job: id, cutoff: occurrence?.id };
+      return change.cutoffRisk === CUTOFF_RISK.missed
         ? info('cutoff missed', fields)
         : info('cutoff at risk', {
             ...fields,
-            why: RISK_REASONS[c.cutoffRisk!],
-            inS: o === null ? undefined : Math.round((o.at - day) / 1e6),
+            why: RISK_REASONS[change.cutoffRisk!],
+            inS: occurrence === null ? undefined : Math.round((occurrence.at - day) / 1e6),
           });
     },
     { discard: true },
   );
 
-/** Takes what a log entry's ends show of their classes; called before the log entry is applied to the jobs. */
+/** Samples the durations of the tasks that a log entry completes. Must be called before the entry is applied to the jobs. */
 export const recordSamples = (
   context: CycleContext,
   jobs: ReadonlyMap<string, JobChange>,
   at: Micros,
 ): void => {
   if ((context.jobState.calendars.current?.cutoffs.length ?? 0) === 0) return;
-  for (const [id, c] of jobs) {
+  for (const [id, change] of jobs) {
     const job = context.jobState.jobs.get(id);
-    if (job === undefined || !c.done?.length || job.spec.estimate <= 0) continue;
+    if (job === undefined || !change.done?.length || job.spec.estimate <= 0) continue;
     const { ratios } = context.classSamples;
     let list = ratios.get(job.spec.jobClass);
     if (!list) ratios.set(job.spec.jobClass, (list = []));
-    // Members of a gang end together: one of them tells as much as all.
-    for (const task of c.done.slice(0, job.spec.shape === 'array' ? SAMPLES : 1)) {
+    // The members of a gang complete together, so one sample represents all of them.
+    for (const task of change.done.slice(0, job.spec.shape === 'array' ? MAX_SAMPLES_PER_JOB : 1)) {
       const since = job.placed.get(task)?.since ?? 0;
       if (since > 0 && list.length < 256) list.push((at - since) / job.spec.estimate);
     }
   }
 };
 
-/** What is written with the closing of these jobs: the counts of their occurrences. */
+/** Returns the conditions and writes that add finished jobs to the outcome counts of the occurrences they are bound to. */
 export const tallyWrites = (
   jobState: JobState,
-  over: readonly { readonly job: Job; readonly final: FinalState }[],
+  finished: readonly { readonly job: Job; readonly final: FinalState }[],
 ): { readonly when: Condition[]; readonly then: Write[] } => {
-  const sums = new Map<string, Tally>();
-  for (const { job, final } of over) {
+  const added = new Map<string, Tally>();
+  for (const { job, final } of finished) {
     const { tie } = job.spec;
     if (tie === null) continue;
     const done = final.status === 'done' ? 1 : 0;
-    sums.set(
+    added.set(
       tie,
-      addTally(sums.get(tie) ?? NO_TALLY, {
+      addTally(added.get(tie) ?? NO_TALLY, {
         done,
         risked: done === 1 && isRisk(job.cutoffRisk) ? 1 : 0,
         missed: done === 1 && job.cutoffRisk === CUTOFF_RISK.missed ? 1 : 0,
@@ -154,41 +160,41 @@
   }
   const when: Condition[] = [];
   const then: Write[] = [];
-  for (const [id, sum] of sums) {
-    const there = jobState.calendars.tallies.get(id);
+  for (const [id, counts] of added) {
+    const stored = jobState.calendars.tallies.get(id);
     const key = OCCURRENCE + id;
-    when.push({ key, stamp: there?.revision ?? 0 });
-    then.push({ set: key, value: encodeTally(addTally(jobState.calendars.tally(id) ?? NO_TALLY, sum)) });
+    when.push({ key, stamp: stored?.revision ?? 0 });
+    then.push({ set: key, value: encodeTally(addTally(jobState.calendars.tally(id) ?? NO_TALLY, counts)) });
   }
   return { when, then };
 };
 
-/** Writes what classes have shown now and then, and says when the calendar's table is about to run out. */
+/** Periodically stores the class durations, and logs when the calendar is about to expire. */
 export const calendarUpkeep = (context: CycleContext): Effect.Effect<void> =>
   Effect.gen(function* () {
     const { calendars } = context.jobState;
     const calendar = calendars.current;
     if (calendar === null || calendar.cutoffs.length === 0) return;
     const at = context.clock();
-    const { classSamples: learned } = context;
+    const { classSamples: samples } = context;
     const day = dayOf(context);
     if (
       day > calendar.until - calendar.notice &&
-      (learned.noticedAt === null || at - learned.noticedAt > NOTICE_EVERY)
+      (samples.noticedAt === null || at - samples.noticedAt > NOTICE_INTERVAL)
     ) {
-      learned.noticedAt = at;
-      yield* info('calendar runs out', {
+      samples.noticedAt = at;
+      yield* info('calendar expires soon', {
         term: context.leaderTerm.number,
         version: calendar.version,
         inDays: Math.round((calendar.until - day) / 86_400e6),
       });
     }
-    if (learned.ratios.size === 0 || (learned.writtenAt !== null && at - learned.writtenAt < WRITE_EVERY))
+    if (samples.ratios.size === 0 || (samples.writtenAt !== null && at - samples.writtenAt < WRITE_INTERVAL))
       return;
-    learned.writtenAt = at;
-    const ratios = new Map(learned.ratios);
-    learned.ratios.clear();
-    // Lost or refused: a few samples less.
+    samples.writtenAt = at;
+    const ratios = new Map(samples.ratios);
+    samples.ratios.clear();
+    // A failed or refused transaction is ignored: it loses only a few samples.
     yield* Effect.ignore(
       context.store.transact(
         [
--- a/packages/controller/src/calendar/model.ts
+++ b/packages/controller/src/calendar/model.ts
@@ -1,15 +1,15 @@
 /**
- * The calendar of cutoffs as controllers know it: a bounded table of instants, compiled by the operators' command
- * (docs/calendar.md). Nothing here knows a time zone or a recurrence.
+ * Data model of the calendar of cutoffs: a bounded table of points in time, which the operators' command compiles
+ * (docs/calendar.md). Controllers know neither time zones nor recurrences.
  */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Shape, Urgency } from '../jobs/model.js';
 
-/** More are refused by `calendar apply`: the table stays within a few pages and some MB of memory. */
+/** Limits that `calendar apply` enforces, so that the table fits into a few pages and a few MB of memory. */
 export const MOST_OCCURRENCES = 4000;
 export const MOST_CUTOFFS = 200;
 
-/** What a cutoff ties; null: any. All that are named must hold. */
+/** Which jobs a cutoff applies to. A job must match every condition; null: any value matches. */
 export interface JobFilter {
   readonly teams: readonly string[] | null;
   readonly classes: readonly string[] | null;
@@ -18,12 +18,12 @@
 }
 export interface Cutoff {
   readonly name: string;
-  /** What is submitted later than so long before an occurrence is tied to the next one. */
+  /** Lead time: a job that is submitted later than this before an occurrence is bound to the next one. */
   readonly lead: Micros;
   readonly match: JobFilter;
 }
 export interface Occurrence {
-  /** `cutoff@date`, the date that the recurrence names: an occurrence that moves keeps it. */
+  /** `cutoff@date` with the date that the recurrence names. An occurrence that is moved to another time keeps its id. */
   readonly id: string;
   /** Index in `Calendar.cutoffs`. */
   readonly cutoff: number;
@@ -32,18 +32,21 @@
 }
 export interface Calendar {
   readonly version: number;
-  /** The table covers times of day up to here. */
+  /** Time of day up to which the table has occurrences. */
   readonly until: Micros;
-  /** Its end is said from so long before it on. */
+  /** How long before `until` the leader begins to log that the calendar expires. */
   readonly notice: Micros;
-  /** In their order: of two that fall on one instant, the first ties. */
+  /** In order of precedence: of two occurrences at the same time, jobs are bound to that of the first cutoff. */
   readonly cutoffs: readonly Cutoff[];
-  /** By instant, then by cutoff. */
+  /** Ordered by time, then by cutoff. */
   readonly occurrences: readonly Occurrence[];
   readonly byId: ReadonlyMap<string, Occurrence>;
 }
 
-/** What has been said of a job's cutoff, durably in the job (`Job.cutoffRisk`): each is said once, whoever leads. */
+/**
+ * State of a job with respect to its cutoff, stored with the job (`Job.cutoffRisk`). Each state is logged once, also across
+ * changes of the leader.
+ */
 export const CUTOFF_RISK = { nothing: 0, noRoom: 1, limit: 2, estimate: 3, lost: 4, missed: 9 } as const;
 export const RISK_REASONS: Readonly<Record<number, string>> = {
   [CUTOFF_RISK.noRoom]: 'no room',
@@ -52,14 +55,17 @@
   [CUTOFF_RISK.lost]: 'lost machine',
   [CUTOFF_RISK.missed]: 'missed',
 };
-export const isRisk = (said: number | undefined): boolean =>
-  said !== undefined && said > CUTOFF_RISK.nothing && said < CUTOFF_RISK.missed;
+/** Whether a job's cutoff is at risk and not missed. */
+export const isRisk = (risk: number | undefined): boolean =>
+  risk !== undefined && risk > CUTOFF_RISK.nothing && risk < CUTOFF_RISK.missed;
 
-/** What became of an occurrence's jobs that are over; numbers only grow. */
+/** Outcome counts of an occurrence: how many of its finished jobs ended in which way. The counts never decrease. */
 export interface Tally {
+  /** Jobs that completed. */
   readonly done: number;
-  /** Of `done`: those that were at risk and made it, and those that were over only after the cutoff. */
+  /** Completed jobs that had been at risk, and completed before the cutoff. */
   readonly risked: number;
+  /** Completed jobs that finished only after the cutoff. */
   readonly missed: number;
   readonly cancelled: number;
 }
@@ -70,7 +76,7 @@
   missed: a.missed + b.missed,
   cancelled: a.cancelled + b.cancelled,
 });
-/** Of two views of one occurrence: nothing is taken back. */
+/** Merges two views of the same occurrence: takes the higher value of each count, because counts never decrease. */
 export const laterTally = (a: Tally, b: Tally): Tally => ({
   done: Math.max(a.done, b.done),
   risked: Math.max(a.risked, b.risked),
@@ -78,12 +84,17 @@
   cancelled: Math.max(a.cancelled, b.cancelled),
 });
 
+/** Builds a calendar from its occurrences, which may be in any order. */
 export const makeCalendar = (
-  c: Pick<Calendar, 'version' | 'until' | 'notice' | 'cutoffs'>,
+  properties: Pick<Calendar, 'version' | 'until' | 'notice' | 'cutoffs'>,
   occurrences: readonly Occurrence[],
 ): Calendar => {
   const sorted = [...occurrences].sort(
     (a, b) => a.at - b.at || a.cutoff - b.cutoff || (a.id < b.id ? -1 : 1),
   );
-  return { ...c, occurrences: sorted, byId: new Map(sorted.map((o) => [o.id, o])) };
+  return {
+    ...properties,
+    occurrences: sorted,
+    byId: new Map(sorted.map((occurrence) => [occurrence.id, occurrence])),
+  };
 };
--- a/packages/controller/src/calendar/publish.ts
+++ b/packages/controller/src/calendar/publish.ts
@@ -1,7 +1,7 @@
 /**
- * Puts a calendar into the shared state, for the operators' command: pages first, then one conditional change of the head.
- * Whatever step it ends at, controllers use either the calendar before or the new one; what is left behind is named
- * by no head and is deleted by the next one who applies.
+ * Stores a calendar in the state service, for the operators' command: the pages first, then one conditional change of the
+ * head. If the command ends between two steps, controllers use either the previous or the new calendar. Pages that are left
+ * behind are named by no head, and the next `calendar apply` deletes them.
  */
 import { Effect } from 'effect';
 import type { Micros } from '@lilacvalve/runtime/micros';
@@ -24,6 +24,7 @@
 
 const TIMEOUT_MS = 3000;
 
+/** Returns all entries below a prefix. */
 export const listAll = (
   store: Pick<StatePort, 'page'>,
   prefix: string,
@@ -31,41 +32,47 @@
   Effect.gen(function* () {
     const out: Entry[] = [];
     for (;;) {
-      const p = yield* store.page(prefix, out[out.length - 1]?.key ?? null, 500);
-      out.push(...p.entries);
-      if (!p.more || p.entries.length === 0) return out;
+      const listing = yield* store.page(prefix, out[out.length - 1]?.key ?? null, 500);
+      out.push(...listing.entries);
+      if (!listing.more || listing.entries.length === 0) return out;
     }
   });
 
-/** The store's incarnation as a condition: a late change never lands in a later one. null: it has none, or is being rebuilt. */
-const standing = (store: Store): Effect.Effect<Condition[] | null, StateFailure> =>
+/**
+ * Returns the condition that the store still has its present incarnation, so that a delayed transaction is refused by a
+ * later one. Returns null if the store has no incarnation or is being rebuilt.
+ */
+const incarnationCondition = (store: Store): Effect.Effect<Condition[] | null, StateFailure> =>
   Effect.gen(function* () {
     const list = yield* listAll(store, INCARNATION);
-    const g = (e: Entry): number => (e.value as { g?: number } | null)?.g ?? 0;
-    const last = list.reduce<Entry | null>((a, b) => (a === null || g(b) > g(a) ? b : a), null);
+    const generationOf = (entry: Entry): number => (entry.value as { g?: number } | null)?.g ?? 0;
+    const last = list.reduce<Entry | null>(
+      (a, b) => (a === null || generationOf(b) > generationOf(a) ? b : a),
+      null,
+    );
     const { entry: rebuild } = yield* store.get(REBUILD);
     const phase = (rebuild?.value as { phase?: string } | undefined)?.phase;
     if (last === null || (rebuild !== null && phase !== 'wait')) return null;
     return [{ key: last.key, stamp: last.stamp }];
   });
 
-/** The head there is; null: none. */
+/** Returns the stored head with its revision, or null if there is none. */
 export const readHead = (store: Store): Effect.Effect<{ head: Head; stamp: number } | null, StateFailure> =>
   Effect.map(store.get(CALENDAR_HEAD), ({ entry }) =>
     entry === null ? null : { head: decodeHead(entry.value), stamp: entry.stamp },
   );
 
-const same = (a: unknown, b: unknown): boolean => JSON.stringify(a) === JSON.stringify(b);
+const sameJson = (a: unknown, b: unknown): boolean => JSON.stringify(a) === JSON.stringify(b);
 
-/** Its pages are there, and are what it stands for: not after a loss that nobody could make good. */
-const isWhole = (store: Store, head: Head): Effect.Effect<boolean, StateFailure> =>
+/** Whether all pages of a head are stored and have its digest. They may not be after a data loss that was not fully repaired. */
+const isComplete = (store: Store, head: Head): Effect.Effect<boolean, StateFailure> =>
   Effect.map(listAll(store, CALENDAR_PAGE), (list) => {
-    const pages = new Map(list.map((p) => [p.key, p.value]));
-    const values = head.pages.map((k) => pages.get(k));
+    const pages = new Map(list.map((page) => [page.key, page.value]));
+    const values = head.pages.map((key) => pages.get(key));
     return decodeCalendar(head, values) !== null;
   });
 
-/** Sets one page unless it is there already with this content. Its stamp; null: something else is there. */
+/** Stores a page unless it is stored already. Returns its revision, or null if the key holds another value or the write was refused. */
 const putPage = (
   store: Store,
   base: readonly Condition[],
@@ -73,20 +80,21 @@
 ): Effect.Effect<number | null, StateFailure> =>
   Effect.gen(function* () {
     const set = { set: page.key, value: page.value };
-    const o = yield* store.transact(
+    const outcome = yield* store.transact(
       [...base, { key: page.key, stamp: 0 }],
       [set],
       Priority.Commit,
       TIMEOUT_MS,
     );
-    if (o.ok) return o.revision;
+    if (outcome.ok) return outcome.revision;
     const { entry } = yield* store.get(page.key);
-    return entry !== null && same(entry.value, page.value) ? entry.stamp : null;
+    return entry !== null && sameJson(entry.value, page.value) ? entry.stamp : null;
   });
 
 /**
- * `expected`: refuse unless this version is there now (0: none); null: any older one. A failure (no answer) leaves it open
- * whether the calendar was switched: asking again with the same calendar is safe and says so.
+ * Stores a calendar and switches controllers to it. `expected`: the version that must be stored now (0: none), or the change
+ * is refused; null: any older version. After a failure without a response it is not known whether the calendar was switched:
+ * repeating the call with the same calendar is safe and returns the outcome.
  */
 export const publish = (
   store: Store,
@@ -97,51 +105,58 @@
   Effect.gen(function* () {
     const refuse = (reason: string): Published => ({ ok: false, reason });
     const { head, pages } = pagesOf(calendar, limits.valueBytes);
-    // The head names its pages, and is switched on the condition that each is there.
+    // The transaction that changes the head has one condition per page, so the number of its conditions bounds the pages.
     if (pages.length > limits.txnOps * 4 - 4)
-      return refuse(`too large: ${pages.length} pages, at most ${limits.txnOps * 4 - 4} fit one change`);
-    const base = yield* standing(store);
+      return refuse(
+        `calendar too large: ${pages.length} pages, but one transaction can switch to at most ${limits.txnOps * 4 - 4}`,
+      );
+    const base = yield* incarnationCondition(store);
     if (base === null)
       return refuse('the state service has just begun or is being rebuilt: try again in a minute');
-    const there = yield* readHead(store);
-    const version = there?.head.version ?? 0;
-    const again = there !== null && version === head.version && there.head.digest === head.digest;
-    if (again && (yield* isWhole(store, there.head)))
+    const stored = yield* readHead(store);
+    const version = stored?.head.version ?? 0;
+    const again = stored !== null && version === head.version && stored.head.digest === head.digest;
+    if (again && (yield* isComplete(store, stored.head)))
       return { ok: true, version, pages: pages.length, already: true };
     if (expected !== null && version !== expected)
-      return refuse(`version ${version} is there, not ${expected}: somebody else has applied one`);
+      return refuse(`the stored version is ${version}, not ${expected} as expected: another user applied it`);
     if (version === head.version && !again)
-      return refuse(`version ${version} is there with other content: raise "version" in the file`);
+      return refuse(`version ${version} is already stored with other content: raise "version" in the file`);
     if (version > head.version)
-      return refuse(`version ${version} is there, newer than ${head.version}: raise "version" in the file`);
-    yield* clean(store, limits, base, there, new Set(head.pages));
+      return refuse(
+        `the stored version ${version} is newer than ${head.version}: raise "version" in the file`,
+      );
+    yield* clean(store, limits, base, stored, new Set(head.pages));
     const stamps: Condition[] = [];
-    for (const p of pages) {
-      const stamp = yield* putPage(store, base, p);
-      if (stamp === null) return refuse(`page ${p.key} is there with other content, or the store was lost`);
-      stamps.push({ key: p.key, stamp });
+    for (const page of pages) {
+      const stamp = yield* putPage(store, base, page);
+      if (stamp === null)
+        return refuse(
+          `page ${page.key} is already stored with other content, or the state service lost data`,
+        );
+      stamps.push({ key: page.key, stamp });
     }
-    const o = yield* store.transact(
-      [...base, { key: CALENDAR_HEAD, stamp: there?.stamp ?? 0 }, ...stamps],
+    const outcome = yield* store.transact(
+      [...base, { key: CALENDAR_HEAD, stamp: stored?.stamp ?? 0 }, ...stamps],
       [{ set: CALENDAR_HEAD, value: head }],
       Priority.Commit,
       TIMEOUT_MS,
     );
-    if (o.ok) return { ok: true, version: head.version, pages: pages.length, already: false };
+    if (outcome.ok) return { ok: true, version: head.version, pages: pages.length, already: false };
     const now = yield* readHead(store);
-    // Its own first try, whose answer was lost, or another who applied the very same.
+    // Either an earlier attempt of this command succeeded and its response was lost, or another user applied the same file.
     if (now?.head.digest === head.digest)
       return { ok: true, version: head.version, pages: pages.length, already: true };
     return refuse(
-      now !== null && now.stamp !== there?.stamp
-        ? `somebody else applied version ${now.head.version} at the same time: theirs holds`
+      now !== null && now.stamp !== stored?.stamp
+        ? `another user applied version ${now.head.version} at the same time: theirs holds`
         : 'the store changed meanwhile: try again',
     );
   });
 
 /**
- * Takes the calendar out of use: an empty one with a higher version, so that no older file can be applied by mistake.
- * Tied jobs keep their ties and go by their own `dueS`.
+ * Takes the calendar out of use: stores an empty one with a higher version, so that no older file can be applied by mistake.
+ * Jobs keep their cutoff bindings, but are scheduled by their own `dueS`.
  */
 export const retire = (
   store: Store,
@@ -151,40 +166,43 @@
 ): Effect.Effect<Published, StateFailure> =>
   publish(store, limits, makeCalendar({ version, until, notice: 0 as Micros, cutoffs: [] }, []));
 
-/** Deletes pages that neither the head nor this apply names, and counts of occurrences that the head's pages don't name. */
+/**
+ * Deletes the pages that neither the stored head (`stored`) nor the new calendar (`mine`) names, and the outcome counts of
+ * occurrences that are not in the stored head's pages.
+ */
 const clean = (
   store: Store,
   limits: Limits,
   base: readonly Condition[],
-  there: { readonly head: Head; readonly stamp: number } | null,
+  stored: { readonly head: Head; readonly stamp: number } | null,
   mine: ReadonlySet<string>,
 ): Effect.Effect<void, StateFailure> =>
   Effect.gen(function* () {
-    const kept = new Set([...(there?.head.pages ?? []), ...mine]);
+    const kept = new Set([...(stored?.head.pages ?? []), ...mine]);
     const pages = yield* listAll(store, CALENDAR_PAGE);
-    const dates = new Set<string>();
-    const names: string[] = [];
-    const values = new Map(pages.map((p) => [p.key, p.value]));
-    for (const key of there?.head.pages ?? [])
+    const occurrenceIds = new Set<string>();
+    const cutoffNames: string[] = [];
+    const values = new Map(pages.map((page) => [page.key, page.value]));
+    for (const key of stored?.head.pages ?? [])
       for (const item of (values.get(key) as [string | number, string][] | undefined) ?? []) {
-        if (typeof item[0] === 'string') names.push(item[0]);
-        else dates.add(`${names[item[0]]}@${item[1]}`);
+        if (typeof item[0] === 'string') cutoffNames.push(item[0]);
+        else occurrenceIds.add(`${cutoffNames[item[0]]}@${item[1]}`);
       }
-    const counts = names.length === 0 ? [] : yield* listAll(store, OCCURRENCE);
-    const old = [
-      ...pages.filter((p) => !kept.has(p.key)),
-      ...counts.filter((c) => !dates.has(c.key.slice(OCCURRENCE.length))),
+    const counts = cutoffNames.length === 0 ? [] : yield* listAll(store, OCCURRENCE);
+    const obsolete = [
+      ...pages.filter((page) => !kept.has(page.key)),
+      ...counts.filter((entry) => !occurrenceIds.has(entry.key.slice(OCCURRENCE.length))),
     ];
-    for (let i = 0; i < old.length; i += Math.min(8, limits.txnOps)) {
-      const part = old.slice(i, i + Math.min(8, limits.txnOps));
-      const then: Write[] = part.map((e) => ({ delete: e.key }));
-      // Not if the head has been switched meanwhile: to these, perhaps.
+    for (let i = 0; i < obsolete.length; i += Math.min(8, limits.txnOps)) {
+      const batch = obsolete.slice(i, i + Math.min(8, limits.txnOps));
+      const then: Write[] = batch.map((entry) => ({ delete: entry.key }));
+      // Refused if the head has changed meanwhile: the new head may name the pages that are to be deleted.
       const when = [
         ...base,
-        { key: CALENDAR_HEAD, stamp: there?.stamp ?? 0 },
-        ...part.map((e) => ({ key: e.key, stamp: e.stamp })),
+        { key: CALENDAR_HEAD, stamp: stored?.stamp ?? 0 },
+        ...batch.map((entry) => ({ key: entry.key, stamp: entry.stamp })),
       ];
-      const o = yield* store.transact(when, then, Priority.Upkeep, TIMEOUT_MS);
-      if (!o.ok) return;
+      const outcome = yield* store.transact(when, then, Priority.Upkeep, TIMEOUT_MS);
+      if (!outcome.ok) return;
     }
   });
--- a/packages/controller/src/calendar/tie.ts
+++ b/packages/controller/src/calendar/tie.ts
@@ -1,40 +1,48 @@
-/** Which cutoff a job is tied to: decided once, by the node that accepts it, and durable with the job. Pure. */
+/**
+ * Binds a job to an occurrence of a cutoff. The controller that accepts the job decides once, and the binding is stored with
+ * the job. Pure functions.
+ */
 import type { JobSpec } from '../jobs/model.js';
 import type { Calendar, JobFilter, Occurrence } from './model.js';
 
-type Tied = Pick<JobSpec, 'team' | 'jobClass' | 'shape' | 'urgency' | 'submitted'>;
+type MatchedSpec = Pick<JobSpec, 'team' | 'jobClass' | 'shape' | 'urgency' | 'submitted'>;
 
-const matches = (m: JobFilter, s: Tied): boolean =>
-  (m.teams === null || m.teams.includes(s.team)) &&
-  (m.classes === null || m.classes.includes(s.jobClass)) &&
-  (m.shapes === null || m.shapes.includes(s.shape)) &&
-  (m.urgencies === null || m.urgencies.includes(s.urgency));
+const matches = (filter: JobFilter, spec: MatchedSpec): boolean =>
+  (filter.teams === null || filter.teams.includes(spec.team)) &&
+  (filter.classes === null || filter.classes.includes(spec.jobClass)) &&
+  (filter.shapes === null || filter.shapes.includes(spec.shape)) &&
+  (filter.urgencies === null || filter.urgencies.includes(spec.urgency));
 
 /**
- * The earliest occurrence, among the cutoffs that tie such jobs, whose instant less its lead time is not before the
- * submission; of several at one instant that of the first cutoff. Null: none.
+ * Returns the id of the occurrence to which a job is bound: of the cutoffs that match the job, the earliest occurrence whose
+ * time less the cutoff's lead time is not before the submission. Of several at the same time, the one of the first cutoff.
+ * Returns null if there is none.
  */
-export const tieOf = (calendar: Calendar | null, spec: Tied): string | null => {
-  // A service has no end that could come in time.
+export const tieOf = (calendar: Calendar | null, spec: MatchedSpec): string | null => {
+  // A service never completes, so it cannot meet a cutoff.
   if (calendar === null || spec.shape === 'service') return null;
-  const which = calendar.cutoffs.map((c) => matches(c.match, spec));
-  if (!which.includes(true)) return null;
+  const cutoffMatches = calendar.cutoffs.map((cutoff) => matches(cutoff.match, spec));
+  if (!cutoffMatches.includes(true)) return null;
   const { occurrences } = calendar;
-  // The first whose instant is not before the submission, by halves: what passed is not looked at.
+  // Binary search for the first occurrence that is not before the submission: past occurrences need no check.
   let low = 0;
   let high = occurrences.length;
   while (low < high) {
-    const mid = (low + high) >> 1;
-    if (occurrences[mid]!.at < spec.submitted) low = mid + 1;
-    else high = mid;
+    const middle = (low + high) >> 1;
+    if (occurrences[middle]!.at < spec.submitted) low = middle + 1;
+    else high = middle;
   }
   for (; low < occurrences.length; low++) {
-    const o = occurrences[low]!;
-    if (which[o.cutoff] && o.at - calendar.cutoffs[o.cutoff]!.lead >= spec.submitted) return o.id;
+    const occurrence = occurrences[low]!;
+    if (
+      cutoffMatches[occurrence.cutoff] &&
+      occurrence.at - calendar.cutoffs[occurrence.cutoff]!.lead >= spec.submitted
+    )
+      return occurrence.id;
   }
   return null;
 };
 
-/** The occurrence of a job's tie as the calendar has it now; null: it has no tie, or the calendar dropped it. */
+/** Returns the occurrence to which a job is bound, as in the current calendar; null: no binding, or the calendar no longer has it. */
 export const occurrenceOf = (calendar: Calendar | null, spec: Pick<JobSpec, 'tie'>): Occurrence | null =>
   spec.tie === null || calendar === null ? null : (calendar.byId.get(spec.tie) ?? null);
