--- a/packages/controller/src/lending/borrowing-rules.ts
+++ b/packages/controller/src/lending/borrowing-rules.ts
@@ -1,6 +1,6 @@
 /**
- * Who may take GPUs from whom: the protocol's "Preemption", and one promise more. What a service takes beyond its team's
- * guarantee never brings the lender's team below its own.
+ * Which jobs a service may take GPUs from: the rules of the protocol's section "Preemption", and one additional guarantee.
+ * What a service takes beyond its own team's guarantee never brings the lender's team below its guarantee.
  */
 import { EPSILON, type Room } from './room.js';
 
@@ -9,40 +9,51 @@
   readonly gpus: number;
 }
 
-/** What the taker asks for lies within its team's guarantee, or not. */
+/** Whether the taker's request lies within its team's guarantee (`own`) or exceeds it (`beyond`). */
 export type Entitlement = 'own' | 'beyond';
 /**
- * How the lender's team stands. `spare`: without the victim it still has its guarantee. `partly`: it runs beyond its
- * guarantee, but would have less without the victim. `needed`: it runs no more than its guarantee.
+ * How the lender's team stands relative to its guarantee. `spare`: without the victim it still has its guarantee. `partly`:
+ * it runs more than its guarantee, but would have less than it without the victim. `needed`: it runs no more than its
+ * guarantee.
  */
 export type LenderStanding = 'spare' | 'partly' | 'needed';
 
+/** Standings of the lender's team at which the victim may be taken, by entitlement and by whether its urgency is lower. */
 const ROWS: Readonly<Record<Entitlement, Readonly<Record<'lower' | 'other', readonly LenderStanding[]>>>> = {
   own: { lower: ['spare', 'partly', 'needed'], other: ['spare', 'partly'] },
   beyond: { lower: ['spare'], other: [] },
 };
 
-/** `held`: all that the team may still be running, also where nobody hears from; `need`: what one replica takes more. */
+/**
+ * Returns the entitlement of a replica. `held`: everything that the taker's team may still be running, including machines
+ * that do not send heartbeats; `need`: what the replica takes in addition.
+ */
 export const entitlementOf = (held: Room, need: Room, guarantee: Guarantee): Entitlement =>
   held[0] + need[0] <= guarantee.cpus + EPSILON && held[1] + need[1] <= guarantee.gpus + EPSILON
     ? 'own'
     : 'beyond';
 
-/** `stays`: what the lender's team surely keeps, nothing that is leaving or out of sight; `size`: of the victim, whole. */
+/**
+ * Returns the standing of the lender's team. `stays`: what the team certainly keeps running, without tasks that are being
+ * stopped or cannot be observed; `size`: resources of the whole victim (all members of a gang).
+ */
 export const standingOf = (stays: Room, size: Room, guarantee: Guarantee): LenderStanding => {
-  const promised = [guarantee.cpus, guarantee.gpus];
-  if (promised.every((g, i) => size[i]! <= 0 || stays[i]! - size[i]! >= g - EPSILON)) return 'spare';
-  return promised.some((g, i) => stays[i]! > g + EPSILON) ? 'partly' : 'needed';
+  const guaranteed = [guarantee.cpus, guarantee.gpus];
+  if (guaranteed.every((amount, i) => size[i]! <= 0 || stays[i]! - size[i]! >= amount - EPSILON))
+    return 'spare';
+  return guaranteed.some((amount, i) => stays[i]! > amount + EPSILON) ? 'partly' : 'needed';
 };
 
 export interface BorrowingRequest {
   readonly sameTeam: boolean;
-  /** The victim's urgency is under the taker's. */
+  /** The victim's urgency is lower than the taker's. */
   readonly lower: boolean;
   readonly entitlement: Entitlement;
   readonly standing: LenderStanding;
 }
 
-/** Within one team nothing changes hands: urgency alone decides. */
-export const mayBorrowFrom = (a: BorrowingRequest): boolean =>
-  a.sameTeam ? a.lower : ROWS[a.entitlement][a.lower ? 'lower' : 'other'].includes(a.standing);
+/** Whether the taker may preempt the victim. Within one team only the urgency decides, because the team's total is unchanged. */
+export const mayBorrowFrom = (request: BorrowingRequest): boolean =>
+  request.sameTeam
+    ? request.lower
+    : ROWS[request.entitlement][request.lower ? 'lower' : 'other'].includes(request.standing);
--- a/packages/controller/src/lending/codec.ts
+++ b/packages/controller/src/lending/codec.ts
@@ -1,4 +1,4 @@
-/** Durable forms of loans, inside a job's key and inside a log entry's change of a job. */
+/** Stored forms of loans: in a job's key, and in a log entry's change of a job. */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Loan, LoanPart } from './model.js';
 
@@ -8,30 +8,34 @@
 export type StoredLoanParts = Readonly<Record<string, readonly [number, number]>>;
 
 export const encodeLoans = (loans: ReadonlyMap<string, Loan>, submitted: Micros): StoredLoans =>
-  Object.fromEntries([...loans].map(([id, l]) => [id, [l.gpus, l.tasks, l.since - submitted] as const]));
+  Object.fromEntries(
+    [...loans].map(([id, loan]) => [id, [loan.gpus, loan.tasks, loan.since - submitted] as const]),
+  );
 
-/** Throws on what `encodeLoans` can't have written. */
-export const decodeLoans = (v: StoredLoans | undefined, submitted: Micros): Map<string, Loan> => {
+/** Throws on values that `encodeLoans` cannot have written. */
+export const decodeLoans = (stored: StoredLoans | undefined, submitted: Micros): Map<string, Loan> => {
   const out = new Map<string, Loan>();
-  for (const [id, l] of Object.entries(v ?? {})) {
-    if (!Array.isArray(l) || l.length !== 3 || !l.every((x) => Number.isSafeInteger(x)))
-      throw new Error(`not a loan of ${id}`);
-    const [gpus, tasks, after] = l as unknown as [number, number, number];
-    out.set(id, { gpus, tasks, since: (submitted + after) as Micros });
+  for (const [id, loan] of Object.entries(stored ?? {})) {
+    if (!Array.isArray(loan) || loan.length !== 3 || !loan.every((value) => Number.isSafeInteger(value)))
+      throw new Error(`loan of ${id}: expected three safe integers, found ${JSON.stringify(loan)}`);
+    const [gpus, tasks, sinceSubmission] = loan as unknown as [number, number, number];
+    out.set(id, { gpus, tasks, since: (submitted + sinceSubmission) as Micros });
   }
   return out;
 };
 
-export const encodeLoanParts = (parts: readonly LoanPart[]): StoredLoanParts =>
-  Object.fromEntries(parts.map((p) => [p.lender, [p.gpus, p.tasks] as const]));
+export const encodeLoanParts = (changes: readonly LoanPart[]): StoredLoanParts =>
+  Object.fromEntries(changes.map((change) => [change.lender, [change.gpus, change.tasks] as const]));
 
-/** Throws on what `encodeParts` can't have written. */
-export const decodeLoanParts = (v: StoredLoanParts | undefined): LoanPart[] | undefined =>
-  v === undefined
+/** Throws on values that `encodeLoanParts` cannot have written. */
+export const decodeLoanParts = (stored: StoredLoanParts | undefined): LoanPart[] | undefined =>
+  stored === undefined
     ? undefined
-    : Object.entries(v).map(([lender, p]) => {
-        if (!Array.isArray(p) || !p.every((x) => Number.isSafeInteger(x)))
-          throw new Error(`no part of ${lender}`);
-        const [gpus, tasks] = p as unknown as [number, number];
+    : Object.entries(stored).map(([lender, change]) => {
+        if (!Array.isArray(change) || !change.every((value) => Number.isSafeInteger(value)))
+          throw new Error(
+            `loan change of ${lender}: expected safe integers, found ${JSON.stringify(change)}`,
+          );
+        const [gpus, tasks] = change as unknown as [number, number];
         return { lender, gpus, tasks };
       });
--- a/packages/controller/src/lending/image-weights-task.ts
+++ b/packages/controller/src/lending/image-weights-task.ts
@@ -1,4 +1,4 @@
-/** Keeps the hint of who holds which weights. */
+/** Periodically stores the hint of which machines hold the weights of services. */
 import { Effect } from 'effect';
 import { supervise } from '@lilacvalve/runtime/supervise';
 import { TERM, IMAGE_WEIGHTS } from '../jobs/keys.js';
@@ -8,7 +8,7 @@
 import { mayBorrow } from './loans.js';
 import { encodeImageWeights, weightsHeld } from './image-weights.js';
 
-const EVERY_MS = 10_000;
+const INTERVAL_MS = 10_000;
 
 export interface ImageWeightsDependencies {
   readonly mayAct: () => boolean;
@@ -22,23 +22,27 @@
   readonly machines: () => Iterable<{ readonly id: string; readonly images: ReadonlySet<string> }>;
 }
 
-export const imageWeightsTask = (p: ImageWeightsDependencies) => {
-  /** Images of services, those seen last behind. */
+export const imageWeightsTask = (dependencies: ImageWeightsDependencies) => {
+  /** Images of services, the most recently used ones last. */
   const images = new Set<string>();
-  for (const list of p.jobState.weights.values()) for (const image of list) images.add(image);
-  const write = hintWriter(p.store, { key: TERM, stamp: p.leaderTerm.stamp }, IMAGE_WEIGHTS);
-  const look = Effect.suspend(() => {
-    for (const { spec } of p.jobState.jobs.values()) {
+  for (const list of dependencies.jobState.weights.values()) for (const image of list) images.add(image);
+  const write = hintWriter(
+    dependencies.store,
+    { key: TERM, stamp: dependencies.leaderTerm.stamp },
+    IMAGE_WEIGHTS,
+  );
+  const storeHint = Effect.suspend(() => {
+    for (const { spec } of dependencies.jobState.jobs.values()) {
       if (!mayBorrow(spec)) continue;
       images.delete(spec.image);
       images.add(spec.image);
     }
-    if (images.size === 0 || !p.mayAct()) return Effect.void;
+    if (images.size === 0 || !dependencies.mayAct()) return Effect.void;
     const value = encodeImageWeights(
-      weightsHeld([...images], p.machines()),
-      p.settings.state.valueBytes * 0.5,
+      weightsHeld([...images], dependencies.machines()),
+      dependencies.settings.state.valueBytes * 0.5,
     );
     return write(value);
   });
-  return supervise('weights', Effect.sleep(EVERY_MS).pipe(Effect.zipRight(look), Effect.forever));
+  return supervise('weights', Effect.sleep(INTERVAL_MS).pipe(Effect.zipRight(storeHint), Effect.forever));
 };
--- a/packages/controller/src/lending/image-weights.ts
+++ b/packages/controller/src/lending/image-weights.ts
@@ -1,48 +1,49 @@
 /**
- * Which machines hold the weights of services: a hint for the next leader, which hears from workers only what runs now.
- * Kept in one key, written now and then; lost or old, it costs time and nothing else.
+ * Which machines hold the weights of services (the large images that replicas load). It is a hint for the next leader, which
+ * learns from heartbeats only what is running. The hint is kept in one key and written periodically; a lost or outdated
+ * hint costs time and has no other effect.
  */
 
-/** Images, each with the machines that hold it. */
+/** Machines that hold an image, by image. */
 export type ImageWeights = ReadonlyMap<string, readonly string[]>;
 
-const MOST_IMAGES = 40;
-const MOST_MACHINES = 80;
+const MAX_IMAGES = 40;
+const MAX_MACHINES_PER_IMAGE = 80;
 
-/** What the machines hold of `images`; the images used last stand last in `images` and are kept. */
+/** Returns which machines hold each of `images`, which are ordered by last use; only the most recently used ones are kept. */
 export const weightsHeld = (
   images: readonly string[],
   machines: Iterable<{ readonly id: string; readonly images: ReadonlySet<string> }>,
 ): ImageWeights => {
-  const out = new Map<string, string[]>(images.slice(-MOST_IMAGES).map((i) => [i, []]));
-  for (const m of machines) {
-    for (const image of m.images) {
-      const on = out.get(image);
-      if (on && on.length < MOST_MACHINES) on.push(m.id);
+  const out = new Map<string, string[]>(images.slice(-MAX_IMAGES).map((image) => [image, []]));
+  for (const machine of machines) {
+    for (const image of machine.images) {
+      const holders = out.get(image);
+      if (holders && holders.length < MAX_MACHINES_PER_IMAGE) holders.push(machine.id);
     }
   }
-  for (const [image, on] of out) if (on.length === 0) out.delete(image);
+  for (const [image, holders] of out) if (holders.length === 0) out.delete(image);
   return out;
 };
 
-/** Within `bytes`: the oldest images are left out first. */
-export const encodeImageWeights = (w: ImageWeights, bytes: number): unknown => {
-  const entries = [...w];
+/** Encodes the hint in at most `bytes` of JSON; the least recently used images are left out first. */
+export const encodeImageWeights = (weights: ImageWeights, bytes: number): unknown => {
+  const entries = [...weights];
   while (entries.length > 0 && JSON.stringify(Object.fromEntries(entries)).length > bytes) entries.shift();
   return Object.fromEntries(entries);
 };
 
-/** By machine. Whatever can't be read is left out: it is a hint. */
+/** Returns the images by machine. Values that cannot be decoded are skipped, because the data is only a hint. */
 export const decodeImageWeights = (value: unknown): Map<string, string[]> => {
   const out = new Map<string, string[]>();
   if (typeof value !== 'object' || value === null) return out;
-  for (const [image, on] of Object.entries(value)) {
-    if (!Array.isArray(on)) continue;
-    for (const m of on as unknown[]) {
-      if (typeof m !== 'string') continue;
-      const list = out.get(m);
+  for (const [image, holders] of Object.entries(value)) {
+    if (!Array.isArray(holders)) continue;
+    for (const machine of holders as unknown[]) {
+      if (typeof machine !== 'string') continue;
+      const list = out.get(machine);
       if (list) list.push(image);
-      else out.set(m, [image]);
+      else out.set(machine, [image]);
     }
   }
   return out;
--- a/packages/controller/src/lending/loan-changes.ts
+++ b/packages/controller/src/lending/loan-changes.ts
@@ -1,52 +1,63 @@
-/** What a cycle's log entry says of loans: those it makes for its stops, and those it ends. */
+/** The loan changes of a cycle's log entry: the loans that its preemptions make, and the loans that it ends. */
 import type { Job } from '../jobs/model.js';
 import { repaymentsWithoutStart, repaymentsByStarts, type Repayments } from './repayment.js';
 import { loansOf } from './loans.js';
 import { thousandths, type LoanPart } from './model.js';
 
-/** A task about to be stopped for a service. */
+/** A task that is to be preempted, with the service that takes its resources (`taker`). */
 export interface LendingPreemption {
   readonly job: Job;
   readonly task: number;
   readonly taker?: Job;
 }
 
+/** The loans of one taker. */
 export interface NewLoans<S extends LendingPreemption> {
   readonly taker: Job;
   readonly lend: readonly LoanPart[];
-  /** Tasks taken, by lender. */
+  /** Number of preempted tasks by lender. */
   readonly taken: ReadonlyMap<string, number>;
   readonly preemptions: readonly S[];
 }
 
-/** By taker, in the order of the stops. */
-export const newLoans = <S extends LendingPreemption>(stops: readonly S[]): NewLoans<S>[] => {
+/** Returns the loans that preemptions make, by taker, in the order of the preemptions. */
+export const newLoans = <S extends LendingPreemption>(preemptions: readonly S[]): NewLoans<S>[] => {
   const byTaker = new Map<Job, S[]>();
-  for (const s of stops) {
-    if (s.taker === undefined) continue;
-    const list = byTaker.get(s.taker);
-    if (list) list.push(s);
-    else byTaker.set(s.taker, [s]);
+  for (const preemption of preemptions) {
+    if (preemption.taker === undefined) continue;
+    const list = byTaker.get(preemption.taker);
+    if (list) list.push(preemption);
+    else byTaker.set(preemption.taker, [preemption]);
   }
-  return [...byTaker].map(([taker, of]) => {
-    const parts = new Map<string, LoanPart>();
-    for (const { job } of of) {
+  return [...byTaker].map(([taker, takerPreemptions]) => {
+    const byLender = new Map<string, LoanPart>();
+    for (const { job } of takerPreemptions) {
       const lender = job.spec.id;
-      const old = parts.get(lender);
+      const old = byLender.get(lender);
       const gpus = (old?.gpus ?? 0) + thousandths(job.spec.gpus);
-      parts.set(lender, { lender, gpus, tasks: (old?.tasks ?? 0) + 1 });
+      byLender.set(lender, { lender, gpus, tasks: (old?.tasks ?? 0) + 1 });
     }
-    const lend = [...parts.values()];
-    return { taker, lend, taken: new Map(lend.map((p) => [p.lender, p.tasks])), preemptions: of };
+    const lend = [...byLender.values()];
+    return {
+      taker,
+      lend,
+      taken: new Map(lend.map((loan) => [loan.lender, loan.tasks])),
+      preemptions: takerPreemptions,
+    };
   });
 };
 
-/** One loan, or a part of it, that a log entry ends; for the log. `gpus`: whole GPUs. */
+/** A loan, or some of its tasks, that a log entry ends; written to the log. */
 export interface LoanEnd {
   readonly taker: string;
   readonly lender: string;
+  /** GPUs, not thousandths. */
   readonly gpus: number;
-  readonly reason: 'repaid' | 'lender over' | 'lender whole';
+  /**
+   * The lender's tasks were started again; the lender finished or was cancelled; or the lender lacks fewer tasks than it
+   * lent, because the tasks were never stopped or were started unobserved.
+   */
+  readonly reason: 'repaid' | 'lender finished' | 'lender tasks running';
 }
 export interface LoanRepayment {
   readonly taker: string;
@@ -54,7 +65,10 @@
   readonly ends: readonly LoanEnd[];
 }
 
-/** `started`: tasks that the log entry starts, by job. `unsettled`: what becomes of the job's tasks is not known yet. */
+/**
+ * Returns the loans that a log entry ends. `started`: number of tasks that the entry starts, by job. `unsettled`: whether the
+ * state of some of the job's tasks is not known yet.
+ */
 export const loanRepayments = (
   jobs: ReadonlyMap<string, Job>,
   started: ReadonlyMap<string, number>,
@@ -62,26 +76,31 @@
 ): LoanRepayment[] => {
   const loans = loansOf(jobs.values());
   if (loans.length === 0) return [];
-  const over = repaymentsWithoutStart(loans, { jobs, unsettled });
-  // A loan of which a part is over is looked at again in the next cycle.
-  const rest = loans.filter((l) => !over.get(l.taker)?.some((p) => p.lender === l.lender));
-  const repaid = repaymentsByStarts(rest, started, (id) => jobs.get(id)?.spec.gpus ?? 0);
-  const of = (from: Repayments, taker: string): readonly LoanPart[] => from.get(taker) ?? [];
-  const end = (taker: string, p: LoanPart, reason: LoanEnd['reason']): LoanEnd => ({
+  const withoutStart = repaymentsWithoutStart(loans, { jobs, unsettled });
+  // A loan that ends in part without a start is not repaid by starts until the next cycle.
+  const rest = loans.filter((loan) => !withoutStart.get(loan.taker)?.some((p) => p.lender === loan.lender));
+  const byStarts = repaymentsByStarts(rest, started, (id) => jobs.get(id)?.spec.gpus ?? 0);
+  const repaymentsOf = (repayments: Repayments, taker: string): readonly LoanPart[] =>
+    repayments.get(taker) ?? [];
+  const loanEnd = (taker: string, repayment: LoanPart, reason: LoanEnd['reason']): LoanEnd => ({
     taker,
-    lender: p.lender,
-    gpus: p.gpus / 1000,
+    lender: repayment.lender,
+    gpus: repayment.gpus / 1000,
     reason,
   });
-  return [...new Set([...over.keys(), ...repaid.keys()])].map((taker) => ({
+  return [...new Set([...withoutStart.keys(), ...byStarts.keys()])].map((taker) => ({
     taker,
-    repay: [...of(over, taker), ...of(repaid, taker)],
+    repay: [...repaymentsOf(withoutStart, taker), ...repaymentsOf(byStarts, taker)],
     ends: [
-      ...of(over, taker).map((p) => {
-        const lender = jobs.get(p.lender);
-        return end(taker, p, lender === undefined || lender.cancelled ? 'lender over' : 'lender whole');
+      ...repaymentsOf(withoutStart, taker).map((repayment) => {
+        const lender = jobs.get(repayment.lender);
+        return loanEnd(
+          taker,
+          repayment,
+          lender === undefined || lender.cancelled ? 'lender finished' : 'lender tasks running',
+        );
       }),
-      ...of(repaid, taker).map((p) => end(taker, p, 'repaid')),
+      ...repaymentsOf(byStarts, taker).map((repayment) => loanEnd(taker, repayment, 'repaid')),
     ],
   }));
 };
--- a/packages/controller/src/lending/model.ts
+++ b/packages/controller/src/lending/model.ts
@@ -1,19 +1,20 @@
 /**
- * Loans: GPUs that a service runs on because tasks of another job were stopped for it. A loan is part of the taker's
- * durable state, so whoever has the jobs has the loans: followers, a new leader, a rebuild, a snapshot.
+ * Loans: GPUs on which a service runs because tasks of another job were preempted for it. A loan is part of the stored state
+ * of the taker (the service), so every copy of the jobs contains the loans: on followers and new leaders, after a rebuild of
+ * the store, and in snapshots.
  */
 import type { Micros } from '@lilacvalve/runtime/micros';
 
-/** GPUs are counted in thousandths, as whole numbers: sums of loans are exact. */
+/** Converts GPUs to thousandths of a GPU: whole numbers, so that sums of loans are exact. */
 export const thousandths = (gpus: number): number => Math.round(gpus * 1000);
 
-/** What one job has lent to one service and not been given back. */
+/** What one job (the lender) has lent to one service (the taker) and has not got back. */
 export interface Loan {
   /** Thousandths of a GPU. */
   readonly gpus: number;
-  /** Tasks that were stopped for it. */
+  /** Number of the lender's tasks that were preempted. */
   readonly tasks: number;
-  /** Time of day of the first log entry that took some of it. */
+  /** Time of day of the first log entry that lent some of it. */
   readonly since: Micros;
 }
 
@@ -24,27 +25,27 @@
   readonly tasks: number;
 }
 
-/** One log entry: what it lends, then what it gives back. Neither can make an amount less than nothing. */
+/** Applies one log entry to a taker's loans, first what it lends, then what it repays. Amounts never become negative. */
 export const applyLoans = (
   loans: Map<string, Loan>,
   lend: readonly LoanPart[] | undefined,
   repay: readonly LoanPart[] | undefined,
   at: Micros,
 ): void => {
-  for (const p of lend ?? []) {
-    const old = loans.get(p.lender);
-    loans.set(p.lender, {
-      gpus: (old?.gpus ?? 0) + p.gpus,
-      tasks: (old?.tasks ?? 0) + p.tasks,
+  for (const change of lend ?? []) {
+    const old = loans.get(change.lender);
+    loans.set(change.lender, {
+      gpus: (old?.gpus ?? 0) + change.gpus,
+      tasks: (old?.tasks ?? 0) + change.tasks,
       since: old?.since ?? at,
     });
   }
-  for (const p of repay ?? []) {
-    const old = loans.get(p.lender);
+  for (const change of repay ?? []) {
+    const old = loans.get(change.lender);
     if (old === undefined) continue;
-    const gpus = Math.max(0, old.gpus - p.gpus);
-    const tasks = Math.max(0, old.tasks - p.tasks);
-    if (tasks === 0) loans.delete(p.lender);
-    else loans.set(p.lender, { gpus, tasks, since: old.since });
+    const gpus = Math.max(0, old.gpus - change.gpus);
+    const tasks = Math.max(0, old.tasks - change.tasks);
+    if (tasks === 0) loans.delete(change.lender);
+    else loans.set(change.lender, { gpus, tasks, since: old.since });
   }
 };
--- a/packages/controller/src/lending/room.ts
+++ b/packages/controller/src/lending/room.ts
@@ -1,3 +1,4 @@
-/** CPUs, GPUs, memory. */
+/** Amounts of CPUs, GPUs and GB of memory. */
 export type Room = readonly [number, number, number];
+/** Tolerance of comparisons between sums of amounts. */
 export const EPSILON = 1e-6;
