--- a/packages/controller/src/accounts/booking.ts
+++ b/packages/controller/src/accounts/booking.ts
@@ -9,8 +9,8 @@
 import { type UsageSources, totalCapacity, UsageRows } from './usage-rows.js';
 
 /**
- * Whether a replica runs on lent GPUs. A loan belongs to the job and not to one replica, so the lent GPUs are attributed to
- * the replicas that were started last, to as many as the GPUs that are still lent when the replica ends cover.
+ * Whether a replica runs on lent GPUs. A loan belongs to the job and not to one replica. The replicas that were started last
+ * are taken to run on the lent GPUs: as many of them as the GPUs still lent when this replica ends suffice for.
  */
 export const onLentCapacity = (job: Job, task: number): boolean => {
   const borrowed = borrowedBy(job);
--- a/packages/controller/src/accounts/codec.ts
+++ b/packages/controller/src/accounts/codec.ts
@@ -30,7 +30,7 @@
   rate: number,
   ...us: number[],
 ];
-/** Fields of a log entry's header that belong to the accounts. */
+/** Fields of a log entry's header that belong to the accounts: usage rows, end of the closed period, capacity bound. */
 export interface StoredUsage {
   readonly s?: readonly WireUsage[];
   readonly p?: number;
@@ -70,7 +70,7 @@
   };
 };
 
-/** The stored letter of each category, in the order of `SPLITS`. */
+/** The stored letter of each category, in the order of `USAGE_CATEGORIES`. */
 const LETTERS = 'urgflxn';
 
 const toHex = (value: bigint): string => (value < 0n ? `-${(-value).toString(16)}` : value.toString(16));
@@ -80,9 +80,9 @@
 /** Encodes amounts as in `u3e8.7d0.0.1f4,f...,$2a`. Categories and costs that are zero are left out. */
 export const encodeAmounts = (amounts: Amounts): string => {
   const out: string[] = [];
-  SPLITS.forEach((_, split) => {
-    const values = amounts.slice(split * UNITS.length, (split + 1) * UNITS.length);
-    if (values.some((value) => value !== 0n)) out.push(LETTERS[split]! + values.map(toHex).join('.'));
+  SPLITS.forEach((_, category) => {
+    const values = amounts.slice(category * UNITS.length, (category + 1) * UNITS.length);
+    if (values.some((value) => value !== 0n)) out.push(LETTERS[category]! + values.map(toHex).join('.'));
   });
   if (amounts[MONEY] !== 0n) out.push(`$${toHex(amounts[MONEY]!)}`);
   return out.join();
@@ -95,13 +95,13 @@
       out[MONEY] = fromHex(rest);
       continue;
     }
-    const split = LETTERS.indexOf(item[0]!);
+    const category = LETTERS.indexOf(item[0]!);
     const values = rest.split('.');
-    if (split < 0 || values.length !== UNITS.length)
+    if (category < 0 || values.length !== UNITS.length)
       throw new Error(
         `stored amounts: expected a category letter and ${UNITS.length} numbers, found "${item}"`,
       );
-    values.forEach((value, unit) => (out[split * UNITS.length + unit] = fromHex(value)));
+    values.forEach((value, unit) => (out[category * UNITS.length + unit] = fromHex(value)));
   }
   return out;
 };
@@ -161,7 +161,10 @@
   room,
 });
 
-/** First value of the checkpoint. The rows of all lists follow one another, in this value and in the further ones. */
+/**
+ * First value of the checkpoint. `l`, `g`, `t` and `c` are `life`, `upTo`, `at` and `closed` of the accounts; `x`: gaps. The
+ * rows of all lists follow one another, in this value and in the further ones.
+ */
 interface StoredHead {
   readonly l: number;
   readonly g: number;
--- a/packages/controller/src/accounts/fold.ts
+++ b/packages/controller/src/accounts/fold.ts
@@ -33,11 +33,11 @@
   const out = [...NONE];
   const perTask = [1n, ...row.shape.map(BigInt)];
   let placedUs = 0n;
-  SPLITS.forEach((_, split) => {
-    const us = BigInt(row.us[split] ?? 0);
+  SPLITS.forEach((_, category) => {
+    const us = BigInt(row.us[category] ?? 0);
     if (us === 0n) return;
-    if (split !== UNSURE) placedUs += us;
-    UNITS.forEach((__, unit) => (out[split * UNITS.length + unit] = us * perTask[unit]!));
+    if (category !== UNSURE) placedUs += us;
+    UNITS.forEach((__, unit) => (out[category * UNITS.length + unit] = us * perTask[unit]!));
   });
   out[MONEY] = placedUs * BigInt(row.rate);
   return out;
--- a/packages/controller/src/accounts/model.ts
+++ b/packages/controller/src/accounts/model.ts
@@ -23,8 +23,8 @@
 /** Index of the cost, which follows the amounts of all categories: millionths of a price unit per hour, times microseconds. */
 export const MONEY = SPLITS.length * UNITS.length;
 export const AMOUNTS_LENGTH = MONEY + 1;
-export const indexOf = (split: Split, unit: Unit): number =>
-  SPLITS.indexOf(split) * UNITS.length + UNITS.indexOf(unit);
+export const indexOf = (category: Split, unit: Unit): number =>
+  SPLITS.indexOf(category) * UNITS.length + UNITS.indexOf(unit);
 
 /** `AMOUNTS_LENGTH` sums. Immutable, because several states share one array. */
 export type Amounts = readonly bigint[];
@@ -99,7 +99,7 @@
 }
 /** Maximum number of periods whose page is not written yet; the oldest ones are merged beyond it. */
 export const MAX_PENDING_PERIODS = 2;
-/** Length of a period, in microseconds. */
+/** One minute in microseconds: the length of a period. */
 export const MINUTE = 60_000_000;
 
 /** The accounts as of one log entry: identical on every controller that has applied the log up to that entry. */
--- a/packages/controller/src/accounts/pages.ts
+++ b/packages/controller/src/accounts/pages.ts
@@ -1,7 +1,7 @@
 /**
- * Pages of past periods. A page is first written for a period of minutes; old pages are joined to hours, days and months
- * (UTC). A page holds the usage booked in its period, the usage of the placements that were open at its end, and the shares
- * of the groups that waited. Pure functions: keys, stored forms, and the choice of the pages to join.
+ * Pages of past periods. A page is first written for a period of one or more whole minutes; old pages are joined to hours,
+ * days and months (UTC). A page holds the usage booked in its period, the usage of the placements that were open at its end,
+ * and the shares of the groups that waited. Pure functions: keys, stored forms, and the choice of the pages to join.
  */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { chunks, decodeRows, encodeRows, type StoredRow } from './codec.js';
@@ -55,7 +55,7 @@
   `${PAGES}${level}/${String(to / 1e6).padStart(12, '0')}${part === 0 ? '' : `.${part}`}`;
 export const levelKey = (level: Level): string => `${PAGES}${level}/`;
 
-/** First value of a page. */
+/** First value of a page. `f`, `t`: start and end of the period; `r`: rows. */
 interface StoredHead {
   readonly f: number;
   readonly t: number;
--- a/packages/controller/src/accounts/phases.ts
+++ b/packages/controller/src/accounts/phases.ts
@@ -22,7 +22,7 @@
 
 /** Boundaries between the phases of a placement; null: the phase was never observed. */
 export interface PhaseTimes {
-  /** The time before the first observed phase was spent on the start order's way and on fetching the image. */
+  /** The time before the first observation is known to have been spent on delivering the order and fetching the image. */
   readonly known: boolean;
   /** Time of the first observation, whatever its phase. */
   readonly first: Micros | null;
@@ -55,7 +55,7 @@
     this.observations.delete(key);
   }
 
-  /** `own`: this leader started the attempt, so the time before its first observation was spent on reaching the machine. */
+  /** `own`: this leader started the attempt, so the time before its first observation counts as `fetching`. */
   timesOf(key: string, attempt: number, own: boolean): PhaseTimes {
     const observation = this.observations.get(key);
     if (observation?.attempt !== attempt)
--- a/packages/controller/src/accounts/upkeep.ts
+++ b/packages/controller/src/accounts/upkeep.ts
@@ -89,7 +89,8 @@
     const now = context.clock();
     if (now - context.ledger.joinedAt < JOIN_INTERVAL) return;
     context.ledger.joinedAt = now;
-    // End of the oldest page that has not reached this level yet. A page that was joined without it would never include it.
+    // End of the oldest pending period or page that is still to be joined into this level. A page that was joined without
+    // it would never include it.
     let oldestBelow = context.jobState.accounts.pending[0]?.to ?? Number.POSITIVE_INFINITY;
     for (const level of ['m', 'h', 'd'] as const) {
       const first = yield* context.store.page(levelKey(level), null, LISTING_SIZE, Priority.Upkeep);
--- a/packages/controller/src/accounts/usage-rows.ts
+++ b/packages/controller/src/accounts/usage-rows.ts
@@ -28,7 +28,7 @@
 }
 
 const thousandths = (amount: number): number => Math.round(amount * 1000);
-const SPLIT = Object.fromEntries(SPLITS.map((name, i) => [name, i])) as Record<
+const CATEGORY_INDEX = Object.fromEntries(SPLITS.map((name, i) => [name, i])) as Record<
   (typeof SPLITS)[number],
   number
 >;
@@ -49,7 +49,7 @@
  * Splits the time of one placement, from `since` to `at`, into microseconds by category. The sum is exactly `at - since`.
  * `how`: the task completed (`done`), ended without completing (`gone`), or ended because its user cancelled the job.
  */
-export const splitOf = (
+export const splitPlacementTime = (
   job: Job,
   since: Micros,
   at: Micros,
@@ -62,26 +62,26 @@
   const clamped = (clockTime: Micros, min: number): number => Math.min(at, Math.max(min, day(clockTime)));
   if (times.first === null) {
     // Never observed: if this leader started it, it never reached its machine; otherwise another leader may have seen it.
-    us[times.known ? SPLIT.fetching : SPLIT.unknown] = at - since;
+    us[times.known ? CATEGORY_INDEX.fetching : CATEGORY_INDEX.unknown] = at - since;
     return us;
   }
   let to = since as number;
   /** Assigns the time from the last boundary to `end` to a category. */
-  const until = (end: number, split: number): void => {
-    us[split] = us[split]! + (end - to);
+  const until = (end: number, category: number): void => {
+    us[category] = us[category]! + (end - to);
     to = end;
   };
   const begins = times.gathering ?? times.running;
   until(
     clamped(times.known ? (begins ?? times.first) : times.first, to),
-    times.known ? SPLIT.fetching : SPLIT.unknown,
+    times.known ? CATEGORY_INDEX.fetching : CATEGORY_INDEX.unknown,
   );
   if (begins === null) {
-    until(at, SPLIT.fetching);
+    until(at, CATEGORY_INDEX.fetching);
     return us;
   }
   if (times.gathering !== null)
-    until(times.running === null ? at : clamped(times.running, to), SPLIT.gathering);
+    until(times.running === null ? at : clamped(times.running, to), CATEGORY_INDEX.gathering);
   const ran = at - to;
   if (ran === 0) return us;
   const { checkpoint, shape } = job.spec;
@@ -91,8 +91,8 @@
       : checkpoint > 0
         ? Math.floor(ran / checkpoint) * checkpoint
         : 0;
-  until(to + kept, lent ? SPLIT.lent : SPLIT.useful);
-  until(at, SPLIT.repeated);
+  until(to + kept, lent ? CATEGORY_INDEX.lent : CATEGORY_INDEX.useful);
+  until(at, CATEGORY_INDEX.repeated);
   return us;
 };
 
@@ -147,7 +147,7 @@
           placement.attempt,
           placement.since >= sources.termFrom,
         );
-        us = splitOf(
+        us = splitPlacementTime(
           job,
           placement.since,
           at,
@@ -159,7 +159,7 @@
       } else {
         // The start time is not known: the time since the job's submission is an upper bound.
         us = SPLITS.map(() => 0);
-        us[SPLIT.unsure] = Math.max(0, at - job.spec.submitted);
+        us[CATEGORY_INDEX.unsure] = Math.max(0, at - job.spec.submitted);
       }
       let list = this.rows.get(key);
       if (!list) this.rows.set(key, (list = []));
--- a/packages/controller/src/calendar/calendars.ts
+++ b/packages/controller/src/calendar/calendars.ts
@@ -29,7 +29,7 @@
   /** The calendar in effect. It stays in effect through a data loss, until the store has a newer one. */
   current: Calendar | null = null;
   /** The highest outcome counts and latest class durations this controller has seen, which it contributes to a rebuild. */
-  private readonly latestTallies = new Map<string, Tally>();
+  private readonly latestOutcomeCounts = new Map<string, Tally>();
   private latestDurations: ClassDurations = new Map();
 
   /** Applies a change of a key below `s/c/`. Throws on values that cannot be decoded. */
@@ -45,13 +45,13 @@
       const id = key.slice(OCCURRENCE.length);
       if (value === undefined) {
         this.tallies.delete(id);
-        this.latestTallies.delete(id);
+        this.latestOutcomeCounts.delete(id);
         return;
       }
       const counts = decodeTally(value);
       this.tallies.set(id, { value: counts, revision: stamp });
-      const before = this.latestTallies.get(id);
-      this.latestTallies.set(id, before === undefined ? counts : laterTally(before, counts));
+      const before = this.latestOutcomeCounts.get(id);
+      this.latestOutcomeCounts.set(id, before === undefined ? counts : laterTally(before, counts));
     } else if (key === CLASS_DURATIONS) {
       this.classDurations =
         value === undefined ? null : { value: decodeClassDurations(value), revision: stamp };
@@ -84,13 +84,17 @@
   }
 
   /** Returns the highest outcome counts of an occurrence that this controller has seen. */
-  tally(id: string): Tally | undefined {
-    return this.latestTallies.get(id);
+  outcomeCountsOf(id: string): Tally | undefined {
+    return this.latestOutcomeCounts.get(id);
   }
 
   /** Returns what this controller contributes to a rebuild of the store. */
   remembered(): Remembered {
-    return { calendar: this.current, tallies: new Map(this.latestTallies), shown: this.latestDurations };
+    return {
+      calendar: this.current,
+      tallies: new Map(this.latestOutcomeCounts),
+      shown: this.latestDurations,
+    };
   }
 
   /** Puts the store's calendar into effect if it is newer and complete. */
--- a/packages/controller/src/calendar/cutoff-tracking.ts
+++ b/packages/controller/src/calendar/cutoff-tracking.ts
@@ -164,7 +164,10 @@
     const stored = jobState.calendars.tallies.get(id);
     const key = OCCURRENCE + id;
     when.push({ key, stamp: stored?.revision ?? 0 });
-    then.push({ set: key, value: encodeTally(addTally(jobState.calendars.tally(id) ?? NO_TALLY, counts)) });
+    then.push({
+      set: key,
+      value: encodeTally(addTally(jobState.calendars.outcomeCountsOf(id) ?? NO_TALLY, counts)),
+    });
   }
   return { when, then };
 };
--- a/packages/controller/src/calendar/publish.ts
+++ b/packages/controller/src/calendar/publish.ts
@@ -14,7 +14,7 @@
 import { type Calendar, makeCalendar } from './model.js';
 
 export type Store = Pick<StatePort, 'get' | 'page' | 'transact'>;
-export interface Limits {
+export interface StoreLimits {
   readonly valueBytes: number;
   readonly txnOps: number;
 }
@@ -98,7 +98,7 @@
  */
 export const publish = (
   store: Store,
-  limits: Limits,
+  limits: StoreLimits,
   calendar: Calendar,
   expected: number | null = null,
 ): Effect.Effect<Published, StateFailure> =>
@@ -160,7 +160,7 @@
  */
 export const retire = (
   store: Store,
-  limits: Limits,
+  limits: StoreLimits,
   version: number,
   until: Micros,
 ): Effect.Effect<Published, StateFailure> =>
@@ -172,7 +172,7 @@
  */
 const clean = (
   store: Store,
-  limits: Limits,
+  limits: StoreLimits,
   base: readonly Condition[],
   stored: { readonly head: Head; readonly stamp: number } | null,
   mine: ReadonlySet<string>,
--- a/packages/controller/src/lending/borrowing-rules.ts
+++ b/packages/controller/src/lending/borrowing-rules.ts
@@ -2,7 +2,7 @@
  * Which jobs a service may take GPUs from: the rules of the protocol's section "Preemption", and one additional guarantee.
  * What a service takes beyond its own team's guarantee never brings the lender's team below its guarantee.
  */
-import { EPSILON, type Room } from './room.js';
+import { EPSILON, type ResourceAmounts } from './resource-amounts.js';
 
 export interface Guarantee {
   readonly cpus: number;
@@ -28,7 +28,11 @@
  * Returns the entitlement of a replica. `held`: everything that the taker's team may still be running, including machines
  * that do not send heartbeats; `need`: what the replica takes in addition.
  */
-export const entitlementOf = (held: Room, need: Room, guarantee: Guarantee): Entitlement =>
+export const entitlementOf = (
+  held: ResourceAmounts,
+  need: ResourceAmounts,
+  guarantee: Guarantee,
+): Entitlement =>
   held[0] + need[0] <= guarantee.cpus + EPSILON && held[1] + need[1] <= guarantee.gpus + EPSILON
     ? 'own'
     : 'beyond';
@@ -37,7 +41,11 @@
  * Returns the standing of the lender's team. `stays`: what the team certainly keeps running, without tasks that are being
  * stopped or cannot be observed; `size`: resources of the whole victim (all members of a gang).
  */
-export const standingOf = (stays: Room, size: Room, guarantee: Guarantee): LenderStanding => {
+export const standingOf = (
+  stays: ResourceAmounts,
+  size: ResourceAmounts,
+  guarantee: Guarantee,
+): LenderStanding => {
   const guaranteed = [guarantee.cpus, guarantee.gpus];
   if (guaranteed.every((amount, i) => size[i]! <= 0 || stays[i]! - size[i]! >= amount - EPSILON))
     return 'spare';
--- a/packages/controller/src/lending/codec.ts
+++ b/packages/controller/src/lending/codec.ts
@@ -27,7 +27,7 @@
 export const encodeLoanParts = (changes: readonly LoanPart[]): StoredLoanParts =>
   Object.fromEntries(changes.map((change) => [change.lender, [change.gpus, change.tasks] as const]));
 
-/** Throws on values that `encodeLoanParts` cannot have written. */
+/** Throws on values that `encodeLoanChanges` cannot have written. */
 export const decodeLoanParts = (stored: StoredLoanParts | undefined): LoanPart[] | undefined =>
   stored === undefined
     ? undefined
--- a/packages/controller/src/lending/room.ts
+++ b/packages/controller/src/lending/resource-amounts.ts
@@ -1,4 +1,4 @@
 /** Amounts of CPUs, GPUs and GB of memory. */
-export type Room = readonly [number, number, number];
+export type ResourceAmounts = readonly [number, number, number];
 /** Tolerance of comparisons between sums of amounts. */
 export const EPSILON = 1e-6;
--- a/packages/controller/test/accounts.test.ts
+++ b/packages/controller/test/accounts.test.ts
@@ -37,7 +37,7 @@
   sharesOf,
   shortfalls,
 } from '../src/accounts/share.js';
-import { UsageRows, splitOf } from '../src/accounts/usage-rows.js';
+import { UsageRows, splitPlacementTime } from '../src/accounts/usage-rows.js';
 import { joinOldPages } from '../src/accounts/upkeep.js';
 import { TERM } from '../src/jobs/keys.js';
 import type { Job } from '../src/jobs/model.js';
@@ -154,7 +154,7 @@
         }
         const times = phases.timesOf('j/0', 2, observation?.own ?? false);
         const j = job('j', { checkpoint: us(checkpoint) });
-        const out = splitOf(j, us(500), us(500 + length), times, how, false, (t) =>
+        const out = splitPlacementTime(j, us(500), us(500 + length), times, how, false, (t) =>
           us(t + (observation?.clockStep ?? 0)),
         );
         assert.equal(
@@ -175,7 +175,15 @@
   phases.note('j/0', 1, 'running', us(150));
   const times = phases.timesOf('j/0', 1, false);
   const split = (how: 'done' | 'gone', checkpoint: number) =>
-    splitOf(job('j', { checkpoint: us(checkpoint) }), us(100), us(400), times, how, false, (t) => t);
+    splitPlacementTime(
+      job('j', { checkpoint: us(checkpoint) }),
+      us(100),
+      us(400),
+      times,
+      how,
+      false,
+      (t) => t,
+    );
   assert.deepEqual(split('done', 0), [250, 0, 30, 20, 0, 0, 0]);
   assert.deepEqual(split('gone', 0), [0, 250, 30, 20, 0, 0, 0]);
   assert.deepEqual(split('gone', 100), [200, 50, 30, 20, 0, 0, 0]);
