--- a/packages/controller/src/api/confirmation.ts
+++ b/packages/controller/src/api/confirmation.ts
@@ -12,7 +12,7 @@
 import type { JobLookupResult } from './job-lookup.js';
 import { jobResponse } from './responses.js';
 
-/** Builds the response to a user from what was found or committed. */
+/** Builds the response to a user from the result of a lookup or from a committed change. */
 export class Confirmation {
   constructor(private readonly context: ApiContext) {}
 
--- a/packages/controller/src/api/job-lookup.ts
+++ b/packages/controller/src/api/job-lookup.ts
@@ -23,7 +23,7 @@
 export class JobLookup {
   constructor(private readonly context: ApiContext) {}
 
-  /** Whether the store's content has been read and is not in doubt. */
+  /** Whether the store's content has been read and no data loss is suspected. */
   isReadable(): boolean {
     const { watcher, lossDetector } = this.context;
     return watcher.loaded && !lossDetector.suspected && lossDetector.incarnation !== null;
--- a/packages/controller/src/api/submission.ts
+++ b/packages/controller/src/api/submission.ts
@@ -78,7 +78,7 @@
       const { jobState, settings } = this.context;
       const tie = tieOf(jobState.calendars.current, checked.right);
       const value = encodeJob(newJob({ ...checked.right, tie }), 0);
-      // Only this field can be too long: all others are short, or name an existing team or zone.
+      // Only `hostsKinds` can be too long: all other fields are short, or name an existing team or zone.
       if (Buffer.byteLength(JSON.stringify(value)) > settings.state.valueBytes)
         return json(400, { error: 'hostsKinds: too long' });
       return yield* this.create(id, value, startedAt);
--- a/packages/controller/src/main.ts
+++ b/packages/controller/src/main.ts
@@ -21,7 +21,7 @@
   Effect.scoped(
     Effect.gen(function* () {
       const links = new Links();
-      const node = makeNode(settings, {
+      const controller = makeNode(settings, {
         store: new StateStore(settings),
         cloud: new CloudClient(settings),
         workers: new WorkerClient(settings),
@@ -35,14 +35,19 @@
         ...(balance === undefined ? {} : { balance: seconds(balance) }),
       });
       const maxConnections = settings.limits.maxConnections;
-      yield* serve(parseAddress(settings.listen), Math.floor(maxConnections * 0.8), node.handle, {
-        quick: node.quick,
+      yield* serve(parseAddress(settings.listen), Math.floor(maxConnections * 0.8), controller.handle, {
+        quick: controller.quick,
       });
       const peerSockets = Math.max(16, Math.floor(maxConnections * 0.05));
-      yield* serveLinks(parseAddress(settings.peerListen), peerSockets, node.handlePeer, node.quickPeer);
+      yield* serveLinks(
+        parseAddress(settings.peerListen),
+        peerSockets,
+        controller.handlePeer,
+        controller.quickPeer,
+      );
       yield* info('listening', { node: settings.label, listen: settings.listen, version });
-      yield* Effect.addFinalizer(() => node.leadership.release);
-      yield* node.run;
+      yield* Effect.addFinalizer(() => controller.leadership.release);
+      yield* controller.run;
     }),
   );
 
--- a/packages/controller/src/workers/observed-exits.ts
+++ b/packages/controller/src/workers/observed-exits.ts
@@ -17,7 +17,7 @@
 }
 
 /** A running attempt of a task. */
-export interface Running {
+export interface RunningTask {
   /** When this attempt was first seen running. */
   readonly since: Micros;
   readonly machine: string;
@@ -32,7 +32,7 @@
   /** Observed exits by job id. */
   readonly byJob = new Map<string, TaskExits>();
   /** Running tasks by task key. */
-  readonly running = new Map<string, Running>();
+  readonly running = new Map<string, RunningTask>();
   /** Times of the placements' phases, for the accounts. */
   readonly phases = new Phases();
 
--- a/packages/controller/src/workers/order-queue.ts
+++ b/packages/controller/src/workers/order-queue.ts
@@ -96,8 +96,8 @@
       const placement = placed?.get(key);
       if (!placement || placement.attempt !== attempt) {
         if (this.orphaned.isRetained(machine, reported)) continue;
-        // The committed state does not place this attempt here. If it exited, a possible completion is durable by
-        // now, so the worker can forget it.
+        // The committed state does not place this attempt on the machine. If the task has exited, the worker may
+        // forget it: a completion would be durable by now.
         if (status === 'exited') orders.push({ op: 'forget', key, attempt });
         else {
           recordAnomaly('strange', 'unknown task reported', () => ({
@@ -193,8 +193,8 @@
   }
 
   /**
-   * Drains machines that the cloud is about to reclaim: stops tasks with checkpoints as late as they can still be
-   * saved safely.
+   * Drains machines that the cloud is about to reclaim. Tasks with checkpoints are stopped as late as they can still
+   * be saved safely, others are stopped immediately if they cannot complete before the recall.
    */
   drainRecalledMachines(at: Micros): void {
     for (const machine of this.machines.values()) {
--- a/packages/controller/src/workers/service-readiness.ts
+++ b/packages/controller/src/workers/service-readiness.ts
@@ -2,7 +2,7 @@
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { JobState } from '../jobs/job-state.js';
 import { type Job, taskKey } from '../jobs/model.js';
-import type { Running } from './observed-exits.js';
+import type { RunningTask } from './observed-exits.js';
 
 /** Detects services of which all replicas run. */
 export class ServiceReadiness {
@@ -11,7 +11,7 @@
 
   constructor(
     private readonly jobState: JobState,
-    private readonly running: ReadonlyMap<string, Running>,
+    private readonly running: ReadonlyMap<string, RunningTask>,
   ) {}
 
   /**
--- a/packages/controller/src/workers/worker-registry.ts
+++ b/packages/controller/src/workers/worker-registry.ts
@@ -23,7 +23,7 @@
   newMachine,
   NONE_DISPATCHED,
 } from './machine.js';
-import { ObservedExits, type Running, type TaskExits } from './observed-exits.js';
+import { ObservedExits, type RunningTask, type TaskExits } from './observed-exits.js';
 import { type PendingStop, OrderQueue, type UrgentOrder } from './order-queue.js';
 import { OrphanedTasks } from './orphaned-tasks.js';
 import { Quarantine, type QuarantineDecision } from './quarantine.js';
@@ -346,7 +346,7 @@
   }
 
   /** Running tasks by task key. */
-  get running(): ReadonlyMap<string, Running> {
+  get running(): ReadonlyMap<string, RunningTask> {
     return this.observedExits.running;
   }
 
@@ -449,10 +449,10 @@
   // Orders
 
   /**
-   * Orders for the response to the machine's latest heartbeat. Without `starts`, starts wait for a later response.
+   * Orders for the response to the machine's latest heartbeat. Without `includeStarts`, starts wait for a later response.
    */
-  ordersFor(machine: Machine, starts = true): Order[] {
-    return this.orders.ordersFor(machine, starts);
+  ordersFor(machine: Machine, includeStarts = true): Order[] {
+    return this.orders.ordersFor(machine, includeStarts);
   }
 
   /** Stops that are also sent directly. */
@@ -482,8 +482,8 @@
   }
 
   /**
-   * Drains machines that the cloud is about to reclaim: stops tasks with checkpoints as late as they can still be
-   * saved safely.
+   * Drains machines that the cloud is about to reclaim. Tasks with checkpoints are stopped as late as they can still
+   * be saved safely, others are stopped immediately if they cannot complete before the recall.
    */
   drainRecalledMachines(at: Micros): void {
     this.orders.drainRecalledMachines(at);
