--- a/packages/controller/src/node.ts
+++ b/packages/controller/src/node.ts
@@ -35,7 +35,7 @@
 import type { WorkerPort } from './workers/worker-client.js';
 import type { RelayPort } from './workers/heartbeat-relay.js';
 
-/** The interfaces through which a controller reaches its surroundings. */
+/** Interfaces to the other processes, the clocks and the file system, which tests and simulations replace. */
 export interface Ports {
   readonly store: StatePort;
   readonly cloud: CloudPort;
@@ -151,8 +151,8 @@
    */
   let verified = false;
   /**
-   * Whether that had a result: a peer has compared the view with its own, or no reachable peer has a view of its
-   * own.
+   * Whether the latest verification had a result: a peer has compared the view with its own, or no reachable peer
+   * has a view of its own.
    */
   let compared = false;
   const verifyTask = supervise(
--- a/packages/controller/src/overload/admit.ts
+++ b/packages/controller/src/overload/admit.ts
@@ -1,6 +1,6 @@
 /**
- * Admission decision: a pure function of measured lag and counts (docs/overload.md). Refused clients are told
- * immediately when to retry. The retries are spread over a time that grows with the backlog, so that they do not
+ * Admission decision: a pure function of measured lag and counts (docs/overload.md). Refused clients get
+ * the time of their retry immediately. The retries are spread over a time that grows with the backlog, so that they do not
  * arrive together. A poll is refused only outside its job's slot (poll-slots.ts), except that the number of polls
  * admitted because of their slot is bounded.
  */
--- a/packages/controller/src/workers/codec.ts
+++ b/packages/controller/src/workers/codec.ts
@@ -10,7 +10,7 @@
  * Why a task exited. `peers`: another member of its gang failed. `alone`: the gang's members did not all start in
  * time.
  */
-export type ExitCause = 'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'no-room' | 'busy' | 'unknown';
+export type ExitCause = 'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'no-capacity' | 'busy' | 'unknown';
 
 /** A task as reported in a worker's heartbeat. */
 export interface ReportedTask {
@@ -54,7 +54,7 @@
   peers: 'peers',
   alone: 'alone',
   error: 'error',
-  full: 'no-room',
+  full: 'no-capacity',
   in_use: 'busy',
   unknown: 'unknown',
 };
--- a/packages/controller/src/workers/quarantine.ts
+++ b/packages/controller/src/workers/quarantine.ts
@@ -47,7 +47,7 @@
   /** Records that a task exited without completing after running for `ranFor` microseconds. */
   recordExit(job: Job, machine: Machine, cause: ExitCause | null, ranFor: number, at: Micros): void {
     if (cause === 'error') this.attribution.recordFailure(job, machine.id, ranFor, at);
-    else if (cause === 'no-room') machine.cooldownUntil = plus(at, RETRY_DELAY);
+    else if (cause === 'no-capacity') machine.cooldownUntil = plus(at, RETRY_DELAY);
     else if (cause === 'unknown' || cause === 'busy') this.retryAfter.set(job.spec.id, plus(at, RETRY_DELAY));
   }
 
--- a/packages/controller/test/compound-faults.test.ts
+++ b/packages/controller/test/compound-faults.test.ts
@@ -244,7 +244,7 @@
   private readonly leaderOf = new Map<Worker, LeaderProcess>();
   private readonly removedBy = new Map<string, LeaderProcess>();
   private readonly cancelledAt = new Map<string, number>();
-  /** The lowest term whose leader was told of a task's exit, and the terms that recorded exits of a job. */
+  /** The lowest term whose leader observed a task's exit, and the terms that recorded exits of a job. */
   private readonly firstObservedBy = new Map<string, number>();
   private readonly recordedBy = new Map<string, Set<number>>();
 
