--- a/packages/controller/src/node.ts
+++ b/packages/controller/src/node.ts
@@ -179,9 +179,13 @@
         return;
       }
       const verification = { lossDetector, store, watcher, jobState, port: ports.views };
-      const outcomes = yield* Effect.forEach(settings.peers, (peer) => verifyAgainstPeer(verification, peer), {
-        concurrency: 'unbounded',
-      });
+      const outcomes = yield* Effect.forEach(
+        settings.peers,
+        (peer) => verifyAgainstPeer(verification, peer),
+        {
+          concurrency: 'unbounded',
+        },
+      );
       // No response made a data loss suspected: no reachable peer knows more than this controller.
       verified = watcher.loaded && !lossDetector.suspected;
       compared = verified && (outcomes.includes('compared') || !outcomes.includes('silent'));
