--- a/packages/controller/src/jobs/codec.ts
+++ b/packages/controller/src/jobs/codec.ts
@@ -1,4 +1,4 @@
-/** Wire and durable forms of jobs. Wire names stay in this file. */
+/** The wire form of submissions and the stored forms of jobs, final states and log entries. Outer names occur here only. */
 import { Either, ParseResult, Schema } from 'effect';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { decodeUsage, encodeUsage, type StoredUsage } from '../accounts/codec.js';
@@ -26,12 +26,16 @@
 } from './model.js';
 
 const Amount = Schema.Finite.pipe(Schema.nonNegative());
-/** Decades: counted in microseconds, times stay whole. The protocol has no bound of its own, so what is longer is no fault. */
-const LONGEST_S = 1e9;
-const duration = (s: number): Micros => seconds(Math.min(s, LONGEST_S));
+/**
+ * Longer durations are shortened to this one, some decades, so that microseconds stay safe integers. The protocol has no
+ * limit, so a longer duration is not an error.
+ */
+const MAX_DURATION_S = 1e9;
+const duration = (durationS: number): Micros => seconds(Math.min(durationS, MAX_DURATION_S));
 const ShortText = Schema.String.pipe(Schema.minLength(1), Schema.maxLength(200));
-const NoneOr = <A, I>(s: Schema.Schema<A, I>) =>
-  Schema.optionalWith(Schema.NullOr(s), { default: () => null });
+/** An optional field that may also be null; decodes to null in both cases. */
+const NoneOr = <A, I>(schema: Schema.Schema<A, I>) =>
+  Schema.optionalWith(Schema.NullOr(schema), { default: () => null });
 
 export const JOB_ID = /^job-[0-9]{1,32}$/;
 
@@ -64,291 +68,332 @@
 
 const SHAPES: Record<string, Shape> = { array: 'array', ensemble: 'gang', daemon: 'service' };
 
-/** A submission's body, checked; or the reason it is malformed. */
+/** Decodes the body of a submission received at `submitted`; fails with the reason why the body is malformed. */
 export const readSubmission = (body: unknown, submitted: Micros): Either.Either<JobSpec, string> =>
   decodeSubmission(body).pipe(
     Either.mapBoth({
-      onLeft: (e) => {
-        const issue = ParseResult.ArrayFormatter.formatErrorSync(e)[0];
+      onLeft: (parseError) => {
+        const issue = ParseResult.ArrayFormatter.formatErrorSync(parseError)[0];
         return `${issue?.path.map(String).join('.') || 'body'}: ${issue?.message ?? 'invalid'}`;
       },
-      onRight: (b) => ({
-        id: b.id,
-        jobClass: b.jobClass,
-        team: b.owner,
-        shape: SHAPES[b.shape]!,
-        urgency: URGENCY[b.urgency],
-        tasks: b.pieces,
-        cpus: b.vcpus,
-        gpus: b.accelerators,
-        memGb: b.memGb,
-        image: b.bundle,
-        // Fetching it is estimated in microseconds as well.
-        imageGb: Math.min(b.imageGb, LONGEST_S),
-        types: b.hostsKinds,
-        zone: b.room,
-        oneZone: b.samePlace,
-        spread: b.scatter,
-        spot: b.borrowed,
-        estimate: duration(b.expectS),
-        checkpoint: duration(b.saveEveryS),
-        save: duration(b.saveTakesS),
-        deadline: b.dueS === null ? null : duration(b.dueS),
+      onRight: (submission) => ({
+        id: submission.id,
+        jobClass: submission.jobClass,
+        team: submission.owner,
+        shape: SHAPES[submission.shape]!,
+        urgency: URGENCY[submission.urgency],
+        tasks: submission.pieces,
+        cpus: submission.vcpus,
+        gpus: submission.accelerators,
+        memGb: submission.memGb,
+        image: submission.bundle,
+        // Limited like a duration: the time to fetch the image is estimated from it in microseconds.
+        imageGb: Math.min(submission.imageGb, MAX_DURATION_S),
+        types: submission.hostsKinds,
+        zone: submission.room,
+        oneZone: submission.samePlace,
+        spread: submission.scatter,
+        spot: submission.borrowed,
+        estimate: duration(submission.expectS),
+        checkpoint: duration(submission.saveEveryS),
+        save: duration(submission.saveTakesS),
+        deadline: submission.dueS === null ? null : duration(submission.dueS),
         submitted,
         tie: null,
       }),
     }),
   );
 
-/** Durable form of a job: one key for each. */
+/** The stored form of a job, as the value of the job's own key or as an item of a bundle. */
 interface StoredJob {
+  /** Job class. */
   readonly c: string;
+  /** Team. */
   readonly o: string;
   readonly s: Shape;
   readonly u: Urgency;
+  /** Number of tasks. */
   readonly n: number;
+  /** Resources of one task: CPUs, GPUs, GB of memory. */
   readonly r: readonly [number, number, number];
+  /** Image: name, GB. */
   readonly i: readonly [string, number];
+  /** Allowed machine types; null: all. */
   readonly h: readonly string[] | null;
   readonly z: string | null;
   /** Flags: one zone, spread, spot. */
   readonly b: readonly [0 | 1, 0 | 1, 0 | 1];
   /** Microseconds: estimate, checkpoint, save. */
   readonly e: readonly [number, number, number];
+  /** Microseconds from submission to the deadline; null: none. */
   readonly l: number | null;
+  /** Time of day of the submission, in microseconds. */
   readonly t: number;
+  /** Present: the job is cancelled. */
   readonly w?: 1;
-  /** With `w`: `Job.cancelledFirst`. */
+  /** Only with `w`: `Job.cancelledFirst`. */
   readonly v?: 1;
+  /** `Job.compactedTo`. */
   readonly f?: number;
+  /** The highest attempt number used. */
   readonly a?: number;
+  /** Ranges of completed tasks. */
   readonly d?: string;
-  /** machine -> [attempt, tasks, microseconds from submission to the start's log entry][]; without the last: not known */
+  /**
+   * Placements by machine: attempt, ranges of tasks, and microseconds from the submission to the log entry that started
+   * them. Without the last: not known.
+   */
   readonly p?: Readonly<Record<string, readonly (readonly [number, string, number?])[]>>;
-  /** Machines it failed on. */
+  /** Machines on which tasks of the job failed. */
   readonly x?: readonly string[];
-  /** Its tie, and what has been said of it. */
+  /** The cutoff occurrence that the job is bound to. */
   readonly k?: string;
+  /** `Job.cutoffRisk`. */
   readonly q?: number;
-  /** Loans, and how many of its tasks services have taken. */
   readonly g?: StoredLoans;
+  /** `Job.preemptedForServices`. */
   readonly y?: number;
 }
-const isNumbers = (v: unknown, n: number): boolean =>
-  Array.isArray(v) && v.length === n && v.every((x) => Number.isFinite(x));
-/** What decoding relies on. A store that has lost data may also have damaged it. */
-const isStoredJob = (v: StoredJob | null): boolean =>
-  typeof v === 'object' &&
-  v !== null &&
-  typeof v.c === 'string' &&
-  typeof v.o === 'string' &&
-  Number.isSafeInteger(v.n) &&
-  isNumbers(v.r, 3) &&
-  isNumbers(v.b, 3) &&
-  isNumbers(v.e, 3) &&
-  Array.isArray(v.i) &&
-  Number.isSafeInteger(v.t);
-const flag = (b: boolean): 0 | 1 => (b ? 1 : 0);
+const isNumbers = (value: unknown, length: number): boolean =>
+  Array.isArray(value) && value.length === length && value.every((item) => Number.isFinite(item));
+/** Checks the fields that decoding relies on: a store that has lost data may also return damaged values. */
+const isStoredJob = (value: StoredJob | null): boolean =>
+  typeof value === 'object' &&
+  value !== null &&
+  typeof value.c === 'string' &&
+  typeof value.o === 'string' &&
+  Number.isSafeInteger(value.n) &&
+  isNumbers(value.r, 3) &&
+  isNumbers(value.b, 3) &&
+  isNumbers(value.e, 3) &&
+  Array.isArray(value.i) &&
+  Number.isSafeInteger(value.t);
+const flag = (isSet: boolean): 0 | 1 => (isSet ? 1 : 0);
 
-export const encodeJob = (job: Job, folded: number): StoredJob => {
-  const s = job.spec;
+/** The stored form of a job. `compactedTo`: the last log entry that is included in `job`. */
+export const encodeJob = (job: Job, compactedTo: number): StoredJob => {
+  const jobSpec = job.spec;
   const p: Record<string, [number, string, number?][]> = {};
-  // Started by one log entry on one machine: the same attempt and the same time.
-  const groups = new Map<string, { readonly attempt: number; readonly since: Micros; tasks: number[] }[]>();
-  for (const x of job.placed.values()) {
-    let on = groups.get(x.machine);
-    if (!on) groups.set(x.machine, (on = []));
-    const one = on.find((g) => g.attempt === x.attempt && g.since === x.since);
-    if (one) one.tasks.push(x.task);
-    else on.push({ attempt: x.attempt, since: x.since, tasks: [x.task] });
+  // Tasks that one log entry started on one machine have the same attempt and time, and are stored as one group.
+  const groupsByMachine = new Map<
+    string,
+    { readonly attempt: number; readonly since: Micros; tasks: number[] }[]
+  >();
+  for (const placement of job.placed.values()) {
+    let groups = groupsByMachine.get(placement.machine);
+    if (!groups) groupsByMachine.set(placement.machine, (groups = []));
+    const group = groups.find((g) => g.attempt === placement.attempt && g.since === placement.since);
+    if (group) group.tasks.push(placement.task);
+    else groups.push({ attempt: placement.attempt, since: placement.since, tasks: [placement.task] });
   }
-  for (const [machine, on] of groups) {
-    p[machine] = on.map(({ attempt, since, tasks }) =>
+  for (const [machine, groups] of groupsByMachine) {
+    p[machine] = groups.map(({ attempt, since, tasks }) =>
       since === 0
         ? [attempt, encodeRanges(tasks)]
         : [attempt, encodeRanges(tasks), since - job.spec.submitted],
     );
   }
   return {
-    c: s.jobClass,
-    o: s.team,
-    s: s.shape,
-    u: s.urgency,
-    n: s.tasks,
-    r: [s.cpus, s.gpus, s.memGb],
-    i: [s.image, s.imageGb],
-    h: s.types,
-    z: s.zone,
-    b: [flag(s.oneZone), flag(s.spread), flag(s.spot)],
-    e: [s.estimate, s.checkpoint, s.save],
-    l: s.deadline,
-    t: s.submitted,
+    c: jobSpec.jobClass,
+    o: jobSpec.team,
+    s: jobSpec.shape,
+    u: jobSpec.urgency,
+    n: jobSpec.tasks,
+    r: [jobSpec.cpus, jobSpec.gpus, jobSpec.memGb],
+    i: [jobSpec.image, jobSpec.imageGb],
+    h: jobSpec.types,
+    z: jobSpec.zone,
+    b: [flag(jobSpec.oneZone), flag(jobSpec.spread), flag(jobSpec.spot)],
+    e: [jobSpec.estimate, jobSpec.checkpoint, jobSpec.save],
+    l: jobSpec.deadline,
+    t: jobSpec.submitted,
     ...(job.cancelled ? { w: 1 as const } : {}),
     ...(job.cancelled && job.cancelledFirst ? { v: 1 as const } : {}),
-    ...(folded > 0 ? { f: folded } : {}),
+    ...(compactedTo > 0 ? { f: compactedTo } : {}),
     ...(job.attempt > 0 ? { a: job.attempt } : {}),
     ...(job.done.size > 0 ? { d: encodeRanges(job.done) } : {}),
-    ...(groups.size > 0 ? { p } : {}),
+    ...(groupsByMachine.size > 0 ? { p } : {}),
     ...(job.failedOn.size > 0 ? { x: [...job.failedOn] } : {}),
-    ...(s.tie === null ? {} : { k: s.tie }),
+    ...(jobSpec.tie === null ? {} : { k: jobSpec.tie }),
     ...(job.cutoffRisk ? { q: job.cutoffRisk } : {}),
-    ...(job.loans.size > 0 ? { g: encodeLoans(job.loans, s.submitted) } : {}),
+    ...(job.loans.size > 0 ? { g: encodeLoans(job.loans, jobSpec.submitted) } : {}),
     ...(job.preemptedForServices > 0 ? { y: job.preemptedForServices } : {}),
   };
 };
 
-/** Throws on a value that can't have been written by `encodeJob`. */
-export const decodeJob = (id: string, value: unknown, stamp: number): Job => {
-  const v = value as StoredJob;
-  if (!isStoredJob(v)) throw new Error(`${id}: not a job`);
+/** Decodes the stored form of a job. Throws on a value that `encodeJob` can't have written. */
+export const decodeJob = (id: string, value: unknown, revision: number): Job => {
+  const stored = value as StoredJob;
+  if (!isStoredJob(stored)) throw new Error(`the stored value of ${id} is not a job`);
   const placed: Job['placed'] = new Map();
-  for (const [machine, list] of Object.entries(v.p ?? {})) {
-    for (const [attempt, ranges, after] of list) {
-      const since = (after === undefined ? 0 : v.t + after) as Micros;
+  for (const [machine, groups] of Object.entries(stored.p ?? {})) {
+    for (const [attempt, ranges, sinceSubmission] of groups) {
+      const since = (sinceSubmission === undefined ? 0 : stored.t + sinceSubmission) as Micros;
       for (const task of decodeRanges(ranges)) placed.set(task, { task, attempt, machine, since });
     }
   }
   return {
     spec: {
       id,
-      jobClass: v.c,
-      team: v.o,
-      shape: v.s,
-      urgency: v.u,
-      tasks: v.n,
-      cpus: v.r[0],
-      gpus: v.r[1],
-      memGb: v.r[2],
-      image: v.i[0],
-      imageGb: v.i[1],
-      types: v.h,
-      zone: v.z,
-      oneZone: v.b[0] === 1,
-      spread: v.b[1] === 1,
-      spot: v.b[2] === 1,
-      estimate: v.e[0] as Micros,
-      checkpoint: v.e[1] as Micros,
-      save: v.e[2] as Micros,
-      deadline: v.l as Micros | null,
-      submitted: v.t as Micros,
-      tie: typeof v.k === 'string' ? v.k : null,
+      jobClass: stored.c,
+      team: stored.o,
+      shape: stored.s,
+      urgency: stored.u,
+      tasks: stored.n,
+      cpus: stored.r[0],
+      gpus: stored.r[1],
+      memGb: stored.r[2],
+      image: stored.i[0],
+      imageGb: stored.i[1],
+      types: stored.h,
+      zone: stored.z,
+      oneZone: stored.b[0] === 1,
+      spread: stored.b[1] === 1,
+      spot: stored.b[2] === 1,
+      estimate: stored.e[0] as Micros,
+      checkpoint: stored.e[1] as Micros,
+      save: stored.e[2] as Micros,
+      deadline: stored.l as Micros | null,
+      submitted: stored.t as Micros,
+      tie: typeof stored.k === 'string' ? stored.k : null,
     },
-    cancelled: v.w === 1,
-    ...(v.v === 1 ? { cancelledFirst: true } : {}),
-    attempt: v.a ?? 0,
-    done: new Set(decodeRanges(v.d ?? '')),
+    cancelled: stored.w === 1,
+    ...(stored.v === 1 ? { cancelledFirst: true } : {}),
+    attempt: stored.a ?? 0,
+    done: new Set(decodeRanges(stored.d ?? '')),
     placed,
-    failedOn: new Set(v.x ?? []),
-    loans: decodeLoans(v.g, v.t as Micros),
-    preemptedForServices: v.y ?? 0,
-    revision: stamp,
-    compactedTo: v.f ?? 0,
-    lastSequence: v.f ?? 0,
-    ...(v.q === undefined ? {} : { cutoffRisk: v.q }),
+    failedOn: new Set(stored.x ?? []),
+    loans: decodeLoans(stored.g, stored.t as Micros),
+    preemptedForServices: stored.y ?? 0,
+    revision,
+    compactedTo: stored.f ?? 0,
+    lastSequence: stored.f ?? 0,
+    ...(stored.q === undefined ? {} : { cutoffRisk: stored.q }),
   };
 };
 
-export const encodeFinalState = (f: FinalState): unknown => [f.status === 'done' ? 1 : 0, f.tasks];
+export const encodeFinalState = (state: FinalState): unknown => [
+  state.status === 'done' ? 1 : 0,
+  state.tasks,
+];
+/** Throws on a value that `encodeFinalState` can't have written. */
 export const decodeFinalState = (value: unknown): FinalState => {
-  if (!isNumbers(value, 2)) throw new Error('not a final state');
-  const [s, tasks] = value as [number, number];
-  return { status: s === 1 ? 'done' : 'cancelled', tasks };
+  if (!isNumbers(value, 2)) throw new Error('a stored final state is not a pair of numbers');
+  const [isDone, tasks] = value as [number, number];
+  return { status: isDone === 1 ? 'done' : 'cancelled', tasks };
 };
 
-/** Several rebuilt jobs in one value. */
+/** Encodes several rebuilt jobs into one value. */
 export const encodeBundle = (jobs: readonly Job[]): unknown =>
-  Object.fromEntries(jobs.map((j) => [j.spec.id, encodeJob(j, j.lastSequence)]));
+  Object.fromEntries(jobs.map((job) => [job.spec.id, encodeJob(job, job.lastSequence)]));
 export const decodeBundle = (value: unknown): Job[] =>
-  Object.entries(value as Record<string, unknown>).map(([id, v]) => decodeJob(id, v, 0));
+  Object.entries(value as Record<string, unknown>).map(([id, stored]) => decodeJob(id, stored, 0));
 
-/** Several final states in one value. */
+/** Encodes several final states, by job id, into one value. */
 export const encodeFinalStates = (finals: readonly (readonly [string, FinalState])[]): unknown =>
-  Object.fromEntries(finals.map(([id, f]) => [id, packFinalState(f)]));
+  Object.fromEntries(finals.map(([id, state]) => [id, packFinalState(state)]));
 export const decodeFinalStates = (value: unknown): [string, FinalState][] =>
-  Object.entries(value as Record<string, number>).map(([id, n]) => [id, unpackFinalState(n)]);
+  Object.entries(value as Record<string, number>).map(([id, packed]) => [id, unpackFinalState(packed)]);
 
-/** What is known of a job that only workers name. */
+/** An orphaned job: workers report tasks of it, and neither the store nor any controller knows it. Stored as it is. */
 export interface OrphanedJob {
-  /** Time of day of its first mention, microseconds. */
+  /** Time of day of the first report of one of its tasks, in microseconds. */
   readonly since: number;
-  /** Tasks of it that workers have named. */
+  /** Number of its tasks that workers have reported. */
   readonly tasks: number;
 }
 
+/** The stored form of `JobChange`. */
 type StoredChange = {
+  /** Ranges of tasks that completed. */
   d?: string;
+  /** Ranges of tasks that exited without completing. */
   g?: string;
+  /** Ranges of tasks that failed. */
   x?: string;
+  /** The attempt number of the started tasks. */
   a?: number;
+  /** Ranges of started tasks by machine. */
   p?: Record<string, string>;
+  /** `JobChange.cutoffRisk`. */
   q?: number;
+  /** Borrowed GPUs. */
   l?: StoredLoanParts;
+  /** Returned GPUs. */
   r?: StoredLoanParts;
+  /** `JobChange.preemptedForServices`. */
   y?: number;
 };
 
-export const encodeChange = (c: JobChange): StoredChange => ({
-  ...(c.done?.length ? { d: encodeRanges(c.done) } : {}),
-  ...(c.gone?.length ? { g: encodeRanges(c.gone) } : {}),
-  ...(c.failed?.length ? { x: encodeRanges(c.failed) } : {}),
-  ...(c.start
-    ? { a: c.start.attempt, p: Object.fromEntries([...c.start.on].map(([m, t]) => [m, encodeRanges(t)])) }
+export const encodeChange = (change: JobChange): StoredChange => ({
+  ...(change.done?.length ? { d: encodeRanges(change.done) } : {}),
+  ...(change.gone?.length ? { g: encodeRanges(change.gone) } : {}),
+  ...(change.failed?.length ? { x: encodeRanges(change.failed) } : {}),
+  ...(change.start
+    ? {
+        a: change.start.attempt,
+        p: Object.fromEntries([...change.start.on].map(([machine, tasks]) => [machine, encodeRanges(tasks)])),
+      }
     : {}),
-  ...(c.cutoffRisk === undefined ? {} : { q: c.cutoffRisk }),
-  ...(c.lend?.length ? { l: encodeLoanParts(c.lend) } : {}),
-  ...(c.repay?.length ? { r: encodeLoanParts(c.repay) } : {}),
-  ...(c.preemptedForServices ? { y: c.preemptedForServices } : {}),
+  ...(change.cutoffRisk === undefined ? {} : { q: change.cutoffRisk }),
+  ...(change.lend?.length ? { l: encodeLoanParts(change.lend) } : {}),
+  ...(change.repay?.length ? { r: encodeLoanParts(change.repay) } : {}),
+  ...(change.preemptedForServices ? { y: change.preemptedForServices } : {}),
 });
 
-/** A log entry's member for its head; no job has such an id. */
+/** The field of a stored log entry that holds its header, beside one field for each changed job; not a valid job id. */
 const HEADER = '@';
 interface StoredHeader extends StoredUsage {
-  /** Microseconds, time of day. */
+  /** Time of day, in microseconds. */
   readonly t: number;
   /** Version of the calendar; absent: none. */
   readonly c?: number;
 }
 
-const optionalText = (v: unknown): boolean => v === undefined || typeof v === 'string';
-/** What decoding relies on: a log entry whose changes can't be told would else pass for one without any. */
-const isStoredChange = (c: StoredChange | null): boolean =>
-  typeof c === 'object' &&
-  c !== null &&
-  optionalText(c.d) &&
-  optionalText(c.g) &&
-  optionalText(c.x) &&
-  (c.a === undefined
-    ? c.p === undefined
-    : Number.isSafeInteger(c.a) && Object.values(c.p ?? {}).every((t) => typeof t === 'string'));
+const optionalText = (value: unknown): boolean => value === undefined || typeof value === 'string';
+/** Checks the fields that decoding relies on: otherwise an unreadable change would pass for one that changes nothing. */
+const isStoredChange = (change: StoredChange | null): boolean =>
+  typeof change === 'object' &&
+  change !== null &&
+  optionalText(change.d) &&
+  optionalText(change.g) &&
+  optionalText(change.x) &&
+  (change.a === undefined
+    ? change.p === undefined
+    : Number.isSafeInteger(change.a) &&
+      Object.values(change.p ?? {}).every((ranges) => typeof ranges === 'string'));
 
-const decodeHeader = (v: StoredHeader | undefined): LogEntryHeader =>
-  v !== undefined && Number.isSafeInteger(v.t)
-    ? { at: v.t as Micros, calendar: v.c ?? 0, usage: decodeUsage(v) }
+const decodeHeader = (stored: StoredHeader | undefined): LogEntryHeader =>
+  stored !== undefined && Number.isSafeInteger(stored.t)
+    ? { at: stored.t as Micros, calendar: stored.c ?? 0, usage: decodeUsage(stored) }
     : NO_HEADER;
 
-/** Throws if it is damaged. */
-const decodeChange = (c: StoredChange): JobChange => {
-  if (!isStoredChange(c)) throw new Error('a change is damaged');
+/** Throws on a value that `encodeChange` can't have written. */
+const decodeChange = (stored: StoredChange): JobChange => {
+  if (!isStoredChange(stored)) throw new Error('a log entry contains a damaged change of a job');
   return {
-    done: c.d === undefined ? undefined : decodeRanges(c.d),
-    gone: c.g === undefined ? undefined : decodeRanges(c.g),
-    failed: c.x === undefined ? undefined : decodeRanges(c.x),
+    done: stored.d === undefined ? undefined : decodeRanges(stored.d),
+    gone: stored.g === undefined ? undefined : decodeRanges(stored.g),
+    failed: stored.x === undefined ? undefined : decodeRanges(stored.x),
     start:
-      c.a === undefined
+      stored.a === undefined
         ? undefined
         : {
-            attempt: c.a,
-            on: new Map(Object.entries(c.p ?? {}).map(([m, t]) => [m, decodeRanges(t)])),
+            attempt: stored.a,
+            on: new Map(
+              Object.entries(stored.p ?? {}).map(([machine, ranges]) => [machine, decodeRanges(ranges)]),
+            ),
           },
-    ...(c.q === undefined ? {} : { cutoffRisk: c.q }),
-    lend: decodeLoanParts(c.l),
-    repay: decodeLoanParts(c.r),
-    preemptedForServices: c.y,
+    ...(stored.q === undefined ? {} : { cutoffRisk: stored.q }),
+    lend: decodeLoanParts(stored.l),
+    repay: decodeLoanParts(stored.r),
+    preemptedForServices: stored.y,
   };
 };
 
+/** The stored form of a log entry with these changes by job id. */
 export const encodeLogEntry = (jobs: ReadonlyMap<string, JobChange>, head: LogEntryHeader): unknown => ({
-  ...Object.fromEntries([...jobs].map(([id, c]) => [id, encodeChange(c)])),
+  ...Object.fromEntries([...jobs].map(([id, change]) => [id, encodeChange(change)])),
   [HEADER]: {
     t: head.at,
     ...(head.calendar > 0 ? { c: head.calendar } : {}),
@@ -356,16 +401,18 @@
   } satisfies StoredHeader,
 });
 
-export const decodeLogEntry = (seq: number, value: unknown, stamp: number): LogEntry => {
+/** Throws if one of the entry's changes is damaged. */
+export const decodeLogEntry = (sequence: number, value: unknown, revision: number): LogEntry => {
   const { [HEADER]: head, ...changes } = value as Record<string, StoredChange> & { [HEADER]?: StoredHeader };
   return {
-    sequence: seq,
-    revision: stamp,
+    sequence,
+    revision,
     head: decodeHeader(head),
-    jobs: new Map(Object.entries(changes).map(([id, c]) => [id, decodeChange(c)])),
+    jobs: new Map(Object.entries(changes).map(([id, change]) => [id, decodeChange(change)])),
   };
 };
 
+/** The wire values of a job's status. */
 export const STATUS_WORDS = {
   queued: 'pending',
   running: 'running',
--- a/packages/controller/src/jobs/final-states.ts
+++ b/packages/controller/src/jobs/final-states.ts
@@ -1,30 +1,33 @@
 /**
- * Final states in memory: a number for each job, since a day has many more of them than of jobs under way. Beyond the
- * bound the oldest are forgotten here and read from the store when somebody asks.
+ * Final states of finished jobs in memory, packed into one number each, since a day has many more finished than unfinished
+ * jobs. Beyond the capacity the oldest are evicted; requests for an evicted job read the store.
  */
 import type { FinalState } from './model.js';
 
-const KEPT = 100_000;
+const DEFAULT_CAPACITY = 100_000;
 
-export const packFinalState = (f: FinalState): number => f.tasks * 2 + (f.status === 'done' ? 1 : 0);
-export const unpackFinalState = (n: number): FinalState => ({
-  status: n % 2 === 1 ? 'done' : 'cancelled',
-  tasks: Math.floor(n / 2),
+/** Packs a final state into one number; the lowest bit tells whether the job completed. */
+export const packFinalState = (state: FinalState): number =>
+  state.tasks * 2 + (state.status === 'done' ? 1 : 0);
+export const unpackFinalState = (packed: number): FinalState => ({
+  status: packed % 2 === 1 ? 'done' : 'cancelled',
+  tasks: Math.floor(packed / 2),
 });
 
+/** A bounded map from job id to final state. */
 export class FinalStates {
   private readonly byId = new Map<string, number>();
-  /** Every final state in the store is here: what is not here is not there. */
+  /** Whether this map has every final state of the store: an id that is missing here is missing in the store, too. */
   complete = false;
 
-  constructor(private readonly capacity = KEPT) {}
+  constructor(private readonly capacity = DEFAULT_CAPACITY) {}
 
   get size(): number {
     return this.byId.size;
   }
 
-  /** None has been forgotten yet. */
-  get hasRoom(): boolean {
+  /** Whether the map is below its capacity, so that no final state has been evicted yet. */
+  get isBelowCapacity(): boolean {
     return this.byId.size < this.capacity;
   }
 
@@ -33,21 +36,22 @@
   }
 
   get(id: string): FinalState | undefined {
-    const n = this.byId.get(id);
-    return n === undefined ? undefined : unpackFinalState(n);
+    const packed = this.byId.get(id);
+    return packed === undefined ? undefined : unpackFinalState(packed);
   }
 
-  remember(id: string, f: FinalState): void {
-    this.byId.set(id, packFinalState(f));
+  /** Adds a final state, and evicts the oldest one if the map is beyond its capacity. */
+  remember(id: string, state: FinalState): void {
+    this.byId.set(id, packFinalState(state));
     if (this.byId.size <= this.capacity) return;
     this.complete = false;
-    for (const old of this.byId.keys()) {
-      this.byId.delete(old);
+    for (const oldestId of this.byId.keys()) {
+      this.byId.delete(oldestId);
       break;
     }
   }
 
   *entries(): Generator<readonly [string, FinalState]> {
-    for (const [id, n] of this.byId) yield [id, unpackFinalState(n)];
+    for (const [id, packed] of this.byId) yield [id, unpackFinalState(packed)];
   }
 }
--- a/packages/controller/src/jobs/job-state.ts
+++ b/packages/controller/src/jobs/job-state.ts
@@ -1,7 +1,7 @@
 /**
- * What a controller knows of the state service: jobs that are not over, the tail of the log, the term, the leader. A pure
- * fold: changes go in by revision, whoever reads them (`store-watcher.ts`); nothing here does I/O. Every controller's view
- * at a revision is the same.
+ * A controller's view of the state service: unfinished jobs, the log entries that are not compacted yet, the term, the
+ * leader. The view is computed from the store's changes in the order of their revisions, without I/O; `store-watcher.ts`
+ * reads the changes. The views of all controllers at one revision are equal.
  */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { decodeAccounts } from '../accounts/codec.js';
@@ -47,106 +47,118 @@
 import { PlacementIndex, type PlacementsByMachine } from './placement-index.js';
 import { applyChange, type LogEntry, isComplete, type Job, type JobChange } from './model.js';
 
-const COMPLETIONS_KEPT = 1000;
-/** As it was accepted: nothing has become of it. */
-const isNew = (j: Job): boolean =>
-  j.compactedTo === 0 && j.attempt === 0 && j.done.size + j.placed.size === 0 && !j.cancelled;
+const MAX_RECENT_COMPLETIONS = 1000;
+/** Whether the job is still as it was accepted: not cancelled, and without any started task. */
+const isNew = (job: Job): boolean =>
+  job.compactedTo === 0 && job.attempt === 0 && job.done.size + job.placed.size === 0 && !job.cancelled;
 
+/** The value of the leader key. Stored as it is. */
 export interface LeaderEntry {
+  /** Label of the controller that leads. */
   readonly node: string;
   readonly term: number;
+  /** The state service's number of the lease that the leader key is attached to. */
   readonly lease: number;
 }
 
-/** The accounts as the store has them. */
+/** The stored state of the accounts. */
 export interface Checkpoint {
-  /** The last log entry in them; 0: there is no checkpoint, or it is not read yet. */
+  /** The last log entry that the checkpoint includes; 0: there is no checkpoint, or it has not been read completely. */
   readonly upTo: number;
-  /** Revision of its first value; 0: there is none. */
+  /** Revision of the checkpoint's first key; 0: the key does not exist. */
   readonly revision: number;
 }
 
-/** From a loss until every controller's view is durable again. */
+/** Progress of a rebuild, from a data loss until the views of all controllers are durable again. Stored as it is. */
 export interface RebuildStatus {
-  /** `gather`: views are being asked for. `write`: they are being written. `wait`: some have not been heard. */
+  /** `gather`: the leader requests the views. `write`: it writes them. `wait`: some controllers have not responded yet. */
   readonly phase: 'gather' | 'write' | 'wait';
-  /** Controllers whose views are durable, or that have none. */
+  /** Labels of the controllers whose views are durable, or that have none. */
   readonly heard: readonly string[];
   readonly revision: number;
 }
 
-/** One incarnation's content of the store as read so far; see the file's comment. */
+/** The content of one incarnation of the store, as far as it has been read. */
 export class JobState {
+  /** The revision that the view is as of; -1: nothing has been read. */
   revision = -1;
+  /** Unfinished jobs by id. */
   readonly jobs = new Map<string, Job>();
   readonly finalStates = new FinalStates();
-  /** The calendar of cutoffs, and what has become of their jobs. */
+  /** The calendar of cutoffs, and the outcome counts of the jobs that are bound to them. */
   readonly calendars = new Calendars();
+  /** The log entries that the store still has, by sequence number. */
   readonly logTail = new Map<number, LogEntry>();
-  /** See `placementsByMachine`; null: nobody has asked for it since it was dropped. */
+  /** See `placementsByMachine`; null: not built since it was dropped. */
   private placementIndex: PlacementIndex | null = null;
+  /** Sequence number of the latest log entry. */
   lastSequence = 0;
   /** Time of day of the latest log entry. */
   lastAt = 0 as Micros;
-  /** The accounts as far as anybody has asked for them; see `accounts`. */
+  /** The accounts as of the last access of `accounts` or the last checkpoint. */
   private accountsSoFar: Accounts = NO_ACCOUNTS;
   checkpoint: Checkpoint = { upTo: 0, revision: 0 };
-  /** Its values as read so far, by part. */
-  private accountParts: unknown[] = [];
+  /** The values of the checkpoint's keys that have been read so far, by the keys' index. */
+  private checkpointValues: unknown[] = [];
   leader: LeaderEntry | null = null;
   leaderRevision = 0;
   term = 0;
   termRevision = 0;
-  /** Incremented when a job appears, is cancelled or is over: the leader's cue to run a cycle. */
+  /** Incremented when a job is added, cancelled or removed: the leader then runs a scheduling cycle. */
   version = 0;
-  /** The machine types as last written by a leader: a node that restarts while the cloud is down knows them. */
+  /** The machine types as last written by a leader: a controller that restarts during an outage of the cloud needs them. */
   types: unknown = null;
-  /** The largest jobs of each class, as last written by a leader (scheduler/largest.ts reads it). */
+  /** The largest jobs of each class, as last written by a leader; src/scheduler decodes the value. */
   largest: unknown = null;
-  /** Images of services by machine, as a leader last wrote them: a hint (src/lending). */
+  /** Images of services by machine, as last written by a leader: a hint (src/lending). */
   weights: ReadonlyMap<string, readonly string[]> = new Map();
-  /** Attempts up to this one are of generations before: they may be running, and are never started again. */
+  /** Attempts up to this number belong to earlier generations: they may still run, and are never started again. */
   attemptFloor = 0;
-  /** Attempts of the present term begin above this one; see `attemptsFrom`. */
+  /** The attempt numbers of the present term are higher than this one. */
   attemptBase = 0;
-  /** The store's incarnations by id: one, but for a moment. */
+  /** The store's incarnations by id: one, except while a loss of data is being repaired. */
   readonly incarnations = new Map<string, Incarnation>();
-  /** How far a rebuild has come; null: there is none. */
+  /** Progress of a rebuild; null: no rebuild is under way. */
   rebuild: RebuildStatus | null = null;
-  /** Ids of the incarnations of which this has been said; see `QUIESCENT` and `RECOVERED`. */
+  /** Id of the incarnation that the `QUIESCENT` key names. */
   private quiescentIncarnation: string | null = null;
+  /** Id of the incarnation that the `RECOVERED` key names. */
   private recoveredIncarnation: string | null = null;
-  /** Bundles of rebuilt jobs, and the bundle that still lists a job. */
+  /** Bundles of rebuilt jobs by key. */
   readonly bundles = new Map<string, { readonly revision: number; readonly ids: readonly string[] }>();
+  /** The key of the bundle that still lists a job, by job id. */
   readonly bundleOf = new Map<string, string>();
-  /** Jobs whose own key says less than their bundle; see `setJob`. */
+  /** Jobs whose own key is older than their entry in a bundle; see `setJob`. */
   private readonly newerInBundle = new Set<string>();
-  /** Parts of the final states' pages; see `finalStatePageKey`. */
+  /** Names of the sets of final state pages; see `finalStatePageKey`. */
   readonly finalStateParts = new Set<string>();
-  /** Jobs that only workers name. */
+  /** Orphaned jobs by id; see `OrphanedJob`. */
   readonly orphanedJobs = new Map<string, OrphanedJob & { readonly revision: number }>();
-  /** Keys whose value can't be read, with their revisions. */
+  /** Keys whose values can't be decoded, with the values' revisions. */
   readonly damaged = new Map<string, number>();
-  /** Revisions at which jobs came to their end, the latest ones: whether others have read that already. */
+  /** Revisions at which jobs completed, by job id, for the latest completions: tells which peers know of a completion. */
   readonly recentlyCompleted = new Map<string, number>();
+  /** Called when a job is added, cancelled or removed. */
   onJobsChanged: () => void = () => undefined;
-  /** The leader's key is gone. */
+  /** Called when the leader key is deleted. */
   onLeaderKeyDeleted: () => void = () => undefined;
 
-  /** Starts again from a listing; changes after `revision` must follow before the view is used. */
+  /** Replaces the view by a listing. The changes after `revision` must be applied before the view is used. */
   load(entries: readonly Entry[], revision: number): void {
     this.clear();
     const rank = (key: string): number =>
       key.startsWith(ACCOUNTS) ? 0 : key.startsWith(LOG_ENTRIES) ? 1 : key.startsWith(JOB_BUNDLES) ? 2 : 3;
-    // Log entries first, since jobs include them; bundles before the keys of their own that some jobs have by now.
-    for (const r of [0, 1, 2, 3]) for (const e of entries) if (rank(e.key) === r) this.apply({ ...e });
+    // Log entries precede jobs, since they are applied to jobs as these are added. Bundles precede the jobs' own keys,
+    // which are newer.
+    for (const current of [0, 1, 2, 3])
+      for (const entry of entries) if (rank(entry.key) === current) this.apply({ ...entry });
     this.revision = revision;
     this.version++;
   }
 
-  /** Forgets all but final states: those hold in any incarnation. */
+  /** Empties the view, except for final states: these are valid in every incarnation. */
   clear(): void {
-    for (const m of [
+    for (const collection of [
       this.jobs,
       this.logTail,
       this.incarnations,
@@ -154,7 +166,7 @@
       this.bundleOf,
       this.newerInBundle,
     ])
-      m.clear();
+      collection.clear();
     this.placementIndex?.clear();
     this.calendars.clear();
     this.orphanedJobs.clear();
@@ -174,99 +186,104 @@
     this.lastAt = 0 as Micros;
     this.accountsSoFar = NO_ACCOUNTS;
     this.checkpoint = { upTo: 0, revision: 0 };
-    this.accountParts = [];
+    this.checkpointValues = [];
     this.revision = -1;
   }
 
-  /** The store's incarnation; null: it has none yet. */
+  /** The store's present incarnation, the one of the highest generation; null: it has none yet. */
   get incarnation(): Incarnation | null {
-    let last: Incarnation | null = null;
-    for (const i of this.incarnations.values()) if (last === null || i.generation > last.generation) last = i;
-    return last;
+    let latest: Incarnation | null = null;
+    for (const incarnation of this.incarnations.values())
+      if (latest === null || incarnation.generation > latest.generation) latest = incarnation;
+    return latest;
   }
 
-  /** After a loss: nothing that this view lacks can be running any more. */
+  /** Whether no task that this view lacks can be running any more. Always true if no data was ever lost. */
   get quiescent(): boolean {
-    const i = this.incarnation;
-    return i !== null && (i.generation === 0 || this.quiescentIncarnation === i.id);
+    const current = this.incarnation;
+    return current !== null && (current.generation === 0 || this.quiescentIncarnation === current.id);
   }
 
-  /** During a rebuild: whether this job's state is what has been written back; what the loss left may be older. */
+  /** Whether the rebuild, if one is under way, has written this job back. Until then its stored state may be too old. */
   isRestored(id: string): boolean {
     if (this.rebuild === null || this.rebuild.phase === 'wait') return true;
-    const born = this.incarnation?.stamp ?? 0;
+    const incarnationRevision = this.incarnation?.stamp ?? 0;
     const bundle = this.bundleOf.get(id);
     const revision = Math.max(
       this.jobs.get(id)?.revision ?? 0,
       bundle === undefined ? 0 : this.bundles.get(bundle)!.revision,
     );
-    return this.rebuild.phase === 'write' && revision > born;
+    return this.rebuild.phase === 'write' && revision > incarnationRevision;
   }
 
   /**
-   * The key of a value that can't be read, or of a log entry that is missing, without which this view is incomplete; null:
-   * there is none. What is from before the incarnation has been made good by its rebuild.
+   * The key of a log entry that is missing, or of a log entry or the term whose value can't be decoded: without it this
+   * view is incomplete. null: there is none. Keys from before the present incarnation don't count, since the rebuild that
+   * began it has replaced them.
    */
   missingRecord(): string | null {
-    const born = this.incarnation?.stamp ?? 0;
-    for (const [key, stamp] of this.damaged)
-      if (stamp > born && (key.startsWith(LOG_ENTRIES) || key === TERM)) return key;
-    const seqs = [...this.logTail.values()]
-      .flatMap((r) => (r.revision > born ? [r.sequence] : []))
+    const incarnationRevision = this.incarnation?.stamp ?? 0;
+    for (const [key, revision] of this.damaged)
+      if (revision > incarnationRevision && (key.startsWith(LOG_ENTRIES) || key === TERM)) return key;
+    const sequences = [...this.logTail.values()]
+      .flatMap((entry) => (entry.revision > incarnationRevision ? [entry.sequence] : []))
       .sort((a, b) => a - b);
-    const at = seqs.findIndex((seq, i) => i > 0 && seq !== seqs[i - 1]! + 1);
-    return at < 0 ? null : logEntryKey(seqs[at]! - 1);
+    const afterGap = sequences.findIndex((sequence, i) => i > 0 && sequence !== sequences[i - 1]! + 1);
+    return afterGap < 0 ? null : logEntryKey(sequences[afterGap]! - 1);
   }
 
   /**
-   * Part of the calendar was lost without a change to tell of it: a head of this incarnation whose pages are not there, or
-   * a log entry that went by a newer one. What is from before the incarnation has been made good, as far as it could be.
+   * Whether a part of the calendar was lost without a change that shows it: pages that the calendar's head lists are
+   * missing, or a log entry was decided by a newer calendar. Keys from before the present incarnation don't count, since
+   * the rebuild that began it has restored what it could.
    */
   get calendarLost(): boolean {
-    const born = this.incarnation?.stamp ?? 0;
-    const { head, complete: whole } = this.calendars;
-    if (head !== null && head.revision > born && !whole) return true;
+    const incarnationRevision = this.incarnation?.stamp ?? 0;
+    const { head, complete } = this.calendars;
+    if (head !== null && head.revision > incarnationRevision && !complete) return true;
     const version = head?.value.version ?? 0;
-    for (const r of this.logTail.values()) if (r.revision > born && r.head.calendar > version) return true;
+    for (const entry of this.logTail.values())
+      if (entry.revision > incarnationRevision && entry.head.calendar > version) return true;
     return false;
   }
 
-  /** After a loss: all views have been read back, so that a job which is not in the store was never accepted. */
+  /** Whether all surviving views are in the store, so that a job which is missing there was never accepted. */
   get recovered(): boolean {
     return this.incarnation !== null && this.recoveredIncarnation === this.incarnation.id;
   }
 
-  /** Changes of a watch answer; those already seen are skipped. */
+  /** Applies the changes of a response to a watch request; skips those that have been applied already. */
   advance(changes: readonly Change[], revision: number): void {
-    for (const c of changes) if (c.stamp > this.revision) this.apply(c);
+    for (const change of changes) if (change.stamp > this.revision) this.apply(change);
     if (revision > this.revision) this.revision = revision;
   }
 
-  apply(c: Change): void {
+  /** Applies one change. Never throws: the key of a value that can't be decoded is noted in `damaged`. */
+  apply(change: Change): void {
     try {
-      this.applyValue(c);
-      if (this.damaged.size > 0) this.damaged.delete(c.key);
+      this.applyValue(change);
+      if (this.damaged.size > 0) this.damaged.delete(change.key);
     } catch {
-      // What was known of it stays: it is newer than nothing.
-      this.damaged.set(c.key, c.stamp);
+      // The key's last readable value stays in the view.
+      this.damaged.set(change.key, change.stamp);
     }
   }
 
-  /** Throws on a value that can't be read. */
-  private applyValue({ key, value, stamp }: Change): void {
-    if (key.startsWith(ACTIVE_JOBS)) this.applyJob(key.slice(ACTIVE_JOBS.length), value, stamp);
-    else if (key.startsWith(LOG_ENTRIES)) this.applyLogEntry(key, value, stamp);
-    else if (key === ACCOUNTS || key.startsWith(ACCOUNTS_PART)) this.setAccounts(key, value, stamp);
+  /** Throws on a value that can't be decoded. */
+  private applyValue({ key, value, stamp: revision }: Change): void {
+    if (key.startsWith(ACTIVE_JOBS)) this.applyJob(key.slice(ACTIVE_JOBS.length), value, revision);
+    else if (key.startsWith(LOG_ENTRIES)) this.applyLogEntry(key, value, revision);
+    else if (key === ACCOUNTS || key.startsWith(ACCOUNTS_PART)) this.setAccounts(key, value, revision);
     else if (key.startsWith(FINAL_STATES)) {
       if (value !== undefined)
         this.finalStates.remember(key.slice(FINAL_STATES.length), decodeFinalState(value));
-    } else if (key.startsWith(JOB_BUNDLES)) this.setBundle(key, value, stamp);
+    } else if (key.startsWith(JOB_BUNDLES)) this.setBundle(key, value, revision);
     else if (key.startsWith(FINAL_STATE_PAGES)) {
       if (value !== undefined)
-        for (const [id, f] of decodeFinalStates(value)) this.finalStates.remember(id, f);
-    } else if (key.startsWith(STORE_STATUS)) this.applyStoreStatus(key, value, stamp);
-    else if (key.startsWith(CALENDAR)) this.calendars.apply(key, value, stamp);
-    else this.applyLeaderKey(key, value, stamp);
+        for (const [id, finalState] of decodeFinalStates(value)) this.finalStates.remember(id, finalState);
+    } else if (key.startsWith(STORE_STATUS)) this.applyStoreStatus(key, value, revision);
+    else if (key.startsWith(CALENDAR)) this.calendars.apply(key, value, revision);
+    else this.applyLeaderKey(key, value, revision);
   }
 
   private applyJob(id: string, value: unknown, revision: number): void {
@@ -277,13 +294,14 @@
   private applyLogEntry(key: string, value: unknown, revision: number): void {
     const sequence = Number(key.slice(LOG_ENTRIES.length));
     if (value === undefined) {
-      // It goes once a checkpoint has it. Should that not have been read, its amounts are added before.
+      // A log entry is deleted once a checkpoint includes it. This view may not have read that checkpoint: the accounts
+      // take in the entry's amounts before it is removed.
       if (sequence > this.accountsSoFar.upTo) void this.accounts;
       this.logTail.delete(sequence);
     } else if (!this.logTail.has(sequence)) this.appendLogEntry(decodeLogEntry(sequence, value, revision));
   }
 
-  /** What the store says of itself: incarnations, how far a rebuild has come, jobs that only workers name. */
+  /** Applies a key below `STORE_STATUS`: incarnations, the progress of a rebuild, orphaned jobs. */
   private applyStoreStatus(key: string, value: unknown, revision: number): void {
     if (key.startsWith(INCARNATION)) {
       const id = key.slice(INCARNATION.length);
@@ -302,7 +320,7 @@
     else if (key === RECOVERED) this.recoveredIncarnation = value === undefined ? null : (value as string);
   }
 
-  /** The leader's own key, its term, and the hints that leaders leave to the next one. */
+  /** Applies the leader key, the term key, or one of the hints that a leader writes for its successor. */
   private applyLeaderKey(key: string, value: unknown, revision: number): void {
     if (key === LEADER) {
       this.leader = value === undefined ? null : (value as LeaderEntry);
@@ -313,7 +331,7 @@
     else if (key === IMAGE_WEIGHTS) this.weights = decodeImageWeights(value);
     else if (key === TERM && value !== undefined) {
       const { term, a } = value as { term: unknown; a?: unknown };
-      if (!Number.isSafeInteger(term)) throw new Error('the term is damaged');
+      if (!Number.isSafeInteger(term)) throw new Error('the stored term is not an integer');
       this.term = term as number;
       this.attemptBase = Number.isSafeInteger(a) ? (a as number) : 0;
       this.termRevision = revision;
@@ -322,35 +340,35 @@
 
   private setBundle(key: string, value: unknown, revision: number): void {
     const jobs = value === undefined ? [] : decodeBundle(value);
-    const listed = new Set(jobs.map((j) => j.spec.id));
+    const listed = new Set(jobs.map((job) => job.spec.id));
     for (const id of this.bundles.get(key)?.ids ?? []) {
       if (listed.has(id) || this.bundleOf.get(id) !== key) continue;
       this.bundleOf.delete(id);
-      // Taken out of its bundle without a key of its own: it is over.
+      // A job that is taken out of its bundle and has no key of its own is finished.
       if (this.jobs.get(id)?.revision === 0) this.removeJob(id);
     }
     if (value === undefined) this.bundles.delete(key);
     else this.bundles.set(key, { revision, ids: [...listed] });
     for (const job of jobs) {
       this.bundleOf.set(job.spec.id, key);
-      // A job with a key of its own has gone on since.
+      // A known job has a key of its own, which is newer than the bundle.
       if (!this.jobs.has(job.spec.id)) this.setJob(job.spec.id, job);
     }
   }
 
-  /** What takes these jobs out of the bundles that still list them. */
+  /** The conditions and writes that remove these jobs from the bundles that still list them. */
   removalFromBundles(ids: readonly string[]): { readonly when: Condition[]; readonly then: Write[] } {
     const when: Condition[] = [];
     const then: Write[] = [];
-    const gone = new Set(ids);
+    const removed = new Set(ids);
     for (const key of new Set(ids.flatMap((id) => this.bundleOf.get(id) ?? []))) {
       const bundle = this.bundles.get(key)!;
       when.push({ key, stamp: bundle.revision });
-      const rest = bundle.ids.flatMap((id) => {
+      const remaining = bundle.ids.flatMap((id) => {
         const job = this.jobs.get(id);
-        return job && !gone.has(id) && (job.revision === 0 || this.newerInBundle.has(id)) ? [job] : [];
+        return job && !removed.has(id) && (job.revision === 0 || this.newerInBundle.has(id)) ? [job] : [];
       });
-      then.push(rest.length === 0 ? { delete: key } : { set: key, value: encodeBundle(rest) });
+      then.push(remaining.length === 0 ? { delete: key } : { set: key, value: encodeBundle(remaining) });
     }
     return { when, then };
   }
@@ -358,7 +376,8 @@
   private setJob(id: string, job: Job): void {
     const old = this.jobs.get(id);
     if (old && old.revision >= job.revision) return;
-    // Accepted by a late transaction, after a rebuild had found it in somebody's memory: what the bundle says of it holds.
+    // A late transaction has accepted a job that a rebuild had already found in a controller's memory: the state in the
+    // bundle is the newer one.
     if (old?.revision === 0 && isNew(job) && !isNew(old)) {
       old.revision = job.revision;
       this.newerInBundle.add(id);
@@ -366,15 +385,16 @@
     }
     this.newerInBundle.delete(id);
     if (old) this.placementIndex?.removeJob(old);
-    // What the key does not include yet stands in the tail.
-    for (const r of this.logTail.values()) {
-      if (r.sequence <= job.compactedTo) continue;
-      const change = r.jobs.get(id);
-      if (change) this.applyToJob(job, change, r);
+    // Log entries that are not compacted into the job's key are applied on top of it.
+    for (const entry of this.logTail.values()) {
+      if (entry.sequence <= job.compactedTo) continue;
+      const change = entry.jobs.get(id);
+      if (change) this.applyToJob(job, change, entry);
     }
     this.lastSequence = Math.max(this.lastSequence, job.compactedTo);
-    // After a loss the log entries may be gone that these were started by.
-    for (const p of job.placed.values()) this.lastAt = Math.max(this.lastAt, p.since) as Micros;
+    // After a loss the log entries that started these placements may be missing.
+    for (const placement of job.placed.values())
+      this.lastAt = Math.max(this.lastAt, placement.since) as Micros;
     this.jobs.set(id, job);
     this.placementIndex?.addJob(job);
     if (!old || old.cancelled !== job.cancelled) this.jobsChanged();
@@ -389,70 +409,76 @@
     this.jobsChanged();
   }
 
-  /** The accounts: the checkpoint, and the log entries after it. Computed when asked for: followers never are. */
+  /** The accounts: the checkpoint and the log entries after it. Computed on access: followers never access them. */
   get accounts(): Accounts {
     if (this.accountsSoFar.upTo < this.lastSequence) {
       const { upTo } = this.accountsSoFar;
       const later = [...this.logTail.values()]
-        .filter((r) => r.sequence > upTo)
+        .filter((entry) => entry.sequence > upTo)
         .sort((a, b) => a.sequence - b.sequence);
-      for (const r of later)
-        this.accountsSoFar = foldLogEntry(this.accountsSoFar, r.sequence, r.head.at, r.head.usage);
+      for (const entry of later)
+        this.accountsSoFar = foldLogEntry(
+          this.accountsSoFar,
+          entry.sequence,
+          entry.head.at,
+          entry.head.usage,
+        );
     }
     return this.accountsSoFar;
   }
 
-  /** Every node takes the accounts from the checkpoint on, so that all have the same. */
+  /** Every controller computes the accounts from the checkpoint on, so that they are equal everywhere. */
   private setAccounts(key: string, value: unknown, revision: number): void {
-    const part = key === ACCOUNTS ? 0 : Number(key.slice(ACCOUNTS_PART.length));
-    this.accountParts[part] = value;
-    if (part === 0) this.checkpoint = { upTo: 0, revision: value === undefined ? 0 : revision };
-    const read = decodeAccounts(this.accountParts);
-    if (read === null) return;
-    this.checkpoint = { ...this.checkpoint, upTo: read.upTo };
-    this.accountsSoFar = read;
-    this.lastSequence = Math.max(this.lastSequence, read.upTo);
-    this.lastAt = Math.max(this.lastAt, read.at) as Micros;
+    const index = key === ACCOUNTS ? 0 : Number(key.slice(ACCOUNTS_PART.length));
+    this.checkpointValues[index] = value;
+    if (index === 0) this.checkpoint = { upTo: 0, revision: value === undefined ? 0 : revision };
+    const stored = decodeAccounts(this.checkpointValues);
+    if (stored === null) return;
+    this.checkpoint = { ...this.checkpoint, upTo: stored.upTo };
+    this.accountsSoFar = stored;
+    this.lastSequence = Math.max(this.lastSequence, stored.upTo);
+    this.lastAt = Math.max(this.lastAt, stored.at) as Micros;
   }
 
-  /** Also called by the leader as soon as its own log entry is committed. */
-  appendLogEntry(record: LogEntry): void {
-    if (this.logTail.has(record.sequence)) return;
-    this.logTail.set(record.sequence, record);
-    this.lastSequence = Math.max(this.lastSequence, record.sequence);
-    this.lastAt = Math.max(this.lastAt, record.head.at) as Micros;
-    for (const [id, change] of record.jobs) {
+  /** Adds a log entry and applies it to its jobs. A leader also calls this as soon as its own log entry is committed. */
+  appendLogEntry(entry: LogEntry): void {
+    if (this.logTail.has(entry.sequence)) return;
+    this.logTail.set(entry.sequence, entry);
+    this.lastSequence = Math.max(this.lastSequence, entry.sequence);
+    this.lastAt = Math.max(this.lastAt, entry.head.at) as Micros;
+    for (const [id, change] of entry.jobs) {
       const job = this.jobs.get(id);
-      if (!job || job.compactedTo >= record.sequence) continue;
+      if (!job || job.compactedTo >= entry.sequence) continue;
       this.placementIndex?.remove(job, change.done);
       this.placementIndex?.remove(job, change.gone);
-      this.applyToJob(job, change, record);
+      this.applyToJob(job, change, entry);
       if (change.start && this.placementIndex !== null)
         for (const tasks of change.start.on.values())
-          for (const t of tasks) this.placementIndex.add(job, job.placed.get(t)!);
+          for (const task of tasks) this.placementIndex.add(job, job.placed.get(task)!);
     }
   }
 
-  private applyToJob(job: Job, change: JobChange, r: LogEntry): void {
-    applyChange(job, change, r.sequence, r.head.at);
-    if (change.done !== undefined && isComplete(job)) this.noteCompletion(job.spec.id, r.revision);
-    // It completed the job before the cancellation in the job's key was committed: users may have been told `done`.
-    if (job.cancelled && !job.cancelledFirst && r.revision < job.revision && isComplete(job))
+  private applyToJob(job: Job, change: JobChange, entry: LogEntry): void {
+    applyChange(job, change, entry.sequence, entry.head.at);
+    if (change.done !== undefined && isComplete(job)) this.noteCompletion(job.spec.id, entry.revision);
+    // The entry completed the job before the cancellation in the job's key was committed, and users may have received the
+    // status `done` since: the cancellation has no effect.
+    if (job.cancelled && !job.cancelledFirst && entry.revision < job.revision && isComplete(job))
       job.cancelled = false;
   }
 
   private noteCompletion(id: string, revision: number): void {
     this.recentlyCompleted.set(id, revision);
-    if (this.recentlyCompleted.size <= COMPLETIONS_KEPT) return;
-    for (const old of this.recentlyCompleted.keys()) {
-      this.recentlyCompleted.delete(old);
+    if (this.recentlyCompleted.size <= MAX_RECENT_COMPLETIONS) return;
+    for (const oldestId of this.recentlyCompleted.keys()) {
+      this.recentlyCompleted.delete(oldestId);
       break;
     }
   }
 
   /**
-   * Placements by machine: key `job/task`. Made when first asked for and then kept up with every change, which costs about
-   * as much as all else that a log entry does here. Only a leader asks.
+   * Placements by machine and by `taskKey`. The index is built on first access and then updated with every change, which
+   * about doubles the cost of applying a log entry. Only a leader needs it.
    */
   get placementsByMachine(): PlacementsByMachine {
     if (this.placementIndex === null) {
@@ -462,7 +488,7 @@
     return this.placementIndex.byMachine;
   }
 
-  /** Frees the placement index: a controller that no longer leads doesn't ask for it. */
+  /** Frees the placement index: a controller that no longer leads doesn't need it. */
   dropPlacementIndex(): void {
     this.placementIndex = null;
   }
--- a/packages/controller/src/jobs/model.ts
+++ b/packages/controller/src/jobs/model.ts
@@ -1,6 +1,7 @@
 /**
- * The domain model: what a job is, what is durably known of it, and the one transition function. Every
- * node applies the same events in the same order, so every node's view at a revision is the same.
+ * The domain model of jobs: the specification of a job, its durable state, and the function that applies a log entry's
+ * changes to that state. Every controller applies the same changes in the same order, so the views of all controllers at
+ * one revision are equal.
  */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { NO_USAGE, type Usage } from '../accounts/model.js';
@@ -31,104 +32,107 @@
   readonly estimate: Micros;
   readonly checkpoint: Micros;
   readonly save: Micros;
-  /** From submission; null: none. */
+  /** Deadline as a duration from submission; null: the job has none. */
   readonly deadline: Micros | null;
-  /** Time of day of the first attempt to submit that reached a node. */
+  /** Time of day of the first submission request that reached a controller. */
   readonly submitted: Micros;
-  /** The occurrence of a cutoff that it is tied to, from acceptance on (calendar/tie.ts); null: none. */
+  /** Id of the cutoff occurrence that the job was bound to when it was accepted (src/calendar); null: none. */
   readonly tie: string | null;
 }
 
-/** A started task that is not surely gone. */
+/** A task that was started and is not known to have exited. */
 export interface Placement {
   readonly task: number;
   readonly attempt: number;
   readonly machine: string;
-  /** Time of day of the log entry that started it (`LogEntryHeader.at`); 0: not known. */
+  /** Time of day of the log entry that started the task (`LogEntryHeader.at`); 0: not known. */
   readonly since: Micros;
 }
 
+/** A job's specification and its durable state. */
 export interface Job {
   readonly spec: JobSpec;
   cancelled: boolean;
-  /** Its cancellation was committed before any log entry that its own key does not include. */
+  /** Whether the cancellation was committed before every log entry that the job's own key does not include yet. */
   cancelledFirst?: boolean;
-  /** Attempts are numbered per job and only grow; members of one gang start share a number. */
+  /** The highest attempt number used. Numbers only grow; all tasks of a job that one log entry starts share a number. */
   attempt: number;
   readonly done: Set<number>;
   readonly placed: Map<number, Placement>;
-  /** Machines on which tasks of it failed, as far as they tell something new. */
+  /** Ids of machines on which tasks of the job failed, at most `FAILURES_KEPT`. */
   readonly failedOn: Set<string>;
-  /** GPUs that it runs on at others' cost, by the lender's id (src/lending). */
+  /** Loans of GPUs that the job runs on, by the lender's id (src/lending). */
   readonly loans: Map<string, Loan>;
-  /** How many of its tasks have been stopped for services, ever. */
+  /** Number of the job's tasks that were preempted for services since its submission. */
   preemptedForServices: number;
-  /** Revision of the job's own key. */
+  /** Revision of the job's own key; 0: the job has no key of its own yet, only an entry in a bundle. */
   revision: number;
-  /** The last log entry that the job's own key already includes. */
+  /** Sequence number of the last log entry that has been compacted into the job's stored value. */
   compactedTo: number;
-  /** The last log entry that mentions the job. */
+  /** Sequence number of the last log entry that changed the job. */
   lastSequence: number;
-  /** What has been said of its cutoff, as `JobChange.cutoffRisk`; absent: nothing. */
+  /** The last recorded `JobChange.cutoffRisk`; absent: none was recorded. */
   cutoffRisk?: number;
 }
 
-/** What one job undergoes in one log entry. Order inside: ends, then starts. */
+/** The changes that one log entry makes to one job. Exits are applied before starts. */
 export interface JobChange {
-  /** Tasks completed. A gang completes as a whole. */
+  /** Tasks that completed. The tasks of a gang complete together. */
   readonly done?: readonly number[];
-  /** Tasks surely gone without completing. */
+  /** Tasks that are known to have exited without completing. */
   readonly gone?: readonly number[];
-  /** Those of `gone` that failed by themselves. */
+  /** Tasks that exited by a failure of their own; each is also listed as exited without completing. */
   readonly failed?: readonly number[];
-  /** Starts: the attempt's number and tasks by machine. */
+  /** Started tasks: the attempt number, and the task numbers by machine. */
   readonly start?: { readonly attempt: number; readonly on: ReadonlyMap<string, readonly number[]> };
-  /** It becomes at risk of missing its cutoff, misses it, or neither any more (calendar/model.ts, `CUTOFF_RISK`). */
+  /** A new risk level: the job is at risk of missing its cutoff, has missed it, or neither (`CUTOFF_RISK` in src/calendar). */
   readonly cutoffRisk?: number;
-  /** What it borrows, and gives back, by lender. */
+  /** GPUs that the job borrows, by lender. */
   readonly lend?: readonly LoanPart[];
+  /** Borrowed GPUs that the job returns, by lender. */
   readonly repay?: readonly LoanPart[];
-  /** So many of its tasks are about to be stopped for services. */
+  /** Number of the job's tasks that are about to be preempted for services. */
   readonly preemptedForServices?: number;
 }
 
-/** What a log entry says beside its jobs (docs/state.md). */
+/** The part of a log entry that belongs to no single job (docs/state.md). */
 export interface LogEntryHeader {
-  /** Time of day by the leader that wrote it, at least one microsecond later than in the log entry before; 0: not known. */
+  /** Time of day by the clock of the leader that wrote it, at least 1 µs later than the previous entry's; 0: not known. */
   readonly at: Micros;
-  /** Version of the calendar by which the cycle ordered; 0: none. */
+  /** Version of the calendar that the scheduling cycle used; 0: none. */
   readonly calendar: number;
-  /** For the accounts: the placements that end in it. */
+  /** Resource usage of the placements that end in this log entry, for the accounts. */
   readonly usage: Usage;
 }
-/** Of log entries that were written before there were heads. */
+/** The header of log entries that were written by versions without headers. */
 export const NO_HEADER: LogEntryHeader = { at: 0 as Micros, calendar: 0, usage: NO_USAGE };
 
-/** One cycle's durable decisions. */
+/** One entry of the log of changes: the decisions that one scheduling cycle has committed. */
 export interface LogEntry {
   readonly sequence: number;
   readonly head: LogEntryHeader;
-  /** Revision at which it was committed. */
+  /** Revision of the store at which the entry was committed. */
   readonly revision: number;
   readonly jobs: ReadonlyMap<string, JobChange>;
 }
 
-/** More machines than this tell nothing new about a job that failed on all of them. */
+/** A job that has failed on this many machines is taken to be faulty itself: further machines add no information. */
 export const FAILURES_KEPT = 4;
 
+/** How a finished job ended, and its number of tasks. */
 export type FinalState = { readonly status: 'done' | 'cancelled'; readonly tasks: number };
 
-/** `at`: time of day of the log entry. */
-export const applyChange = (job: Job, change: JobChange, seq: number, at: Micros): void => {
-  for (const t of change.done ?? []) {
-    job.done.add(t);
-    job.placed.delete(t);
+/** Applies the change that log entry `sequence` makes to `job`. `at`: time of day of the log entry. */
+export const applyChange = (job: Job, change: JobChange, sequence: number, at: Micros): void => {
+  for (const task of change.done ?? []) {
+    job.done.add(task);
+    job.placed.delete(task);
   }
-  for (const t of change.failed ?? []) {
-    const p = job.placed.get(t);
-    if (p && job.failedOn.size < FAILURES_KEPT) job.failedOn.add(p.machine);
+  for (const task of change.failed ?? []) {
+    const placement = job.placed.get(task);
+    if (placement && job.failedOn.size < FAILURES_KEPT) job.failedOn.add(placement.machine);
   }
-  for (const t of change.gone ?? []) job.placed.delete(t);
+  for (const task of change.gone ?? []) job.placed.delete(task);
   if (change.start) {
     job.attempt = Math.max(job.attempt, change.start.attempt);
     for (const [machine, tasks] of change.start.on) {
@@ -139,17 +143,19 @@
   if (change.cutoffRisk !== undefined) job.cutoffRisk = change.cutoffRisk;
   applyLoans(job.loans, change.lend, change.repay, at);
   job.preemptedForServices += change.preemptedForServices ?? 0;
-  job.lastSequence = Math.max(job.lastSequence, seq);
+  job.lastSequence = Math.max(job.lastSequence, sequence);
 };
 
+/** Whether every task has completed. A service runs until it is cancelled and is never complete. */
 export const isComplete = (job: Job): boolean =>
   job.done.size === job.spec.tasks && job.spec.shape !== 'service';
 
-/** A job may be closed when nothing of it can still be running. */
+/** The job's final state; null: the job is unfinished, or one of its tasks may still be running. */
 export const finalState = (job: Job): FinalState | null => {
   if (job.placed.size > 0) return null;
   if (job.cancelled) return { status: 'cancelled', tasks: job.spec.tasks };
   return isComplete(job) ? { status: 'done', tasks: job.spec.tasks } : null;
 };
 
+/** Identifies a task among the tasks of all jobs. */
 export const taskKey = (jobId: string, task: number): string => `${jobId}/${task}`;
--- a/packages/controller/src/jobs/placement-index.ts
+++ b/packages/controller/src/jobs/placement-index.ts
@@ -1,9 +1,10 @@
-/** Placements by machine, kept up with the jobs that a view of the store holds. */
+/** An index of placements by machine, updated with every change to the jobs of a view of the store. */
 import { type Job, type Placement, taskKey } from './model.js';
 
-/** By machine, then by `taskKey`: what is placed there. */
+/** Placements and their jobs, by machine id and then by `taskKey`. */
 export type PlacementsByMachine = ReadonlyMap<string, ReadonlyMap<string, Placement & { readonly job: Job }>>;
 
+/** Holds the placements of all jobs by machine. */
 export class PlacementIndex {
   private readonly machines = new Map<string, Map<string, Placement & { readonly job: Job }>>();
 
@@ -12,27 +13,27 @@
   }
 
   addJob(job: Job): void {
-    for (const p of job.placed.values()) this.add(job, p);
+    for (const placement of job.placed.values()) this.add(job, placement);
   }
 
-  add(job: Job, p: Placement): void {
-    let on = this.machines.get(p.machine);
-    if (!on) this.machines.set(p.machine, (on = new Map()));
-    on.set(taskKey(job.spec.id, p.task), { ...p, job });
+  add(job: Job, placement: Placement): void {
+    let onMachine = this.machines.get(placement.machine);
+    if (!onMachine) this.machines.set(placement.machine, (onMachine = new Map()));
+    onMachine.set(taskKey(job.spec.id, placement.task), { ...placement, job });
   }
 
   removeJob(job: Job): void {
     this.remove(job, [...job.placed.keys()]);
   }
 
-  /** To be called while the job still has these tasks placed. */
+  /** Removes the placements of these tasks. Must be called before they are removed from `job.placed`. */
   remove(job: Job, tasks: readonly number[] | undefined): void {
-    for (const t of tasks ?? []) {
-      const p = job.placed.get(t);
-      if (!p) continue;
-      const on = this.machines.get(p.machine);
-      on?.delete(taskKey(job.spec.id, t));
-      if (on?.size === 0) this.machines.delete(p.machine);
+    for (const task of tasks ?? []) {
+      const placement = job.placed.get(task);
+      if (!placement) continue;
+      const onMachine = this.machines.get(placement.machine);
+      onMachine?.delete(taskKey(job.spec.id, task));
+      if (onMachine?.size === 0) this.machines.delete(placement.machine);
     }
   }
 
--- a/packages/controller/src/jobs/ranges.ts
+++ b/packages/controller/src/jobs/ranges.ts
@@ -1,24 +1,27 @@
-/** Sets of task numbers written as sorted ranges: "0-3,7". */
+/** The stored form of sets of task numbers: sorted ranges, for example "0-3,7". */
+
+/** Encodes a set of distinct numbers. */
 export const encodeRanges = (numbers: Iterable<number>): string => {
   const sorted = [...numbers].sort((a, b) => a - b);
-  const out: string[] = [];
-  for (let i = 0; i < sorted.length;) {
-    let j = i;
-    while (j + 1 < sorted.length && sorted[j + 1] === sorted[j]! + 1) j++;
-    out.push(i === j ? `${sorted[i]}` : `${sorted[i]}-${sorted[j]}`);
-    i = j + 1;
+  const ranges: string[] = [];
+  for (let first = 0; first < sorted.length;) {
+    let last = first;
+    while (last + 1 < sorted.length && sorted[last + 1] === sorted[last]! + 1) last++;
+    ranges.push(first === last ? `${sorted[first]}` : `${sorted[first]}-${sorted[last]}`);
+    first = last + 1;
   }
-  return out.join(',');
+  return ranges.join(',');
 };
 
+/** Decodes what `encodeRanges` has written, in ascending order. */
 export const decodeRanges = (text: string): number[] => {
-  const out: number[] = [];
-  if (text === '') return out;
-  for (const part of text.split(',')) {
-    const dash = part.indexOf('-');
-    const from = Number(dash < 0 ? part : part.slice(0, dash));
-    const to = dash < 0 ? from : Number(part.slice(dash + 1));
-    for (let n = from; n <= to; n++) out.push(n);
+  const numbers: number[] = [];
+  if (text === '') return numbers;
+  for (const range of text.split(',')) {
+    const dash = range.indexOf('-');
+    const from = Number(dash < 0 ? range : range.slice(0, dash));
+    const to = dash < 0 ? from : Number(range.slice(dash + 1));
+    for (let number = from; number <= to; number++) numbers.push(number);
   }
-  return out;
+  return numbers;
 };
--- a/packages/controller/src/jobs/store-watcher.ts
+++ b/packages/controller/src/jobs/store-watcher.ts
@@ -1,6 +1,6 @@
 /**
- * Feeds the cache: one long watch, and short shared reads for whoever needs a view no older than its
- * question. All waiting questions share one read.
+ * Keeps a controller's view of the store up to date: by one long-polling watch, and by reads on demand for requests that
+ * need a view no older than the request. Requests that wait at the same time share one read.
  */
 import { Deferred, Effect } from 'effect';
 import { supervise } from '@lilacvalve/runtime/supervise';
@@ -30,27 +30,31 @@
   MACHINE_TYPES,
 } from './keys.js';
 
-/** Between two shared reads, so that polls cannot eat the request budget. */
+/** Minimum interval between two shared reads, so that users' polls cannot use up the request budget. */
 const READ_GAP = { leader: millis(160), follower: millis(400) };
-/** Between two answers of the watch: a leader acts on what it brings, the others only keep up. */
+/** Pause after each response to the watch: a leader acts on the changes, a follower only keeps its view up to date. */
 const WATCH_GAP_MS = { leader: 120, follower: 400 };
+/** How long the state service may hold a watch request while there is no change. */
 const WATCH_MS = 3000;
-/** Between two pages of final states: they are read beside everything else. */
-const HISTORY_GAP_MS = 400;
+/** Pause between two pages of final states, which are read in the background. */
+const FINAL_STATES_GAP_MS = 400;
+/** Keys in one page of a listing. */
 const PAGE_SIZE = 1000;
-/** Changes of the store, some minute's worth of all that it takes; it keeps the last 10,000. */
+/** Number of revisions: about a minute of writes at the highest rate. The service keeps the last 10,000 changes. */
 const RECENT_CHANGES = 4000;
 
+/** Reads the state service and applies what it reads to a `JobState`. */
 export class StoreWatcher {
+  /** Whether the view has been read completely, in this incarnation of the store. */
   loaded = false;
-  /** The cache is known to be at least as new as this moment. */
+  /** The view includes everything that was committed before this time. */
   readAsOf = Number.NEGATIVE_INFINITY as Micros;
-  /** Takes every change that this view takes; null: nobody does. */
+  /** Called with the changes that are about to be applied to the view. */
   onChanges: ((changes: readonly Change[]) => void) | null = null;
-  /** Revisions of what this node wrote as leader, and may not have read yet. */
+  /** Revisions that this controller has written as leader and may not have read yet, in ascending order. */
   private ownRevisions: number[] = [];
-  private sharedRead: Deferred.Deferred<void, StateFailure> | null = null;
-  private lastRead = Number.NEGATIVE_INFINITY;
+  private pendingRead: Deferred.Deferred<void, StateFailure> | null = null;
+  private lastSharedReadAt = Number.NEGATIVE_INFINITY;
 
   constructor(
     readonly jobState: JobState,
@@ -58,66 +62,68 @@
     private readonly clock: () => Micros,
     private readonly isLeader: () => boolean,
     private readonly lossDetector: DataLossDetector,
-    /** A leader that answers reports must have read more lately than that. */
+    /** Maximum age of the view by which a leader may respond to heartbeats; 0: no limit can be kept. */
     private readonly maxLag: Micros,
   ) {}
 
-  /** The view is left: another incarnation's revisions begin anew, and one of them may be one of its own before. */
+  /** Prepares for another incarnation of the store: its revisions start again, and may coincide with earlier own ones. */
   reset(): void {
     this.loaded = false;
     this.ownRevisions = [];
   }
 
-  /** What this node wrote as leader is committed: nothing in it is news to its view. */
+  /** Notes a revision that this controller has committed as leader: the view already includes its changes. */
   noteOwnCommit(revision: number): void {
-    this.ownRevisions = [...this.ownRevisions.filter((r) => r > this.jobState.revision), revision].sort(
+    this.ownRevisions = [...this.ownRevisions.filter((own) => own > this.jobState.revision), revision].sort(
       (a, b) => a - b,
     );
   }
 
   /**
-   * The revision up to which nothing is in the store that this node does not know: its view's, and what it wrote as leader
-   * right after. What it wrote for users is left out: another may have told them of it, and this view lacks it.
+   * The revision up to which this controller knows all changes of the store: its view's, or the last of the revisions that
+   * it wrote as leader right after it. Its writes for users do not count: another controller may already have confirmed
+   * such a write to the user while this view still lacks it.
    */
   completeRevision(): number {
-    let to = this.jobState.revision;
-    for (const r of this.ownRevisions) if (r === to + 1) to = r;
-    return to;
+    let complete = this.jobState.revision;
+    for (const own of this.ownRevisions) if (own === complete + 1) complete = own;
+    return complete;
   }
 
-  /** The same, without a wait for others to share the read. */
+  /** Like `refresh`, but starts a read at once instead of sharing one. */
   readonly refreshNow: Effect.Effect<void, StateFailure> = Effect.suspend(() => this.read(0));
 
-  /** Succeeds once the cache is at least as new as this call. */
+  /** Succeeds once the view includes everything that was committed before this call. */
   readonly refresh: Effect.Effect<void, StateFailure> = Effect.suspend(() => {
-    if (this.sharedRead) return Deferred.await(this.sharedRead);
-    return Effect.flatMap(Deferred.make<void, StateFailure>(), (made) => {
-      if (this.sharedRead) return Deferred.await(this.sharedRead);
-      this.sharedRead = made;
-      const wait = toMillis(this.lastRead + READ_GAP[this.role()] - this.clock());
+    if (this.pendingRead) return Deferred.await(this.pendingRead);
+    return Effect.flatMap(Deferred.make<void, StateFailure>(), (created) => {
+      if (this.pendingRead) return Deferred.await(this.pendingRead);
+      this.pendingRead = created;
+      const wait = toMillis(this.lastSharedReadAt + READ_GAP[this.role()] - this.clock());
       return Effect.sleep(wait).pipe(
         Effect.zipRight(
           Effect.suspend(() => {
-            // Whoever asks from here on needs a read that begins later.
-            this.sharedRead = null;
-            this.lastRead = this.clock();
+            // Calls from now on need a read that starts later than this one.
+            this.pendingRead = null;
+            this.lastSharedReadAt = this.clock();
             return this.read(0);
           }),
         ),
-        Effect.intoDeferred(made),
+        Effect.intoDeferred(created),
         Effect.forkDaemon,
-        Effect.zipRight(Deferred.await(made)),
+        Effect.zipRight(Deferred.await(created)),
       );
     });
   });
 
+  /** Reads the changes since the last read. The service may hold the request for `blockMs` while there is no change. */
   private read(blockMs: number): Effect.Effect<void, StateFailure> {
     return Effect.suspend(() => {
-      const asked = this.clock();
+      const requestedAt = this.clock();
       return this.readOnce(blockMs).pipe(
         Effect.zipRight(
           Effect.sync(() => {
-            if (asked > this.readAsOf) this.readAsOf = asked;
+            if (requestedAt > this.readAsOf) this.readAsOf = requestedAt;
           }),
         ),
       );
@@ -126,18 +132,18 @@
 
   private readOnce(blockMs: number): Effect.Effect<void, StateFailure> {
     return Effect.suspend(() => {
-      const asked = this.clock();
+      const requestedAt = this.clock();
       if (!this.loaded) return this.reload;
       return this.store.follow(ROOT, this.jobState.revision, blockMs).pipe(
-        Effect.flatMap((c) => {
-          if (c.tooOld) return this.reload;
-          if (this.sawOtherIncarnation(c.changes)) return Effect.fail(dataLossSuspected);
+        Effect.flatMap((response) => {
+          if (response.tooOld) return this.reload;
+          if (this.sawOtherIncarnation(response.changes)) return Effect.fail(dataLossSuspected);
           return Effect.zipRight(
             this.lossDetector.incarnationSeenRecently() ? Effect.void : this.confirmIncarnation,
             Effect.suspend(() => {
-              if (c.changes.length > 0) this.onChanges?.(c.changes);
-              this.jobState.advance(c.changes, c.revision);
-              return this.verifyView(asked);
+              if (response.changes.length > 0) this.onChanges?.(response.changes);
+              this.jobState.advance(response.changes, response.revision);
+              return this.verifyView(requestedAt);
             }),
           );
         }),
@@ -145,45 +151,55 @@
     });
   }
 
-  /** Whether another incarnation has begun: its changes are none of this view's. */
+  /** Whether the changes show that another incarnation has begun, so that they must not be applied to this view. */
   private sawOtherIncarnation(changes: readonly Change[]): boolean {
     const known = this.lossDetector.incarnation;
     if (known === null) return false;
-    const other = changes.find(
-      (c) => c.key.startsWith(INCARNATION) && (c.value === undefined) === (c.key === INCARNATION + known.id),
+    const otherIncarnation = changes.find(
+      (change) =>
+        change.key.startsWith(INCARNATION) &&
+        (change.value === undefined) === (change.key === INCARNATION + known.id),
     );
-    if (other === undefined) return false;
-    this.lossDetector.suspect('other incarnation', other.key);
+    if (otherIncarnation === undefined) return false;
+    this.lossDetector.suspect('other incarnation', otherIncarnation.key);
     return true;
   }
 
-  /** Fails unless the store is still of this node's incarnation. */
+  /** Fails unless the store still has the key of the incarnation that this controller knows. */
   private readonly confirmIncarnation: Effect.Effect<void, StateFailure> = Effect.suspend(() => {
     const known = this.lossDetector.incarnation;
     if (known === null) return Effect.void;
-    const asked = this.clock();
+    const requestedAt = this.clock();
     return this.store.get(INCARNATION + known.id).pipe(
       Effect.flatMap(({ entry }) => {
-        if (entry?.stamp === known.stamp) this.lossDetector.incarnationSeen(asked);
-        else this.lossDetector.suspect('other incarnation', `${known.id} is not there`);
+        if (entry?.stamp === known.stamp) this.lossDetector.incarnationSeen(requestedAt);
+        else
+          this.lossDetector.suspect(
+            'other incarnation',
+            `the key of ${known.id} is missing or was rewritten`,
+          );
         return this.lossDetector.suspected ? Effect.fail(dataLossSuspected) : Effect.void;
       }),
     );
   });
 
-  /** Holds what was read at `asked` against what is known. `anew`: everything was read. */
-  private verifyView(asked: Micros, anew = false): Effect.Effect<void, StateFailure> {
+  /**
+   * Checks the view, read by a request sent at `requestedAt`, for signs of a data loss, and fails if there are any.
+   * `fullRead`: the whole store was read, not only changes.
+   */
+  private verifyView(requestedAt: Micros, fullRead = false): Effect.Effect<void, StateFailure> {
     return Effect.suspend(() => {
       const { jobState, lossDetector } = this;
       lossDetector.readIncarnation(jobState.incarnation);
-      lossDetector.checkTerm(jobState.term, asked);
+      lossDetector.checkTerm(jobState.term, requestedAt);
       for (const key of jobState.damaged.keys())
         if (key.startsWith(ACTIVE_JOBS) && jobState.jobs.has(key.slice(ACTIVE_JOBS.length)))
           lossDetector.suspect('value damaged', key);
-      // Nobody wrote it so: whoever read it before knows what it said, and this view alone proves nothing.
-      const hole = anew || jobState.damaged.size > 0 ? jobState.missingRecord() : null;
-      if (hole !== null) lossDetector.suspect('value damaged', hole, true);
-      if (anew && jobState.calendarLost) lossDetector.suspect('key lost', CALENDAR_HEAD);
+      // No controller writes such a value or gap: the store has damaged the data. A controller that has read the key before
+      // knows its content; this view alone proves nothing.
+      const missingKey = fullRead || jobState.damaged.size > 0 ? jobState.missingRecord() : null;
+      if (missingKey !== null) lossDetector.suspect('value damaged', missingKey, true);
+      if (fullRead && jobState.calendarLost) lossDetector.suspect('key lost', CALENDAR_HEAD);
       if (lossDetector.suspected) return Effect.fail(dataLossSuspected);
       if (lossDetector.incarnation !== null && jobState.revision >= lossDetector.revisionFloor())
         lossDetector.onIncarnationConfirmed(lossDetector.incarnation.id);
@@ -191,38 +207,41 @@
     });
   }
 
-  /** All entries below a prefix, with the lowest revision of its pages. */
+  /** Lists all entries below a prefix. `base`: the lowest revision of the listed pages. */
   readonly listAll = (prefix: string): Effect.Effect<{ entries: Entry[]; base: number }, StateFailure> => {
     const entries: Entry[] = [];
     let base = Number.POSITIVE_INFINITY;
-    const from = (after: string | null): Effect.Effect<void, StateFailure> =>
+    const listFrom = (after: string | null): Effect.Effect<void, StateFailure> =>
       this.store.page(prefix, after, PAGE_SIZE).pipe(
-        Effect.flatMap((p) => {
-          base = Math.min(base, p.revision);
-          entries.push(...p.entries);
-          const last = p.entries[p.entries.length - 1];
-          return p.more && last ? from(last.key) : Effect.void;
+        Effect.flatMap((page) => {
+          base = Math.min(base, page.revision);
+          entries.push(...page.entries);
+          const last = page.entries[page.entries.length - 1];
+          return page.more && last ? listFrom(last.key) : Effect.void;
         }),
       );
-    return Effect.map(from(null), () => ({ entries, base }));
+    return Effect.map(listFrom(null), () => ({ entries, base }));
   };
 
   /**
-   * What has ended within the last changes, at one go: the rest is read at leisure (`history`). Should all controllers have
-   * started anew a moment before the store comes back as it was some seconds ago, nobody else would know that it was over.
+   * Reads the final states among the latest changes with one request; `loadFinalStates` reads the others in the background.
+   * If all controllers restart just before the store reverts to its state of some seconds ago, no other controller could
+   * tell that these jobs were finished.
    */
-  private recentFinals(base: number): Effect.Effect<readonly Change[]> {
+  private readRecentFinalStates(base: number): Effect.Effect<readonly Change[]> {
     return this.store.follow(FINAL_STATES, Math.max(0, base - RECENT_CHANGES), 0).pipe(
-      Effect.map((c) => (c.tooOld ? [] : c.changes.filter((e) => e.value !== undefined))),
+      Effect.map((response) =>
+        response.tooOld ? [] : response.changes.filter((change) => change.value !== undefined),
+      ),
       Effect.orElseSucceed(() => []),
     );
   }
 
-  /** Reads everything anew, then what changed meanwhile: only then is the view whole. */
+  /** Lists the whole store, then reads the changes made during the listing, without which the view is inconsistent. */
   private readonly reload: Effect.Effect<void, StateFailure> = Effect.suspend(() => {
-    const asked = this.clock();
-    const { incarnationCount: life } = this.lossDetector;
-    // The accounts last: a checkpoint read before the log entries could lack some that are deleted meanwhile.
+    const requestedAt = this.clock();
+    const { incarnationCount } = this.lossDetector;
+    // The accounts come last: a checkpoint that is read before the log entries could lack entries deleted meanwhile.
     const prefixes = [
       STORE_STATUS,
       CALENDAR,
@@ -236,55 +255,59 @@
     ];
     return Effect.forEach(prefixes, (prefix) => this.listAll(prefix)).pipe(
       Effect.flatMap((lists) => {
-        const base = Math.min(...lists.map((l) => l.base));
-        return Effect.all([this.store.follow(ROOT, base, 0), this.recentFinals(base)]).pipe(
-          Effect.flatMap(([c, ended]) => {
-            if (c.tooOld) return Effect.suspend(() => this.reload);
-            if (this.lossDetector.incarnationCount !== life) return Effect.fail(dataLossSuspected);
-            // Another read was faster. Going back, the view would miss what a follow on its way says it has already.
-            if (this.loaded && c.revision <= this.jobState.revision) return this.verifyView(asked);
+        const base = Math.min(...lists.map((list) => list.base));
+        return Effect.all([this.store.follow(ROOT, base, 0), this.readRecentFinalStates(base)]).pipe(
+          Effect.flatMap(([response, recentFinals]) => {
+            if (response.tooOld) return Effect.suspend(() => this.reload);
+            if (this.lossDetector.incarnationCount !== incarnationCount)
+              return Effect.fail(dataLossSuspected);
+            // Another read has brought a newer view. Reverting it would lose changes: a watch request under way continues
+            // from the newer revision and will not return them again.
+            if (this.loaded && response.revision <= this.jobState.revision)
+              return this.verifyView(requestedAt);
             this.jobState.load(
-              lists.flatMap((l) => l.entries),
+              lists.flatMap((list) => list.entries),
               base,
             );
-            for (const e of ended) this.jobState.apply(e);
-            this.jobState.advance(c.changes, c.revision);
+            for (const change of recentFinals) this.jobState.apply(change);
+            this.jobState.advance(response.changes, response.revision);
             this.loaded = true;
-            return info('store listed', { revision: c.revision, jobs: this.jobState.jobs.size }).pipe(
-              Effect.zipRight(this.verifyView(asked, true)),
-            );
+            return info('store listed', {
+              revision: response.revision,
+              jobs: this.jobState.jobs.size,
+            }).pipe(Effect.zipRight(this.verifyView(requestedAt, true)));
           }),
         );
       }),
     );
   });
 
-  /** Reads the final states too, at leisure: should the store lose them, this node can tell them. */
+  /** Reads all final states in the background, so that this controller can restore them if the store loses them. */
   readonly loadFinalStates = supervise(
-    'history',
+    'final-states',
     Effect.suspend(() => {
-      const { finalStates: finals } = this.jobState;
-      if (!this.loaded || finals.complete) return tick(2000);
-      const from = (prefix: string, after: string | null): Effect.Effect<void, StateFailure> =>
+      const { finalStates } = this.jobState;
+      if (!this.loaded || finalStates.complete) return tick(2000);
+      const readFrom = (prefix: string, after: string | null): Effect.Effect<void, StateFailure> =>
         this.store.page(prefix, after, PAGE_SIZE, Priority.Upkeep).pipe(
-          Effect.flatMap((p) => {
-            for (const e of p.entries) this.jobState.apply({ ...e });
-            const last = p.entries[p.entries.length - 1];
-            return p.more && last
+          Effect.flatMap((page) => {
+            for (const entry of page.entries) this.jobState.apply({ ...entry });
+            const last = page.entries[page.entries.length - 1];
+            return page.more && last
               ? Effect.zipRight(
-                  Effect.sleep(HISTORY_GAP_MS),
-                  Effect.suspend(() => from(prefix, last.key)),
+                  Effect.sleep(FINAL_STATES_GAP_MS),
+                  Effect.suspend(() => readFrom(prefix, last.key)),
                 )
               : Effect.void;
           }),
         );
-      const before = finals.size;
-      return from(FINAL_STATES, null).pipe(
-        Effect.zipRight(from(FINAL_STATE_PAGES, null)),
+      const before = finalStates.size;
+      return readFrom(FINAL_STATES, null).pipe(
+        Effect.zipRight(readFrom(FINAL_STATE_PAGES, null)),
         Effect.zipRight(
           Effect.suspend(() => {
-            finals.complete = this.loaded && finals.hasRoom;
-            return info('final states read', { known: finals.size, before });
+            finalStates.complete = this.loaded && finalStates.isBelowCapacity;
+            return info('final states read', { known: finalStates.size, before });
           }),
         ),
         Effect.catchAll(() => Effect.sleep(2000)),
@@ -292,15 +315,16 @@
     }).pipe(Effect.forever),
   );
 
+  /** Keeps the view up to date for ever. Never fails. */
   readonly run = supervise(
     'watch',
     Effect.suspend(() => {
-      // Shared reads for users keep a follower up as well as its watch would: one of the two is enough.
-      const left = this.readAsOf + millis(WATCH_GAP_MS.follower) - this.clock();
-      if (this.loaded && !this.isLeader() && left > 0) return Effect.sleep(toMillis(left));
-      const held =
+      // A follower whose view was just brought up to date by a shared read for users needs no watch request.
+      const untilNextRead = this.readAsOf + millis(WATCH_GAP_MS.follower) - this.clock();
+      if (this.loaded && !this.isLeader() && untilNextRead > 0) return Effect.sleep(toMillis(untilNextRead));
+      const blockMs =
         this.isLeader() && this.maxLag > 0 ? Math.min(WATCH_MS, toMillis(this.maxLag / 4)) : WATCH_MS;
-      return this.read(this.loaded ? held : 0).pipe(
+      return this.read(this.loaded ? blockMs : 0).pipe(
         Effect.matchEffect({
           onSuccess: () => Effect.sleep(WATCH_GAP_MS[this.role()]),
           onFailure: () => Effect.sleep(400),
