--- a/packages/controller/src/leadership/codec.ts
+++ b/packages/controller/src/leadership/codec.ts
@@ -1,6 +1,6 @@
 /**
- * The heartbeat between controllers on the wire: msgpack of one object, whose field names and their order are fixed here
- * and nowhere else. Controllers of two versions exchange heartbeats while they are replaced one after the other.
+ * The wire form of peer heartbeats: msgpack of one object. Its field names and their order are defined here only.
+ * Controllers of two versions exchange heartbeats during a rolling upgrade.
  */
 import { pack, unpack } from 'msgpackr';
 import type { ProvisioningNews } from '../provisioning/model.js';
@@ -51,7 +51,7 @@
     : { asked: news.asked.map(({ type, zone, spot, count, age }) => ({ type, zone, spot, count, age })) }),
 });
 
-/** A heartbeat as it is sent. */
+/** Encodes a peer heartbeat to be sent. */
 export const encodePeerHeartbeat = (heartbeat: PeerHeartbeat): Buffer => {
   const { store, provisioning } = heartbeat;
   const wire: WireHeartbeat = {
@@ -67,35 +67,35 @@
   return pack(wire);
 };
 
-const object = (value: unknown): value is Record<string, unknown> =>
+const isObject = (value: unknown): value is Record<string, unknown> =>
   typeof value === 'object' && value !== null && !Array.isArray(value);
-const text = (v: unknown): v is string => typeof v === 'string';
+const isText = (value: unknown): value is string => typeof value === 'string';
 const isOffer = (value: unknown): value is Record<string, unknown> =>
-  object(value) &&
-  text(value.type) &&
-  text(value.zone) &&
+  isObject(value) &&
+  isText(value.type) &&
+  isText(value.zone) &&
   typeof value.spot === 'boolean' &&
   typeof value.age === 'number';
 const isObservation = (value: unknown): value is WireObservation =>
-  object(value) &&
-  text(value.incarnation) &&
+  isObject(value) &&
+  isText(value.incarnation) &&
   Number.isInteger(value.generation) &&
   Number.isInteger(value.revision) &&
   Number.isInteger(value.read) &&
   typeof value.age === 'number';
 const isProvisioning = (value: unknown): value is WireProvisioning =>
-  object(value) &&
+  isObject(value) &&
   Array.isArray(value.rented) &&
-  value.rented.every((r: unknown) => isOffer(r) && text(r.id)) &&
+  value.rented.every((rental: unknown) => isOffer(rental) && isText(rental.id)) &&
   Array.isArray(value.removed) &&
-  value.removed.every(text) &&
+  value.removed.every(isText) &&
   (value.asked === undefined ||
     (Array.isArray(value.asked) &&
-      value.asked.every((a: unknown) => isOffer(a) && Number.isInteger(a.count))));
-/** Checked by hand, as workers' heartbeats are: a schema's decoder took a seventh of an idle node's processor time. */
+      value.asked.every((request: unknown) => isOffer(request) && Number.isInteger(request.count))));
+/** Written by hand, as for workers' heartbeats: a schema decoder took a seventh of an idle controller's CPU time. */
 const isHeartbeat = (value: unknown): value is WireHeartbeat =>
-  object(value) &&
-  text(value.from) &&
+  isObject(value) &&
+  isText(value.from) &&
   Number.isSafeInteger(value.term) &&
   typeof value.served === 'boolean' &&
   typeof value.loaded === 'boolean' &&
@@ -120,7 +120,7 @@
     : { asked: wire.asked.map(({ type, zone, spot, count, age }) => ({ type, zone, spot, count, age })) }),
 });
 
-/** A received heartbeat; null: the bytes are none. Never throws, whatever arrives. */
+/** Decodes a received peer heartbeat; null: the body is not a valid one. Never throws. */
 export const decodePeerHeartbeat = (body: Buffer): PeerHeartbeat | null => {
   let wire: unknown;
   try {
--- a/packages/controller/src/leadership/leader-lease.ts
+++ b/packages/controller/src/leadership/leader-lease.ts
@@ -1,40 +1,40 @@
-/** The lease that makes this node leader: its id in the state service, and until when this node may act by it. */
+/** The lease that the leader key is attached to, as the controller that holds it sees it. */
 import { DRIFT, type Micros, millis, plus, seconds } from '@lilacvalve/runtime/micros';
 import type { Settings } from '../settings/settings.js';
 
-/** For the time that an answer of the state service takes to arrive and be acted on. */
+/** The lease counts as expired this much early, so that a request sent just before arrives while the lease is valid. */
 const SAFETY_MARGIN = millis(150);
 
-/** The lease on the leader key, and until when it gives a right to act. */
+/** The id of the lease on the leader key, and until when this controller may act as leader. */
 export class LeaderLease {
-  /** The state service's number of the lease; null: this node holds none. */
+  /** The state service's number of the lease; null: this controller holds none. */
   id: number | null = null;
-  /** This node may act before this moment and not after. */
+  /** This controller may act as leader until this time, by its own clock. */
   expiresAt = Number.NEGATIVE_INFINITY;
-  /** How long a grant or an extension lasts. */
+  /** Duration of the lease, from its grant or its last extension. */
   readonly ttl: Micros;
 
   constructor(settings: Settings) {
     this.ttl = Math.min(seconds(4), Math.max(seconds(2.5), settings.workers.lease / 5)) as Micros;
   }
 
-  /** When a lease that was granted or extended by a request sent at `asked` expires, by this node's clock at the earliest. */
-  expiryOf(asked: Micros): Micros {
-    return plus(asked, this.ttl * (1 - DRIFT) - SAFETY_MARGIN);
+  /** The earliest time, by this controller's clock, at which a lease expires that a request sent at `requestedAt` got. */
+  expiryOf(requestedAt: Micros): Micros {
+    return plus(requestedAt, this.ttl * (1 - DRIFT) - SAFETY_MARGIN);
   }
 
-  /** Holds the lease `id`, which was asked for at `asked`. */
-  acquire(id: number, asked: Micros): void {
+  /** Notes that this controller holds the lease `id`, granted by a request sent at `requestedAt`. */
+  acquire(id: number, requestedAt: Micros): void {
     this.id = id;
-    this.extend(asked);
+    this.extend(requestedAt);
   }
 
-  /** The lease was extended by a request sent at `asked`. */
-  extend(asked: Micros): void {
-    this.expiresAt = this.expiryOf(asked);
+  /** Notes that a request sent at `requestedAt` has extended the lease. */
+  extend(requestedAt: Micros): void {
+    this.expiresAt = this.expiryOf(requestedAt);
   }
 
-  /** This node may not act by the lease any more; its id stays known, so that it is told from an orphaned one. */
+  /** Ends the right to act by the lease. Keeps its id, so that the lease is not taken for an orphaned one. */
   expire(): void {
     this.expiresAt = Number.NEGATIVE_INFINITY;
   }
--- a/packages/controller/src/leadership/leader-session.ts
+++ b/packages/controller/src/leadership/leader-session.ts
@@ -1,4 +1,4 @@
-/** What a controller does while it is leader: restores a store that has lost data, then schedules until its term ends. */
+/** Runs a controller's sessions as leader: a session restores a store that has lost data, then schedules. */
 import { Ledger } from '../accounts/ledger.js';
 import { supervise } from '@lilacvalve/runtime/supervise';
 import { info } from '@lilacvalve/runtime/log';
@@ -36,38 +36,38 @@
 import type { HeartbeatService, LeaseRenewalService } from '../workers/heartbeat-handler.js';
 import { sendUrgentOrders, type WorkerPort } from '../workers/worker-client.js';
 
-/** Between two scheduling cycles: each costs writes of a budget that all controllers share. */
+/** Minimum pause between two scheduling cycles: each cycle writes, within a rate limit that all controllers share. */
 const MIN_GAP_MS = 250;
-/** Cycles compute for at most about this share of the node's time: heartbeats, leases and users need the rest. */
-const CYCLE_SHARE = 1 / 4;
-/** Each machine lets cycles be so much further apart: on many machines something has always changed. */
+/** Maximum fraction of the time that cycles compute: heartbeats, leases and users' requests need the rest. */
+const MAX_CYCLE_FRACTION = 1 / 4;
+/** The pause grows by this much per machine: with many machines, something has changed before every cycle. */
 const GAP_MS_PER_MACHINE = 0.6;
 const MAX_MACHINE_GAP_MS = 800;
-/** A cycle runs at least this often, whether anything has changed or not. */
+/** A cycle starts after this long even if nothing has changed. */
 const CYCLE_EVERY_MS = 1000;
-const UPKEEP_GAP_MS = 250;
-/** A heartbeat waits at most so long for a cycle. */
+const MAINTENANCE_GAP_MS = 250;
+/** Maximum time that a heartbeat waits for a scheduling cycle. */
 const MAX_CYCLE_WAIT = millis(1200);
-/** How often a session checks whether its term is over; writes fail from that moment on anyway. */
+/** How often a session checks that its term has not ended; after the end of its term its writes fail anyway. */
 const TERM_CHECK_MS = 250;
 const SUMMARY_EVERY_MS = 10_000;
 const RECOVERY_EVERY_MS = 1000;
 const NO_NEWS: ProvisioningNews = { rented: [], removed: [] };
 
 /**
- * Milliseconds from the end of a scheduling cycle to the start of the next, after one over so many machines that computed
- * for `costMs`. A cycle that left something `behind`, because its record was full, is followed sooner, as far as its
- * computing time allows.
+ * The pause between two scheduling cycles, in milliseconds. `machines`: number of machines in the last cycle; `computeMs`:
+ * how long it computed; `hasBacklog`: its log entry was full, so that some decisions wait for the next cycle, which then
+ * starts as early as the computing time allows.
  */
-export const cycleGapMs = (machines: number, costMs: number, behind = false): number =>
+export const cycleGapMs = (machines: number, computeMs: number, hasBacklog = false): number =>
   Math.max(
     MIN_GAP_MS,
-    behind ? 0 : Math.min(MAX_MACHINE_GAP_MS, Math.round(machines * GAP_MS_PER_MACHINE)),
-    costMs * (1 / CYCLE_SHARE - 1),
+    hasBacklog ? 0 : Math.min(MAX_MACHINE_GAP_MS, Math.round(machines * GAP_MS_PER_MACHINE)),
+    computeMs * (1 / MAX_CYCLE_FRACTION - 1),
   );
 
-/** What the leader's sessions work on. */
-export interface LeaderSessionParts {
+/** The dependencies of `LeaderSessions`. */
+export interface LeaderSessionDependencies {
   readonly settings: Settings;
   readonly store: StatePort;
   readonly cloud: CloudPort;
@@ -84,33 +84,34 @@
   readonly types: () => readonly MachineType[] | null;
   readonly clock: () => Micros;
   readonly dayTime: () => Micros;
-  /** Half-life of the balance between teams; null: off. */
+  /** Half-life of the balance between teams' usage and their fair shares; null: no balance is kept. */
   readonly balance: Micros | null;
 }
 
-/** Runs one session after another, each for one of this node's terms as leader. */
+/** Runs one session after another, each for one of this controller's terms as leader. */
 export class LeaderSessions {
-  /** What the present session offers to whoever takes heartbeats in; null: there is no session. */
+  /** The present session's service for received heartbeats; null: no session is running. */
   heartbeatService: HeartbeatService | LeaseRenewalService | null = null;
+  /** The provisioning state for peers, and whether the cloud's list of machines has been read in this term. */
   readonly fleet: { news: ProvisioningNews; listed: boolean } = { news: NO_NEWS, listed: false };
-  /** Jobs that a rebuild has gathered and not written yet; null: that is not known here. */
+  /** Whether a rebuild has gathered this job and may not have written it yet; null: this controller runs no rebuild. */
   private pendingRestore: ((id: string) => boolean) | null = null;
   private readonly wake = Effect.runSync(Queue.sliding<void>(1));
 
-  constructor(private readonly parts: LeaderSessionParts) {
-    parts.jobState.onJobsChanged = () => Queue.unsafeOffer(this.wake, undefined);
+  constructor(private readonly dependencies: LeaderSessionDependencies) {
+    dependencies.jobState.onJobsChanged = () => Queue.unsafeOffer(this.wake, undefined);
   }
 
-  /** The workers, as this node knows them as leader; null: it does not lead, or is still restoring the store. */
+  /** The registry of the present session; null: this controller does not lead, or is still restoring the store. */
   registry(): WorkerRegistry | null {
     return this.heartbeatService !== null && 'registry' in this.heartbeatService
       ? this.heartbeatService.registry
       : null;
   }
 
-  /** See `ApiDeps.mayBeNew`. */
+  /** Whether a job with this id may be unknown to all controllers, as far as a rebuild under way tells. */
   mayBeNew(id: string): boolean {
-    const { rebuild } = this.parts.jobState;
+    const { rebuild } = this.dependencies.jobState;
     return (
       rebuild === null ||
       rebuild.phase === 'wait' ||
@@ -118,24 +119,24 @@
     );
   }
 
-  /** Leads for as long as this controller is leader, then waits for its next term. Never ends by itself. */
+  /** Runs a session while this controller is leader, then waits for its next term, for ever. */
   readonly run = supervise(
     'leader-session',
     Effect.suspend(() => {
-      const leaderTerm = this.parts.leadership.currentTerm();
-      return leaderTerm === null ? this.parts.leadership.awaitTerm : this.lead(leaderTerm);
+      const leaderTerm = this.dependencies.leadership.currentTerm();
+      return leaderTerm === null ? this.dependencies.leadership.awaitTerm : this.lead(leaderTerm);
     }).pipe(Effect.forever),
   );
 
-  /** One session: until the term is over, whatever the session is doing then. */
+  /** Runs one session, and interrupts it at the end of its term. */
   private lead(leaderTerm: LeadershipTerm): Effect.Effect<void> {
-    const { jobState, leadership } = this.parts;
+    const { jobState, leadership } = this.dependencies;
     const rebuildContext = this.rebuildContext(leaderTerm);
     const { isCurrentTerm } = rebuildContext;
-    const termOver = tick(TERM_CHECK_MS).pipe(Effect.repeat({ while: isCurrentTerm }));
+    const endOfTerm = tick(TERM_CHECK_MS).pipe(Effect.repeat({ while: isCurrentTerm }));
     const gathered = new GatheredViews();
     return Effect.raceFirst(
-      termOver,
+      endOfTerm,
       Effect.zipRight(
         this.restore(rebuildContext, gathered),
         Effect.suspend(() => (isCurrentTerm() ? this.operate(rebuildContext, gathered) : Effect.void)),
@@ -148,33 +149,33 @@
         }),
       ),
       Effect.zipRight(info('leadership term ended', { term: leaderTerm.number })),
-      // A new registry of the same term would take an old worker copy that shows its token for newer than the starts sent
-      // before.
+      // A failed session ends its term: a second registry of the same term would not know which starts the first one has
+      // sent, and would take an older heartbeat with the term's fencing token to be newer than those starts.
       Effect.tapDefect(() => leadership.stepDown('session failed', 0)),
     );
   }
 
   private rebuildContext(leaderTerm: LeadershipTerm): RebuildContext {
-    const { parts } = this;
+    const { dependencies } = this;
     return {
-      settings: parts.settings,
-      store: parts.store,
-      watcher: parts.watcher,
-      jobState: parts.jobState,
-      lossDetector: parts.lossDetector,
-      preLossViews: parts.preLossViews,
-      evidenceStore: parts.evidenceStore,
-      viewPort: parts.viewPort,
+      settings: dependencies.settings,
+      store: dependencies.store,
+      watcher: dependencies.watcher,
+      jobState: dependencies.jobState,
+      lossDetector: dependencies.lossDetector,
+      preLossViews: dependencies.preLossViews,
+      evidenceStore: dependencies.evidenceStore,
+      viewPort: dependencies.viewPort,
       leaderTerm,
-      isCurrentTerm: () => parts.leadership.isCurrent(leaderTerm.number),
-      mayAct: () => parts.leadership.currentTerm()?.number === leaderTerm.number,
-      clock: parts.clock,
+      isCurrentTerm: () => dependencies.leadership.isCurrent(leaderTerm.number),
+      mayAct: () => dependencies.leadership.currentTerm()?.number === leaderTerm.number,
+      clock: dependencies.clock,
     };
   }
 
-  /** Rebuilds the store if it has lost data. Until that is done, heartbeats only renew workers' leases. */
+  /** Rebuilds the store if it has lost data. Until then, responses to heartbeats only renew workers' leases. */
   private restore(context: RebuildContext, gathered: GatheredViews): Effect.Effect<void> {
-    const { jobState, preLossViews } = this.parts;
+    const { jobState, preLossViews } = this.dependencies;
     return Effect.suspend(() => {
       if (jobState.rebuild === null || jobState.rebuild.phase === 'wait') return Effect.void;
       this.heartbeatService = {
@@ -192,9 +193,9 @@
     });
   }
 
-  /** The session's lasting part, once the store holds all that is known: schedules, rents and returns machines, tidies up. */
+  /** Runs the tasks of a session on a complete store: scheduling, renting and returning machines, maintenance. */
   private operate(context: RebuildContext, gathered: GatheredViews): Effect.Effect<void> {
-    const { parts, wake } = this;
+    const { dependencies, wake } = this;
     return Effect.suspend(() => {
       const cycleContext = this.cycleContext(context);
       const { registry } = cycleContext;
@@ -205,7 +206,7 @@
         computeTime: 0,
         hasBacklog: false,
       };
-      const gate = new CycleGate(parts.clock);
+      const gate = new CycleGate(dependencies.clock);
       this.heartbeatService = {
         registry,
         afterNextCycle: (then) => {
@@ -213,23 +214,23 @@
           Queue.unsafeOffer(wake, undefined);
         },
       };
-      const relieve = Effect.sync(() => gate.releaseOverdue(MAX_CYCLE_WAIT)).pipe(
+      const releaseOverdueHeartbeats = Effect.sync(() => gate.releaseOverdue(MAX_CYCLE_WAIT)).pipe(
         Effect.zipRight(tick(TERM_CHECK_MS)),
         Effect.forever,
       );
-      const tidy = supervise(
-        'upkeep',
-        upkeep(cycleContext).pipe(Effect.zipRight(tick(UPKEEP_GAP_MS)), Effect.forever),
+      const maintenance = supervise(
+        'maintenance',
+        upkeep(cycleContext).pipe(Effect.zipRight(tick(MAINTENANCE_GAP_MS)), Effect.forever),
       );
       const weights = imageWeightsTask({ ...cycleContext, machines: () => registry.machines.values() });
-      const fleet = autoscaler(cycleContext, state, parts.cloud);
+      const fleet = autoscaler(cycleContext, state, dependencies.cloud);
       return Effect.all(
         [
           supervise('scheduling', this.scheduleForever(cycleContext, state, gate)),
           fleet,
-          tidy,
+          maintenance,
           logSummaryForever(cycleContext, state),
-          relieve,
+          releaseOverdueHeartbeats,
           this.finishRecoveryForever(cycleContext, context, gathered),
           weights,
           largestJobsTask(cycleContext),
@@ -239,48 +240,53 @@
     });
   }
 
-  /** What all parts of the session share: made when the session begins to schedule. */
+  /** The state that all tasks of the session share, created when the session starts to schedule. */
   private cycleContext({ leaderTerm, mayAct, isCurrentTerm }: RebuildContext): CycleContext {
-    const { parts } = this;
-    // Workers' leases may have been renewed until now.
-    const began = parts.clock();
-    const registry = new WorkerRegistry(parts.settings, parts.jobState, leaderTerm.number, began);
-    // What the last leader said of its machines, with the time passed since.
-    const heard = parts.peers.lastProvisioning();
-    if (heard !== null) registry.applyProvisioningNews(heard.news, heard.at);
-    this.fleet.news = heard?.news ?? NO_NEWS;
+    const { dependencies } = this;
+    // The registry counts leases of unknown workers from now: during a rebuild they may have been renewed until now.
+    const began = dependencies.clock();
+    const registry = new WorkerRegistry(
+      dependencies.settings,
+      dependencies.jobState,
+      leaderTerm.number,
+      began,
+    );
+    // The machines that the previous leader was renting and returning.
+    const previous = dependencies.peers.lastProvisioning();
+    if (previous !== null) registry.applyProvisioningNews(previous.news, previous.at);
+    this.fleet.news = previous?.news ?? NO_NEWS;
     this.fleet.listed = false;
     return {
-      settings: parts.settings,
-      store: parts.store,
-      watcher: parts.watcher,
-      jobState: parts.jobState,
+      settings: dependencies.settings,
+      store: dependencies.store,
+      watcher: dependencies.watcher,
+      jobState: dependencies.jobState,
       registry,
-      ledger: new Ledger(parts.balance),
-      lossDetector: parts.lossDetector,
+      ledger: new Ledger(dependencies.balance),
+      lossDetector: dependencies.lossDetector,
       leaderTerm: { ...leaderTerm, began },
       mayAct,
       isCurrentTerm,
-      acknowledged: () => parts.peers.acknowledged(leaderTerm.number),
-      types: () => parts.types() ?? [],
-      mayStart: () => parts.admission.mayStart,
+      acknowledged: () => dependencies.peers.acknowledged(leaderTerm.number),
+      types: () => dependencies.types() ?? [],
+      mayStart: () => dependencies.admission.mayStart,
       fleet: this.fleet,
-      clock: parts.clock,
-      dayTime: parts.dayTime,
+      clock: dependencies.clock,
+      dayTime: dependencies.dayTime,
       classSamples: new ClassSamples(),
       coLocatedDemand: new Map(),
       startWaits: new StartWaits(),
-      largestJobs: new LargestJobs(parts.jobState.largest),
+      largestJobs: new LargestJobs(dependencies.jobState.largest),
     };
   }
 
-  /** One scheduling cycle after another: when something has changed, and at least every `CYCLE_EVERY_MS`. */
+  /** Runs one scheduling cycle after another: when jobs or heartbeats call for one, and at least every `CYCLE_EVERY_MS`. */
   private scheduleForever(
     cycleContext: CycleContext,
     state: CycleState,
     gate: CycleGate,
   ): Effect.Effect<never> {
-    const { parts, wake } = this;
+    const { dependencies, wake } = this;
     const { registry } = cycleContext;
     return Effect.gen(function* () {
       yield* Queue.take(wake).pipe(Effect.timeoutOption(CYCLE_EVERY_MS));
@@ -288,7 +294,8 @@
       yield* (cycleContext.mayAct() ? runCycle(cycleContext, state) : Effect.void).pipe(
         Effect.ensuring(Effect.sync(() => gate.cycleEnded())),
       );
-      if (cycleContext.mayAct()) yield* sendUrgentOrders(registry, parts.workers, parts.admission);
+      if (cycleContext.mayAct())
+        yield* sendUrgentOrders(registry, dependencies.workers, dependencies.admission);
       yield* Effect.sleep(cycleGapMs(registry.machines.size, toMillis(state.computeTime), state.hasBacklog));
     }).pipe(Effect.forever);
   }
@@ -306,7 +313,10 @@
     );
   }
 
-  /** What is left to do after the store's first start or a rebuild, until nothing unknown can be running or turn up. */
+  /**
+   * Does what remains after the store's first start or after a rebuild, until no task can be running and no view can
+   * appear that the store lacks: adds late views, records the milestones, reconciles orphaned jobs.
+   */
   private finishRecovery(
     cycleContext: CycleContext,
     context: RebuildContext,
@@ -314,13 +324,14 @@
   ): Effect.Effect<void> {
     const { jobState, registry } = cycleContext;
     return Effect.gen(this, function* () {
-      yield* Effect.ignore(addLateViews(context, gathered, this.parts.peers.withPreLossViews()));
+      yield* Effect.ignore(addLateViews(context, gathered, this.dependencies.peers.withPreLossViews()));
       const generation = jobState.incarnation?.generation ?? 0;
-      const at = cycleContext.clock();
-      if (!jobState.quiescent && registry.priorLeasesExpired(at)) yield* declareMilestone(context, QUIESCENT);
+      const now = cycleContext.clock();
+      if (!jobState.quiescent && registry.priorLeasesExpired(now))
+        yield* declareMilestone(context, QUIESCENT);
       const allAccountedFor =
         generation === 0
-          ? (cycleContext.fleet.listed && registry.allMachinesConfirmed()) || registry.priorLeasesExpired(at)
+          ? (cycleContext.fleet.listed && registry.allMachinesConfirmed()) || registry.priorLeasesExpired(now)
           : jobState.quiescent;
       if (!jobState.recovered && jobState.rebuild === null && allAccountedFor)
         yield* declareMilestone(context, RECOVERED);
@@ -329,7 +340,7 @@
   }
 }
 
-/** Logs a line about the cluster every `SUMMARY_EVERY_MS`. */
+/** Logs a summary of the cluster every `SUMMARY_EVERY_MS`. */
 const logSummaryForever = (cycleContext: CycleContext, state: CycleState): Effect.Effect<never> =>
   supervise(
     'summary',
--- a/packages/controller/src/leadership/leadership.ts
+++ b/packages/controller/src/leadership/leadership.ts
@@ -1,7 +1,7 @@
 /**
- * Leader election: the only source of "may I act until T". One key in the state service, attached to a lease, names the
- * leader. The term key only grows and is the workers' fencing token; every committing write is conditional on its revision,
- * so that a deposed leader's late transaction fails.
+ * Leader election, and the only source of the right to act as leader. One key in the state service, attached to a lease,
+ * names the leader. The value of the term key only grows and is the workers' fencing token. Every write that commits a
+ * decision is conditional on the revision of the term key, so that a deposed leader's late transaction fails.
  */
 import { Effect, Queue, Random } from 'effect';
 import { supervise } from '@lilacvalve/runtime/supervise';
@@ -19,46 +19,48 @@
 import { LeaderLease } from './leader-lease.js';
 import type { Peers } from './peers.js';
 import { answerAuthority, maxViewAge, mayStart, readLeaseExpiry } from './read-lease.js';
-import { type FoundingParts, foundStore, refoundStore } from './store-founding.js';
+import { type FoundingDependencies, foundStore, refoundStore } from './store-founding.js';
 
-/** How long a term waits for its lease to be extended again after it expired. */
+/** How long after its lease has expired a term may continue if the lease is extended again. */
 const EXTENSION_GRACE = seconds(8);
-/** How long a leader that couldn't read does not campaign. */
+/** How long a leader that stepped down because its reads failed does not campaign. */
 const READ_FAILURE_BACKOFF = seconds(10);
 
-/** One term of this node as leader. */
+/** One term of this controller as leader. */
 export interface LeadershipTerm {
   readonly number: number;
-  /** Revision of the term key: the condition of every committing write. */
+  /** Revision of the term key: a condition of every write that commits a decision. */
   readonly stamp: number;
+  /** When the term began, by this controller's clock. */
   readonly began: Micros;
 }
 
-/** Whether this controller leads, may answer heartbeats, or campaigns: the only source of "may act until". */
+/** Campaigns for leadership, keeps it, and tells whether this controller may act as leader or respond to heartbeats. */
 export class Leadership {
   private leaderTerm: LeadershipTerm | null = null;
   private readonly lease: LeaderLease;
   private readonly campaign: Campaign;
-  private readonly founding: FoundingParts;
-  /** After stepping down: this node does not campaign before this time. */
+  private readonly founding: FoundingDependencies;
+  /** After stepping down, this controller does not campaign before this time. */
   private noCampaignBefore = Number.NEGATIVE_INFINITY;
-  /** The present term's lease has expired, and this was logged. */
+  /** Whether the expiry of the present term's lease has been logged. */
   private expiryLogged = false;
-  /** See `knownAsOf`: the latest moment that the peers' heartbeats have proven, in the incarnation counted so. */
+  /** The latest time for `knownAsOf` that peers' heartbeats have proven. */
   private provenAsOf = Number.NEGATIVE_INFINITY;
-  private provenInIncarnation = 0;
+  /** The value of `DataLossDetector.incarnationCount` for which `provenAsOf` is valid. */
+  private provenIncarnationCount = 0;
   private readonly termBegan = Effect.runSync(Queue.sliding<void>(1));
-  /** Completes when a term of this node has begun, and now and then without. */
+  /** Completes when a term of this controller begins, and after a second even if none does. */
   readonly awaitTerm = orTick(Queue.take(this.termBegan), 1000);
-  private readonly leaderGone = Effect.runSync(Queue.sliding<void>(1));
+  private readonly leaderKeyDeleted = Effect.runSync(Queue.sliding<void>(1));
 
   constructor(
     private readonly settings: Settings,
     private readonly store: StatePort,
-    /** The state service as it is, for what begins an incarnation. */
+    /** The state service without the guard, for transactions that begin an incarnation. */
     unguardedStore: StatePort,
     private readonly lossDetector: DataLossDetector,
-    /** Keeps this node's view as one from before a loss, and makes it ready for another incarnation's. */
+    /** Keeps this controller's view as a pre-loss view, and prepares for the view of another incarnation. */
     private readonly retireView: () => void,
     private readonly watcher: StoreWatcher,
     private readonly jobState: JobState,
@@ -69,7 +71,7 @@
     private readonly contacts: Contacts,
     private readonly clock: () => Micros,
   ) {
-    jobState.onLeaderKeyDeleted = () => Queue.unsafeOffer(this.leaderGone, undefined);
+    jobState.onLeaderKeyDeleted = () => Queue.unsafeOffer(this.leaderKeyDeleted, undefined);
     this.lease = new LeaderLease(settings);
     const mayCampaign = (): boolean => clock() >= this.noCampaignBefore;
     const shared = { settings, lossDetector, watcher, jobState, peers, clock };
@@ -77,22 +79,22 @@
     this.founding = { ...shared, unguardedStore };
   }
 
-  /** The term this node may act for right now, or null. */
+  /** The term for which this controller may act as leader now; null: it may not. */
   currentTerm(): LeadershipTerm | null {
     return this.leaderTerm !== null && !this.lossDetector.suspected && this.clock() < this.lease.expiresAt
       ? this.leaderTerm
       : null;
   }
 
-  /** The number of the term this node is acting for; null: none. */
+  /** The number of the term for which this controller may act as leader now; null: it may not. */
   currentTermNumber(): number | null {
     return this.currentTerm()?.number ?? null;
   }
 
   /**
-   * The term this node may answer heartbeats for: by its leader lease, or by a read lease while the state service is out or
-   * a data loss is suspected. Under a read lease nothing is placed; answers only repeat what is durable, so that workers
-   * keep their leases.
+   * The term for which this controller may respond to heartbeats, under its leader lease, or under a read lease during an
+   * outage of the state service or while a data loss is suspected. Under a read lease no task is placed: responses only
+   * repeat durable decisions, so that workers keep their leases.
    */
   answeringTerm(): LeadershipTerm | null {
     const { leaderTerm } = this;
@@ -102,12 +104,12 @@
       const bounds = { leaderLeaseUntil, confirmedUntil, knownAsOf };
       return answerAuthority(this.clock(), bounds, this.settings.workers, this.lease.ttl) !== null;
     };
-    // Asked twice for each heartbeat: the peers' heartbeats are looked through only where the own lease and read are not enough.
+    // Called twice for each heartbeat: the peers' heartbeats are evaluated only if the own lease and view don't suffice.
     if (may(Number.NEGATIVE_INFINITY, this.watcher.readAsOf)) return leaderTerm;
     return may(this.peers.confirmedUntil(leaderTerm.number), this.knownAsOf()) ? leaderTerm : null;
   }
 
-  /** Whether an answer to a heartbeat may start tasks. */
+  /** Whether a response to a heartbeat may start tasks. */
   mayStart(): boolean {
     if (this.currentTerm() !== null) return true;
     return mayStart(this.clock(), {
@@ -116,20 +118,21 @@
     });
   }
 
-  /** The term is not over, though this node may be without a lease for the moment. */
+  /** Whether this term has not ended. Its lease may have expired, so that this controller may not act for the moment. */
   isCurrent(term: number): boolean {
     return this.leaderTerm?.number === term;
   }
 
   /**
-   * Every cancellation confirmed before this moment is in this node's view: by its own read, or because each of the
-   * others has said, asked since, that it knows of no change later than this view's. Whoever confirms a cancellation has
-   * seen its revision, and an incarnation's view never goes back, so what was proven once stays true.
+   * Every cancellation confirmed before this time is in this controller's view: because the view was read since, or
+   * because every other controller has responded to a later heartbeat that it knows of no change after this view. A
+   * controller that confirms a cancellation knows its revision, and within an incarnation a view never goes back, so that a
+   * time once proven remains valid.
    */
   private knownAsOf(): number {
     const { incarnation, incarnationCount } = this.lossDetector;
-    if (incarnationCount !== this.provenInIncarnation) {
-      this.provenInIncarnation = incarnationCount;
+    if (incarnationCount !== this.provenIncarnationCount) {
+      this.provenIncarnationCount = incarnationCount;
       this.provenAsOf = Number.NEGATIVE_INFINITY;
     }
     if (incarnation !== null && this.watcher.loaded) {
@@ -139,17 +142,17 @@
     return Math.max(this.watcher.readAsOf, this.provenAsOf);
   }
 
-  /** The node to send workers to, as far as is known. */
+  /** Label of the leader, to which workers are sent; null: unknown. */
   knownLeader(): string | null {
     return this.jobState.leader?.node ?? null;
   }
 
-  /** A higher fencing token exists: this node is deposed at once. */
+  /** Ends this controller's term at once if `token`, a fencing token that a worker has shown, is of a higher term. */
   depose(token: number): void {
     if (this.leaderTerm && token > this.leaderTerm.number) this.endTerm();
   }
 
-  /** What this node held was of an incarnation that is over; a lease's number may by now be another's. */
+  /** Drops the term and the lease of an incarnation that has ended: in the next one, the lease's number may be another's. */
   abandonIncarnation(): void {
     this.endTerm();
     this.lease.id = null;
@@ -161,11 +164,11 @@
     this.store.leading(false);
   }
 
-  /** Leaves the leadership to the other controllers, and does not campaign for `forMicros`. */
-  stepDown(reason: string, forMicros: number): Effect.Effect<void> {
+  /** Ends the term, releases the lease, and does not campaign for `backoff` microseconds. */
+  stepDown(reason: string, backoff: number): Effect.Effect<void> {
     return Effect.suspend(() => {
       const lease = this.lease.id;
-      this.noCampaignBefore = plus(this.clock(), forMicros);
+      this.noCampaignBefore = plus(this.clock(), backoff);
       this.endTerm();
       this.lease.id = null;
       return info('stepped down', { reason }).pipe(
@@ -174,33 +177,37 @@
     });
   }
 
-  /** On orderly stop. */
+  /** Gives up the leadership when the process is stopped. */
   readonly release: Effect.Effect<void> = Effect.suspend(() => this.stepDown('stop', 0));
 
-  /** Extensions that succeed while reads fail would keep a leader that may answer no heartbeat: another may do better. */
+  /**
+   * Steps down when reads fail while extensions of the lease succeed: the leader lease would otherwise stay with a
+   * controller that may not respond to heartbeats, although another one may be able to read.
+   */
   private readonly stepDownIfReadsFail = Effect.suspend(() =>
     this.currentTerm() !== null && this.answeringTerm() === null && maxViewAge(this.settings.workers) > 0
       ? this.stepDown('reads fail', READ_FAILURE_BACKOFF)
       : Effect.void,
   );
 
-  /** Steps down when workers that reached this node reach only a peer now. */
+  /** Steps down when workers no longer reach this controller but reach a peer. */
   private readonly stepDownIfCutOff = Effect.suspend(() => {
     const leaderTerm = this.currentTerm();
-    const at = this.clock();
-    if (leaderTerm === null || at - leaderTerm.began < this.contacts.window) return Effect.void;
-    const reason = this.contacts.cutOffReason(at, this.peers.candidates());
-    return reason === null ? Effect.void : this.stepDown(reason, this.contacts.backoff(at));
+    const now = this.clock();
+    if (leaderTerm === null || now - leaderTerm.began < this.contacts.window) return Effect.void;
+    const reason = this.contacts.cutOffReason(now, this.peers.candidates());
+    return reason === null ? Effect.void : this.stepDown(reason, this.contacts.backoff(now));
   });
 
-  /** Begins a term that this node has won. */
+  /** Begins a term that this controller has won. */
   private beginTerm(won: WonTerm): Effect.Effect<void, StateFailure> {
     return Effect.gen(this, function* () {
       const { term } = won;
-      this.lease.acquire(won.lease, won.asked);
+      this.lease.acquire(won.lease, won.requestedAt);
       this.store.leading(true);
-      // Placing needs a view that includes everything earlier terms committed. Without one the lease is left as an orphan:
-      // kept as this node's, it would have its full time again after an outage, and nobody could lead meanwhile.
+      // Placing tasks needs a view that includes everything that earlier terms have committed. If the read fails, the lease
+      // is left as an orphaned one, which the next campaign releases: kept as this controller's own, it would last for its
+      // full duration again after an outage, and no controller could lead meanwhile.
       yield* Effect.tapError(this.watcher.refresh, () =>
         Effect.sync(() => {
           this.endTerm();
@@ -217,7 +224,10 @@
   /** See `foundStore` in store-founding.ts. */
   readonly foundStore: Effect.Effect<void, StateFailure> = Effect.suspend(() => foundStore(this.founding));
 
-  /** Begins a new incarnation after a loss and leads it; false: another node was faster. See store-founding.ts. */
+  /**
+   * Begins a new incarnation after a data loss, with this controller as its leader; false: another controller has done so.
+   * See `refoundStore` in store-founding.ts.
+   */
   readonly refoundStore: Effect.Effect<boolean, StateFailure> = Effect.gen(this, function* () {
     const won = yield* refoundStore(this.founding, this.lease.ttl);
     if (won === null) return false;
@@ -234,19 +244,19 @@
   private readonly extendLease = Effect.gen(this, function* () {
     const { id } = this.lease;
     if (id === null) return;
-    const asked = this.clock();
-    const left = this.lease.expiresAt - asked;
+    const requestedAt = this.clock();
+    const remaining = this.lease.expiresAt - requestedAt;
     const extended = yield* this.store
-      .extend(id, left <= 0 ? 900 : Math.max(200, Math.min(900, toMillis(left))))
+      .extend(id, remaining <= 0 ? 900 : Math.max(200, Math.min(900, toMillis(remaining))))
       .pipe(Effect.orElseSucceed(() => null));
-    if (extended === true && this.lease.id === id) this.lease.extend(asked);
+    if (extended === true && this.lease.id === id) this.lease.extend(requestedAt);
     if (extended !== false) return;
-    // A lease that is gone may be the first sign of a store that has lost data: then this term may go on by a read lease.
+    // A missing lease may be the first sign that the store has lost data. Then this term may continue under a read lease.
     yield* Effect.ignore(this.watcher.refresh);
     if (!this.lossDetector.suspected) this.endTerm();
   });
 
-  /** Ends a term that a higher one has followed, or whose leases have all expired. */
+  /** Ends a term if a higher one is known, or if neither the leader lease nor a read lease can continue it. */
   private readonly checkTerm = Effect.gen(this, function* () {
     const { leaderTerm } = this;
     if (leaderTerm !== null && Math.max(this.jobState.term, this.peers.highestTerm()) > leaderTerm.number)
@@ -257,12 +267,13 @@
     }
     if (!this.expiryLogged) yield* info('leader lease expired', { term: this.leaderTerm.number });
     this.expiryLogged = true;
-    // The lease may still be ours once the service is back; without it, and past any read lease, the term is over.
+    // The lease may still exist when the state service is back and be extended. The term ends once the time for that and
+    // the time of any read lease have passed.
     const readLeaseUntil = readLeaseExpiry({ knownAsOf: this.knownAsOf() }, this.settings.workers);
     if (this.clock() >= Math.max(readLeaseUntil, this.lease.expiresAt + EXTENSION_GRACE)) this.endTerm();
   });
 
-  /** Leads while it can and campaigns while nobody leads. Never ends by itself. */
+  /** Keeps the leadership while it has it, and campaigns while there is no leader, for ever. */
   readonly run = supervise(
     'leadership',
     Effect.gen(this, function* () {
@@ -274,10 +285,10 @@
         yield* Effect.sleep(toMillis(this.lease.ttl / 5));
       } else {
         yield* this.tryCampaign;
-        // While another leads there is nothing to try for; the store watcher tells when its key is gone.
+        // While there is a leader, this controller waits for the deletion of the leader key, which the store watcher reads.
         yield* this.jobState.leader === null
           ? Effect.sleep(150 + 100 * (yield* Random.next))
-          : orTick(Queue.take(this.leaderGone), 1000);
+          : orTick(Queue.take(this.leaderKeyDeleted), 1000);
       }
     }).pipe(Effect.forever),
   );
--- a/packages/controller/src/leadership/model.ts
+++ b/packages/controller/src/leadership/model.ts
@@ -1,35 +1,35 @@
-/** What controllers tell each other about themselves. */
+/** The message that controllers exchange. */
 import type { ProvisioningNews } from '../provisioning/model.js';
 
-/** What one controller tells another once a second; its form on the wire: `codec.ts`. */
+/** The peer heartbeat, which each controller sends to every other once a second; `codec.ts` has its wire form. */
 export interface PeerHeartbeat {
   /** The sender's label. */
   readonly from: string;
   /** Highest term the sender knows of. */
   readonly term: number;
-  /** The state service serves the sender. */
+  /** Whether the state service responds to the sender. */
   readonly servedByStore: boolean;
-  /** The sender has read the term from the store since it started: its confirmation counts only then. */
+  /** Whether the sender has read the store since it started. Only then does its response confirm its term. */
   readonly viewLoaded: boolean;
-  /** Workers that have lately reached the sender, whatever it answered them. */
+  /** Number of workers that have recently reached the sender, whatever its response was. */
   readonly reachableWorkers: number;
-  /** What the sender has seen of the state service; null: nothing yet. */
+  /** The sender's latest observation of the store; null: none since it started. */
   readonly store: StoreObservation | null;
-  /** The sender keeps views from before a data loss whose content may not be durable yet. */
+  /** Whether the sender keeps pre-loss views whose content may not be durable yet. */
   readonly hasPreLossViews: boolean;
-  /** From a leader only: what its successor should know of the machines being rented and returned. */
+  /** From a leader only: the machines being rented and returned, for a successor. */
   readonly provisioning?: ProvisioningNews;
 }
 
-/** What a controller has seen of the state service's data. */
+/** A controller's observation of the data in the state service. */
 export interface StoreObservation {
   /** The incarnation's id. */
   readonly incarnation: string;
   readonly generation: number;
-  /** The highest revision that the sender has seen or heard of. */
+  /** The highest revision that the sender has read or received from a peer. */
   readonly highestRevision: number;
-  /** The revision that the sender's view is as of. */
+  /** The revision of the sender's view. */
   readonly viewRevision: number;
-  /** How long ago, at the most, the sender saw the incarnation's key in the store; microseconds. */
+  /** Upper bound of the time since the sender last read the incarnation's key in the store, in microseconds. */
   readonly seenAgo: number;
 }
--- a/packages/controller/src/leadership/peers.ts
+++ b/packages/controller/src/leadership/peers.ts
@@ -1,10 +1,11 @@
 /**
- * The heartbeats that controllers exchange: the highest term the sender knows, and whether the state service serves it.
- * Two safety arguments rely on them (docs/design.md, "A leader without the state service"):
+ * Exchanges heartbeats between controllers. A peer heartbeat carries the highest term that its sender knows, and whether
+ * the state service responds to the sender. Two safety arguments rely on this (docs/design.md, "A leader without the state
+ * service"):
  *
  * - a leader's read lease: a majority has confirmed, less than `CONFIRMATION_VALID` ago, that it knows no higher term and
- *   is not served by the state service either;
- * - a new leader's acknowledgement: enough nodes know its term that no read lease of an older term can be renewed.
+ *   that the state service does not respond to it either;
+ * - a new leader's acknowledgement: enough controllers know its term that no read lease of an older term can be renewed.
  */
 import { Effect } from 'effect';
 import { supervise } from '@lilacvalve/runtime/supervise';
@@ -18,38 +19,40 @@
 import type { PeerHeartbeat } from './model.js';
 import { unchangedSince, type PeerKnowledge } from './read-lease.js';
 
-/** Sends a heartbeat to a peer; succeeds with the peer's own. */
+/** Sends a heartbeat to a peer and returns the peer's heartbeat in response. */
 export interface PeerPort {
   exchange(peer: Peer, heartbeat: PeerHeartbeat): Effect.Effect<PeerHeartbeat, NoAnswer>;
 }
 
 const EXCHANGE_EVERY_MS = 1000;
-/** How long a confirmation counts, from when it was asked for. */
+/** How long a peer's response counts as confirmation, from when the heartbeat that it responds to was sent. */
 export const CONFIRMATION_VALID = seconds(3);
-/** A peer that has answered nothing for so long, neither heartbeats nor relayed ones, is stalled, down or cut off. */
+/** A peer that has sent no response to any request for this long counts as stalled, down or cut off. */
 const REACHABLE_WITHIN = seconds(2.8);
-/** How long what a peer says about itself is used. */
+/** How long the state that a peer's heartbeat reports is used. */
 const HEARTBEAT_VALID = seconds(3.5);
 
 interface ReceivedHeartbeat {
   readonly heartbeat: PeerHeartbeat;
-  /** When the exchange that brought it began: what it says was true then or later. */
-  readonly asked: Micros;
+  /** When the heartbeat that it responds to was sent: its content was true at that time or later. */
+  readonly requestedAt: Micros;
   readonly receivedAt: Micros;
 }
 
-/** What this node knows of the other controllers from their heartbeats; `run` exchanges them. */
+/** The state of the other controllers as their heartbeats report it; `run` exchanges the heartbeats. */
 export class Peers {
   private readonly responses = new Map<string, ReceivedHeartbeat>();
   private readonly labels = new Set<string>();
   private readonly lastResponseAt = new Map<string, Micros>();
-  /** Peers that have been asked, whether they answered or not. */
-  private readonly asked = new Set<string>();
-  /** Called with every heartbeat of a peer. */
-  onHeartbeat: (ownHeartbeat: PeerHeartbeat) => void = () => undefined;
-  /** Called with a peer's response to a heartbeat sent at `asked`: what it says was still true at that time or later. */
-  onResponse: (heartbeat: PeerHeartbeat, asked: Micros) => void = () => undefined;
+  /** Labels of the peers that at least one heartbeat was sent to, whether they responded or not. */
+  private readonly requestedPeers = new Set<string>();
+  /** Called with every heartbeat that a peer sends, as a request or as a response. */
+  onHeartbeat: (heartbeat: PeerHeartbeat) => void = () => undefined;
+  /** Called with a peer's response to a heartbeat sent at `requestedAt`: its content was true at that time or later. */
+  onResponse: (heartbeat: PeerHeartbeat, requestedAt: Micros) => void = () => undefined;
+  /** The highest term known from any controller. */
   private highest = 0;
+  /** The provisioning state in the latest heartbeat of a leader. */
   private provisioning: { readonly news: ProvisioningNews; readonly at: Micros } | null = null;
 
   constructor(
@@ -58,19 +61,20 @@
     private readonly ownState: () => Omit<PeerHeartbeat, 'from' | 'term'> & { readonly term: number },
     private readonly clock: () => Micros,
   ) {
-    for (const p of settings.peers) this.labels.add(p.label);
+    for (const peer of settings.peers) this.labels.add(peer.label);
   }
 
-  /** Carries the highest term heard of, so that a lower one is never confirmed again. */
+  /** This controller's heartbeat. It carries the highest known term, so that a lower one is never confirmed again. */
   private heartbeat(): PeerHeartbeat {
     const own = this.ownState();
     this.highest = Math.max(this.highest, own.term);
     return { ...own, from: this.settings.label, term: this.highest };
   }
 
-  /** Takes in a peer's heartbeat; returns this node's own. */
+  /** Processes a heartbeat that a peer has sent; returns this controller's heartbeat as the response. */
   receive(heartbeat: PeerHeartbeat): PeerHeartbeat {
-    // Its sender's term is the highest it knows: a deposed leader that has not heard of it says nothing newer.
+    // The sender's term is the highest that it knows. With a lower one it may be a deposed leader that doesn't know of its
+    // successor, and its provisioning state is outdated.
     if (heartbeat.provisioning !== undefined && heartbeat.term >= this.highest)
       this.provisioning = { news: heartbeat.provisioning, at: this.clock() };
     this.highest = Math.max(this.highest, heartbeat.term);
@@ -78,12 +82,12 @@
     return this.heartbeat();
   }
 
-  /** Every peer has been asked at least once, whether it answered or not. */
+  /** Whether at least one heartbeat was sent to every peer, with or without a response. */
   allAsked(): boolean {
-    return this.asked.size >= this.settings.peers.length;
+    return this.requestedPeers.size >= this.settings.peers.length;
   }
 
-  /** Reachable peers that have not said that they have read `incarnation` up to `revision`. */
+  /** Reachable peers that have not reported yet that their view is of `incarnation` and has reached `revision`. */
   behind(incarnation: string, revision: number): Peer[] {
     return this.settings.peers.filter((peer) => {
       if (!this.isReachable(peer.label)) return false;
@@ -92,122 +96,130 @@
     });
   }
 
-  /** Labels of peers that lately said that they keep views from before a loss. */
+  /** Labels of the peers that have recently reported that they keep pre-loss views. */
   withPreLossViews(): string[] {
     return this.recentHeartbeats()
-      .filter((b) => b.hasPreLossViews === true)
-      .map((b) => b.from);
+      .filter((heartbeat) => heartbeat.hasPreLossViews === true)
+      .map((heartbeat) => heartbeat.from);
   }
 
-  /** What a leader last said of its machines, and when that was received. */
+  /** The provisioning state that a leader has sent last, and when it was received. */
   lastProvisioning(): { readonly news: ProvisioningNews; readonly at: Micros } | null {
     return this.provisioning;
   }
 
+  /** The highest term known from any controller. */
   highestTerm(): number {
     return this.highest;
   }
 
-  /** The heartbeats of peers that are recent enough to be used. */
+  /** The latest heartbeat of each peer whose last response is not older than `HEARTBEAT_VALID`. */
   private recentHeartbeats(): PeerHeartbeat[] {
-    const at = this.clock();
+    const now = this.clock();
     return [...this.responses.values()]
-      .filter((h) => at - h.receivedAt < HEARTBEAT_VALID)
-      .map((h) => h.heartbeat);
+      .filter((response) => now - response.receivedAt < HEARTBEAT_VALID)
+      .map((response) => response.heartbeat);
   }
 
+  /** Whether the state service responds to any peer. */
   anyServedByStore(): boolean {
-    return this.recentHeartbeats().some((b) => b.servedByStore);
+    return this.recentHeartbeats().some((heartbeat) => heartbeat.servedByStore);
   }
 
-  /** There are other controllers, and none has answered lately. */
+  /** Whether there are other controllers and none of them has responded recently. */
   isolated(): boolean {
     return this.settings.peers.length > 0 && this.recentHeartbeats().length === 0;
   }
 
-  /** The peer has answered lately, so that a request to it is likely to be answered. */
+  /** Whether the peer has responded recently, so that it is likely to respond to a further request. */
   isReachable(label: string): boolean {
-    const at = this.lastResponseAt.get(label);
-    return at !== undefined && this.clock() - at < REACHABLE_WITHIN;
+    const respondedAt = this.lastResponseAt.get(label);
+    return respondedAt !== undefined && this.clock() - respondedAt < REACHABLE_WITHIN;
   }
 
-  /** Notes that the peer has answered, be it a heartbeat or anything else. */
+  /** Notes that the peer has responded to a heartbeat or to another request. */
   recordResponse(label: string): void {
     this.lastResponseAt.set(label, this.clock());
   }
 
-  /** Peers that could become leader, with the number of workers that reach them. */
+  /** Peers that could become leader, with the number of workers that reach each (`contacts`). */
   candidates(): { node: string; contacts: number }[] {
     return this.recentHeartbeats()
-      .filter((b) => b.servedByStore && b.viewLoaded)
-      .map((b) => ({ node: b.from, contacts: b.reachableWorkers }));
+      .filter((heartbeat) => heartbeat.servedByStore && heartbeat.viewLoaded)
+      .map((heartbeat) => ({ node: heartbeat.from, contacts: heartbeat.reachableWorkers }));
   }
 
-  /** Until when the confirmations of a majority, this node included, let a leader of `term` keep its read lease. */
+  /** Until when the confirmations of a majority, this controller included, allow a leader of `term` a read lease. */
   confirmedUntil(term: number): Micros {
     if (this.highest > term) return Number.NEGATIVE_INFINITY as Micros;
-    const asked = [...this.responses.values()]
-      .filter((h) => h.heartbeat.viewLoaded && !h.heartbeat.servedByStore && h.heartbeat.term <= term)
-      .map((h) => h.asked)
+    const requestTimes = [...this.responses.values()]
+      .filter(
+        (response) =>
+          response.heartbeat.viewLoaded &&
+          !response.heartbeat.servedByStore &&
+          response.heartbeat.term <= term,
+      )
+      .map((response) => response.requestedAt)
       .sort((a, b) => b - a);
-    const others = Math.floor(this.settings.nodes / 2);
-    if (others === 0) return Number.POSITIVE_INFINITY as Micros;
-    const weakest = asked[others - 1];
-    return weakest === undefined ? (Number.NEGATIVE_INFINITY as Micros) : plus(weakest, CONFIRMATION_VALID);
+    const othersNeeded = Math.floor(this.settings.nodes / 2);
+    if (othersNeeded === 0) return Number.POSITIVE_INFINITY as Micros;
+    const oldest = requestTimes[othersNeeded - 1];
+    return oldest === undefined ? (Number.NEGATIVE_INFINITY as Micros) : plus(oldest, CONFIRMATION_VALID);
   }
 
-  /** See `nothingAfter`; with no other controller this moment. */
+  /** See `unchangedSince` in read-lease.ts. Without other controllers: the current time. */
   unchangedSince(incarnation: string, revision: number): number {
     const { peers, nodes } = this.settings;
     if (peers.length < nodes - 1) return Number.NEGATIVE_INFINITY;
-    const said = peers.map((peer): PeerKnowledge | null => {
+    const knowledge = peers.map((peer): PeerKnowledge | null => {
       const response = this.responses.get(peer.label);
       const store = response?.heartbeat.store;
       if (!response?.heartbeat.viewLoaded || !store) return null;
       const revision = Math.max(store.highestRevision, store.viewRevision);
-      return { asked: response.asked, incarnation: store.incarnation, revision };
+      return { requestedAt: response.requestedAt, incarnation: store.incarnation, revision };
     });
-    return Math.min(this.clock(), unchangedSince(said, incarnation, revision));
+    return Math.min(this.clock(), unchangedSince(knowledge, incarnation, revision));
   }
 
-  /** Enough nodes know `term`, this one included, that every majority contains one of them. */
+  /** Whether so many controllers, this one included, know `term` that every majority contains one of them. */
   acknowledged(term: number): boolean {
     let acknowledging = 1;
-    for (const h of this.responses.values()) if (h.heartbeat.term >= term) acknowledging++;
+    for (const response of this.responses.values()) if (response.heartbeat.term >= term) acknowledging++;
     return acknowledging >= Math.ceil(this.settings.nodes / 2);
   }
 
-  /** Exchanges heartbeats with one peer for ever; a peer that does not answer delays no other. */
+  /** Exchanges heartbeats with one peer for ever. Runs once per peer, so that a silent peer does not delay the others. */
   private exchangeHeartbeats(peer: Peer): Effect.Effect<never> {
     return supervise(
       'peer',
       Effect.suspend(() => {
-        const asked = this.clock();
+        const requestedAt = this.clock();
         return this.port.exchange(peer, this.heartbeat()).pipe(
-          Effect.map((answer) => {
-            if (!this.labels.has(answer.from)) return;
-            this.highest = Math.max(this.highest, answer.term);
-            this.responses.set(answer.from, { heartbeat: answer, asked, receivedAt: this.clock() });
-            this.recordResponse(answer.from);
-            this.onHeartbeat(answer);
-            this.onResponse(answer, asked);
+          Effect.map((response) => {
+            if (!this.labels.has(response.from)) return;
+            this.highest = Math.max(this.highest, response.term);
+            this.responses.set(response.from, { heartbeat: response, requestedAt, receivedAt: this.clock() });
+            this.recordResponse(response.from);
+            this.onHeartbeat(response);
+            this.onResponse(response, requestedAt);
           }),
           Effect.ignore,
-          Effect.ensuring(Effect.sync(() => this.asked.add(peer.label))),
+          Effect.ensuring(Effect.sync(() => this.requestedPeers.add(peer.label))),
         );
       }).pipe(Effect.zipRight(tick(EXCHANGE_EVERY_MS)), Effect.forever),
     );
   }
 
+  /** Exchanges heartbeats with all peers for ever. */
   readonly run: Effect.Effect<unknown> = Effect.suspend(() =>
     Effect.all(
-      this.settings.peers.map((p) => this.exchangeHeartbeats(p)),
+      this.settings.peers.map((peer) => this.exchangeHeartbeats(peer)),
       { concurrency: 'unbounded', discard: true },
     ),
   );
 }
 
-/** Takes in a peer's heartbeat and answers with this node's own; 400 where the body is none. */
+/** Handles a peer's heartbeat request; the response has this controller's heartbeat, or status 400 for an invalid body. */
 export const respondToHeartbeat = (peers: Pick<Peers, 'receive'>, body: Buffer | null): Answer => {
   const heartbeat = body === null ? null : decodePeerHeartbeat(body);
   if (heartbeat === null) return json(400, {});
--- a/packages/controller/src/leadership/read-lease.ts
+++ b/packages/controller/src/leadership/read-lease.ts
@@ -1,90 +1,94 @@
 /**
- * Until when a leader may answer workers' heartbeats. Each answer lets a worker, and whatever runs on it, live for a lease
- * from when its heartbeat was sent; a cancellation must have taken effect `cancel` after a user was told. Whoever renews
- * workers' leases must therefore know every cancellation confirmed more than `cancel - lease` before (docs/design.md, "A
- * leader without the state service", derives the times).
+ * Decides until when a leader may respond to workers' heartbeats. Each response renews a worker's lease, so that its tasks
+ * run on for the duration of the lease from when the heartbeat was sent. A cancelled job's tasks must have been stopped
+ * within the setting `cancel` after the cancellation was confirmed to a user. A controller that renews workers' leases must
+ * therefore know every cancellation that was confirmed more than `cancel - lease` ago (docs/design.md, "A leader without
+ * the state service", derives the times).
  *
- * A leader whose own lease has expired may still answer by a read lease: its view lacks no cancellation confirmed too long
- * ago, and a majority has confirmed that no other leader can exist. A read lease places nothing.
+ * A leader whose own lease has expired may still respond under a read lease, if its view lacks no cancellation confirmed
+ * before that limit, and a majority has confirmed that no other leader can exist. Under a read lease no task is placed.
  */
 import { DRIFT, type Micros, millis, plus, seconds } from '@lilacvalve/runtime/micros';
 import type { Settings } from '../settings/settings.js';
 
-/** For the granularity of timers on both sides; drifting clocks are accounted for separately. */
+/** Covers the granularity of timers on both sides; clock drift is accounted for separately. */
 const SAFETY_MARGIN = millis(1500);
 
 type Workers = Pick<Settings['workers'], 'lease' | 'cancel'>;
 
-/** Under load, reads can't be kept newer than this. */
+/** A lower limit of the view's age could not be kept under load. */
 const MIN_USEFUL_VIEW_AGE = seconds(1);
 
-/** How old a view may be while workers' leases are renewed by it; 0: no view that can be had is new enough. */
+/** Maximum age of the view by which workers' leases may be renewed; 0: the limit would be too low to be kept. */
 export const maxViewAge = (workers: Workers): Micros => {
-  const lag = plus(
+  const maxAge = plus(
     workers.cancel,
     -(workers.cancel as number) * 2 * DRIFT - workers.lease * (1 + 2 * DRIFT) - SAFETY_MARGIN,
   );
-  return lag < MIN_USEFUL_VIEW_AGE ? (0 as Micros) : lag;
+  return maxAge < MIN_USEFUL_VIEW_AGE ? (0 as Micros) : maxAge;
 };
 
-/** What a controller said of the state service when it was asked at `asked`. */
+/** How much of the store a peer knows, by its response to a heartbeat. */
 export interface PeerKnowledge {
-  readonly asked: number;
-  /** null: it has read nothing since its start. */
+  /** When the heartbeat was sent, so that the response is not older. */
+  readonly requestedAt: number;
+  /** Id of the incarnation of the peer's view; null: it has read nothing since its start. */
   readonly incarnation: string | null;
-  /** The highest revision it had seen. */
+  /** The highest revision that the peer knows of. */
   readonly revision: number;
 }
 
 /**
- * Since when all other controllers have known of no change after `revision`: whoever confirms a cancellation has seen its
- * revision, so none was confirmed before then that a view of `revision` lacks. `-Infinity` where one has not answered, has
- * read nothing since its start (the process before it may have known more) or knows of a later change.
+ * The time until which no other controller knew of a change after `revision`. A controller that confirms a cancellation
+ * knows its revision, so every cancellation confirmed before this time is in a view of `revision`. `-Infinity` if a peer has
+ * not responded, has read nothing since its start (its previous process may have known more) or knows of a later change.
  */
 export const unchangedSince = (
-  said: readonly (PeerKnowledge | null)[],
+  knowledge: readonly (PeerKnowledge | null)[],
   incarnation: string,
   revision: number,
 ): number =>
-  said.reduce(
+  knowledge.reduce(
     (asOf, peer) =>
       peer !== null && peer.incarnation === incarnation && peer.revision <= revision
-        ? Math.min(asOf, peer.asked)
+        ? Math.min(asOf, peer.requestedAt)
         : Number.NEGATIVE_INFINITY,
     Number.POSITIVE_INFINITY,
   );
 
-/** What the right to answer heartbeats depends on. */
+/** The times that decide whether a leader may respond to heartbeats. */
 export interface AnswerBounds {
   /** When the leader lease expires. */
   readonly leaderLeaseUntil: number;
   /** Until when the confirmations of a majority allow a read lease. */
   readonly confirmedUntil: number;
-  /** Every cancellation that anybody confirmed before this moment is known here. */
+  /** Every cancellation that any controller confirmed before this time is in this controller's view. */
   readonly knownAsOf: number;
 }
 
-/** Where an answer under a read lease starts something, the view may lack confirmed changes for no longer than this. */
+/** Maximum time since `AnswerBounds.knownAsOf` at which a response under a read lease may start tasks. */
 const MAX_VIEW_AGE_FOR_STARTS = seconds(3);
 
 /**
- * Whether an answer may start tasks: by the leader lease, or while the others know of nothing later than this view. Otherwise
- * a read lease would start jobs that users were told are cancelled: stopped in time, but started after the confirmation.
+ * Whether a heartbeat response may start tasks: under the leader lease, or while the view was recently known to lack no
+ * confirmed cancellation. Otherwise a read lease could start tasks of a job whose cancellation was already confirmed to its
+ * user. They would be stopped in time, but must not start after the confirmation at all.
  */
 export const mayStart = (at: Micros, bounds: Pick<AnswerBounds, 'leaderLeaseUntil' | 'knownAsOf'>): boolean =>
   at < bounds.leaderLeaseUntil || at < bounds.knownAsOf + MAX_VIEW_AGE_FOR_STARTS;
 
-/** Until when a read lease, or any answer by an old view, is safe. */
+/** Until when heartbeat responses by a view that is known as of `bounds.knownAsOf` are safe. */
 export const readLeaseExpiry = (bounds: Pick<AnswerBounds, 'knownAsOf'>, workers: Workers): number =>
   bounds.knownAsOf + maxViewAge(workers);
 
-/** Under which right a heartbeat may be answered. */
+/** The lease under which a leader responds to a heartbeat. */
 export type AnswerAuthority = 'leader lease' | 'read lease';
 
 /**
- * By which lease a heartbeat may be answered at `at`; null: not at all. The leader lease alone is not enough: an outage gives
- * it its full time again, and extensions may succeed while reads fail. Where workers' leases outlive `cancel` whatever is
- * known, only orders stop tasks in time, and the leader lease counts for as long as it would without a view (`ttl`).
+ * The lease under which a leader may respond to a heartbeat at `at`; null: it may not respond. A valid leader lease is not
+ * sufficient without a recent view: an outage of the state service restarts the lease's full duration, and extensions may
+ * succeed while reads fail. If the settings make workers' leases outlive `cancel` even with a current view, only stop
+ * orders can stop tasks in time; then the view may be as old as the duration of the leader lease (`ttl`).
  */
 export const answerAuthority = (
   at: Micros,
@@ -92,7 +96,8 @@
   workers: Workers,
   ttl: Micros,
 ): AnswerAuthority | null => {
-  const lag = maxViewAge(workers);
-  if (at < bounds.leaderLeaseUntil && at < bounds.knownAsOf + (lag > 0 ? lag : ttl)) return 'leader lease';
+  const maxAge = maxViewAge(workers);
+  if (at < bounds.leaderLeaseUntil && at < bounds.knownAsOf + (maxAge > 0 ? maxAge : ttl))
+    return 'leader lease';
   return at < bounds.confirmedUntil && at < readLeaseExpiry(bounds, workers) ? 'read lease' : null;
 };
--- a/packages/controller/src/leadership/store-founding.ts
+++ b/packages/controller/src/leadership/store-founding.ts
@@ -1,6 +1,7 @@
 /**
- * How an incarnation of the store begins: the first one at the first start, a further one after a loss of data. Both write
- * past the guard (recovery/guarded-store.ts), since there is no incarnation yet that a transaction could be conditional on.
+ * Begins an incarnation of the store: the first one when the service first starts, a further one after a data loss. Both
+ * bypass the guard (recovery/guarded-store.ts), since there is no incarnation yet that a transaction could be conditional
+ * on.
  */
 import { Clock, Effect, Random } from 'effect';
 import { info } from '@lilacvalve/runtime/log';
@@ -26,10 +27,10 @@
 import type { WonTerm } from './campaign.js';
 import type { Peers } from './peers.js';
 
-/** What the founding of a store incarnation works on. */
-export interface FoundingParts {
+/** The dependencies of the functions that begin an incarnation. */
+export interface FoundingDependencies {
   readonly settings: Settings;
-  /** The state service as it is, without the guard. */
+  /** The state service without the guard that makes transactions conditional on the incarnation. */
   readonly unguardedStore: StatePort;
   readonly lossDetector: DataLossDetector;
   readonly watcher: StoreWatcher;
@@ -38,26 +39,28 @@
   readonly clock: () => Micros;
 }
 
-/** A name that no other incarnation has: by whom, when, and a random number. */
+/** A unique id for an incarnation: the controller's label, the time, and a random number. */
 const newIncarnationId = (label: string): Effect.Effect<string> =>
-  Effect.zipWith(Clock.currentTimeMillis, Random.nextIntBetween(0, 2 ** 31), (at, random) =>
-    [label.replace(/[^\w-]/g, '_').slice(0, 60), Math.round(at).toString(36), random.toString(36)].join('.'),
+  Effect.zipWith(Clock.currentTimeMillis, Random.nextIntBetween(0, 2 ** 31), (nowMs, random) =>
+    [label.replace(/[^\w-]/g, '_').slice(0, 60), Math.round(nowMs).toString(36), random.toString(36)].join(
+      '.',
+    ),
   );
 
 /**
- * Begins the store's first incarnation, at once, when nobody who answers knows of one: users need not wait for a leader.
- * A store that was written by a version without incarnations gets one the same way.
+ * Begins the store's first incarnation if the store has none and no peer that responds knows of one. This happens without a
+ * leader, so that users need not wait for an election. A store written by a version without incarnations gets one, too.
  */
-export const foundStore = (parts: FoundingParts): Effect.Effect<void, StateFailure> =>
+export const foundStore = (dependencies: FoundingDependencies): Effect.Effect<void, StateFailure> =>
   Effect.gen(function* () {
-    const { jobState, lossDetector, settings, watcher } = parts;
+    const { jobState, lossDetector, settings, watcher } = dependencies;
     if (lossDetector.suspected || !watcher.loaded || jobState.incarnation !== null) return;
-    if (!parts.peers.allAsked() || lossDetector.known().generation >= 0) return;
+    if (!dependencies.peers.allAsked() || lossDetector.known().generation >= 0) return;
     const incarnationKey = INCARNATION + (yield* newIncarnationId(settings.label));
-    // Should an earlier incarnation have been lost without anybody to remember it, its terms were lower.
+    // A floor above all terms of any earlier incarnation that was lost and that no controller remembers.
     const now = Math.floor((yield* Clock.currentTimeMillis) / 1000);
     const termFloor = jobState.term > 0 ? 0 : now;
-    const outcome = yield* parts.unguardedStore.transact(
+    const outcome = yield* dependencies.unguardedStore.transact(
       [
         { key: FOUNDED, stamp: 0 },
         { key: TERM, stamp: jobState.termRevision },
@@ -75,58 +78,58 @@
   });
 
 /**
- * Begins a new incarnation of a store that has lost data, with this node as its leader; a rebuild follows. Of several nodes
- * that try, the conditions let one through: null for all others. The terms of a generation lie above all that were ever
- * used before it. `ttl`: of the leader's lease.
+ * Begins a new incarnation of a store that has lost data, with this controller as its leader; a rebuild follows. If several
+ * controllers try, the transaction's conditions let one succeed, and the others get null. The terms of a generation are
+ * higher than all terms used before it. `ttl`: duration of the leader lease.
  */
 export const refoundStore = (
-  parts: FoundingParts,
+  dependencies: FoundingDependencies,
   ttl: Micros,
 ): Effect.Effect<WonTerm | null, StateFailure> =>
   Effect.gen(function* () {
-    const { settings, unguardedStore } = parts;
-    const [status, leader, last] = yield* Effect.all([
+    const { settings, unguardedStore } = dependencies;
+    const [status, leader, storedTerms] = yield* Effect.all([
       unguardedStore.page(STORE_STATUS, null, 1000),
       unguardedStore.page(LEADER, null, 1),
       unguardedStore.page(TERM, null, 1),
     ]);
-    const old = status.entries.filter((e) => e.key.startsWith(INCARNATION));
-    const known = parts.lossDetector.known();
-    const generations = old.map((e) => incarnationOf(e.key, e.value, e.stamp).generation);
-    // Another node was faster: the next probe shows that the store was rebuilt.
-    if (generations.some((g) => g > known.generation)) return null;
-    const storedTerm = (last.entries[0]?.value as { term: number } | undefined)?.term ?? 0;
+    const olderKeys = status.entries.filter((entry) => entry.key.startsWith(INCARNATION));
+    const known = dependencies.lossDetector.known();
+    const generations = olderKeys.map((old) => incarnationOf(old.key, old.value, old.stamp).generation);
+    // Another controller has begun a new incarnation already, which the next probe of the store will show.
+    if (generations.some((stored) => stored > known.generation)) return null;
+    const storedTerm = (storedTerms.entries[0]?.value as { term: number } | undefined)?.term ?? 0;
     const generation =
       1 + Math.max(known.generation, generationOf(Math.max(known.term, storedTerm)), ...generations);
     const term = firstOfGeneration(generation) + 1;
     const incarnationKey = INCARNATION + (yield* newIncarnationId(settings.label));
     const now = Math.floor((yield* Clock.currentTimeMillis) / 1000);
-    // Counted from the first start on, as long as anybody knows of it: should this incarnation be lost and forgotten as
-    // well, the one that takes its generation goes on above it.
+    // The time of the store's first start is passed on while any controller knows it. If this incarnation is lost as well
+    // and no controller remembers it, the next one of the same generation then uses attempt numbers above this one's.
     const bornAt = known.incarnation?.bornAt ?? now;
-    const attempts = attemptFloor(
+    const attemptBase = attemptFloor(
       { id: incarnationKey, generation, stamp: 0, termFloor: 0, bornAt },
       null,
       now,
     );
-    const asked = parts.clock();
+    const requestedAt = dependencies.clock();
     const lease = yield* unguardedStore.grant(ttl);
-    const stale: Write[] = status.entries
-      .filter((e) => old.includes(e) || [QUIESCENT, RECOVERED].includes(e.key))
-      .map((e) => ({ delete: e.key }));
+    const deletions: Write[] = status.entries
+      .filter((entry) => olderKeys.includes(entry) || [QUIESCENT, RECOVERED].includes(entry.key))
+      .map((entry) => ({ delete: entry.key }));
     const outcome = yield* unguardedStore.transact(
       [
-        ...old.map((e) => ({ key: e.key, stamp: e.stamp })),
+        ...olderKeys.map((entry) => ({ key: entry.key, stamp: entry.stamp })),
         { key: LEADER, stamp: leader.entries[0]?.stamp ?? 0 },
-        { key: TERM, stamp: last.entries[0]?.stamp ?? 0 },
+        { key: TERM, stamp: storedTerms.entries[0]?.stamp ?? 0 },
         { key: incarnationKey, stamp: 0 },
       ],
       [
-        ...stale,
+        ...deletions,
         { set: incarnationKey, value: { g: generation, by: settings.label, s: bornAt } },
         { set: REBUILD, value: { phase: 'gather', heard: [] } },
         { set: LEADER, value: { node: settings.label, term, lease }, lease },
-        { set: TERM, value: { term, a: attempts } },
+        { set: TERM, value: { term, a: attemptBase } },
       ],
       Priority.Lease,
       1500,
@@ -140,5 +143,5 @@
       generation,
       previous: known.incarnation?.id ?? 'unknown',
     });
-    return { term, revision: outcome.revision, lease, asked };
+    return { term, revision: outcome.revision, lease, requestedAt };
   });
--- a/packages/controller/test/leader-session.test.ts
+++ b/packages/controller/test/leader-session.test.ts
@@ -4,7 +4,7 @@
 import { Effect, Fiber } from 'effect';
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { JobState } from '../src/jobs/job-state.js';
-import { type LeaderSessionParts, LeaderSessions } from '../src/leadership/leader-session.js';
+import { type LeaderSessionDependencies, LeaderSessions } from '../src/leadership/leader-session.js';
 import type { LeadershipTerm } from '../src/leadership/leadership.js';
 import { worldSettings } from './support/settings.js';
 
@@ -37,7 +37,7 @@
     peers,
     leadership,
   };
-  const sessions = new LeaderSessions(parts as unknown as LeaderSessionParts);
+  const sessions = new LeaderSessions(parts as unknown as LeaderSessionDependencies);
   const fiber = Effect.runFork(sessions.run);
   await new Promise((r) => setTimeout(r, 400));
   await Effect.runPromise(Fiber.interrupt(fiber));
--- a/packages/controller/test/read-lease.test.ts
+++ b/packages/controller/test/read-lease.test.ts
@@ -63,7 +63,7 @@
       const own = changes.flatMap((c, i) => (c.by === by && c.at <= answered ? [i + 1] : []));
       const blank = answered > anew && (anew > out || answered < anew + 2e6);
       const said = {
-        asked: clock(asked),
+        requestedAt: clock(asked),
         incarnation: blank ? null : INCARNATION,
         revision: Math.max(read, ...own),
       };
