--- a/packages/controller/src/state-store/budget.ts
+++ b/packages/controller/src/state-store/budget.ts
@@ -1,37 +1,41 @@
 /**
- * A rate limiter (token bucket) with priorities. The state service limits all controllers together; each keeps to a share of
- * the whole, and within that leases go before commits and commits before reads.
+ * A rate limiter (token bucket) with priorities. The state service limits the rate of all controllers together. Each
+ * controller keeps to a fixed fraction of the limit; within it, leases precede commits, and commits precede reads.
  */
 import { Effect } from 'effect';
 import { type Micros, now } from '@lilacvalve/runtime/micros';
 
-/** In which order waiting requests get the budget. */
+/** Priority of a request to the state service; a lower number is granted first. */
 export const enum Priority {
   Lease = 0,
   Commit = 1,
   Read = 2,
-  /** Housekeeping: whenever nothing else wants the budget. */
+  /** Background maintenance: granted only when no other request is waiting. */
   Upkeep = 3,
 }
 
-/** The clock, and a call after so many milliseconds; simulations put in their own. */
+/** The clock and timers of a limiter; simulations provide their own. */
 export interface Timing {
   readonly now: () => Micros;
-  readonly after: (ms: number, go: () => void) => void;
+  /** Calls `callback` after `ms` milliseconds. */
+  readonly after: (ms: number, callback: () => void) => void;
 }
-const REAL_TIME: Timing = { now, after: (ms, go) => void setTimeout(go, ms) };
+const REAL_TIME: Timing = { now, after: (ms, callback) => void setTimeout(callback, ms) };
 
 interface WaitingRequest {
   readonly priority: Priority;
   readonly cost: number;
-  readonly go: () => void;
+  readonly grant: () => void;
 }
 
-/** A token bucket of `rate` a second and at most `burst` at once. */
+/** A token bucket that is refilled by `rate` tokens a second and holds at most `burst`. */
 export class Budget {
   private tokens: number;
   private refilledAt: Micros;
-  /** Bounded by who asks: users' requests are limited in number (overload), tasks ask one at a time. */
+  /**
+   * Waiting requests in the order in which they are granted. Bounded by the callers: admission control (src/overload)
+   * limits users' requests, and each background task waits for one request at a time.
+   */
   private readonly waiting: WaitingRequest[] = [];
   /** The cost of all waiting requests together. */
   private queuedCost = 0;
@@ -40,10 +44,10 @@
   constructor(
     private rate: number,
     private readonly burst: number,
-    private readonly time: Timing = REAL_TIME,
+    private readonly timing: Timing = REAL_TIME,
   ) {
     this.tokens = burst;
-    this.refilledAt = time.now();
+    this.refilledAt = timing.now();
   }
 
   setRate(rate: number): void {
@@ -51,7 +55,7 @@
     this.rate = rate;
   }
 
-  /** After a refusal: other controllers have used what this one thought was its share. */
+  /** Empties the bucket. Called after a refusal, which shows that other controllers have used up the common limit. */
   drain(): void {
     this.refill();
     this.tokens = Math.min(this.tokens, 0);
@@ -61,7 +65,7 @@
   take(priority: Priority, cost: number): Effect.Effect<void> {
     return Effect.suspend(() => {
       this.refill();
-      // Leases may overdraw: losing the lease costs more than a refusal.
+      // A lease request may overdraw the bucket: losing the lease costs more than a refused request.
       if (
         priority === Priority.Lease ||
         (this.waiting.length === 0 && this.tokens >= Math.min(cost, this.burst))
@@ -70,78 +74,80 @@
         return Effect.void;
       }
       return Effect.async<void>((resume) => {
-        const entry: WaitingRequest = { priority, cost, go: () => resume(Effect.void) };
-        const at = this.waiting.findIndex((w) => w.priority > priority);
-        if (at < 0) this.waiting.push(entry);
-        else this.waiting.splice(at, 0, entry);
+        const request: WaitingRequest = { priority, cost, grant: () => resume(Effect.void) };
+        const position = this.waiting.findIndex((queued) => queued.priority > priority);
+        if (position < 0) this.waiting.push(request);
+        else this.waiting.splice(position, 0, request);
         this.queuedCost += cost;
         this.setTimer();
         return Effect.sync(() => {
-          const i = this.waiting.indexOf(entry);
-          if (i < 0) return;
-          this.waiting.splice(i, 1);
+          const index = this.waiting.indexOf(request);
+          if (index < 0) return;
+          this.waiting.splice(index, 1);
           this.queuedCost -= cost;
         });
       });
     });
   }
 
-  /** How long one more request would wait; microseconds. */
+  /** How long a request made now would wait, in microseconds. */
   wait(): Micros {
     this.refill();
     return Math.max(0, Math.round(((this.queuedCost - this.tokens) / this.rate) * 1e6)) as Micros;
   }
 
   private refill(): void {
-    const now = this.time.now();
+    const now = this.timing.now();
     this.tokens = Math.min(this.burst, this.tokens + ((now - this.refilledAt) / 1e6) * this.rate);
     this.refilledAt = now;
   }
 
   private setTimer(): void {
     if (this.timerSet || this.waiting.length === 0) return;
-    const need = Math.min(this.waiting[0]!.cost, this.burst) - this.tokens;
+    const missing = Math.min(this.waiting[0]!.cost, this.burst) - this.tokens;
     this.timerSet = true;
-    this.time.after(Math.max(1, Math.ceil((need / this.rate) * 1000)), () => this.grantWaiting());
+    this.timing.after(Math.max(1, Math.ceil((missing / this.rate) * 1000)), () => this.grantWaiting());
   }
 
   private grantWaiting(): void {
     this.timerSet = false;
     this.refill();
     while (this.waiting.length > 0 && this.tokens >= Math.min(this.waiting[0]!.cost, this.burst)) {
-      const waiter = this.waiting.shift()!;
-      this.queuedCost -= waiter.cost;
-      this.tokens -= waiter.cost;
-      waiter.go();
+      const request = this.waiting.shift()!;
+      this.queuedCost -= request.cost;
+      this.tokens -= request.cost;
+      request.grant();
     }
     this.setTimer();
   }
 }
 
-/** One controller's shares of the state service's rate limits. */
+/** One controller's fractions of the state service's limits for requests and for writes. */
 export class StoreBudgets {
   readonly requests: Budget;
   readonly writes: Budget;
 
   constructor(
-    private readonly nodes: number,
+    private readonly controllers: number,
     private readonly limits: { readonly rps: number; readonly writeRps: number },
-    time: Timing = REAL_TIME,
+    timing: Timing = REAL_TIME,
   ) {
-    const share = 1 / Math.max(1, nodes);
-    this.requests = new Budget(limits.rps * share, limits.rps * share, time);
-    this.writes = new Budget(limits.writeRps * share, limits.writeRps * share, time);
+    const fraction = 1 / Math.max(1, controllers);
+    this.requests = new Budget(limits.rps * fraction, limits.rps * fraction, timing);
+    this.writes = new Budget(limits.writeRps * fraction, limits.writeRps * fraction, timing);
   }
 
-  /** The leader writes the most: it takes a larger share of the limits than its followers. */
-  leading(yes: boolean): void {
-    const nodes = this.nodes;
-    const part = nodes <= 1 ? 0.95 : yes ? 0.5 : 0.5 / (nodes - 1);
-    this.requests.setRate(this.limits.rps * (nodes <= 1 ? 0.95 : yes ? 0.4 : 0.6 / (nodes - 1)));
-    this.writes.setRate(this.limits.writeRps * part);
+  /** Sets the rates for a leader or a follower: the leader writes the most and gets a larger fraction of the limits. */
+  leading(isLeader: boolean): void {
+    const controllers = this.controllers;
+    const writeFraction = controllers <= 1 ? 0.95 : isLeader ? 0.5 : 0.5 / (controllers - 1);
+    this.requests.setRate(
+      this.limits.rps * (controllers <= 1 ? 0.95 : isLeader ? 0.4 : 0.6 / (controllers - 1)),
+    );
+    this.writes.setRate(this.limits.writeRps * writeFraction);
   }
 
-  /** After a refusal: other controllers have used what this one thought was its share. */
+  /** Empties both buckets. Called after a refusal, which shows that other controllers have used up the common limit. */
   drain(): void {
     this.requests.drain();
     this.writes.drain();
--- a/packages/controller/src/state-store/client.ts
+++ b/packages/controller/src/state-store/client.ts
@@ -1,7 +1,8 @@
 /**
  * Client of the state service, a consensus-backed key-value store: compare-and-swap transactions, paged reads, a watch and
- * leases. Failures tell apart what callers must treat differently: `Refused` was certainly not carried out, `NoAnswer` may
- * have been, or may be later. The service's field names (`k`, `stamp`, `ledgerRev`, `tenancy`, ...) occur here only.
+ * leases. A request fails in one of two ways that callers must distinguish: after `Refused` it certainly has no effect;
+ * after `NoAnswer` it may have taken effect, or may still do so later. The service's field names (`k`, `stamp`,
+ * `ledgerRev`, `tenancy`, ...) occur here only.
  */
 import { Data, Effect } from 'effect';
 import { HttpClient, keptOpen, type NoAnswer, type Reply } from '@lilacvalve/runtime/http-client';
@@ -10,30 +11,33 @@
 import type { Settings } from '../settings/settings.js';
 import { StoreBudgets, Priority } from './budget.js';
 
-/** The service said it did not carry the request out (429, 503, 400). */
+/** The service responded that it has not carried out the request (status 429, 503, 400). */
 export class Refused extends Data.TaggedError('Refused')<{
   readonly status: number;
   readonly reason: string;
 }> {}
-/** Why the state service did not answer as asked. */
+/** Why a request to the state service failed. */
 export type StateFailure = Refused | NoAnswer;
 
-/** A counter that 2^53 and more can't be compared by: the client fails rather than act on a wrong comparison. */
+/**
+ * A revision or a lease's number is missing or is not a safe integer. From 2^53 on, numbers can't be compared exactly, and
+ * the client fails rather than act on a wrong comparison.
+ */
 export class CounterOutOfRange extends Data.TaggedError('CounterOutOfRange')<{ readonly value: unknown }> {
   override get message(): string {
     return `counter out of range: ${String(this.value)}`;
   }
 }
 
-/** What a transaction depends on: the key's revision is still this one; 0: the key does not exist. */
+/** A condition of a transaction: the key's revision is unchanged; 0: the key does not exist. */
 export interface Condition {
   readonly key: string;
   readonly stamp: number;
 }
-/** One change of a transaction. `lease`: the key is deleted once that lease expires. */
+/** One write of a transaction. `lease`: the key is deleted when that lease expires. */
 export type Write =
   { readonly set: string; readonly value: unknown; readonly lease?: number } | { readonly delete: string };
-/** `failed`: the keys whose conditions did not hold; nothing was changed. */
+/** Result of a transaction. If it was not applied, `failed` lists the keys whose conditions did not hold. */
 export type Outcome =
   | { readonly ok: true; readonly revision: number }
   | { readonly ok: false; readonly failed: readonly string[]; readonly revision: number };
@@ -43,25 +47,27 @@
   readonly value: unknown;
   readonly stamp: number;
 }
-/** One key's value; where it does not exist, as of which revision (null: not said). */
+/** Result of reading one key. */
 export interface Found {
+  /** null: the key does not exist. */
   readonly entry: Entry | null;
+  /** The store's revision at which the key did not exist; null: the key exists, or the service does not report it. */
   readonly revision: number | null;
 }
-/** Part of the keys below a prefix, in key order. */
+/** Some of the keys below a prefix, in key order. `more`: further keys follow. */
 export interface Page {
   readonly entries: readonly Entry[];
   readonly more: boolean;
   readonly revision: number;
 }
-/** One change, as a watch tells it. */
+/** One change of a key, as the watch reports it. */
 export interface Change {
   readonly key: string;
   /** undefined: the key was deleted. */
   readonly value: unknown;
   readonly stamp: number;
 }
-/** `tooOld`: the service no longer has the changes after the revision asked for. */
+/** The response to a watch request. `tooOld`: the service no longer has the changes after the requested revision. */
 export type Changes =
   | { readonly tooOld: true }
   | { readonly tooOld: false; readonly revision: number; readonly changes: readonly Change[] };
@@ -71,7 +77,7 @@
   return value;
 };
 
-/** The fields of the service's answers. */
+/** The fields of the service's response bodies. */
 interface WireBody {
   readonly ledgerRev?: unknown;
   readonly stamp?: unknown;
@@ -88,13 +94,13 @@
   }[];
 }
 
-/** One controller's connection to the state service, within its share of the service's rate limits. */
+/** One controller's client, which keeps to the controller's fraction of the service's rate limits. */
 export class StateStore {
   private readonly client: HttpClient;
   private readonly budgets: StoreBudgets;
-  /** When the service last served this node. */
+  /** When the service last responded with another status than 503. */
   lastServed = Number.NEGATIVE_INFINITY;
-  /** When the service last refused with 503, or gave no answer. */
+  /** When the service last responded with status 503, or a request last got no response. */
   lastRefused = Number.NEGATIVE_INFINITY;
 
   constructor(
@@ -105,17 +111,17 @@
     this.budgets = new StoreBudgets(settings.nodes, settings.state);
   }
 
-  /** A leader takes a larger share of the rate limits. */
-  leading(yes: boolean): void {
-    this.budgets.leading(yes);
+  /** Sets whether this controller leads: a leader gets a larger fraction of the rate limits. */
+  leading(isLeader: boolean): void {
+    this.budgets.leading(isLeader);
   }
 
-  /** How long a change asked for now would wait for this controller's share of the rate. */
+  /** How long a write requested now would wait for this controller's write budget. */
   writeWait(): Micros {
     return this.budgets.writes.wait();
   }
 
-  /** Compare-and-swap: applies all of `then` if all of `when` holds, and nothing otherwise. */
+  /** Compare-and-swap: applies all writes of `then` if all conditions of `when` hold, and none otherwise. */
   transact(
     when: readonly Condition[],
     then: readonly Write[],
@@ -123,7 +129,7 @@
     timeoutMs: number,
   ): Effect.Effect<Outcome, StateFailure> {
     const body = JSON.stringify({
-      when: when.map((c) => ({ k: c.key, stamp: c.stamp })),
+      when: when.map((condition) => ({ k: condition.key, stamp: condition.stamp })),
       then: then.map((write) =>
         'set' in write
           ? { set: write.set, value: write.value, tenancy: write.lease }
@@ -166,7 +172,7 @@
     );
   }
 
-  /** Reads up to `limit` keys below `prefix`, from the first one after `after` on. */
+  /** Reads up to `limit` keys below `prefix`, starting with the first one after the key `after`. */
   page(
     prefix: string,
     after: string | null,
@@ -209,7 +215,7 @@
     );
   }
 
-  /** Asks for a new lease; its number. */
+  /** Requests a new lease of the duration `ttl`; returns its number. */
   grant(ttl: Micros): Effect.Effect<number, StateFailure> {
     return this.call('POST', '/grants', JSON.stringify({ ttlMs: toMillis(ttl) }), Priority.Lease, 1500).pipe(
       Effect.flatMap((reply) =>
@@ -218,7 +224,7 @@
     );
   }
 
-  /** true: extended; false: the lease is gone. */
+  /** Extends a lease; false: the lease no longer exists. */
   extend(lease: number, timeoutMs: number): Effect.Effect<boolean, StateFailure> {
     return this.call('POST', `/grants/${lease}/extend`, '{}', Priority.Lease, timeoutMs).pipe(
       Effect.flatMap((reply): Effect.Effect<boolean, StateFailure> => {
@@ -228,7 +234,7 @@
     );
   }
 
-  /** Gives a lease back: keys attached to it are deleted. */
+  /** Releases a lease: the service deletes the keys that are attached to it. */
   release(lease: number): Effect.Effect<void, StateFailure> {
     return this.call('DELETE', `/grants/${lease}`, null, Priority.Lease, 800).pipe(Effect.asVoid);
   }
@@ -265,7 +271,7 @@
   }
 }
 
-/** An answer that is no JSON is treated like an empty one: what it should have had is then out of range. */
+/** Parses a response body. One that is not JSON counts as empty: a revision missing from it raises `CounterOutOfRange`. */
 const parse = (reply: Reply): WireBody => {
   try {
     return (JSON.parse(reply.body.toString('utf8')) ?? {}) as WireBody;
--- a/packages/controller/src/state-store/hint.ts
+++ b/packages/controller/src/state-store/hint.ts
@@ -1,10 +1,16 @@
-/** A hint for the next leader: one key, written when its value has changed. If it is lost or old, that costs time only. */
+/**
+ * Hints that a leader writes for its successor, one key each. A hint that is lost or outdated costs the successor time, but
+ * never correctness.
+ */
 import { Effect } from 'effect';
 import { Priority } from './budget.js';
 import type { Condition } from './client.js';
 import type { StatePort } from './port.js';
 
-/** Writes `value` to `key` unless it was the last one written. A failed write is left to the next call. */
+/**
+ * Returns a function that writes a value to `key`, under the condition `when`, unless it equals the last value written. A
+ * failed write is not repeated; the next call writes again.
+ */
 export const hintWriter = (store: StatePort, when: Condition, key: string) => {
   let written = '';
   return (value: unknown): Effect.Effect<void> =>
@@ -12,7 +18,7 @@
       const text = JSON.stringify(value);
       if (text === written) return Effect.void;
       return store.transact([when], [{ set: key, value }], Priority.Upkeep, 1200).pipe(
-        Effect.tap((r) => Effect.sync(() => (written = r.ok ? text : written))),
+        Effect.tap((outcome) => Effect.sync(() => (written = outcome.ok ? text : written))),
         Effect.ignore,
       );
     });
--- a/packages/controller/src/state-store/port.ts
+++ b/packages/controller/src/state-store/port.ts
@@ -1,7 +1,7 @@
-/** What the rest of the controller needs of the state service; tests put in a stand-in. */
+/** The interface of the state service's client that the rest of the controller uses; tests replace it. */
 import type { StateStore } from './client.js';
 
-/** The state service as the slices see it. */
+/** The members of `StateStore` that other folders use. */
 export type StatePort = Pick<
   StateStore,
   | 'transact'
