--- a/packages/controller/test/late-answers.test.ts
+++ b/packages/controller/test/late-answers.test.ts
@@ -1,4 +1,4 @@
-/** Guards on the way of a heartbeat and its response: what is late, or was asked for before something else became known. */
+/** Late and outdated messages: heartbeats that wait for a scheduling cycle, copies of old heartbeats, late responses. */
 import assert from 'node:assert/strict';
 import * as http from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -22,34 +22,39 @@
 const settings = worldSettings('n0');
 const TERM = 5;
 
-const setJob = (jobState: JobState, stamp: number, withdrawn: boolean): void => {
-  const j = job('job-1', { spot: false });
-  j.cancelled = withdrawn;
-  j.attempt = 1;
-  j.placed.set(0, { task: 0, attempt: 1, machine: 'm', since: 0 as Micros });
-  jobState.apply({ key: activeJobKey('job-1'), value: JSON.parse(JSON.stringify(encodeJob(j, 0))), stamp });
+/** Stores `job-1`, whose task 0 is placed on machine `m`, at revision `stamp`. */
+const setJob = (jobState: JobState, stamp: number, cancelled: boolean): void => {
+  const placedJob = job('job-1', { spot: false });
+  placedJob.cancelled = cancelled;
+  placedJob.attempt = 1;
+  placedJob.placed.set(0, { task: 0, attempt: 1, machine: 'm', since: 0 as Micros });
+  jobState.apply({
+    key: activeJobKey('job-1'),
+    value: JSON.parse(JSON.stringify(encodeJob(placedJob, 0))),
+    stamp,
+  });
 };
 /** The leader's registry: `job-1/0` is to be started on `m`. */
-const registry = (jobState = new JobState()): WorkerRegistry => {
+const newRegistry = (jobState = new JobState()): WorkerRegistry => {
   setJob(jobState, 1, false);
   return new WorkerRegistry(settings, jobState, TERM, 0 as Micros);
 };
-const report = (tenure: number, tick: number, token = TERM): Heartbeat => ({
+const heartbeat = (incarnation: number, sequence: number, token = TERM): Heartbeat => ({
   machine: 'm',
   addr: '',
   type: 'c8',
   zone: 'a',
   spot: false,
-  incarnation: tenure,
-  sequence: tick,
+  incarnation,
+  sequence,
   fencingToken: token,
   recall: null,
   tasks: [],
 });
 
-/** A leader whose responses wait for a scheduling cycle until `turn` is called. */
-const leader = (
-  b: WorkerRegistry,
+/** A leader whose responses to heartbeats wait for a scheduling cycle until `runCycle` is called. */
+const newLeader = (
+  registry: WorkerRegistry,
   lossDetector: Pick<DataLossDetector, 'noteToken' | 'suspected'> | null = null,
 ) => {
   const waiting: (() => void)[] = [];
@@ -61,91 +66,96 @@
     answeringTerm: leaderTerm,
     currentTerm: leaderTerm,
     mayStart: () => true,
-    depose: (t: number) => void deposedBy.push(t),
+    depose: (token: number) => void deposedBy.push(token),
   };
-  const receive = heartbeatReceiver(
+  const receiver = heartbeatReceiver(
     leadership,
-    () => ({ registry: b, afterNextCycle: (then) => void waiting.push(then) }),
+    () => ({ registry, afterNextCycle: (then) => void waiting.push(then) }),
     () => seconds(state.at),
     new Contacts(settings),
     lossDetector ?? { suspected: false, noteToken: () => undefined },
   );
-  const take = (r: Heartbeat): { answers: HeartbeatResponses | null; given: boolean } => {
-    const out = { answers: null as HeartbeatResponses | null, given: false };
-    b.needsCycle = true;
-    receive([r], (a) => Object.assign(out, { answers: a, given: true }));
-    return out;
+  const receive = (received: Heartbeat): { responses: HeartbeatResponses | null; responded: boolean } => {
+    const result = { responses: null as HeartbeatResponses | null, responded: false };
+    registry.needsCycle = true;
+    receiver([received], (responses) => Object.assign(result, { responses, responded: true }));
+    return result;
   };
-  const turn = (): void => waiting.splice(0).forEach((then) => then());
-  return { take, turn, state, deposedBy };
+  const runCycle = (): void => waiting.splice(0).forEach((then) => then());
+  return { receive, runCycle, state, deposedBy };
 };
 const STARTS = /"run".*"job-1\/0"/;
 
-test('a heartbeat that waited for a cycle gets no start once a newer one is known, of its incarnation or the next', () => {
+test('a heartbeat that waited for a cycle gets no start if a newer one, of its or the next incarnation, has arrived', () => {
   for (const [first, second] of [
-    [report(1, 1), report(1, 2)],
-    // The next incarnation may number its heartbeats as it likes: the same number says nothing.
-    [report(1, 7), report(2, 7)],
+    [heartbeat(1, 1), heartbeat(1, 2)],
+    // A new incarnation of the worker may start its sequence numbers anywhere, so that equal numbers mean nothing.
+    [heartbeat(1, 7), heartbeat(2, 7)],
   ] as const) {
-    const l = leader(registry());
-    const older = l.take(first);
-    const newer = l.take(second);
-    assert.deepEqual([older.given, newer.given], [false, false], 'both wait');
-    l.turn();
-    assert.deepEqual(older.answers, { term: TERM, bodies: [''] }, 'its lease, and nothing else');
-    assert.match(newer.answers!.bodies[0]!, STARTS);
+    const leader = newLeader(newRegistry());
+    const older = leader.receive(first);
+    const newer = leader.receive(second);
+    assert.deepEqual([older.responded, newer.responded], [false, false], 'both wait');
+    leader.runCycle();
+    assert.deepEqual(older.responses, { term: TERM, bodies: [''] }, 'its lease is renewed, without orders');
+    assert.match(newer.responses!.bodies[0]!, STARTS);
   }
 });
 
-test('a heartbeat that waited for a cycle is not answered once the term is over, or another one has begun', () => {
-  for (const then of [null, TERM + 1]) {
-    const l = leader(registry());
-    const waits = l.take(report(1, 1));
-    l.state.term = then;
-    l.turn();
-    assert.deepEqual([waits.given, waits.answers], [true, null], `${then}`);
+test('a heartbeat that waited for a cycle gets no response if the term has ended or another one has begun', () => {
+  for (const laterTerm of [null, TERM + 1]) {
+    const leader = newLeader(newRegistry());
+    const waiting = leader.receive(heartbeat(1, 1));
+    leader.state.term = laterTerm;
+    leader.runCycle();
+    assert.deepEqual([waiting.responded, waiting.responses], [true, null], `${laterTerm}`);
   }
-  const l = leader(registry());
-  const waits = l.take(report(1, 1));
-  l.turn();
-  assert.match(waits.answers!.bodies[0]!, STARTS);
+  const leader = newLeader(newRegistry());
+  const waiting = leader.receive(heartbeat(1, 1));
+  leader.runCycle();
+  assert.match(waiting.responses!.bodies[0]!, STARTS);
 });
 
-test('a copy of an old heartbeat proves a higher fencing token, also while a loss is suspected', () => {
-  for (const active of [false, true]) {
-    const heardTokens: number[] = [];
-    const l = leader(registry(), { suspected: active, noteToken: (t) => void heardTokens.push(t) });
-    l.take(report(2, 9));
-    // Sent long before: its tasks, its session and what it lacks say nothing. That the token was given does.
-    l.take(report(1, 3, 99));
+test('a copy of an old heartbeat proves that a higher fencing token exists, even while a data loss is suspected', () => {
+  for (const suspected of [false, true]) {
+    const notedTokens: number[] = [];
+    const leader = newLeader(newRegistry(), {
+      suspected,
+      noteToken: (token) => void notedTokens.push(token),
+    });
+    leader.receive(heartbeat(2, 9));
+    // An outdated heartbeat: its tasks and its incarnation are ignored, but it proves that the token was given out.
+    leader.receive(heartbeat(1, 3, 99));
     assert.deepEqual(
-      [l.deposedBy, heardTokens],
+      [leader.deposedBy, notedTokens],
       [
         [TERM, 99],
         [TERM, 99],
       ],
     );
   }
-  // A token of an earlier incarnation of the store, in the first one that anybody knows of: it had data before.
+  // A token below the term floor of the first known incarnation was given out before it: an earlier store was lost.
   const lossDetector = new DataLossDetector(
     () => 0 as Micros,
     () => TERM,
   );
   lossDetector.readIncarnation({ id: 'i', generation: 0, stamp: 1, termFloor: 50, bornAt: 0 });
-  const l = leader(registry(), lossDetector);
-  l.take(report(2, 9, 51));
-  assert.equal(lossDetector.suspected, false, 'given in this life');
-  l.take(report(1, 3, 7));
+  const leader = newLeader(newRegistry(), lossDetector);
+  leader.receive(heartbeat(2, 9, 51));
+  assert.equal(lossDetector.suspected, false, 'a token of the present incarnation of the store');
+  leader.receive(heartbeat(1, 3, 7));
   assert.equal(lossDetector.suspected, true);
 });
 
-test("the response to a direct order is no heartbeat: a start in flight is not in it, and hasn't failed", async () => {
+// A worker's response to a direct order has the form of a heartbeat. Taken for one, it would show that a task whose start is
+// still on its way has failed, and free the task's resources before it starts.
+test('the response to a direct order does not count as a heartbeat, so a start on its way has not failed', async () => {
   const jobState = new JobState();
-  const b = registry(jobState);
-  // The leader answers a heartbeat with the start; it is on its way when the job is cancelled.
-  assert.equal(b.ordersFor(b.applyHeartbeat(report(1, 1), seconds(10))!)[0]?.op, 'start');
+  const registry = newRegistry(jobState);
+  // The leader responds to a heartbeat with the start, which is on its way when the job is cancelled.
+  assert.equal(registry.ordersFor(registry.applyHeartbeat(heartbeat(1, 1), seconds(10))!)[0]?.op, 'start');
   setJob(jobState, 2, true);
-  const answer = {
+  const response = {
     host: 'm',
     addr: '',
     hostKind: 'c8',
@@ -157,53 +167,58 @@
     recallS: null,
     pieces: [],
   };
-  const got: string[] = [];
+  const receivedBodies: string[] = [];
   const server = http.createServer((req, res) => {
     let text = '';
-    req.on('data', (c: Buffer) => (text += c.toString()));
+    req.on('data', (chunk: Buffer) => (text += chunk.toString()));
     req.on('end', () => {
-      got.push(text);
-      res.end(JSON.stringify(answer));
+      receivedBodies.push(text);
+      res.end(JSON.stringify(response));
     });
   });
-  await new Promise<void>((r) => server.listen(0, '127.0.0.1', r));
-  const m = b.machines.get('m')!;
-  m.addr = `127.0.0.1:${(server.address() as AddressInfo).port}`;
-  const { sequence: tick } = m;
-  b.urgentOrders.push({
-    machine: m,
+  await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
+  const machine = registry.machines.get('m')!;
+  machine.addr = `127.0.0.1:${(server.address() as AddressInfo).port}`;
+  const { sequence: sequenceBefore } = machine;
+  registry.urgentOrders.push({
+    machine,
     order: { op: 'stop', key: 'job-1/0', attempt: 1, grace: 0 as Micros },
   });
   const admission = { enter: () => null, leave: () => undefined };
-  await Effect.runPromise(sendUrgentOrders(b, new WorkerClient(settings), admission));
-  for (let i = 0; i < 100 && got.length === 0; i++) await new Promise((r) => setTimeout(r, 10));
-  await new Promise((r) => setTimeout(r, 50));
+  await Effect.runPromise(sendUrgentOrders(registry, new WorkerClient(settings), admission));
+  for (let i = 0; i < 100 && receivedBodies.length === 0; i++)
+    await new Promise((resolve) => setTimeout(resolve, 10));
+  await new Promise((resolve) => setTimeout(resolve, 50));
   server.close();
-  assert.equal(got.length, 1);
-  assert.match(got[0]!, /"stop"/);
-  assert.deepEqual([m.sequence, b.exits.size], [tick, 0], 'nothing is concluded from it');
-  // Taken for a heartbeat, it would free the room of a task that starts when the response arrives.
-  b.applyHeartbeat(readHeartbeat(Buffer.from(JSON.stringify(answer)))!, seconds(11));
-  assert.deepEqual([...(b.exits.get('job-1')?.gone ?? [])], [0]);
+  assert.equal(receivedBodies.length, 1);
+  assert.match(receivedBodies[0]!, /"stop"/);
+  assert.deepEqual(
+    [machine.sequence, registry.exits.size],
+    [sequenceBefore, 0],
+    'the response changes nothing in the registry',
+  );
+  // Counter-check: applied as a heartbeat, the same body does free the task's resources.
+  registry.applyHeartbeat(readHeartbeat(Buffer.from(JSON.stringify(response)))!, seconds(11));
+  assert.deepEqual([...(registry.exits.get('job-1')?.gone ?? [])], [0]);
 });
 
-test('a machine that never shows the fencing token counts as pending capacity for 40 s, not for ever', () => {
-  const b = registry();
+test('a machine that never shows the fencing token counts as pending capacity for 40 s at most', () => {
+  const registry = newRegistry();
   const boot = seconds(10);
-  const counts: number[] = [];
+  const fractions: number[] = [];
   for (let at = 10; at <= 80; at += 2) {
-    const m = b.applyHeartbeat(report(1, at, TERM - 1), seconds(at))!;
-    b.expireLeases(seconds(at), true);
-    counts.push(expectedShare(pendingMachine(m, boot, seconds(at))));
+    const machine = registry.applyHeartbeat(heartbeat(1, at, TERM - 1), seconds(at))!;
+    registry.expireLeases(seconds(at), true);
+    fractions.push(expectedShare(pendingMachine(machine, boot, seconds(at))));
   }
-  assert.equal(counts[0], 1);
+  assert.equal(fractions[0], 1);
   assert.ok(
-    counts.some((c) => c > 0 && c < 1),
-    'it counts for less and less',
+    fractions.some((fraction) => fraction > 0 && fraction < 1),
+    'the machine counts for a decreasing fraction',
   );
-  // 10 s are the first heartbeat's.
+  // The first heartbeat is at 10 s, so that item 21 is 42 s later.
   assert.deepEqual(
-    counts.slice(21).filter((c) => c > 0),
+    fractions.slice(21).filter((fraction) => fraction > 0),
     [],
   );
 });
--- a/packages/controller/test/leader-session.test.ts
+++ b/packages/controller/test/leader-session.test.ts
@@ -1,4 +1,4 @@
-/** One term has one worker registry. */
+/** A term has at most one session, and thus one worker registry. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Effect, Fiber } from 'effect';
@@ -8,8 +8,8 @@
 import type { LeadershipTerm } from '../src/leadership/leadership.js';
 import { worldSettings } from './support/settings.js';
 
-test('a session that fails ends its term: no other session begins under the same term', async () => {
-  const why: string[] = [];
+test('a session that fails ends its term, so that no other session begins in the same term', async () => {
+  const stepDownReasons: string[] = [];
   let leaderTerm: LeadershipTerm | null = {
     number: 3,
     stamp: 1,
@@ -21,25 +21,25 @@
     awaitTerm: Effect.never,
     stepDown: (reason: string) =>
       Effect.sync(() => {
-        why.push(reason);
+        stepDownReasons.push(reason);
         leaderTerm = null;
       }),
   };
   const peers = {
     lastProvisioning: () => {
-      throw new Error('not as expected');
+      throw new Error('injected failure of the session');
     },
   };
-  const parts = {
+  const dependencies = {
     settings: worldSettings('n0'),
     jobState: new JobState(),
     clock: () => 0 as Micros,
     peers,
     leadership,
   };
-  const sessions = new LeaderSessions(parts as unknown as LeaderSessionDependencies);
+  const sessions = new LeaderSessions(dependencies as unknown as LeaderSessionDependencies);
   const fiber = Effect.runFork(sessions.run);
-  await new Promise((r) => setTimeout(r, 400));
+  await new Promise((resolve) => setTimeout(resolve, 400));
   await Effect.runPromise(Fiber.interrupt(fiber));
-  assert.deepEqual([why, sessions.heartbeatService], [['session failed'], null]);
+  assert.deepEqual([stepDownReasons, sessions.heartbeatService], [['session failed'], null]);
 });
--- a/packages/controller/test/read-lease.test.ts
+++ b/packages/controller/test/read-lease.test.ts
@@ -1,4 +1,7 @@
-/** Heartbeats are answered only while that can make no cancellation overdue, whatever the times of reads, peers' heartbeats and clocks. */
+/**
+ * A leader responds to heartbeats only while the renewed leases cannot let a cancelled job's task run too long, whatever the
+ * times of reads, of peer heartbeats and of clocks.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DRIFT, type Micros, seconds } from '@lilacvalve/runtime/micros';
@@ -17,130 +20,164 @@
 import { Luck } from './support/random-source.js';
 
 const TTL = seconds(3);
-/** A worker ends its tasks so late at the most: steps of timers, and what it had to do first. */
-const STEP = 1_000_000;
+/** Maximum delay of a worker that stops its tasks when its lease expires: timer steps and work that it has to do first. */
+const STOP_DELAY = 1_000_000;
 const INCARNATION = 'i';
 
 interface Change {
   readonly at: number;
-  readonly by: number;
-  /** When its user was told that a job is cancelled; null: it is no cancellation. */
-  readonly told: number | null;
+  /** Index of the controller that wrote it; 0 is the leader. */
+  readonly controller: number;
+  /** When the user was told that the job is cancelled; null: the change is no cancellation. */
+  readonly confirmedAt: number | null;
 }
 
-/** The longest that a task could outlive `cancel` by an answer, and what was met on the way. True time, microseconds. */
-const chain = (l: Luck, workers: { lease: Micros; cancel: Micros }, met: Map<string, number>): number => {
-  const count = (what: string) => met.set(what, (met.get(what) ?? 0) + 1);
-  const controllers = 3 + 2 * l.int(2);
-  const rate = 1 + l.between(-DRIFT / 2, DRIFT / 2);
-  const offset = l.between(0, 1e9);
-  const clock = (t: number): number => offset + t * rate;
-  const out = l.between(10e6, 60e6);
-  const refused = out - (l.chance(0.5) ? l.between(0, 30e6) : 0);
-  // Revision r is changes[r - 1]. The leader, controller 0, writes until it is refused, the others until all are.
+/**
+ * Draws one outage of the state service, and checks each heartbeat response that the leader may send in it. Returns the
+ * longest time by which a task of a cancelled job could exceed `cancel` (negative: none could), in microseconds of true
+ * time, and adds the kinds of cases that occurred to `occurrences`.
+ */
+const simulateOutage = (
+  random: Luck,
+  workers: { lease: Micros; cancel: Micros },
+  occurrences: Map<string, number>,
+): number => {
+  const count = (kind: string) => occurrences.set(kind, (occurrences.get(kind) ?? 0) + 1);
+  const controllers = 3 + 2 * random.int(2);
+  const rate = 1 + random.between(-DRIFT / 2, DRIFT / 2);
+  const offset = random.between(0, 1e9);
+  const clock = (trueTime: number): number => offset + trueTime * rate;
+  const outageAt = random.between(10e6, 60e6);
+  const leaderRefusedAt = outageAt - (random.chance(0.5) ? random.between(0, 30e6) : 0);
+  // The change of revision r is changes[r - 1]. The leader writes until the service refuses it, the others until the outage.
   const changes: Change[] = [];
-  for (let at = 0; at < out; at += l.between(1e3, 3e6)) {
-    const by = at < refused && l.chance(0.5) ? 0 : 1 + l.int(controllers - 1);
-    const told = by > 0 && l.chance(0.4) ? Math.min(at + l.between(0, 1e6), out) : null;
-    changes.push({ at, by, told });
+  for (let at = 0; at < outageAt; at += random.between(1e3, 3e6)) {
+    const controller = at < leaderRefusedAt && random.chance(0.5) ? 0 : 1 + random.int(controllers - 1);
+    const confirmedAt =
+      controller > 0 && random.chance(0.4) ? Math.min(at + random.between(0, 1e6), outageAt) : null;
+    changes.push({ at, controller, confirmedAt });
   }
-  const revisionAt = (t: number): number => changes.filter((c) => c.at <= t).length;
-  // Reads: complete to a moment between question and answer; a follow is held for seconds.
-  const reads: { asked: number; got: number; revision: number }[] = [];
-  for (let asked = 0; asked < refused; asked += l.between(1e5, 3e6)) {
-    const got = asked + l.between(1e3, l.chance(0.2) ? 4.5e6 : 3e5);
-    reads.push({ asked, got, revision: revisionAt(Math.min(l.between(asked, got), out)) });
+  const revisionAt = (time: number): number => changes.filter((change) => change.at <= time).length;
+  // The leader's reads: each is complete up to a time between request and response. The service may hold a watch request.
+  const reads: { requestedAt: number; receivedAt: number; revision: number }[] = [];
+  for (let requestedAt = 0; requestedAt < leaderRefusedAt; requestedAt += random.between(1e5, 3e6)) {
+    const receivedAt = requestedAt + random.between(1e3, random.chance(0.2) ? 4.5e6 : 3e5);
+    reads.push({
+      requestedAt,
+      receivedAt,
+      revision: revisionAt(Math.min(random.between(requestedAt, receivedAt), outageAt)),
+    });
   }
-  // Beats to each of the others: one that knows what it has told users of, and as much else as it has read by then.
-  const beats: { by: number; got: number; said: PeerKnowledge }[] = [];
-  for (let by = 1; by < controllers; by++) {
-    // It starts anew, once: until it has read the store it says nothing.
-    const anew = l.chance(0.3) ? l.between(0, out + 30e6) : Infinity;
-    for (let asked = l.between(0, 1e6); asked < out + 100e6; asked += l.between(0.9e6, 1.5e6)) {
-      if (l.chance(0.05)) continue;
-      const answered = asked + l.between(0, 8e5);
-      const read = revisionAt(answered - l.between(0, 2e6));
-      const own = changes.flatMap((c, i) => (c.by === by && c.at <= answered ? [i + 1] : []));
-      const blank = answered > anew && (anew > out || answered < anew + 2e6);
-      const said = {
-        requestedAt: clock(asked),
-        incarnation: blank ? null : INCARNATION,
-        revision: Math.max(read, ...own),
+  // The peers' responses to heartbeats: a peer knows its own writes, and others' as far as it has read them.
+  const responses: { controller: number; receivedAt: number; knowledge: PeerKnowledge }[] = [];
+  for (let controller = 1; controller < controllers; controller++) {
+    // The peer may restart once; until it has read the store after that, it knows nothing.
+    const restartAt = random.chance(0.3) ? random.between(0, outageAt + 30e6) : Infinity;
+    for (
+      let requestedAt = random.between(0, 1e6);
+      requestedAt < outageAt + 100e6;
+      requestedAt += random.between(0.9e6, 1.5e6)
+    ) {
+      if (random.chance(0.05)) continue;
+      const respondedAt = requestedAt + random.between(0, 8e5);
+      const readRevision = revisionAt(respondedAt - random.between(0, 2e6));
+      const ownRevisions = changes.flatMap((change, i) =>
+        change.controller === controller && change.at <= respondedAt ? [i + 1] : [],
+      );
+      const hasNoView = respondedAt > restartAt && (restartAt > outageAt || respondedAt < restartAt + 2e6);
+      const knowledge = {
+        requestedAt: clock(requestedAt),
+        incarnation: hasNoView ? null : INCARNATION,
+        revision: Math.max(readRevision, ...ownRevisions),
       };
-      beats.push({ by, got: answered + l.between(0, 8e5), said });
+      responses.push({ controller, receivedAt: respondedAt + random.between(0, 8e5), knowledge });
     }
   }
-  let worst = Number.NEGATIVE_INFINITY;
-  let covered = Number.NEGATIVE_INFINITY;
-  for (let t = 5e6; t < out + 95e6; t += l.between(1e5, 4e6)) {
-    const had = reads.filter((r) => r.got <= t);
-    const view = Math.max(0, ...had.map((r) => r.revision));
-    let complete = view;
-    while (changes[complete]?.by === 0 && changes[complete]!.at < Math.min(t, refused)) complete++;
-    const said = Array.from({ length: controllers - 1 }, (_, i) => {
-      const last = beats.filter((b) => b.by === i + 1 && b.got <= t).at(-1);
-      return last === undefined || last.said.incarnation === null ? null : last.said;
+  let maxExcess = Number.NEGATIVE_INFINITY;
+  let provenAsOf = Number.NEGATIVE_INFINITY;
+  for (let now = 5e6; now < outageAt + 95e6; now += random.between(1e5, 4e6)) {
+    const received = reads.filter((read) => read.receivedAt <= now);
+    const viewRevision = Math.max(0, ...received.map((read) => read.revision));
+    let completeRevision = viewRevision;
+    while (
+      changes[completeRevision]?.controller === 0 &&
+      changes[completeRevision]!.at < Math.min(now, leaderRefusedAt)
+    )
+      completeRevision++;
+    const peers = Array.from({ length: controllers - 1 }, (_, i) => {
+      const last = responses
+        .filter((response) => response.controller === i + 1 && response.receivedAt <= now)
+        .at(-1);
+      return last === undefined || last.knowledge.incarnation === null ? null : last.knowledge;
     });
-    covered = Math.max(covered, unchangedSince(said, INCARNATION, complete));
-    const readAsOf = Math.max(Number.NEGATIVE_INFINITY, ...had.map((r) => clock(r.asked)));
+    provenAsOf = Math.max(provenAsOf, unchangedSince(peers, INCARNATION, completeRevision));
+    const readAsOf = Math.max(Number.NEGATIVE_INFINITY, ...received.map((read) => clock(read.requestedAt)));
     const bounds = {
-      // An outage may give a lease its full time again, at any moment; and a majority confirms as it will.
-      leaderLeaseUntil: l.chance(0.5) ? clock(t) + 1 : 0,
+      // The outage may restart the full duration of the leader lease at any time, and a majority may always confirm.
+      leaderLeaseUntil: random.chance(0.5) ? clock(now) + 1 : 0,
       confirmedUntil: Infinity,
-      knownAsOf: Math.max(readAsOf, covered),
+      knownAsOf: Math.max(readAsOf, provenAsOf),
     };
-    const by = answerAuthority(clock(t) as Micros, bounds, workers, TTL);
-    if (by === null) continue;
-    count(by);
+    const authority = answerAuthority(clock(now) as Micros, bounds, workers, TTL);
+    if (authority === null) continue;
+    count(authority);
     if (maxViewAge(workers) === 0) {
-      assert.equal(by, 'leader lease', 'no read lease is safe');
+      assert.equal(authority, 'leader lease', 'no read lease is safe');
       assert.ok(readLeaseExpiry(bounds, workers) <= bounds.knownAsOf);
       continue;
     }
-    if (covered > readAsOf + 5e6) count('covered');
-    // The report was sent up to 4 s before; its lease counts from then, by the worker's clock.
-    const lives = t - l.between(0, 4e6) * (l.chance(0.3) ? 0 : 1) + workers.lease * (1 + DRIFT / 2) + STEP;
-    changes.forEach((c, i) => {
-      if (c.told === null || c.told > lives || i < view) return;
-      count('unknown');
-      worst = Math.max(worst, lives - (c.told + workers.cancel));
+    if (provenAsOf > readAsOf + 5e6) count('known only from peers');
+    // The heartbeat was sent up to 4 s ago; the worker's lease counts from then, by the worker's clock.
+    const runsUntil =
+      now -
+      random.between(0, 4e6) * (random.chance(0.3) ? 0 : 1) +
+      workers.lease * (1 + DRIFT / 2) +
+      STOP_DELAY;
+    changes.forEach((change, i) => {
+      if (change.confirmedAt === null || change.confirmedAt > runsUntil || i < viewRevision) return;
+      count('unknown cancellation');
+      maxExcess = Math.max(maxExcess, runsUntil - (change.confirmedAt + workers.cancel));
     });
   }
-  return worst;
+  return maxExcess;
 };
 
-test('no answer to a heartbeat lets a task of a cancelled job run too long, at any drawn times and settings', () => {
-  const known: [lease: number, cancel: number][] = [
+test('no heartbeat response lets a task of a cancelled job run too long, at any drawn times and settings', () => {
+  const fixedSettings: [lease: number, cancel: number][] = [
     [27, 47],
     [11, 36],
     [15.25, 40.25],
-    // Barely above the lease, and below it.
+    // `cancel` is barely longer than the lease, or not longer at all.
     [27, 28.2],
     [20, 23.5],
     [20, 20],
     [30, 12],
   ];
-  const met = new Map<string, number>();
+  const occurrences = new Map<string, number>();
   for (let seed = 1; seed <= 700; seed++) {
-    const l = new Luck(seed);
-    const [lease, cancel] = seed % 2 ? known[seed % known.length]! : [l.between(5, 40), l.between(5, 80)];
-    const late = chain(l, { lease: seconds(lease), cancel: seconds(cancel) }, met);
-    assert.ok(late <= 0, `seed ${seed}, lease ${lease}, cancel ${cancel}: ${late / 1e6} s too late`);
+    const random = new Luck(seed);
+    const [lease, cancel] =
+      seed % 2 ? fixedSettings[seed % fixedSettings.length]! : [random.between(5, 40), random.between(5, 80)];
+    const excess = simulateOutage(random, { lease: seconds(lease), cancel: seconds(cancel) }, occurrences);
+    assert.ok(excess <= 0, `seed ${seed}, lease ${lease}, cancel ${cancel}: ${excess / 1e6} s too late`);
   }
-  for (const what of ['leader lease', 'read lease', 'covered', 'unknown'])
-    assert.ok((met.get(what) ?? 0) > 100, `${what}: ${met.get(what)}`);
+  for (const kind of ['leader lease', 'read lease', 'known only from peers', 'unknown cancellation'])
+    assert.ok((occurrences.get(kind) ?? 0) > 100, `${kind}: ${occurrences.get(kind)}`);
 });
 
-test('a read lease starts nothing once its view is old, and the leader lease does', () => {
-  const known = seconds(100);
-  const out = Number.NEGATIVE_INFINITY;
-  const may = (at: number, leaderLeaseUntil: number): boolean =>
-    mayStart(seconds(at), { leaderLeaseUntil, knownAsOf: known });
-  assert.deepEqual([may(102.9, out), may(103, out), may(110, out)], [true, false, false]);
-  assert.equal(may(110, seconds(111)), true);
+test('a read lease starts no task once its view is 3 s old, while the leader lease does', () => {
+  const knownAsOf = seconds(100);
+  const expired = Number.NEGATIVE_INFINITY;
+  const mayStartAt = (at: number, leaderLeaseUntil: number): boolean =>
+    mayStart(seconds(at), { leaderLeaseUntil, knownAsOf });
+  assert.deepEqual(
+    [mayStartAt(102.9, expired), mayStartAt(103, expired), mayStartAt(110, expired)],
+    [true, false, false],
+  );
+  assert.equal(mayStartAt(110, seconds(111)), true);
 });
 
-test('what this node wrote counts as known right after its view, and no longer once that view is left', () => {
+test("a controller's own writes right after its view count as known, until the view is reset", () => {
   const jobState = new JobState();
   jobState.revision = 4;
   const watcher = new StoreWatcher(
--- a/packages/controller/test/support/job.ts
+++ b/packages/controller/test/support/job.ts
@@ -1,9 +1,10 @@
-/** A job as the store has it, with nothing started; tests say what differs. */
+/** Test support: a job as the store has it, with no task started. */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Job, JobSpec } from '../../src/jobs/model.js';
 
 const ZERO = 0 as Micros;
-export const job = (id: string, over: Partial<JobSpec> = {}): Job => ({
+/** A job of one task; `overrides` replaces fields of its specification. */
+export const job = (id: string, overrides: Partial<JobSpec> = {}): Job => ({
   spec: {
     id,
     jobClass: 'x',
@@ -27,7 +28,7 @@
     deadline: null,
     submitted: ZERO,
     tie: null,
-    ...over,
+    ...overrides,
   },
   cancelled: false,
   attempt: 0,
