--- a/packages/controller/test/late-writes.test.ts
+++ b/packages/controller/test/late-writes.test.ts
@@ -1,4 +1,6 @@
-/** Transactions without an answer that are carried out late, after newer ones of the same controller (docs/state.md). */
+/**
+ * Transactions that get no response and are executed late, after newer transactions of the same controller (docs/state.md).
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type Micros, micros } from '@lilacvalve/runtime/micros';
@@ -49,216 +51,251 @@
   wire,
 } from './support/late-store.js';
 
-/** One day, by its seed: users, controllers that lead in turn, and rules that are looked at with every commit. */
-const day = (seed: number) => {
+/**
+ * Simulates users and two controllers that lead alternately, on a faulty state service. Checks the rules with every commit
+ * and with every response to a user; fails if one is violated. Returns the outcomes of the late transactions by kind.
+ */
+const simulate = (seed: number) => {
   const time = new VirtualTime(seed);
-  const luck = new Luck(seed);
-  const service = new Service(time, luck);
-  const must = (holds: boolean, what: string): void => {
-    if (!holds) time.faults.push(`seed ${seed}, ${((time.now - 1e12) / S).toFixed(1)} s: ${what}`);
+  const random = new Luck(seed);
+  const service = new Service(time, random);
+  const check = (holds: boolean, violation: string): void => {
+    if (!holds) time.faults.push(`seed ${seed}, ${((time.now - 1e12) / S).toFixed(1)} s: ${violation}`);
   };
-  const same = (a: Iterable<number>, b: Iterable<number>): boolean =>
+  const sameNumbers = (a: Iterable<number>, b: Iterable<number>): boolean =>
     [...a].sort().join() === [...b].sort().join();
 
-  // What the records say, read apart from the service's own code: by job, tasks done and placed.
-  const truth = new Map<string, { tasks: number; done: Set<number>; placed: Set<number> }>();
+  // The expected state of each job, derived from the log entries without the controllers' code.
+  const expected = new Map<string, { tasks: number; done: Set<number>; placed: Set<number> }>();
+  /** Keys of log entries, and attempts of tasks, that have been used once. */
   const used = new Set<string>();
-  const over = new Map<string, string>();
-  /** Told to its user, in the order of the answers. */
-  const told = new Map<string, string>();
-  const asked = new Set<string>();
+  /** Stored final states. */
+  const finalStates = new Map<string, string>();
+  /** The last status that a user has received, or the first final one, by job id. */
+  const receivedStatus = new Map<string, string>();
+  /** Jobs whose cancellation a user has requested. */
+  const cancelRequested = new Set<string>();
   let commits = 0;
-  /** Answers that were given while the service was refused. */
-  let answered = 0;
-  let term = 0;
-  /** The last record that is gone. */
-  let folded = 0;
-  const look = (): void => {
+  /** Weighted number of responses to users while the state service refuses one controller or both. */
+  let responsesInOutage = 0;
+  let currentTerm = 0;
+  /** Sequence number of the last log entry that has been deleted. */
+  let lastCompacted = 0;
+  const checkView = (): void => {
     const view = service.view();
-    must(view.missingRecord() === null, 'a record is missing');
-    must(view.checkpoint.upTo >= folded, `the accounts lack record ${folded}`);
-    for (const id of view.jobs.keys()) must(!over.has(id), `${id} is there after its end`);
-    for (const [id, t] of truth) {
-      const j = view.jobs.get(id);
-      if (j === undefined) continue;
-      must(same(j.done, t.done), `${id}: tasks done`);
-      must(same(j.placed.keys(), t.placed), `${id}: tasks placed`);
+    check(view.missingRecord() === null, 'a log entry is missing');
+    check(view.checkpoint.upTo >= lastCompacted, `the accounts lack log entry ${lastCompacted}`);
+    for (const id of view.jobs.keys()) check(!finalStates.has(id), `${id} is stored as unfinished again`);
+    for (const [id, expectedJob] of expected) {
+      const viewed = view.jobs.get(id);
+      if (viewed === undefined) continue;
+      check(sameNumbers(viewed.done, expectedJob.done), `${id}: wrong completed tasks`);
+      check(sameNumbers(viewed.placed.keys(), expectedJob.placed), `${id}: wrong placed tasks`);
     }
   };
-  const truthOf = (id: string) => {
-    let t = truth.get(id);
-    if (!t) truth.set(id, (t = { tasks: 0, done: new Set(), placed: new Set() }));
-    return t;
+  const expectedOf = (id: string) => {
+    let expectedJob = expected.get(id);
+    if (!expectedJob) expected.set(id, (expectedJob = { tasks: 0, done: new Set(), placed: new Set() }));
+    return expectedJob;
   };
-  service.onCommit = (key, value, by) => {
-    if (key === TERM) term = (value as { term: number }).term;
-    must(by >= term, `${key} by term ${by} under term ${term}`);
+  service.onCommit = (key, value, term) => {
+    if (key === TERM) currentTerm = (value as { term: number }).term;
+    check(term >= currentTerm, `${key} is written by term ${term} in term ${currentTerm}`);
     if (value === undefined) {
-      if (key.startsWith(LOG_ENTRIES)) folded = Math.max(folded, Number(key.slice(LOG_ENTRIES.length)));
+      if (key.startsWith(LOG_ENTRIES))
+        lastCompacted = Math.max(lastCompacted, Number(key.slice(LOG_ENTRIES.length)));
       return;
     }
-    if (key.startsWith(ACTIVE_JOBS)) must(!over.has(key.slice(ACTIVE_JOBS.length)), `${key} after its end`);
+    if (key.startsWith(ACTIVE_JOBS))
+      check(!finalStates.has(key.slice(ACTIVE_JOBS.length)), `${key} is written after the job's final state`);
     if (key.startsWith(FINAL_STATES)) {
       const id = key.slice(FINAL_STATES.length);
       const { status } = decodeFinalState(value);
-      must((over.get(id) ?? status) === status, `${key} was ${over.get(id)}, is ${status}`);
-      if (told.get(id) === 'done') must(status === 'done', id);
-      if (status === 'done') must(truthOf(id).done.size === truthOf(id).tasks, `${id} is not done`);
-      else must(asked.has(id), `${id} is cancelled by nobody`);
-      over.set(id, status);
+      check(
+        (finalStates.get(id) ?? status) === status,
+        `${key} changes from ${finalStates.get(id)} to ${status}`,
+      );
+      if (receivedStatus.get(id) === 'done')
+        check(status === 'done', `${id}: its user received done, and it is stored as ${status}`);
+      if (status === 'done')
+        check(expectedOf(id).done.size === expectedOf(id).tasks, `${id} is stored as done and is incomplete`);
+      else check(cancelRequested.has(id), `${id} is stored as cancelled without a request`);
+      finalStates.set(id, status);
     }
     if (key.startsWith(LOG_ENTRIES)) {
-      must(!used.has(key), `${key} for the second time`);
+      check(!used.has(key), `${key} is written for the second time`);
       used.add(key);
-      for (const [id, c] of decodeLogEntry(Number(key.slice(LOG_ENTRIES.length)), value, 1).jobs) {
-        const t = truthOf(id);
-        for (const n of c.done ?? []) t.done.add(n);
-        for (const n of [...(c.done ?? []), ...(c.gone ?? [])])
-          must(t.placed.delete(n), `${key}: ${id}/${n} ends again`);
-        for (const n of [...(c.start?.on.values() ?? [])].flat()) {
-          const attempt = `${id}/${n}#${c.start!.attempt}`;
-          must(!used.has(attempt) && !t.placed.has(n), `${attempt} is started twice`);
-          must(!over.has(id) && told.get(id) !== 'aborted', `${attempt} is started after its end`);
+      for (const [id, change] of decodeLogEntry(Number(key.slice(LOG_ENTRIES.length)), value, 1).jobs) {
+        const expectedJob = expectedOf(id);
+        for (const task of change.done ?? []) expectedJob.done.add(task);
+        for (const task of [...(change.done ?? []), ...(change.gone ?? [])])
+          check(expectedJob.placed.delete(task), `${key}: ${id}/${task} exits without being placed`);
+        for (const task of [...(change.start?.on.values() ?? [])].flat()) {
+          const attempt = `${id}/${task}#${change.start!.attempt}`;
+          check(!used.has(attempt) && !expectedJob.placed.has(task), `${attempt} is started twice`);
+          check(
+            !finalStates.has(id) && receivedStatus.get(id) !== 'aborted',
+            `${attempt} is started after the job's end`,
+          );
           used.add(attempt);
-          t.placed.add(n);
+          expectedJob.placed.add(task);
         }
       }
     }
-    if (++commits % 5 === 0) look();
+    if (++commits % 5 === 0) checkView();
   };
 
-  // As a rebuild leaves it: some jobs in a pack, records that went by.
-  const packed = [1, 2, 3, 4, 5].map((n) => ({
-    ...job(`job-9${n}`, { tasks: 3, submitted: time.clock() }),
+  // The store as a rebuild leaves it: some jobs in a bundle, their last log entries compacted and deleted.
+  const bundledJobs = [1, 2, 3, 4, 5].map((number) => ({
+    ...job(`job-9${number}`, { tasks: 3, submitted: time.clock() }),
     ...{ attempt: 4, done: new Set([0]), lastSequence: 7 },
   }));
-  for (const j of packed) truth.set(j.spec.id, { tasks: 3, done: new Set([0]), placed: new Set() });
-  service.transact([], [...HEAD, { set: 's/p/1-000000', value: wire(encodeBundle(packed)) }]);
+  for (const bundled of bundledJobs)
+    expected.set(bundled.spec.id, { tasks: 3, done: new Set([0]), placed: new Set() });
+  service.transact([], [...HEAD, { set: 's/p/1-000000', value: wire(encodeBundle(bundledJobs)) }]);
 
-  const nodes = [newController(time, service, 0), newController(time, service, 1)];
-  const any = () => nodes[luck.int(2)]!;
-  const nap = (a: number, b: number) => Effect.suspend(() => Effect.sleep(luck.between(a, b) * 1000));
+  const controllers = [newController(time, service, 0), newController(time, service, 1)];
+  const anyController = () => controllers[random.int(2)]!;
+  const sleepBetween = (minS: number, maxS: number) =>
+    Effect.suspend(() => Effect.sleep(random.between(minS, maxS) * 1000));
 
   const user = (id: string, tasks: number) =>
     Effect.gen(function* () {
-      const ask = (go: Effect.Effect<{ status: number; body: string | Buffer }>) =>
+      /** Sends a request and checks the response. Returns the status; null: the request was refused. */
+      const send = (handle: Effect.Effect<{ status: number; body: string | Buffer }>) =>
         Effect.gen(function* () {
-          const before = told.get(id);
-          const out = service.refused.size;
-          const a = yield* go;
-          if (before !== undefined) must(a.status === 200 || a.status >= 429, `${id} ${a.status}`);
-          if (a.status > 201) return null;
-          const { status } = JSON.parse(a.body.toString()) as { status: string };
-          const final = (s: string | undefined): boolean => s === 'done' || s === 'aborted';
-          // While it is refused to all of them, they say what is over and nothing else.
-          if (out === 2 && service.refused.size === 2) must(final(status), `${id} is ${status} in an outage`);
-          answered += out;
-          if (final(before)) must(status === before, `${id}: an older answer`);
-          if (status === 'done') must(truthOf(id).done.size === tasks, `${id} is not done`);
-          if (!final(told.get(id))) told.set(id, status);
+          const previous = receivedStatus.get(id);
+          const refusedControllers = service.refused.size;
+          const response = yield* handle;
+          if (previous !== undefined)
+            check(
+              response.status === 200 || response.status >= 429,
+              `${id}: the response has status ${response.status}`,
+            );
+          if (response.status > 201) return null;
+          const { status } = JSON.parse(response.body.toString()) as { status: string };
+          const isFinal = (word: string | undefined): boolean => word === 'done' || word === 'aborted';
+          // While the state service refuses both controllers, they may only report final states.
+          if (refusedControllers === 2 && service.refused.size === 2)
+            check(isFinal(status), `${id} is reported as ${status} in an outage`);
+          responsesInOutage += refusedControllers;
+          if (isFinal(previous)) check(status === previous, `${id}: ${status} is reported after ${previous}`);
+          if (status === 'done')
+            check(expectedOf(id).done.size === tasks, `${id} is reported as done and is incomplete`);
+          if (!isFinal(receivedStatus.get(id))) receivedStatus.set(id, status);
           return status;
         });
       const request = { method: 'POST', path: '/work', headers: {}, body: body(id, tasks) } as never;
-      yield* nap(0, 40);
-      while ((yield* ask(any().users.submit(request) as never)) === null) yield* nap(0.1, 1);
-      const cancels = luck.chance(0.7) ? time.now + luck.between(0, 15 * S) : Infinity;
+      yield* sleepBetween(0, 40);
+      while ((yield* send(anyController().users.submit(request) as never)) === null)
+        yield* sleepBetween(0.1, 1);
+      const cancelAt = random.chance(0.7) ? time.now + random.between(0, 15 * S) : Infinity;
       for (const end = time.now + 80 * S; time.now < end;) {
-        yield* nap(0.2, 3);
-        const node = any();
-        if (time.now > cancels) asked.add(id);
-        if (asked.has(id) && luck.chance(0.7)) yield* ask(node.users.cancel(id) as never);
-        else if (luck.chance(0.2)) yield* ask(node.users.submit(request) as never);
-        else yield* ask(node.users.poll(id) as never);
+        yield* sleepBetween(0.2, 3);
+        const controller = anyController();
+        if (time.now > cancelAt) cancelRequested.add(id);
+        if (cancelRequested.has(id) && random.chance(0.7)) yield* send(controller.users.cancel(id) as never);
+        else if (random.chance(0.2)) yield* send(controller.users.submit(request) as never);
+        else yield* send(controller.users.poll(id) as never);
       }
     });
 
-  /** One term as leader: starts what waits, ends what runs, tidies up beside it. */
-  const lead = (t: CycleContext) =>
+  /** One term as leader: starts waiting tasks, lets running tasks exit, and runs the maintenance concurrently. */
+  const lead = (context: CycleContext) =>
     Effect.gen(function* () {
       yield* Effect.fork(
         time.watched(
-          upkeep(t).pipe(Effect.zipRight(nap(0.1, 0.4)), Effect.repeat({ while: () => t.isCurrentTerm() })),
+          upkeep(context).pipe(
+            Effect.zipRight(sleepBetween(0.1, 0.4)),
+            Effect.repeat({ while: () => context.isCurrentTerm() }),
+          ),
         ),
       );
-      while (t.isCurrentTerm()) {
+      while (context.isCurrentTerm()) {
         const starts: Start[] = [];
-        for (const j of t.jobState.jobs.values()) {
-          const ends = { done: new Set<number>(), gone: new Set<number>(), failed: new Set<number>() };
-          for (const n of j.placed.keys())
-            if (!t.registry.hasObservedExit(j.spec.id, n) && luck.chance(0.25))
-              ends[luck.chance(j.cancelled ? 0.6 : 0.3) ? 'gone' : 'done'].add(n);
-          if (ends.done.size + ends.gone.size > 0 && !t.registry.exits.has(j.spec.id))
-            t.registry.exits.set(j.spec.id, ends);
-          const free = Array.from({ length: j.spec.tasks }, (_, n) => n).filter(
-            (n) => !j.done.has(n) && !j.placed.has(n) && luck.chance(0.7),
+        for (const active of context.jobState.jobs.values()) {
+          const exits = { done: new Set<number>(), gone: new Set<number>(), failed: new Set<number>() };
+          for (const task of active.placed.keys())
+            if (!context.registry.hasObservedExit(active.spec.id, task) && random.chance(0.25))
+              exits[random.chance(active.cancelled ? 0.6 : 0.3) ? 'gone' : 'done'].add(task);
+          if (exits.done.size + exits.gone.size > 0 && !context.registry.exits.has(active.spec.id))
+            context.registry.exits.set(active.spec.id, exits);
+          const startable = Array.from({ length: active.spec.tasks }, (_, task) => task).filter(
+            (task) => !active.done.has(task) && !active.placed.has(task) && random.chance(0.7),
           );
-          if (!j.cancelled && free.length > 0)
+          if (!active.cancelled && startable.length > 0)
             starts.push({
-              job: j,
-              attempt: Math.max(t.jobState.attemptBase, j.attempt) + 1,
-              on: new Map([['m', free]]),
+              job: active,
+              attempt: Math.max(context.jobState.attemptBase, active.attempt) + 1,
+              on: new Map([['m', startable]]),
             });
         }
-        yield* commit(t, starts);
-        yield* nap(0.05, 0.5);
+        yield* commit(context, starts);
+        yield* sleepBetween(0.05, 0.5);
       }
     });
-  const reigns = Effect.gen(function* () {
+  /** Makes a random controller the leader of the next term, again and again. */
+  const changeLeaders = Effect.gen(function* () {
     for (;;) {
-      const node = any();
-      yield* Effect.ignore(node.watcher.refresh);
-      const [term, stamp] = [node.jobState.term + 1, node.jobState.termRevision];
-      const value = { term, a: node.jobState.attemptBase + 256 };
-      const o = yield* Effect.either(
-        node.store.transact([{ key: TERM, stamp }], [{ set: TERM, value }], 0 as never, 1200),
+      const controller = anyController();
+      yield* Effect.ignore(controller.watcher.refresh);
+      const [term, stamp] = [controller.jobState.term + 1, controller.jobState.termRevision];
+      const value = { term, a: controller.jobState.attemptBase + 256 };
+      const result = yield* Effect.either(
+        controller.store.transact([{ key: TERM, stamp }], [{ set: TERM, value }], 0 as never, 1200),
       );
-      if (o._tag === 'Left' || !o.right.ok) continue;
-      while ((yield* Effect.isFailure(node.watcher.refresh)) || node.jobState.term < term)
-        yield* nap(0.1, 0.2);
-      if (node.jobState.term === term)
-        yield* Effect.fork(time.watched(lead(node.leaderTerm(term, o.right.revision))));
-      yield* nap(3, 20);
+      if (result._tag === 'Left' || !result.right.ok) continue;
+      while ((yield* Effect.isFailure(controller.watcher.refresh)) || controller.jobState.term < term)
+        yield* sleepBetween(0.1, 0.2);
+      if (controller.jobState.term === term)
+        yield* Effect.fork(time.watched(lead(controller.leaderTerm(term, result.right.revision))));
+      yield* sleepBetween(3, 20);
     }
   });
   time.fork(
     Effect.zipRight(
-      Effect.forEach(nodes, (n) => n.watcher.refresh.pipe(Effect.retry({ times: 9 }))),
-      reigns,
+      Effect.forEach(controllers, (controller) =>
+        controller.watcher.refresh.pipe(Effect.retry({ times: 9 })),
+      ),
+      changeLeaders,
     ),
   );
-  for (let n = 0; n < 10; n++) {
-    const id = `job-${n}`;
-    truthOf(id).tasks = 1 + luck.int(3);
-    time.fork(user(id, truthOf(id).tasks));
+  for (let number = 0; number < 10; number++) {
+    const id = `job-${number}`;
+    expectedOf(id).tasks = 1 + random.int(3);
+    time.fork(user(id, expectedOf(id).tasks));
   }
-  for (const j of packed) time.fork(user(j.spec.id, 3));
-  // Refused to one controller, then to all for longer than a cancellation may take.
+  for (const bundled of bundledJobs) time.fork(user(bundled.spec.id, 3));
+  // The state service refuses one controller, then both for longer than a cancellation may take.
   time.after(30 * S, () => service.refused.add(0));
   time.after(36 * S, () => service.refused.add(1));
   time.after(36 * S + SETTINGS.workers.cancel + 9 * S, () => service.refused.clear());
   time.run(1e12 + 110 * S);
-  must(answered > 0, 'nobody asked in the outage');
+  check(responsesInOutage > 0, 'no user got a response in the outage');
   service.isFaulty = false;
   time.run(1e12 + 170 * S);
-  look();
-  for (const n of nodes) must(!n.lossDetector.suspected, 'a data loss is suspected');
-  for (const id of truth.keys()) {
-    must(over.has(id), `${id} is not over`);
-    if (['done', 'aborted'].includes(told.get(id)!))
-      must((told.get(id) === 'done') === (over.get(id) === 'done'), `${id}: what was told`);
+  checkView();
+  for (const controller of controllers) check(!controller.lossDetector.suspected, 'a data loss is suspected');
+  for (const id of expected.keys()) {
+    check(finalStates.has(id), `${id} has not finished`);
+    if (['done', 'aborted'].includes(receivedStatus.get(id)!))
+      check(
+        (receivedStatus.get(id) === 'done') === (finalStates.get(id) === 'done'),
+        `${id}: its user received ${receivedStatus.get(id)}, and it is stored as ${finalStates.get(id)}`,
+      );
   }
   assert.deepEqual(time.faults, []);
   return service.lateOutcomes;
 };
 
-test('what is carried out late takes nothing back, starts nothing again and is applied once', () => {
-  const late = new Map<string, [number, number]>();
+test('a transaction executed late reverts no state, starts no task again and is applied only once', () => {
+  const outcomes = new Map<string, [number, number]>();
   for (let seed = 1; seed <= 16; seed++)
-    for (const [kind, [done, refused]] of day(seed)) {
-      const n = late.get(kind) ?? [0, 0];
-      late.set(kind, [n[0] + done, n[1] + refused]);
+    for (const [kind, [applied, rejected]] of simulate(seed)) {
+      const counts = outcomes.get(kind) ?? [0, 0];
+      outcomes.set(kind, [counts[0] + applied, counts[1] + rejected]);
     }
-  // Of each kind of write some were carried out late, and some found that they no longer held.
+  // Of each kind of transaction, some were applied late, and some were rejected since their conditions no longer held.
   for (const kind of [
     '+s/j/a/',
     '+s/r/00',
@@ -267,67 +304,75 @@
     '+s/a/no,+s/j/a/,-s/r/00',
     '-s/r/00',
   ])
-    for (const n of late.get(kind) ?? [0, 0]) assert.ok(n > 0, `${kind}: ${late.get(kind)?.join()}`);
+    for (const count of outcomes.get(kind) ?? [0, 0])
+      assert.ok(count > 0, `${kind}: ${outcomes.get(kind)?.join()}`);
 });
 
-// A record hangs on the one before it. The first one has none: a copy of it, minutes late, found it folded and gone, and
-// came back as a record with a gap behind it, which a controller that reads anew takes for a loss.
-test('copies of the first record and of the first folding change nothing once others have followed', () => {
+// A log entry is conditional on the previous one, which the first one lacks. A copy of the first one arrived minutes late,
+// after it had been compacted and deleted, and created it again. A controller that read the store then took the gap after
+// it for a data loss.
+test('copies of the first log entry and of the first compaction have no effect once others have followed', () => {
   const { service, node, go, turn } = faultFreeController([
     storedJob(newJob('job-1')),
     storedJob(newJob('job-2')),
   ]);
   for (const id of ['job-1', 'job-2']) {
-    const gone = Effect.sync(() => turn.registry.exits.set(id, { done: new Set(), gone: new Set([0]), failed: new Set() })); // prettier-ignore
-    for (let n = 0; n < 6; n++) go(Effect.zipRight(gone, commit(turn, [])));
+    const exit = Effect.sync(() => turn.registry.exits.set(id, { done: new Set(), gone: new Set([0]), failed: new Set() })); // prettier-ignore
+    for (let cycle = 0; cycle < 6; cycle++) go(Effect.zipRight(exit, commit(turn, [])));
     service.transact([], [{ delete: activeJobKey(id) }]);
     go(node.watcher.refresh);
-    for (let n = 0; n < 4; n++) go(upkeep(turn));
+    for (let pass = 0; pass < 4; pass++) go(upkeep(turn));
   }
   assert.ok(service.keys.has(logEntryKey(12)) && !service.keys.has(logEntryKey(8)));
-  const folding = service.sent.find(([, then]) => then.some((w) => 'set' in w && w.set === ACCOUNTS))!;
-  for (const [when, then] of [service.sent[0]!, folding]) service.transact(when, then);
+  const compaction = service.sent.find(([, then]) =>
+    then.some((write) => 'set' in write && write.set === ACCOUNTS),
+  )!;
+  for (const [when, then] of [service.sent[0]!, compaction]) service.transact(when, then);
   assert.equal(service.view().missingRecord(), null);
   assert.ok(service.view().checkpoint.upTo >= 8);
 });
 
-// Folding waits for its part of the budget, and writes a job's key as it was: cancelled, its last task still running.
-test('a cancelled job whose last task completes while its key is folded stays cancelled', () => {
+// A compaction waits for the write budget, and then writes a job's key as it was before: cancelled, and with its last tasks
+// still running.
+test('a cancelled job whose last task completes while its key is being compacted stays cancelled', () => {
   const { service, node, go, turn } = faultFreeController([
     storedJob(newJob('job-1')),
     storedJob(newJob('job-2')),
   ]);
-  const one = [...Array(3).keys()];
-  go(commit(turn, [{ job: node.jobState.jobs.get('job-1')!, attempt: 1, on: new Map([['m', one]]) }]));
-  const ends = (id: string, done: number[], gone: number[]): void =>
+  const tasks = [...Array(3).keys()];
+  go(commit(turn, [{ job: node.jobState.jobs.get('job-1')!, attempt: 1, on: new Map([['m', tasks]]) }]));
+  const recordExits = (id: string, done: number[], gone: number[]): void =>
     void turn.registry.exits.set(id, { done: new Set(done), gone: new Set(gone), failed: new Set() });
   go(node.users.cancel('job-1'));
   assert.ok(node.jobState.jobs.get('job-1')!.cancelled);
-  ends('job-1', [0], []);
+  recordExits('job-1', [0], []);
   go(commit(turn, []));
-  // Until that record is among those to be folded.
-  for (let n = 0; n < 4; n++) {
-    ends('job-2', [], [0]);
+  // Further log entries, until the one with the exit of job-1/0 is due for compaction.
+  for (let cycle = 0; cycle < 4; cycle++) {
+    recordExits('job-2', [], [0]);
     go(commit(turn, []));
   }
   const { port } = service;
-  const slow: StatePort = {
+  const slowStore: StatePort = {
     ...port(),
-    transact: (...a) => Effect.zipRight(Effect.sleep(1000), port().transact(...a)),
+    transact: (...args) => Effect.zipRight(Effect.sleep(1000), port().transact(...args)),
   };
-  const before = service.keys.get(activeJobKey('job-1'))!.stamp;
-  ends('job-1', [1, 2], []);
-  go(Effect.all([upkeep({ ...turn, store: slow }), commit(turn, [])], { concurrency: 2 }), 3);
-  assert.ok(service.keys.get(activeJobKey('job-1'))!.stamp > before, 'it must have been folded');
-  for (const c of [node.jobState, service.view()]) {
-    const j = c.jobs.get('job-1')!;
-    assert.deepEqual([j.done.size, j.cancelled], [3, true]);
+  const revisionBefore = service.keys.get(activeJobKey('job-1'))!.stamp;
+  recordExits('job-1', [1, 2], []);
+  go(Effect.all([upkeep({ ...turn, store: slowStore }), commit(turn, [])], { concurrency: 2 }), 3);
+  assert.ok(
+    service.keys.get(activeJobKey('job-1'))!.stamp > revisionBefore,
+    'the compaction must have written the key of job-1',
+  );
+  for (const view of [node.jobState, service.view()]) {
+    const viewed = view.jobs.get('job-1')!;
+    assert.deepEqual([viewed.done.size, viewed.cancelled], [3, true]);
   }
   go(upkeep(turn));
   assert.deepEqual(decodeFinalState(service.keys.get('s/j/z/job-1')!.value).status, 'cancelled');
 });
 
-test('a key that somebody has changed is no lost key when the read that would show it fails', () => {
+test('a key that another writer has changed does not count as lost if the read that would show the change fails', () => {
   const { service, node, go, turn } = faultFreeController([storedJob(newJob('job-1'))]);
   service.transact([], [storedJob(newJob('job-1', { cancelled: true }))]);
   service.ignoresReads = true;
@@ -335,32 +380,33 @@
   assert.ok(!node.lossDetector.suspected && service.entries(LOG_ENTRIES).length === 0);
 });
 
-// After a cut of a minute the watch and a shared read are both told to read everything anew. The slower of the two set the
-// view back, and a follow that was on its way went on from where it had been before: what lay between was never seen.
-test('a view never goes back, however long its reads take', () => {
+// After a network partition of a minute, the watch and a shared read must both list the whole store. The slower of the two
+// once reverted the view, while a watch request under way continued from the newer revision: the changes in between were
+// never applied.
+test('a view never goes back to an earlier revision, however long its reads take', () => {
   for (let seed = 1; seed <= 20; seed++) {
     const time = new VirtualTime(seed);
     const service = new Service(time, new Luck(seed));
     service.transact([], HEAD);
     const { jobState, watcher, lossDetector } = newController(time, service);
-    let n = 0;
-    let last = -1;
+    let writes = 0;
+    let lastRevision = -1;
     const write = (): void => {
-      service.transact([], [storedJob(newJob(`job-${++n}`))]);
-      if (n % 40 === 0) service.oldest = service.revision;
-      if (n === 210) {
-        // Another incarnation, and this node leaves its view: what it was reading is of the old one.
+      service.transact([], [storedJob(newJob(`job-${++writes}`))]);
+      if (writes % 40 === 0) service.oldest = service.revision;
+      if (writes === 210) {
+        // Another incarnation begins and the controller resets its view, while a read of the old incarnation is under way.
         service.keys.clear();
         service.transact([], [{ set: `${INCARNATION}y`, value: { g: 1, t: 0, s: 0 } }, ...HEAD.slice(1)]);
         jobState.clear();
         watcher.loaded = false;
         lossDetector.leaveIncarnation();
-        last = -1;
+        lastRevision = -1;
       }
-      if (jobState.revision < last)
-        time.faults.push(`seed ${seed}: revision ${jobState.revision} after ${last}`);
-      last = jobState.revision;
-      if (n < 400) time.after(0.05 * S, write);
+      if (jobState.revision < lastRevision)
+        time.faults.push(`seed ${seed}: revision ${jobState.revision} after ${lastRevision}`);
+      lastRevision = jobState.revision;
+      if (writes < 400) time.after(0.05 * S, write);
     };
     write();
     time.fork(watcher.run);
@@ -371,8 +417,9 @@
   }
 });
 
-// A job that nobody heard of remembered may be submitted again before its holder is heard.
-test('an acceptance that arrives after a rebuild has found the job changes nothing of it', () => {
+// During a rebuild, a job that no controller has reported so far may be submitted again before the only controller that
+// remembers it responds.
+test('an acceptance that is executed after a rebuild has found the job does not change the job', () => {
   const state = { attempt: 4, done: new Set([0]), lastSequence: 7 };
   const known = newJob('job-1', state);
   const { service, node, go, turn } = faultFreeController([
@@ -380,73 +427,80 @@
   ]);
   service.transact([], [storedJob(newJob('job-1'))]);
   go(node.watcher.refresh);
-  // The other one is over, and the pack is written anew.
+  // The maintenance stores the final state of job-2, and writes the bundle without it.
   go(upkeep(turn));
   go(upkeep(turn));
   assert.equal(service.keys.has('s/j/z/job-2'), true);
-  // Nor does a cancellation of the packed one that comes after its end.
+  // A late cancellation of job-2, which had no key of its own, is rejected since its final state exists.
   assert.ok(!service.transact(jobUnchanged('job-2', 0), [storedJob(newJob('job-2'))]).ok);
-  for (const c of [node.jobState, service.view()]) {
-    const j = c.jobs.get('job-1')!;
+  for (const view of [node.jobState, service.view()]) {
+    const viewed = view.jobs.get('job-1')!;
     assert.deepEqual(
-      [[...j.done], j.attempt, j.revision],
+      [[...viewed.done], viewed.attempt, viewed.revision],
       [[0], 4, service.keys.get(activeJobKey('job-1'))!.stamp],
     );
   }
 });
 
-test('a rebuild that is complete is not recorded as complete again, with the accounts of then', () => {
-  const { service, go, r } = rebuilding();
+test('the transaction that ends a rebuild is not executed again later, when it would write outdated accounts', () => {
+  const { service, go, rebuildContext } = rebuilding();
   const { port } = service;
-  // The first one that ends it is carried out and not answered.
-  let lost = 0;
+  // The first transaction that ends the rebuild is executed, but its response is lost.
+  let lostResponses = 0;
   const store: StatePort = {
     ...port(),
     transact: (when, then, ...rest) =>
-      Effect.flatMap(port().transact(when, then, ...rest), (o) =>
-        then.some((w) => 'delete' in w && w.delete === REBUILD) && lost++ === 0
+      Effect.flatMap(port().transact(when, then, ...rest), (outcome) =>
+        then.some((write) => 'delete' in write && write.delete === REBUILD) && lostResponses++ === 0
           ? Effect.fail(new NoAnswer({ reason: 'timeout' }))
-          : Effect.succeed(o),
+          : Effect.succeed(outcome),
       ),
   };
-  go(rebuild({ ...r, store }, new GatheredViews()), 20);
-  assert.ok(lost > 0 && !service.keys.has(REBUILD));
+  go(rebuild({ ...rebuildContext, store }, new GatheredViews()), 20);
+  assert.ok(lostResponses > 0 && !service.keys.has(REBUILD));
   service.transact([], [{ set: 's/a/now', value: 'newer' }]);
   service.replayAll();
   assert.equal(service.keys.get('s/a/now')!.value, 'newer');
 });
 
-test('an orphaned job that users may be cancelling is restored to a key of its own', () => {
-  const { service, go, r } = rebuilding([{ set: orphanedJobKey('job-1'), value: { since: 0, tasks: 3 } }]);
-  const g = new GatheredViews();
+// A cancellation that was requested while the job was orphaned is conditional on the job's own key.
+test('a job found while it was orphaned is restored to a key of its own, not to a bundle', () => {
+  const { service, go, rebuildContext } = rebuilding([
+    { set: orphanedJobKey('job-1'), value: { since: 0, tasks: 3 } },
+  ]);
+  const gathered = new GatheredViews();
   const job = newJob('job-1', { attempt: 4, done: new Set([0]), lastSequence: 7 });
-  g.add('n1', {
+  gathered.add('n1', {
     headers: [],
     finals: [],
     calendar: null,
     next: null,
     versions: [{ generation: 0, revision: 9, job }],
   });
-  go(writeBack(r, g, false));
+  go(writeBack(rebuildContext, gathered, false));
   assert.ok(service.keys.has(activeJobKey('job-1')) && !service.keys.has(orphanedJobKey('job-1')));
 });
 
-test('who waited in a period stands in one page, also if nothing was heard of its writing', () => {
-  const at = (n: number): Micros => micros(n * MINUTE);
-  const pending = [1, 2].map((n) => ({ from: at(n - 1), to: at(n), rows: new Map() }));
-  const [value] = encodeAccounts({ ...NO_ACCOUNTS, upTo: 5, closed: at(2), pending }, 9000);
+test('the shares of a period are in one page of the accounts, even if the response to its writing is lost', () => {
+  const minute = (number: number): Micros => micros(number * MINUTE);
+  const pending = [1, 2].map((number) => ({
+    from: minute(number - 1),
+    to: minute(number),
+    rows: new Map(),
+  }));
+  const [value] = encodeAccounts({ ...NO_ACCOUNTS, upTo: 5, closed: minute(2), pending }, 9000);
   const { service, node, go, turn } = faultFreeController([{ set: 's/a/now', value }]);
   const shares = joinShares([['red', 'x', 7, 1, 0, 1]]);
-  for (const p of pending) turn.ledger.closing.set(p.to, { open: new Map(), shares });
-  const unheard = Effect.fail(new NoAnswer({ reason: 'timeout' }));
-  const deaf = { ...service.port(), transact: (...a: Parameters<StatePort['transact']>) => Effect.zipRight(service.port().transact(...a), unheard) } as StatePort; // prettier-ignore
-  go(writePage({ ...turn, store: deaf }).pipe(Effect.ignore, Effect.zipRight(node.watcher.refresh)));
+  for (const period of pending) turn.ledger.closing.set(period.to, { open: new Map(), shares });
+  const noResponse = Effect.fail(new NoAnswer({ reason: 'timeout' }));
+  const losingStore = { ...service.port(), transact: (...args: Parameters<StatePort['transact']>) => Effect.zipRight(service.port().transact(...args), noResponse) } as StatePort; // prettier-ignore
+  go(writePage({ ...turn, store: losingStore }).pipe(Effect.ignore, Effect.zipRight(node.watcher.refresh)));
   go(writePage(turn));
   const pages = pagesOf(service.entries('s/a/p/'));
-  assert.deepEqual(pages.map((p) => [p.page.to, ...p.page.shares.values()].slice(0, 2)), pending.map((p) => [p.to, ...shares.values()])); // prettier-ignore
+  assert.deepEqual(pages.map((stored) => [stored.page.to, ...stored.page.shares.values()].slice(0, 2)), pending.map((period) => [period.to, ...shares.values()])); // prettier-ignore
 });
 
-test('a restore that is complete does not begin again', () => {
+test('late copies of the transactions of a completed restore have no effect', () => {
   const time = new VirtualTime(1);
   const service = new Service(time, new Luck(1));
   service.isFaulty = false;
@@ -458,6 +512,6 @@
   time.run(time.now + 10 * S);
   assert.equal(service.entries(INCARNATION).length, 1);
   service.transact([], [{ set: 's/a/now', value: 2 }]);
-  const before = JSON.stringify(service.entries('s/').map((e) => [e.key, e.value]));
-  assert.equal(service.replayAll(), before);
+  const contentBefore = JSON.stringify(service.entries('s/').map((entry) => [entry.key, entry.value]));
+  assert.equal(service.replayAll(), contentBefore);
 });
--- a/packages/controller/test/support/late-store.ts
+++ b/packages/controller/test/support/late-store.ts
@@ -1,4 +1,4 @@
-/** A state service on virtual time that loses answers or is late, and a controller's parts before it. */
+/** Test support: a simulated state service whose responses are lost or late, controllers that use it, and virtual time. */
 import assert from 'node:assert/strict';
 import { type Micros, micros } from '@lilacvalve/runtime/micros';
 import { NoAnswer } from '@lilacvalve/runtime/http-client';
@@ -25,41 +25,47 @@
 import { Luck } from './random-source.js';
 import { TYPES, worldSettings } from './settings.js';
 
+/** One second in microseconds. */
 export const S = 1e6;
 export const silent = Logger.remove(Logger.defaultLogger);
 
-/** Virtual time, and one event after another. */
+/** Virtual time: runs fibers and timers in the order of their due times, one at a time. */
 export class VirtualTime {
+  /** The current time in microseconds. */
   now = 1e12;
   private order = 0;
-  private due: { at: number; order: number; go: () => void }[] = [];
+  private due: { at: number; order: number; callback: () => void }[] = [];
   private readonly scheduler = new Scheduler.ControlledScheduler();
-  /** Rules that did not hold, and fibers that ended by a defect. */
+  /** Violated rules, and the causes of fibers that failed. */
   readonly faults: string[] = [];
   constructor(private readonly seed: number) {}
   readonly clock = (): Micros => micros(this.now);
-  after(delay: number, go: () => void): () => void {
-    const e = { at: this.now + delay, order: this.order++, go };
-    this.due.push(e);
-    return () => (this.due = this.due.filter((x) => x !== e));
+  /** Calls `callback` after `delay` microseconds. Returns a function that cancels the call. */
+  after(delay: number, callback: () => void): () => void {
+    const event = { at: this.now + delay, order: this.order++, callback };
+    this.due.push(event);
+    return () => (this.due = this.due.filter((other) => other !== event));
   }
+  /** Runs all events up to the time `until`. */
   run(until: number): void {
     for (;;) {
       while (this.scheduler.tasks.buckets.length > 0) this.scheduler.step();
       let next: (typeof this.due)[number] | undefined;
-      for (const e of this.due)
-        if (!next || e.at < next.at || (e.at === next.at && e.order < next.order)) next = e;
+      for (const event of this.due)
+        if (!next || event.at < next.at || (event.at === next.at && event.order < next.order)) next = event;
       if (!next || next.at > until) return;
-      this.due = this.due.filter((x) => x !== next);
+      this.due = this.due.filter((event) => event !== next);
       this.now = next.at;
-      next.go();
+      next.callback();
     }
   }
-  readonly watched = (what: Effect.Effect<unknown, unknown>): Effect.Effect<void> =>
-    Effect.catchAllCause(Effect.asVoid(what), (c) =>
-      Effect.sync(() => void (Cause.isInterruptedOnly(c) || this.faults.push(Cause.pretty(c)))),
+  /** Adds the cause to `faults` if the effect fails. */
+  readonly watched = (effect: Effect.Effect<unknown, unknown>): Effect.Effect<void> =>
+    Effect.catchAllCause(Effect.asVoid(effect), (cause) =>
+      Effect.sync(() => void (Cause.isInterruptedOnly(cause) || this.faults.push(Cause.pretty(cause)))),
     );
-  fork(what: Effect.Effect<unknown, unknown>): void {
+  /** Runs an effect in a fiber on virtual time, with a random source that depends on the seed. */
+  fork(effect: Effect.Effect<unknown, unknown>): void {
     const millis = (): number => this.now / 1000;
     const clock: Clock.Clock = {
       [Clock.ClockTypeId]: Clock.ClockTypeId,
@@ -67,14 +73,14 @@
       unsafeCurrentTimeNanos: () => BigInt(Math.round(this.now)) * 1000n,
       currentTimeMillis: Effect.sync(millis),
       currentTimeNanos: Effect.sync(() => BigInt(Math.round(this.now)) * 1000n),
-      sleep: (d) =>
+      sleep: (duration) =>
         Effect.async<void>((resume) => {
-          const cancel = this.after(Duration.toMillis(d) * 1000, () => resume(Effect.void));
+          const cancel = this.after(Duration.toMillis(duration) * 1000, () => resume(Effect.void));
           return Effect.sync(cancel);
         }),
     };
     Effect.runFork(
-      this.watched(what).pipe(
+      this.watched(effect).pipe(
         Effect.withRandom(Random.make(`${this.seed}/${this.order}`)),
         Effect.withClock(clock),
         Effect.provide(silent),
@@ -84,68 +90,96 @@
   }
 }
 
-/** The state service as far as transactions go: of a share of them nothing is heard, and they are carried out late. */
+/**
+ * A simulated state service. While `isFaulty` is set, some requests get no response, and transactions among them are
+ * executed late.
+ */
 export class Service {
   revision = 0;
   readonly keys = new Map<string, { value: unknown; stamp: number }>();
   private readonly log: { key: string; value: unknown; stamp: number }[] = [];
-  /** Of the late ones, by kind: how many found their conditions true, and how many did not. */
+  /** Numbers of late transactions by kind: those whose conditions held, and those whose conditions did not. */
   readonly lateOutcomes = new Map<string, [number, number]>();
   isFaulty = true;
-  /** Reads get no answer; reads of changes before this revision are refused. */
+  /** Whether reads get no response. */
   ignoresReads = false;
+  /** The earliest revision after which changes can be read. */
   oldest = 0;
-  /** Controllers that get 503. */
+  /** Indexes of the controllers whose requests are refused with status 503. */
   readonly refused = new Set<number>();
-  /** Whether this change is carried out at once and nothing is heard of it. */
+  /** Whether a transaction with these writes is executed at once while its response is lost. */
   losesAnswerTo: (then: readonly Write[]) => boolean = () => false;
-  /** All that was ever sent. */
+  /** Conditions and writes of all transactions that were ever sent. */
   readonly sent: [Condition[], Write[]][] = [];
-  /** Carries out whatever was sent once more, the latest last; what the store has then. */
+  /** Executes all transactions that were ever sent once more, in their order. Returns the resulting content as JSON. */
   replayAll(): string {
     for (const [when, then] of this.sent) this.transact(when, then);
-    return JSON.stringify(this.entries('s/').map((e) => [e.key, e.value]));
+    return JSON.stringify(this.entries('s/').map((entry) => [entry.key, entry.value]));
   }
-  onCommit: (key: string, value: unknown, by: number) => void = () => undefined;
+  /** Called with each key that a transaction has written, its value (undefined: deleted), and the sender's term. */
+  onCommit: (key: string, value: unknown, term: number) => void = () => undefined;
 
   constructor(
     private readonly time: VirtualTime,
-    private readonly luck: Luck,
+    private readonly random: Luck,
   ) {}
 
-  /** `by`: the term that the sender acts for. */
-  transact(when: readonly Condition[], then: readonly Write[], by = Infinity) {
-    const failed = when.filter((c) => (this.keys.get(c.key)?.stamp ?? 0) !== c.stamp).map((c) => c.key);
+  /** Executes a transaction at once. `term`: the term that its sender acts for; `Infinity`: none. */
+  transact(when: readonly Condition[], then: readonly Write[], term = Infinity) {
+    const failed = when
+      .filter((condition) => (this.keys.get(condition.key)?.stamp ?? 0) !== condition.stamp)
+      .map((condition) => condition.key);
     if (failed.length > 0) return { ok: false as const, failed, revision: this.revision };
     this.revision++;
-    for (const w of then) {
-      const key = 'set' in w ? w.set : w.delete;
-      const value: unknown = 'set' in w ? w.value : undefined;
+    for (const write of then) {
+      const key = 'set' in write ? write.set : write.delete;
+      const value: unknown = 'set' in write ? write.value : undefined;
       if (value === undefined && !this.keys.delete(key)) continue;
       if (value !== undefined) this.keys.set(key, { value, stamp: this.revision });
       this.log.push({ key, value, stamp: this.revision });
     }
-    for (const w of then) this.onCommit('set' in w ? w.set : w.delete, 'set' in w ? w.value : undefined, by);
+    for (const write of then)
+      this.onCommit(
+        'set' in write ? write.set : write.delete,
+        'set' in write ? write.value : undefined,
+        term,
+      );
     return { ok: true as const, revision: this.revision };
   }
 
-  private readonly ask = <A>(who: number, go: () => A, share = 0, late: (() => void) | null = null) =>
+  /**
+   * Responds to a request of a controller with the result of `execute`, after a random delay. `faultProbability`: how often
+   * the request fails instead, by a refusal or without a response; after the latter `executeLate` is called later.
+   */
+  private readonly respond = <A>(
+    controller: number,
+    execute: () => A,
+    faultProbability = 0,
+    executeLate: (() => void) | null = null,
+  ) =>
     Effect.async<A, StateFailure>((resume) => {
-      const { luck, time } = this;
-      const lost = new NoAnswer({ reason: 'timeout' });
-      if (this.refused.has(who))
+      const { random, time } = this;
+      const noResponse = new NoAnswer({ reason: 'timeout' });
+      if (this.refused.has(controller))
         time.after(2e3, () => resume(Effect.fail(new Refused({ status: 503, reason: 'trouble' }))));
-      else if (share < 0.2 && this.ignoresReads) resume(Effect.fail(lost));
-      else if (!this.isFaulty || !luck.chance(share))
-        time.after(luck.between(1e3, luck.chance(0.1) ? 0.9 * S : 8e3), () => resume(Effect.sync(go)));
-      else if (luck.chance(0.15)) resume(Effect.fail(new Refused({ status: 503, reason: 'trouble' })));
+      else if (faultProbability < 0.2 && this.ignoresReads) resume(Effect.fail(noResponse));
+      else if (!this.isFaulty || !random.chance(faultProbability))
+        time.after(random.between(1e3, random.chance(0.1) ? 0.9 * S : 8e3), () =>
+          resume(Effect.sync(execute)),
+        );
+      else if (random.chance(0.15)) resume(Effect.fail(new Refused({ status: 503, reason: 'trouble' })));
       else {
-        time.after(1.2 * S, () => resume(Effect.fail(lost)));
-        if (late) time.after(luck.chance(0.3) ? luck.between(1e3, S) : luck.between(2 * S, 12 * S), late);
+        time.after(1.2 * S, () => resume(Effect.fail(noResponse)));
+        if (executeLate)
+          time.after(
+            random.chance(0.3) ? random.between(1e3, S) : random.between(2 * S, 12 * S),
+            executeLate,
+          );
       }
     });
 
-  readonly port = (who = 0, by = Infinity): StatePort => ({
+  /** The client of one controller. `term`: the term that the controller acts for as leader; `Infinity`: none. */
+  readonly port = (controller = 0, term = Infinity): StatePort => ({
     lastServed: 0,
     lastRefused: 0,
     leading: () => undefined,
@@ -153,81 +187,94 @@
     grant: () => Effect.succeed(1),
     extend: () => Effect.succeed(true),
     release: () => Effect.void,
-    transact: (when, then, _priority, limitMs) => {
-      // As bytes: what the sender goes on to change does not change the request.
-      const [w, t] = JSON.parse(JSON.stringify([when, then])) as [Condition[], Write[]];
-      this.sent.push([w, t]);
-      if (this.losesAnswerTo(t)) {
-        this.transact(w, t, by);
-        const lost = Effect.fail(new NoAnswer({ reason: 'timeout' }));
-        return Effect.zipRight(Effect.sleep(limitMs), lost);
+    transact: (originalWhen, originalThen, _priority, timeoutMs) => {
+      // Copied like a sent request: changes that the sender makes to its objects later have no effect on the request.
+      const [when, then] = JSON.parse(JSON.stringify([originalWhen, originalThen])) as [Condition[], Write[]];
+      this.sent.push([when, then]);
+      if (this.losesAnswerTo(then)) {
+        this.transact(when, then, term);
+        const noResponse = Effect.fail(new NoAnswer({ reason: 'timeout' }));
+        return Effect.zipRight(Effect.sleep(timeoutMs), noResponse);
       }
-      const key = (x: Write): string => ('set' in x ? x.set : x.delete);
-      const kind = [...new Set(t.map((x) => `${'set' in x ? '+' : '-'}${key(x).slice(0, 6)}`))].sort().join();
-      // Its sender may have sent it before, and that copy is still on its way.
-      const before = this.isFaulty && key(t[0]!) !== TERM && this.luck.chance(0.1);
-      return this.ask(
-        who,
+      const keyOf = (write: Write): string => ('set' in write ? write.set : write.delete);
+      const kind = [
+        ...new Set(then.map((write) => `${'set' in write ? '+' : '-'}${keyOf(write).slice(0, 6)}`)),
+      ]
+        .sort()
+        .join();
+      // Whether a copy that the sender has sent earlier is still on its way and is executed later.
+      const hasLateCopy = this.isFaulty && keyOf(then[0]!) !== TERM && this.random.chance(0.1);
+      return this.respond(
+        controller,
         () => {
-          if (before) this.time.after(this.luck.between(2 * S, 12 * S), () => void this.transact(w, t, by));
-          return this.transact(w, t, by);
+          if (hasLateCopy)
+            this.time.after(this.random.between(2 * S, 12 * S), () => void this.transact(when, then, term));
+          return this.transact(when, then, term);
         },
         0.3,
         () => {
-          const o = this.transact(w, t, by);
-          const n = this.lateOutcomes.get(kind) ?? [0, 0];
-          n[o.ok ? 0 : 1]++;
-          this.lateOutcomes.set(kind, n);
+          const outcome = this.transact(when, then, term);
+          const counts = this.lateOutcomes.get(kind) ?? [0, 0];
+          counts[outcome.ok ? 0 : 1]++;
+          this.lateOutcomes.set(kind, counts);
         },
       );
     },
     get: (key) =>
-      this.ask(
-        who,
+      this.respond(
+        controller,
         () => {
-          const e = this.keys.get(key);
-          return e === undefined
+          const stored = this.keys.get(key);
+          return stored === undefined
             ? { entry: null, revision: this.revision }
-            : { entry: { key, ...e }, revision: null };
+            : { entry: { key, ...stored }, revision: null };
         },
         0.03,
       ),
     page: (prefix) =>
-      this.ask(who, () => ({ entries: this.entries(prefix), more: false, revision: this.revision })),
+      this.respond(controller, () => ({
+        entries: this.entries(prefix),
+        more: false,
+        revision: this.revision,
+      })),
     follow: (prefix, after) =>
-      this.ask(
-        who,
+      this.respond(
+        controller,
         () =>
           after < this.oldest
             ? { tooOld: true as const }
             : {
                 tooOld: false as const,
                 revision: this.revision,
-                changes: this.log.filter((c) => c.stamp > after && c.key.startsWith(prefix)),
+                changes: this.log.filter((change) => change.stamp > after && change.key.startsWith(prefix)),
               },
         0.1,
       ),
   });
 
+  /** The entries below a prefix in key order. */
   entries(prefix: string) {
-    const keys = [...this.keys.keys()].filter((k) => k.startsWith(prefix)).sort();
+    const keys = [...this.keys.keys()].filter((key) => key.startsWith(prefix)).sort();
     return keys.map((key) => ({ key, ...this.keys.get(key)! }));
   }
-  /** What a node that begins now would see. */
+  /** The view that a controller which starts now would read. */
   view(): JobState {
-    const c = new JobState();
-    c.load(this.entries('s/'), this.revision);
-    return c;
+    const jobState = new JobState();
+    jobState.load(this.entries('s/'), this.revision);
+    return jobState;
   }
 }
 
+/** The writes that begin the store's first incarnation. */
 export const HEAD: Write[] = [
   { set: `${INCARNATION}x`, value: { g: 0, t: 0, s: 0 } },
   { set: RECOVERED, value: 'x' },
   { set: TERM, value: { term: 1, a: 0 } },
 ];
-export const wire = (v: unknown): unknown => JSON.parse(JSON.stringify(v));
+/** A value as it is after being sent or stored as JSON. */
+export const wire = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
 export const SETTINGS = worldSettings('n0', { state: { rps: 1e6, writeRps: 1e6, valueBytes: 16384, txnOps: 8, tail: 3 } }); // prettier-ignore
+/** The body of a request that submits a job. */
 export const body = (id: string, tasks: number): Buffer =>
   Buffer.from(
     JSON.stringify({
@@ -237,16 +284,16 @@
     }),
   );
 
-/** One controller: its view, and what users reach of it. */
+/** One controller: its view of the store, its handlers of users' requests, and the contexts of its terms as leader. */
 export const newController = (
   time: VirtualTime,
   service: Service,
-  who = 0,
+  index = 0,
   replicate: (evidence: JobEvidence) => Effect.Effect<void> = () => Effect.void,
 ) => {
   const jobState = new JobState();
   const lossDetector = new DataLossDetector(time.clock, () => null);
-  const store = new GuardedStore(service.port(who), lossDetector, time.clock);
+  const store = new GuardedStore(service.port(index), lossDetector, time.clock);
   const watcher = new StoreWatcher(jobState, store, time.clock, () => false, lossDetector, 0 as Micros);
   const users = userHandlers({
     ...{ settings: SETTINGS, store, watcher, jobState, lossDetector, clock: time.clock, dayTime: time.clock },
@@ -258,7 +305,7 @@
     const isCurrentTerm = (): boolean => jobState.term <= term;
     return {
       ...{ settings: SETTINGS, watcher, jobState, lossDetector, clock: time.clock, dayTime: time.clock },
-      store: new GuardedStore(service.port(who, term), lossDetector, time.clock),
+      store: new GuardedStore(service.port(index, term), lossDetector, time.clock),
       registry: new WorkerRegistry(SETTINGS, jobState, term, time.clock()),
       ledger: new Ledger(),
       leaderTerm: { number: term, stamp, began: time.clock() },
@@ -277,45 +324,49 @@
   return { jobState, lossDetector, store, watcher, users, leaderTerm };
 };
 
-/** One controller that leads, and a store in which nothing goes wrong but what the test does. */
+/** One controller that leads in term 1, and a state service without faults. `writes`: the store's further content. */
 export const faultFreeController = (
-  more: readonly Write[] = [],
+  writes: readonly Write[] = [],
   replicate?: (evidence: JobEvidence) => Effect.Effect<void>,
 ) => {
   const time = new VirtualTime(1);
   const service = new Service(time, new Luck(1));
   service.isFaulty = false;
-  service.transact([], wire([...HEAD, ...more]) as Write[]);
+  service.transact([], wire([...HEAD, ...writes]) as Write[]);
   const node = newController(time, service, 0, replicate);
-  const go = (what: Effect.Effect<unknown, unknown>, forS = 10): void => {
-    time.fork(what);
-    time.run(time.now + forS * S);
+  /** Runs an effect for some seconds of virtual time, and fails if any rule is violated or any fiber fails. */
+  const go = (effect: Effect.Effect<unknown, unknown>, durationS = 10): void => {
+    time.fork(effect);
+    time.run(time.now + durationS * S);
     assert.deepEqual(time.faults, []);
   };
   go(node.watcher.refresh);
   return { time, service, node, go, turn: node.leaderTerm(1, 1) };
 };
-export const newJob = (id: string, over: Partial<Job> = {}): Job => ({
+/** A job of three tasks without a key of its own; `overrides` replaces fields. */
+export const newJob = (id: string, overrides: Partial<Job> = {}): Job => ({
   ...job(id, { tasks: 3 }),
   revision: 0,
-  ...over,
+  ...overrides,
 });
-export const storedJob = (j: Job): Write => ({
-  set: activeJobKey(j.spec.id),
-  value: encodeJob(j, j.lastSequence),
+/** The write of a job's own key. */
+export const storedJob = (stored: Job): Write => ({
+  set: activeJobKey(stored.spec.id),
+  value: encodeJob(stored, stored.lastSequence),
 });
 
-export const rebuilding = (more: readonly Write[] = []) => {
-  const c = faultFreeController([{ set: REBUILD, value: { phase: 'gather', heard: [] } }, ...more]);
-  const { node, turn, time } = c;
-  const nothing = {
+/** Like `faultFreeController`, with a rebuild under way; also returns the context of the rebuild. */
+export const rebuilding = (writes: readonly Write[] = []) => {
+  const setup = faultFreeController([{ set: REBUILD, value: { phase: 'gather', heard: [] } }, ...writes]);
+  const { node, turn, time } = setup;
+  const noViews = {
     all: [],
     versions: () => [],
     finals: () => [],
     drop: () => undefined,
     clear: () => undefined,
   };
-  const r: RebuildContext = {
+  const rebuildContext: RebuildContext = {
     ...{
       store: turn.store,
       watcher: node.watcher,
@@ -330,10 +381,10 @@
       mayAct: () => true,
     },
     ...{
-      preLossViews: nothing as never,
-      evidenceStore: nothing as never,
+      preLossViews: noViews as never,
+      evidenceStore: noViews as never,
       viewPort: { ask: () => Effect.never } as never,
     },
   };
-  return { ...c, r };
+  return { ...setup, rebuildContext };
 };
