--- a/packages/controller/src/accounts/fold.ts
+++ b/packages/controller/src/accounts/aggregate.ts
@@ -8,21 +8,21 @@
   type Group,
   groupKey,
   groupOf,
-  MONEY,
+  COST_INDEX,
   MERGED,
   MAX_PENDING_PERIODS,
   type Period,
   type CapacityBound,
-  type Rows,
+  type AmountsByGroup,
   type Usage,
   type UsageRow,
-  SPLITS,
+  USAGE_CATEGORIES,
   UNITS,
   AMOUNTS_LENGTH,
 } from './model.js';
 
-export const NONE: Amounts = Array.from({ length: AMOUNTS_LENGTH }, () => 0n);
-const UNSURE = SPLITS.indexOf('unsure');
+export const ZERO_AMOUNTS: Amounts = Array.from({ length: AMOUNTS_LENGTH }, () => 0n);
+const UNSURE = USAGE_CATEGORIES.indexOf('unsure');
 
 export const addAmounts = (a: Amounts, b: Amounts): Amounts => a.map((value, i) => value + b[i]!);
 export const subtractAmounts = (a: Amounts, b: Amounts): Amounts => a.map((value, i) => value - b[i]!);
@@ -30,16 +30,16 @@
 
 /** Returns the amounts of a row. Microseconds times units exceed 2^53 within days, so the products are big integers. */
 export const amountsOf = (row: UsageRow): Amounts => {
-  const out = [...NONE];
+  const out = [...ZERO_AMOUNTS];
   const perTask = [1n, ...row.shape.map(BigInt)];
   let placedUs = 0n;
-  SPLITS.forEach((_, category) => {
+  USAGE_CATEGORIES.forEach((_, category) => {
     const us = BigInt(row.us[category] ?? 0);
     if (us === 0n) return;
     if (category !== UNSURE) placedUs += us;
     UNITS.forEach((__, unit) => (out[category * UNITS.length + unit] = us * perTask[unit]!));
   });
-  out[MONEY] = placedUs * BigInt(row.rate);
+  out[COST_INDEX] = placedUs * BigInt(row.rate);
   return out;
 };
 
@@ -49,16 +49,16 @@
 };
 
 /** Returns the sums of several sets of rows, by group. */
-export const joinRows = (...all: readonly Rows[]): Rows => {
+export const joinRows = (...all: readonly AmountsByGroup[]): AmountsByGroup => {
   const [first, ...rest] = all;
   const out = new Map(first);
   for (const rows of rest) for (const [key, amounts] of rows) addTo(out, key, amounts);
   return out;
 };
 /** Returns `a` minus `b`, without the groups whose amounts are all zero. */
-export const subtractRows = (a: Rows, b: Rows): Rows => {
+export const subtractRows = (a: AmountsByGroup, b: AmountsByGroup): AmountsByGroup => {
   const out = new Map(a);
-  for (const [key, amounts] of b) out.set(key, subtractAmounts(out.get(key) ?? NONE, amounts));
+  for (const [key, amounts] of b) out.set(key, subtractAmounts(out.get(key) ?? ZERO_AMOUNTS, amounts));
   for (const [key, amounts] of out) if (isZero(amounts)) out.delete(key);
   return out;
 };
@@ -67,7 +67,7 @@
  * Reduces rows to at most `maxGroups` groups: merges the smallest classes of a team on one kind of machine, then the kinds
  * of a team. Teams are never merged, so one group per team may remain above the limit. The sum of all rows is unchanged.
  */
-export const mergeSmallGroups = (rows: Rows, maxGroups: number): Rows => {
+export const mergeSmallGroups = (rows: AmountsByGroup, maxGroups: number): AmountsByGroup => {
   if (rows.size <= maxGroups) return rows;
   const size = (amounts: Amounts): bigint => amounts.reduce((sum, value) => sum + value, 0n);
   const order = [...rows].sort(([keyA, a], [keyB, b]) => {
@@ -90,8 +90,8 @@
 };
 
 /** Returns the sum over all groups. */
-export const total = (rows: Rows): Amounts => {
-  let out = NONE;
+export const totalAmounts = (rows: AmountsByGroup): Amounts => {
+  let out = ZERO_AMOUNTS;
   for (const amounts of rows.values()) out = addAmounts(out, amounts);
   return out;
 };
@@ -144,7 +144,7 @@
  * Returns the accounts with one more log entry applied. `at`: time of day of the entry; 0: it has none. A log entry that the
  * accounts already include changes nothing.
  */
-export const foldLogEntry = (accounts: Accounts, seq: number, at: Micros, usage: Usage): Accounts => {
+export const applyToAccounts = (accounts: Accounts, seq: number, at: Micros, usage: Usage): Accounts => {
   if (seq <= accounts.upTo) return accounts;
   let { gaps, pending, current, closed } = accounts;
   const now = at === 0 ? accounts.at : at;
--- a/packages/controller/src/accounts/codec.ts
+++ b/packages/controller/src/accounts/codec.ts
@@ -1,6 +1,6 @@
 /** Stored forms of the accounts: their fields of a log entry's header, the checkpoint, and the rows of pages. Amounts are hexadecimal text. */
 import type { Micros } from '@lilacvalve/runtime/micros';
-import { mergeSmallGroups } from './fold.js';
+import { mergeSmallGroups } from './aggregate.js';
 import {
   type Accounts,
   type Amounts,
@@ -8,14 +8,14 @@
   type Group,
   groupKey,
   groupOf,
-  MONEY,
+  COST_INDEX,
   NO_USAGE,
   type Period,
   type CapacityBound,
-  type Rows,
+  type AmountsByGroup,
   type Usage,
   type UsageRow,
-  SPLITS,
+  USAGE_CATEGORIES,
   UNITS,
   AMOUNTS_LENGTH,
 } from './model.js';
@@ -80,11 +80,11 @@
 /** Encodes amounts as in `u3e8.7d0.0.1f4,f...,$2a`. Categories and costs that are zero are left out. */
 export const encodeAmounts = (amounts: Amounts): string => {
   const out: string[] = [];
-  SPLITS.forEach((_, category) => {
+  USAGE_CATEGORIES.forEach((_, category) => {
     const values = amounts.slice(category * UNITS.length, (category + 1) * UNITS.length);
     if (values.some((value) => value !== 0n)) out.push(LETTERS[category]! + values.map(toHex).join('.'));
   });
-  if (amounts[MONEY] !== 0n) out.push(`$${toHex(amounts[MONEY]!)}`);
+  if (amounts[COST_INDEX] !== 0n) out.push(`$${toHex(amounts[COST_INDEX]!)}`);
   return out.join();
 };
 export const decodeAmounts = (text: string): Amounts => {
@@ -92,7 +92,7 @@
   for (const item of text === '' ? [] : text.split(',')) {
     const rest = item.slice(1);
     if (item.startsWith('$')) {
-      out[MONEY] = fromHex(rest);
+      out[COST_INDEX] = fromHex(rest);
       continue;
     }
     const category = LETTERS.indexOf(item[0]!);
@@ -107,7 +107,7 @@
 };
 
 export type StoredRow = readonly [team: string, jobClass: string, kind: string, amounts: string];
-export const encodeRows = (rows: Rows): StoredRow[] =>
+export const encodeRows = (rows: AmountsByGroup): StoredRow[] =>
   [...rows]
     .sort(([keyA], [keyB]) => (keyA < keyB ? -1 : 1))
     .map(([key, amounts]) => [...groupOf(key), encodeAmounts(amounts)] as const);
@@ -120,7 +120,7 @@
  * Splits `items` into chunks of at most `bytes` of JSON; an item that is larger has a chunk of its own. `first`: bytes that
  * are already used in the first chunk. Returns at least one chunk, which may be empty.
  */
-export const chunks = <A>(items: readonly A[], first: number, bytes: number): A[][] => {
+export const chunkByBytes = <A>(items: readonly A[], first: number, bytes: number): A[][] => {
   const out: A[][] = [[]];
   let size = first;
   for (const item of items) {
@@ -209,7 +209,7 @@
     const rows = lists.flatMap((list, i) =>
       encodeRows(mergeSmallGroups(list, maxGroups)).map((row): ListedRow => [i, ...row] as const),
     );
-    const rowsByValue = chunks(rows, JSON.stringify(head(1, [])).length + 10, limit);
+    const rowsByValue = chunkByBytes(rows, JSON.stringify(head(1, [])).length + 10, limit);
     if (rowsByValue.length > MAX_VALUES && maxGroups > 1) continue;
     const [first, ...rest] = rowsByValue;
     return [
--- a/packages/controller/src/accounts/ledger.ts
+++ b/packages/controller/src/accounts/ledger.ts
@@ -1,10 +1,10 @@
 /** What a leader gathers during its term for the next pages of the accounts. It is kept in memory until the page is written. */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { JobState } from '../jobs/job-state.js';
-import { addAmounts, amountsOf } from './fold.js';
-import { type Amounts, groupKey, type Rows, SPLITS } from './model.js';
+import { addAmounts, amountsOf } from './aggregate.js';
+import { type Amounts, groupKey, type AmountsByGroup, USAGE_CATEGORIES } from './model.js';
 import { Balance, ShareRecorder, type Shares } from './share.js';
-import { kindName, type KindOf, rateOf } from './usage-rows.js';
+import { kindName, type MachineKind, rateOf } from './usage-rows.js';
 import type { MachineType } from '../provisioning/model.js';
 
 /**
@@ -14,11 +14,11 @@
 export const openPlacementsAt = (
   jobState: JobState,
   at: Micros,
-  kindOf: (machine: string) => KindOf | null,
+  kindOf: (machine: string) => MachineKind | null,
   types: ReadonlyMap<string, MachineType>,
-): Rows => {
+): AmountsByGroup => {
   const out = new Map<string, Amounts>();
-  const unknownIndex = SPLITS.indexOf('unknown');
+  const unknownIndex = USAGE_CATEGORIES.indexOf('unknown');
   for (const job of jobState.jobs.values()) {
     const { spec } = job;
     const shape = [spec.cpus, spec.gpus, spec.memGb].map((amount) => Math.round(amount * 1000)) as [
@@ -41,7 +41,7 @@
         group,
         shape,
         rate,
-        us: SPLITS.map((_, i) => (i === unknownIndex ? openUs : 0)),
+        us: USAGE_CATEGORIES.map((_, i) => (i === unknownIndex ? openUs : 0)),
       });
       const key = groupKey(group);
       const old = out.get(key);
@@ -56,7 +56,7 @@
   /** null: the balance between teams is off, which is the default. */
   readonly balance: Balance | null;
   /** By the end of a closed period: usage of the placements that were open then, and the shares that this leader recorded. */
-  readonly closing = new Map<Micros, { readonly open: Rows; readonly shares: Shares }>();
+  readonly closing = new Map<Micros, { readonly open: AmountsByGroup; readonly shares: Shares }>();
   /** Clock time of the last search for pages to join. */
   joinedAt = Number.NEGATIVE_INFINITY;
 
--- a/packages/controller/src/accounts/booking.ts
+++ b/packages/controller/src/accounts/log-entry-usage.ts
@@ -4,8 +4,8 @@
 import { borrowedBy } from '../lending/loans.js';
 import type { CycleContext } from '../scheduler/cycle-context.js';
 import { openPlacementsAt } from './ledger.js';
-import { needsCapacityBound } from './fold.js';
-import { MINUTE, type Rows, type Usage } from './model.js';
+import { needsCapacityBound } from './aggregate.js';
+import { MINUTE, type AmountsByGroup, type Usage } from './model.js';
 import { type UsageSources, totalCapacity, UsageRows } from './usage-rows.js';
 
 /**
@@ -24,10 +24,10 @@
 };
 
 /** The accounts' content of one log entry that is being drafted. */
-export class Booking {
+export class LogEntryUsage {
   readonly usageRows: UsageRows;
   /** Usage of the placements that are running when a period ends, before the log entry's own exits and starts. */
-  private open: Rows = new Map();
+  private open: AmountsByGroup = new Map();
 
   constructor(
     private readonly context: CycleContext,
--- a/packages/controller/src/accounts/upkeep.ts
+++ b/packages/controller/src/accounts/maintenance.ts
@@ -17,7 +17,7 @@
   levelKey,
   type Page,
   pageKey,
-  pagesOf,
+  parsePages,
 } from './pages.js';
 import { compactShares, joinShares, shortfalls } from './share.js';
 
@@ -95,7 +95,7 @@
     for (const level of ['m', 'h', 'd'] as const) {
       const first = yield* context.store.page(levelKey(level), null, LISTING_SIZE, Priority.Upkeep);
       const { closed } = context.jobState.accounts;
-      const oldest = pagesOf(first.entries)[0];
+      const oldest = parsePages(first.entries)[0];
       if (oldest === undefined) continue;
       const due = nextMerge(level, oldest.page.to, closed);
       const early = due === null || oldestBelow <= due.to;
@@ -116,7 +116,7 @@
         more = next.more && next.entries.length > 0;
       }
       const joined = yield* context.store.get(pageKey(due.up, due.to));
-      const members = pagesOf(entries.filter(inside)).filter(
+      const members = parsePages(entries.filter(inside)).filter(
         (member) => periodEnd(due.up, member.page.to) === due.to,
       );
       if (joined.entry === null) {
--- a/packages/controller/src/accounts/model.ts
+++ b/packages/controller/src/accounts/model.ts
@@ -15,16 +15,24 @@
  * - `unknown`: the phase is not known, because another leader observed it;
  * - `unsure`: an upper bound for a placement whose start time is not known; it is part of no sum.
  */
-export const SPLITS = ['useful', 'repeated', 'gathering', 'fetching', 'lent', 'unknown', 'unsure'] as const;
-export type Split = (typeof SPLITS)[number];
+export const USAGE_CATEGORIES = [
+  'useful',
+  'repeated',
+  'gathering',
+  'fetching',
+  'lent',
+  'unknown',
+  'unsure',
+] as const;
+export type UsageCategory = (typeof USAGE_CATEGORIES)[number];
 /** Each category has four amounts, one per unit. */
 export const UNITS = ['tasks', 'cpus', 'gpus', 'mem'] as const;
 export type Unit = (typeof UNITS)[number];
 /** Index of the cost, which follows the amounts of all categories: millionths of a price unit per hour, times microseconds. */
-export const MONEY = SPLITS.length * UNITS.length;
-export const AMOUNTS_LENGTH = MONEY + 1;
-export const indexOf = (category: Split, unit: Unit): number =>
-  SPLITS.indexOf(category) * UNITS.length + UNITS.indexOf(unit);
+export const COST_INDEX = USAGE_CATEGORIES.length * UNITS.length;
+export const AMOUNTS_LENGTH = COST_INDEX + 1;
+export const amountIndex = (category: UsageCategory, unit: Unit): number =>
+  USAGE_CATEGORIES.indexOf(category) * UNITS.length + UNITS.indexOf(unit);
 
 /** `AMOUNTS_LENGTH` sums. Immutable, because several states share one array. */
 export type Amounts = readonly bigint[];
@@ -33,9 +41,9 @@
 export const groupKey = (group: Group): string => JSON.stringify(group);
 export const groupOf = (key: string): Group => JSON.parse(key) as unknown as Group;
 /** Amounts by group key. */
-export type Rows = ReadonlyMap<string, Amounts>;
+export type AmountsByGroup = ReadonlyMap<string, Amounts>;
 /** Kind of a machine whose type is no longer known. */
-export const NO_KIND = 'unknown';
+export const UNKNOWN_KIND = 'unknown';
 /** Stands for the class, or for the class and the kind, of groups that were merged because there were too many. */
 export const MERGED = '*';
 
@@ -95,7 +103,7 @@
 export interface Period {
   readonly from: Micros;
   readonly to: Micros;
-  readonly rows: Rows;
+  readonly rows: AmountsByGroup;
 }
 /** Maximum number of periods whose page is not written yet; the oldest ones are merged beyond it. */
 export const MAX_PENDING_PERIODS = 2;
@@ -111,9 +119,9 @@
   /** Time of day of that log entry. */
   readonly at: Micros;
   /** All usage booked so far. */
-  readonly rows: Rows;
+  readonly rows: AmountsByGroup;
   /** Usage booked since the end of the last period. */
-  readonly current: Rows;
+  readonly current: AmountsByGroup;
   /** End of the last period; 0: no period has ended. */
   readonly closed: Micros;
   /** Periods whose page is not written yet. */
--- a/packages/controller/src/accounts/pages.ts
+++ b/packages/controller/src/accounts/pages.ts
@@ -4,24 +4,24 @@
  * and the shares of the groups that waited. Pure functions: keys, stored forms, and the choice of the pages to join.
  */
 import type { Micros } from '@lilacvalve/runtime/micros';
-import { chunks, decodeRows, encodeRows, type StoredRow } from './codec.js';
-import { mergeSmallGroups, joinRows } from './fold.js';
-import { MINUTE, type Rows } from './model.js';
+import { chunkByBytes, decodeRows, encodeRows, type StoredRow } from './codec.js';
+import { mergeSmallGroups, joinRows } from './aggregate.js';
+import { MINUTE, type AmountsByGroup } from './model.js';
 import { compactShares, joinShares, type ShareRow, type Shares } from './share.js';
 
 export interface Page {
   readonly from: Micros;
   readonly to: Micros;
-  readonly booked: Rows;
+  readonly booked: AmountsByGroup;
   /**
    * Usage of the placements that were open at the end of the period, counted from their start; null: not known, because
    * the leader ended before it wrote the page.
    */
-  readonly open: Rows | null;
+  readonly open: AmountsByGroup | null;
   readonly shares: Shares;
 }
 
-export const PAGES = 's/a/p/';
+export const PAGE_PREFIX = 's/a/p/';
 /** Minute, hour, day, month. */
 export const LEVELS = ['m', 'h', 'd', 'M'] as const;
 export type Level = (typeof LEVELS)[number];
@@ -52,8 +52,8 @@
  * keys of further values end in their number.
  */
 export const pageKey = (level: Level, to: Micros, part = 0): string =>
-  `${PAGES}${level}/${String(to / 1e6).padStart(12, '0')}${part === 0 ? '' : `.${part}`}`;
-export const levelKey = (level: Level): string => `${PAGES}${level}/`;
+  `${PAGE_PREFIX}${level}/${String(to / 1e6).padStart(12, '0')}${part === 0 ? '' : `.${part}`}`;
+export const levelKey = (level: Level): string => `${PAGE_PREFIX}${level}/`;
 
 /** First value of a page. `f`, `t`: start and end of the period; `r`: rows. */
 interface StoredHead {
@@ -81,7 +81,7 @@
       ...encodeRows(mergeSmallGroups(page.open ?? new Map(), maxGroups)).map((row): ListedRow => [1, ...row]),
       ...compactShares(page.shares, maxGroups).map((row): ListedRow => [2, ...row]),
     ];
-    const rowsByValue = chunks(rows, 120, limit);
+    const rowsByValue = chunkByBytes(rows, 120, limit);
     if (rowsByValue.length > MAX_VALUES && maxGroups > 1) continue;
     const [first, ...rest] = rowsByValue;
     const head: StoredHead = {
@@ -116,12 +116,12 @@
 };
 
 /** Returns the pages among the store's entries, ordered by their ends; of equal ends the higher level comes first. */
-export const pagesOf = (
+export const parsePages = (
   entries: Iterable<{ readonly key: string; readonly value: unknown }>,
 ): { readonly level: Level; readonly page: Page; readonly keys: string[] }[] => {
   const valuesByPage = new Map<string, { values: unknown[]; keys: string[] }>();
   for (const entry of entries) {
-    if (!entry.key.startsWith(PAGES)) continue;
+    if (!entry.key.startsWith(PAGE_PREFIX)) continue;
     const [firstKey, part = '0'] = entry.key.split('.') as [string, string?];
     let stored = valuesByPage.get(firstKey);
     if (!stored) valuesByPage.set(firstKey, (stored = { values: [], keys: [] }));
@@ -137,7 +137,11 @@
       // An unreadable page leaves its period without details; its usage is still in the sums of the accounts.
     }
     if (page !== null)
-      out.push({ level: key.slice(PAGES.length, PAGES.length + 1) as Level, page, keys: stored.keys });
+      out.push({
+        level: key.slice(PAGE_PREFIX.length, PAGE_PREFIX.length + 1) as Level,
+        page,
+        keys: stored.keys,
+      });
   }
   return out.sort((a, b) => a.page.to - b.page.to || LEVELS.indexOf(b.level) - LEVELS.indexOf(a.level));
 };
--- a/packages/controller/src/accounts/phases.ts
+++ b/packages/controller/src/accounts/phases.ts
@@ -31,11 +31,11 @@
   readonly saved: boolean;
 }
 
-export class Phases {
+export class PhaseTracker {
   private readonly observations = new Map<string, Observation>();
 
   /** Records that a worker's heartbeat shows the task in a phase. */
-  note(key: string, attempt: number, as: Phase, at: Micros): void {
+  observe(key: string, attempt: number, as: Phase, at: Micros): void {
     let observation = this.observations.get(key);
     if (observation?.attempt !== attempt) {
       observation = { attempt, at, as, gathering: null, running: null, saved: false };
@@ -46,7 +46,7 @@
   }
 
   /** Records that a heartbeat reports the task's exit, and whether all its work was saved. */
-  ended(key: string, attempt: number, saved: boolean): void {
+  recordExit(key: string, attempt: number, saved: boolean): void {
     const observation = this.observations.get(key);
     if (observation?.attempt === attempt) observation.saved = saved;
   }
--- a/packages/controller/src/accounts/share.ts
+++ b/packages/controller/src/accounts/share.ts
@@ -110,14 +110,14 @@
  * team has less than that is divided among its waiting groups in proportion to what they request.
  */
 export const sharesOf = (
-  input: Pick<CycleInput, 'teams' | 'weights' | 'nodes' | 'placedTasks'>,
+  input: Pick<CycleInput, 'teams' | 'weights' | 'machines' | 'placedTasks'>,
   result: Pick<CycleResult, 'unplaced' | 'starts' | 'free'>,
   /** The recent peak of the total capacity. */
   recentPeak: Resources,
 ): GroupShare[] => {
   if (result.unplaced.length === 0) return [];
   const capacity: Resources = [0, 0, 0];
-  for (const node of input.nodes) add(capacity, node.total);
+  for (const node of input.machines) add(capacity, node.total);
   const groups = new Map<
     string,
     { team: string; jobClass: string; had: Resources; want: Resources; jobs: Job[] }
@@ -140,7 +140,7 @@
   const heldTasks = new Map<Job, number>();
   for (const placed of input.placedTasks) heldTasks.set(placed.job, (heldTasks.get(placed.job) ?? 0) + 1);
   for (const start of result.starts)
-    for (const tasks of start.on.values())
+    for (const tasks of start.tasksByMachine.values())
       heldTasks.set(start.job, (heldTasks.get(start.job) ?? 0) + tasks.length);
   for (const [job, taskCount] of heldTasks) addHeld(job, taskCount);
   for (const { job, count } of result.unplaced) {
--- a/packages/controller/src/accounts/usage-rows.ts
+++ b/packages/controller/src/accounts/usage-rows.ts
@@ -4,20 +4,31 @@
 import type { Job } from '../jobs/model.js';
 import { taskKey } from '../jobs/model.js';
 import { rowByteLength, maxRowBytes } from './codec.js';
-import { type Group, groupKey, NO_KIND, type CapacityBound, type UsageRow, SPLITS } from './model.js';
-import type { PhaseTimes, Phases } from './phases.js';
+import {
+  type Group,
+  groupKey,
+  UNKNOWN_KIND,
+  type CapacityBound,
+  type UsageRow,
+  USAGE_CATEGORIES,
+} from './model.js';
+import type { PhaseTimes, PhaseTracker } from './phases.js';
 
 /** What determines the kind of a machine in usage rows. */
-export interface KindOf {
+export interface MachineKind {
   readonly type: string;
   readonly spot: boolean;
 }
-export const kindName = (machine: KindOf | null): string =>
-  machine === null || machine.type === '' ? NO_KIND : machine.spot ? `${machine.type}-spot` : machine.type;
+export const kindName = (machine: MachineKind | null): string =>
+  machine === null || machine.type === ''
+    ? UNKNOWN_KIND
+    : machine.spot
+      ? `${machine.type}-spot`
+      : machine.type;
 
 export interface UsageSources {
-  readonly phases: Phases;
-  readonly kindOf: (machine: string) => KindOf | null;
+  readonly phases: PhaseTracker;
+  readonly kindOf: (machine: string) => MachineKind | null;
   readonly types: ReadonlyMap<string, MachineType>;
   /** Whether the task ran on GPUs that were lent to its job: its running time then counts as lent. */
   readonly onLentCapacity: (job: Job, task: number) => boolean;
@@ -28,8 +39,8 @@
 }
 
 const thousandths = (amount: number): number => Math.round(amount * 1000);
-const CATEGORY_INDEX = Object.fromEntries(SPLITS.map((name, i) => [name, i])) as Record<
-  (typeof SPLITS)[number],
+const CATEGORY_INDEX = Object.fromEntries(USAGE_CATEGORIES.map((name, i) => [name, i])) as Record<
+  (typeof USAGE_CATEGORIES)[number],
   number
 >;
 
@@ -58,7 +69,7 @@
   lent: boolean,
   day: (clock: Micros) => Micros,
 ): number[] => {
-  const us = SPLITS.map(() => 0);
+  const us = USAGE_CATEGORIES.map(() => 0);
   const clamped = (clockTime: Micros, min: number): number => Math.min(at, Math.max(min, day(clockTime)));
   if (times.first === null) {
     // Never observed: if this leader started it, it never reached its machine; otherwise another leader may have seen it.
@@ -114,7 +125,7 @@
     const shape = [thousandths(cpus), thousandths(gpus), thousandths(memGb)] as const;
     const rate = kind === null ? 0 : rateOf(job, this.sources.types.get(kind.type), kind.spot);
     const key = `${groupKey(group)}${shape.join()},${rate}`;
-    return { key, group, make: () => ({ group, shape, rate, us: SPLITS.map(() => 0) }) };
+    return { key, group, make: () => ({ group, shape, rate, us: USAGE_CATEGORIES.map(() => 0) }) };
   }
 
   /** Returns the maximum number of bytes that the exits of these tasks would add. */
@@ -158,7 +169,7 @@
         );
       } else {
         // The start time is not known: the time since the job's submission is an upper bound.
-        us = SPLITS.map(() => 0);
+        us = USAGE_CATEGORIES.map(() => 0);
         us[CATEGORY_INDEX.unsure] = Math.max(0, at - job.spec.submitted);
       }
       let list = this.rows.get(key);
@@ -181,7 +192,7 @@
 
 /** Returns the total capacity of the machines whose types are known. */
 export const totalCapacity = (
-  machines: Iterable<KindOf>,
+  machines: Iterable<MachineKind>,
   types: ReadonlyMap<string, MachineType>,
 ): CapacityBound => {
   const out: [number, number, number] = [0, 0, 0];
--- a/packages/controller/src/api/submission.ts
+++ b/packages/controller/src/api/submission.ts
@@ -5,7 +5,7 @@
 import { type Answer, type Incoming, json, retryLater } from '@lilacvalve/runtime/http-server';
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { Effect, Either, Random } from 'effect';
-import { tieOf } from '../calendar/tie.js';
+import { bindToOccurrence } from '../calendar/cutoff-binding.js';
 import { encodeJob, JOB_ID, readSubmission } from '../jobs/codec.js';
 import { activeJobKey, finalStateKey } from '../jobs/keys.js';
 import type { Job, JobSpec } from '../jobs/model.js';
@@ -76,8 +76,8 @@
       const checked = yield* this.check(id, body);
       if (Either.isLeft(checked)) return checked.left;
       const { jobState, settings } = this.context;
-      const tie = tieOf(jobState.calendars.current, checked.right);
-      const value = encodeJob(newJob({ ...checked.right, tie }), 0);
+      const tie = bindToOccurrence(jobState.calendars.current, checked.right);
+      const value = encodeJob(newJob({ ...checked.right, cutoffBinding: tie }), 0);
       // Only `hostsKinds` can be too long: all other fields are short, or name an existing team or zone.
       if (Buffer.byteLength(JSON.stringify(value)) > settings.state.valueBytes)
         return json(400, { error: 'hostsKinds: too long' });
--- a/packages/controller/src/calendar/calendars.ts
+++ b/packages/controller/src/calendar/calendars.ts
@@ -7,12 +7,12 @@
 import {
   decodeCalendar,
   decodeHead,
-  decodeTally,
+  decodeOutcomeCounts,
   encodeCalendar,
-  type Head,
+  type CalendarHead,
   type PagedCalendar,
 } from './codec.js';
-import { type Calendar, laterTally, type Tally } from './model.js';
+import { type Calendar, mergeOutcomeCounts, type OutcomeCounts } from './model.js';
 import { decodeClassDurations, type ClassDurations } from './class-durations.js';
 
 export interface Versioned<A> {
@@ -22,14 +22,14 @@
 
 export class Calendars {
   /** Contents of the store, by the latest change that was applied: head, pages, outcome counts, class durations. */
-  head: Versioned<Head> | null = null;
+  head: Versioned<CalendarHead> | null = null;
   readonly pages = new Map<string, Versioned<unknown>>();
-  readonly tallies = new Map<string, Versioned<Tally>>();
+  readonly outcomeCounts = new Map<string, Versioned<OutcomeCounts>>();
   classDurations: Versioned<ClassDurations> | null = null;
   /** The calendar in effect. It stays in effect through a data loss, until the store has a newer one. */
   current: Calendar | null = null;
   /** The highest outcome counts and latest class durations this controller has seen, which it contributes to a rebuild. */
-  private readonly latestOutcomeCounts = new Map<string, Tally>();
+  private readonly latestOutcomeCounts = new Map<string, OutcomeCounts>();
   private latestDurations: ClassDurations = new Map();
 
   /** Applies a change of a key below `s/c/`. Throws on values that cannot be decoded. */
@@ -44,14 +44,14 @@
     } else if (key.startsWith(OCCURRENCE)) {
       const id = key.slice(OCCURRENCE.length);
       if (value === undefined) {
-        this.tallies.delete(id);
+        this.outcomeCounts.delete(id);
         this.latestOutcomeCounts.delete(id);
         return;
       }
-      const counts = decodeTally(value);
-      this.tallies.set(id, { value: counts, revision: stamp });
+      const counts = decodeOutcomeCounts(value);
+      this.outcomeCounts.set(id, { value: counts, revision: stamp });
       const before = this.latestOutcomeCounts.get(id);
-      this.latestOutcomeCounts.set(id, before === undefined ? counts : laterTally(before, counts));
+      this.latestOutcomeCounts.set(id, before === undefined ? counts : mergeOutcomeCounts(before, counts));
     } else if (key === CLASS_DURATIONS) {
       this.classDurations =
         value === undefined ? null : { value: decodeClassDurations(value), revision: stamp };
@@ -64,7 +64,7 @@
     this.head = null;
     this.classDurations = null;
     this.pages.clear();
-    this.tallies.clear();
+    this.outcomeCounts.clear();
   }
 
   /** Whether all pages that the store's head names are present and have the head's digest. */
@@ -77,23 +77,23 @@
   /** Returns the store's keys below `s/c/` with their revisions. */
   keys(): [string, number][] {
     const out: [string, number][] = [...this.pages].map(([key, page]) => [key, page.revision]);
-    for (const [id, counts] of this.tallies) out.push([OCCURRENCE + id, counts.revision]);
+    for (const [id, counts] of this.outcomeCounts) out.push([OCCURRENCE + id, counts.revision]);
     if (this.head !== null) out.push([CALENDAR_HEAD, this.head.revision]);
     if (this.classDurations !== null) out.push([CLASS_DURATIONS, this.classDurations.revision]);
     return out;
   }
 
   /** Returns the highest outcome counts of an occurrence that this controller has seen. */
-  outcomeCountsOf(id: string): Tally | undefined {
+  outcomeCountsOf(id: string): OutcomeCounts | undefined {
     return this.latestOutcomeCounts.get(id);
   }
 
   /** Returns what this controller contributes to a rebuild of the store. */
-  remembered(): Remembered {
+  remembered(): RememberedCalendar {
     return {
       calendar: this.current,
-      tallies: new Map(this.latestOutcomeCounts),
-      shown: this.latestDurations,
+      outcomeCounts: new Map(this.latestOutcomeCounts),
+      classDurations: this.latestDurations,
     };
   }
 
@@ -114,12 +114,12 @@
 }
 
 /** What a controller remembers of the calendar, independently of the store's present contents. */
-export interface Remembered {
+export interface RememberedCalendar {
   readonly calendar: Calendar | null;
-  readonly tallies: ReadonlyMap<string, Tally>;
-  readonly shown: ClassDurations;
+  readonly outcomeCounts: ReadonlyMap<string, OutcomeCounts>;
+  readonly classDurations: ClassDurations;
 }
 
 /** Encodes a calendar for the store. `bytes`: maximum size of a value, of which a margin is left for the service's own overhead. */
-export const pagesOf = (calendar: Calendar, bytes: number): PagedCalendar =>
+export const paginateCalendar = (calendar: Calendar, bytes: number): PagedCalendar =>
   encodeCalendar(calendar, Math.floor(bytes * 0.85));
--- a/packages/controller/src/calendar/codec.ts
+++ b/packages/controller/src/calendar/codec.ts
@@ -3,10 +3,10 @@
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { CALENDAR_PAGE } from '../jobs/keys.js';
 import type { Shape, Urgency } from '../jobs/model.js';
-import { type Calendar, type Cutoff, makeCalendar, type Occurrence, type Tally } from './model.js';
+import { type Calendar, type Cutoff, makeCalendar, type Occurrence, type OutcomeCounts } from './model.js';
 
 /** Names the pages of a calendar. Controllers switch to the calendar by this one key, which is changed on condition of its revision. */
-export interface Head {
+export interface CalendarHead {
   readonly version: number;
   /** Keys of the pages, in order. */
   readonly pages: readonly string[];
@@ -54,7 +54,7 @@
     .slice(0, 32);
 
 export interface PagedCalendar {
-  readonly head: Head;
+  readonly head: CalendarHead;
   readonly pages: readonly { readonly key: string; readonly value: unknown }[];
 }
 
@@ -80,7 +80,7 @@
     pages[pages.length - 1]!.value.push(item);
     size += itemBytes;
   }
-  const head: Head = {
+  const head: CalendarHead = {
     version: calendar.version,
     pages: pages.map((page) => page.key),
     until: calendar.until,
@@ -92,8 +92,8 @@
 };
 
 /** Throws on values that `encodeCalendar` cannot have written. */
-export const decodeHead = (value: unknown): Head => {
-  const head = value as Head | null;
+export const decodeHead = (value: unknown): CalendarHead => {
+  const head = value as CalendarHead | null;
   if (
     typeof head !== 'object' ||
     head === null ||
@@ -107,7 +107,7 @@
 };
 
 /** Returns the calendar of a head and its pages' values, in order; null if the values do not have the head's digest. */
-export const decodeCalendar = (head: Head, values: readonly unknown[]): Calendar | null => {
+export const decodeCalendar = (head: CalendarHead, values: readonly unknown[]): Calendar | null => {
   if (values.some((value) => !Array.isArray(value))) return null;
   const items = (values as Item[][]).flat();
   if (digestOf(head.version, head.until, head.notice, items) !== head.digest) return null;
@@ -126,13 +126,13 @@
   return makeCalendar({ version, until: until as Micros, notice: notice as Micros, cutoffs }, occurrences);
 };
 
-export const encodeTally = (counts: Tally): unknown => [
+export const encodeOutcomeCounts = (counts: OutcomeCounts): unknown => [
   counts.done,
   counts.risked,
   counts.missed,
   counts.cancelled,
 ];
-export const decodeTally = (value: unknown): Tally => {
+export const decodeOutcomeCounts = (value: unknown): OutcomeCounts => {
   if (!Array.isArray(value) || value.length !== 4 || !value.every((count) => Number.isSafeInteger(count)))
     throw new Error(`outcome counts: expected four safe integers, found ${JSON.stringify(value)}`);
   const [done, risked, missed, cancelled] = value as [number, number, number, number];
--- a/packages/controller/src/calendar/tie.ts
+++ b/packages/controller/src/calendar/cutoff-binding.ts
@@ -18,7 +18,7 @@
  * time less the cutoff's lead time is not before the submission. Of several at the same time, the one of the first cutoff.
  * Returns null if there is none.
  */
-export const tieOf = (calendar: Calendar | null, spec: MatchedSpec): string | null => {
+export const bindToOccurrence = (calendar: Calendar | null, spec: MatchedSpec): string | null => {
   // A service never completes, so it cannot meet a cutoff.
   if (calendar === null || spec.shape === 'service') return null;
   const cutoffMatches = calendar.cutoffs.map((cutoff) => matches(cutoff.match, spec));
@@ -44,5 +44,8 @@
 };
 
 /** Returns the occurrence to which a job is bound, as in the current calendar; null: no binding, or the calendar no longer has it. */
-export const occurrenceOf = (calendar: Calendar | null, spec: Pick<JobSpec, 'tie'>): Occurrence | null =>
-  spec.tie === null || calendar === null ? null : (calendar.byId.get(spec.tie) ?? null);
+export const occurrenceOf = (
+  calendar: Calendar | null,
+  spec: Pick<JobSpec, 'cutoffBinding'>,
+): Occurrence | null =>
+  spec.cutoffBinding === null || calendar === null ? null : (calendar.byId.get(spec.cutoffBinding) ?? null);
--- a/packages/controller/src/calendar/cutoff-tracking.ts
+++ b/packages/controller/src/calendar/cutoff-tracking.ts
@@ -8,11 +8,18 @@
 import type { CycleContext } from '../scheduler/cycle-context.js';
 import { Priority } from '../state-store/budget.js';
 import type { Condition, Write } from '../state-store/client.js';
-import { encodeTally } from './codec.js';
-import { addTally, isRisk, NO_TALLY, CUTOFF_RISK, type Tally, RISK_REASONS } from './model.js';
+import { encodeOutcomeCounts } from './codec.js';
+import {
+  addOutcomeCounts,
+  isRisk,
+  NO_OUTCOMES,
+  CUTOFF_RISK,
+  type OutcomeCounts,
+  RISK_REASONS,
+} from './model.js';
 import { addSamples, encodeClassDurations } from './class-durations.js';
 import { type SlackInputs, newCutoffRisk } from './slack.js';
-import { occurrenceOf } from './tie.js';
+import { occurrenceOf } from './cutoff-binding.js';
 
 /** Maximum number of risk changes in one log entry; the remaining ones follow in the next entries. */
 const MAX_RISKS = 50;
@@ -23,11 +30,11 @@
 const NOTICE_INTERVAL = seconds(86_400);
 
 /** Returns the time of day, but never earlier than the latest log entry: a clock that is set back must not extend a cutoff. */
-export const dayOf = (context: Pick<CycleContext, 'dayTime' | 'jobState'>): Micros =>
+export const monotonicDayTime = (context: Pick<CycleContext, 'dayTime' | 'jobState'>): Micros =>
   Math.max(context.dayTime(), context.jobState.lastAt) as Micros;
 
 /** Returns a function that computes the slack inputs on its first call only: on most days no job is bound to a cutoff. */
-export const paceOf = (context: CycleContext): (() => SlackInputs) => {
+export const slackInputsOf = (context: CycleContext): (() => SlackInputs) => {
   let computed: SlackInputs | null = null;
   return () => {
     if (computed !== null) return computed;
@@ -78,9 +85,9 @@
   const out = new Map<string, number>();
   const { calendars } = context.jobState;
   if (calendars.current === null || calendars.current.cutoffs.length === 0) return out;
-  const slackInputs = paceOf(context);
+  const slackInputs = slackInputsOf(context);
   for (const job of context.jobState.jobs.values()) {
-    if (job.spec.tie === null || job.cancelled || isComplete(job)) continue;
+    if (job.spec.cutoffBinding === null || job.cancelled || isComplete(job)) continue;
     // A job that the same log entry completes is not at risk, but it may have missed its cutoff.
     const exits = context.registry.exits.get(job.spec.id);
     const completes = exits !== undefined && job.done.size + exits.done.size >= job.spec.tasks;
@@ -139,18 +146,18 @@
 };
 
 /** Returns the conditions and writes that add finished jobs to the outcome counts of the occurrences they are bound to. */
-export const tallyWrites = (
+export const outcomeCountWrites = (
   jobState: JobState,
   finished: readonly { readonly job: Job; readonly final: FinalState }[],
 ): { readonly when: Condition[]; readonly then: Write[] } => {
-  const added = new Map<string, Tally>();
+  const added = new Map<string, OutcomeCounts>();
   for (const { job, final } of finished) {
-    const { tie } = job.spec;
+    const { cutoffBinding: tie } = job.spec;
     if (tie === null) continue;
     const done = final.status === 'done' ? 1 : 0;
     added.set(
       tie,
-      addTally(added.get(tie) ?? NO_TALLY, {
+      addOutcomeCounts(added.get(tie) ?? NO_OUTCOMES, {
         done,
         risked: done === 1 && isRisk(job.cutoffRisk) ? 1 : 0,
         missed: done === 1 && job.cutoffRisk === CUTOFF_RISK.missed ? 1 : 0,
@@ -161,26 +168,28 @@
   const when: Condition[] = [];
   const then: Write[] = [];
   for (const [id, counts] of added) {
-    const stored = jobState.calendars.tallies.get(id);
+    const stored = jobState.calendars.outcomeCounts.get(id);
     const key = OCCURRENCE + id;
     when.push({ key, stamp: stored?.revision ?? 0 });
     then.push({
       set: key,
-      value: encodeTally(addTally(jobState.calendars.outcomeCountsOf(id) ?? NO_TALLY, counts)),
+      value: encodeOutcomeCounts(
+        addOutcomeCounts(jobState.calendars.outcomeCountsOf(id) ?? NO_OUTCOMES, counts),
+      ),
     });
   }
   return { when, then };
 };
 
 /** Periodically stores the class durations, and logs when the calendar is about to expire. */
-export const calendarUpkeep = (context: CycleContext): Effect.Effect<void> =>
+export const calendarMaintenance = (context: CycleContext): Effect.Effect<void> =>
   Effect.gen(function* () {
     const { calendars } = context.jobState;
     const calendar = calendars.current;
     if (calendar === null || calendar.cutoffs.length === 0) return;
     const at = context.clock();
     const { classSamples: samples } = context;
-    const day = dayOf(context);
+    const day = monotonicDayTime(context);
     if (
       day > calendar.until - calendar.notice &&
       (samples.noticedAt === null || at - samples.noticedAt > NOTICE_INTERVAL)
@@ -207,7 +216,7 @@
         [
           {
             set: CLASS_DURATIONS,
-            value: encodeClassDurations(addSamples(calendars.remembered().shown, ratios)),
+            value: encodeClassDurations(addSamples(calendars.remembered().classDurations, ratios)),
           },
         ],
         Priority.Upkeep,
--- a/packages/controller/src/calendar/model.ts
+++ b/packages/controller/src/calendar/model.ts
@@ -6,8 +6,8 @@
 import type { Shape, Urgency } from '../jobs/model.js';
 
 /** Limits that `calendar apply` enforces, so that the table fits into a few pages and a few MB of memory. */
-export const MOST_OCCURRENCES = 4000;
-export const MOST_CUTOFFS = 200;
+export const MAX_OCCURRENCES = 4000;
+export const MAX_CUTOFFS = 200;
 
 /** Which jobs a cutoff applies to. A job must match every condition; null: any value matches. */
 export interface JobFilter {
@@ -60,7 +60,7 @@
   risk !== undefined && risk > CUTOFF_RISK.nothing && risk < CUTOFF_RISK.missed;
 
 /** Outcome counts of an occurrence: how many of its finished jobs ended in which way. The counts never decrease. */
-export interface Tally {
+export interface OutcomeCounts {
   /** Jobs that completed. */
   readonly done: number;
   /** Completed jobs that had been at risk, and completed before the cutoff. */
@@ -69,15 +69,15 @@
   readonly missed: number;
   readonly cancelled: number;
 }
-export const NO_TALLY: Tally = { done: 0, risked: 0, missed: 0, cancelled: 0 };
-export const addTally = (a: Tally, b: Tally): Tally => ({
+export const NO_OUTCOMES: OutcomeCounts = { done: 0, risked: 0, missed: 0, cancelled: 0 };
+export const addOutcomeCounts = (a: OutcomeCounts, b: OutcomeCounts): OutcomeCounts => ({
   done: a.done + b.done,
   risked: a.risked + b.risked,
   missed: a.missed + b.missed,
   cancelled: a.cancelled + b.cancelled,
 });
 /** Merges two views of the same occurrence: takes the higher value of each count, because counts never decrease. */
-export const laterTally = (a: Tally, b: Tally): Tally => ({
+export const mergeOutcomeCounts = (a: OutcomeCounts, b: OutcomeCounts): OutcomeCounts => ({
   done: Math.max(a.done, b.done),
   risked: Math.max(a.risked, b.risked),
   missed: Math.max(a.missed, b.missed),
--- a/packages/controller/src/calendar/publish.ts
+++ b/packages/controller/src/calendar/publish.ts
@@ -9,16 +9,16 @@
 import { Priority } from '../state-store/budget.js';
 import type { Condition, Entry, StateFailure, Write } from '../state-store/client.js';
 import type { StatePort } from '../state-store/port.js';
-import { decodeCalendar, decodeHead, type Head, type PagedCalendar } from './codec.js';
-import { pagesOf } from './calendars.js';
+import { decodeCalendar, decodeHead, type CalendarHead, type PagedCalendar } from './codec.js';
+import { paginateCalendar } from './calendars.js';
 import { type Calendar, makeCalendar } from './model.js';
 
-export type Store = Pick<StatePort, 'get' | 'page' | 'transact'>;
+export type CalendarStore = Pick<StatePort, 'get' | 'page' | 'transact'>;
 export interface StoreLimits {
   readonly valueBytes: number;
   readonly txnOps: number;
 }
-export type Published =
+export type PublishResult =
   | { readonly ok: true; readonly version: number; readonly pages: number; readonly already: boolean }
   | { readonly ok: false; readonly reason: string };
 
@@ -42,7 +42,7 @@
  * Returns the condition that the store still has its present incarnation, so that a delayed transaction is refused by a
  * later one. Returns null if the store has no incarnation or is being rebuilt.
  */
-const incarnationCondition = (store: Store): Effect.Effect<Condition[] | null, StateFailure> =>
+const incarnationCondition = (store: CalendarStore): Effect.Effect<Condition[] | null, StateFailure> =>
   Effect.gen(function* () {
     const list = yield* listAll(store, INCARNATION);
     const generationOf = (entry: Entry): number => (entry.value as { g?: number } | null)?.g ?? 0;
@@ -57,7 +57,9 @@
   });
 
 /** Returns the stored head with its revision, or null if there is none. */
-export const readHead = (store: Store): Effect.Effect<{ head: Head; stamp: number } | null, StateFailure> =>
+export const readHead = (
+  store: CalendarStore,
+): Effect.Effect<{ head: CalendarHead; stamp: number } | null, StateFailure> =>
   Effect.map(store.get(CALENDAR_HEAD), ({ entry }) =>
     entry === null ? null : { head: decodeHead(entry.value), stamp: entry.stamp },
   );
@@ -65,7 +67,7 @@
 const sameJson = (a: unknown, b: unknown): boolean => JSON.stringify(a) === JSON.stringify(b);
 
 /** Whether all pages of a head are stored and have its digest. They may not be after a data loss that was not fully repaired. */
-const isComplete = (store: Store, head: Head): Effect.Effect<boolean, StateFailure> =>
+const isComplete = (store: CalendarStore, head: CalendarHead): Effect.Effect<boolean, StateFailure> =>
   Effect.map(listAll(store, CALENDAR_PAGE), (list) => {
     const pages = new Map(list.map((page) => [page.key, page.value]));
     const values = head.pages.map((key) => pages.get(key));
@@ -74,7 +76,7 @@
 
 /** Stores a page unless it is stored already. Returns its revision, or null if the key holds another value or the write was refused. */
 const putPage = (
-  store: Store,
+  store: CalendarStore,
   base: readonly Condition[],
   page: PagedCalendar['pages'][number],
 ): Effect.Effect<number | null, StateFailure> =>
@@ -96,15 +98,15 @@
  * is refused; null: any older version. After a failure without a response it is not known whether the calendar was switched:
  * repeating the call with the same calendar is safe and returns the outcome.
  */
-export const publish = (
-  store: Store,
+export const publishCalendar = (
+  store: CalendarStore,
   limits: StoreLimits,
   calendar: Calendar,
   expected: number | null = null,
-): Effect.Effect<Published, StateFailure> =>
+): Effect.Effect<PublishResult, StateFailure> =>
   Effect.gen(function* () {
-    const refuse = (reason: string): Published => ({ ok: false, reason });
-    const { head, pages } = pagesOf(calendar, limits.valueBytes);
+    const refuse = (reason: string): PublishResult => ({ ok: false, reason });
+    const { head, pages } = paginateCalendar(calendar, limits.valueBytes);
     // The transaction that changes the head has one condition per page, so the number of its conditions bounds the pages.
     if (pages.length > limits.txnOps * 4 - 4)
       return refuse(
@@ -158,23 +160,23 @@
  * Takes the calendar out of use: stores an empty one with a higher version, so that no older file can be applied by mistake.
  * Jobs keep their cutoff bindings, but are scheduled by their own `dueS`.
  */
-export const retire = (
-  store: Store,
+export const publishRetirement = (
+  store: CalendarStore,
   limits: StoreLimits,
   version: number,
   until: Micros,
-): Effect.Effect<Published, StateFailure> =>
-  publish(store, limits, makeCalendar({ version, until, notice: 0 as Micros, cutoffs: [] }, []));
+): Effect.Effect<PublishResult, StateFailure> =>
+  publishCalendar(store, limits, makeCalendar({ version, until, notice: 0 as Micros, cutoffs: [] }, []));
 
 /**
  * Deletes the pages that neither the stored head (`stored`) nor the new calendar (`mine`) names, and the outcome counts of
  * occurrences that are not in the stored head's pages.
  */
 const clean = (
-  store: Store,
+  store: CalendarStore,
   limits: StoreLimits,
   base: readonly Condition[],
-  stored: { readonly head: Head; readonly stamp: number } | null,
+  stored: { readonly head: CalendarHead; readonly stamp: number } | null,
   mine: ReadonlySet<string>,
 ): Effect.Effect<void, StateFailure> =>
   Effect.gen(function* () {
--- a/packages/controller/src/calendar/slack.ts
+++ b/packages/controller/src/calendar/slack.ts
@@ -9,7 +9,7 @@
 import type { TeamSettings } from '../settings/settings.js';
 import { type Calendar, type Occurrence, CUTOFF_RISK } from './model.js';
 import { ratioQuantile, type ClassDurations } from './class-durations.js';
-import { occurrenceOf } from './tie.js';
+import { occurrenceOf } from './cutoff-binding.js';
 
 /** Quantiles of a class's duration ratios that the conservative and the optimistic remaining time use. */
 const CONSERVATIVE_QUANTILE = 0.75;
@@ -134,7 +134,7 @@
  * Returns the time of the job's cutoff if the job is pressing, which means that it would miss the cutoff without more
  * resources; otherwise null. Among jobs of the same urgency, machines are rented for pressing jobs first.
  */
-export const pressing = (
+export const pressingCutoff = (
   job: Job,
   calendar: Calendar | null,
   day: Micros,
--- a/packages/controller/src/node.ts
+++ b/packages/controller/src/controller.ts
@@ -36,7 +36,7 @@
 import type { RelayPort } from './workers/heartbeat-relay.js';
 
 /** Interfaces to the other processes, the clocks and the file system, which tests and simulations replace. */
-export interface Ports {
+export interface ControllerPorts {
   readonly store: StatePort;
   readonly cloud: CloudPort;
   readonly workers: WorkerPort;
@@ -54,7 +54,7 @@
 }
 
 /** One controller process. */
-export interface Node {
+export interface Controller {
   readonly handle: (request: Incoming) => Effect.Effect<Answer>;
   /** Handles workers' heartbeats; called before `handle`. */
   readonly quick: Quick;
@@ -65,7 +65,7 @@
   readonly run: Effect.Effect<never>;
   readonly leadership: Leadership;
   /** The reason why this controller cannot serve requests; null if it can. */
-  readonly unready: () => string | null;
+  readonly unreadyReason: () => string | null;
   readonly peers: Peers;
   readonly lossDetector: DataLossDetector;
   readonly jobState: JobState;
@@ -73,7 +73,7 @@
 }
 
 /** Creates a controller; nothing runs before `run` is started. */
-export const makeNode = (settings: Settings, ports: Ports): Node => {
+export const createController = (settings: Settings, ports: ControllerPorts): Controller => {
   const { clock } = ports;
   const jobState = new JobState();
   const preLossViews = new PreLossViews(`${settings.label}/${ports.dayTime()}`);
@@ -403,7 +403,7 @@
       ),
     ).pipe(Effect.zipRight(Effect.never)),
     leadership,
-    unready,
+    unreadyReason: unready,
     peers,
     lossDetector,
     jobState,
--- a/packages/controller/src/jobs/codec.ts
+++ b/packages/controller/src/jobs/codec.ts
@@ -4,11 +4,11 @@
 import { decodeUsage, encodeUsage, type StoredUsage } from '../accounts/codec.js';
 import {
   decodeLoans,
-  decodeLoanParts,
+  decodeLoanChanges,
   encodeLoans,
-  encodeLoanParts,
+  encodeLoanChanges,
   type StoredLoans,
-  type StoredLoanParts,
+  type StoredLoanChanges,
 } from '../lending/codec.js';
 import { packFinalState, unpackFinalState } from './final-states.js';
 import { decodeRanges, encodeRanges } from './ranges.js';
@@ -99,7 +99,7 @@
         save: duration(submission.saveTakesS),
         deadline: submission.dueS === null ? null : duration(submission.dueS),
         submitted,
-        tie: null,
+        cutoffBinding: null,
       }),
     }),
   );
@@ -214,7 +214,7 @@
     ...(job.done.size > 0 ? { d: encodeRanges(job.done) } : {}),
     ...(groupsByMachine.size > 0 ? { p } : {}),
     ...(job.failedOn.size > 0 ? { x: [...job.failedOn] } : {}),
-    ...(jobSpec.tie === null ? {} : { k: jobSpec.tie }),
+    ...(jobSpec.cutoffBinding === null ? {} : { k: jobSpec.cutoffBinding }),
     ...(job.cutoffRisk ? { q: job.cutoffRisk } : {}),
     ...(job.loans.size > 0 ? { g: encodeLoans(job.loans, jobSpec.submitted) } : {}),
     ...(job.preemptedForServices > 0 ? { y: job.preemptedForServices } : {}),
@@ -255,7 +255,7 @@
       save: stored.e[2] as Micros,
       deadline: stored.l as Micros | null,
       submitted: stored.t as Micros,
-      tie: typeof stored.k === 'string' ? stored.k : null,
+      cutoffBinding: typeof stored.k === 'string' ? stored.k : null,
     },
     cancelled: stored.w === 1,
     ...(stored.v === 1 ? { cancelledFirst: true } : {}),
@@ -318,9 +318,9 @@
   /** `JobChange.cutoffRisk`. */
   q?: number;
   /** Borrowed GPUs. */
-  l?: StoredLoanParts;
+  l?: StoredLoanChanges;
   /** Returned GPUs. */
-  r?: StoredLoanParts;
+  r?: StoredLoanChanges;
   /** `JobChange.preemptedForServices`. */
   y?: number;
 };
@@ -336,8 +336,8 @@
       }
     : {}),
   ...(change.cutoffRisk === undefined ? {} : { q: change.cutoffRisk }),
-  ...(change.lend?.length ? { l: encodeLoanParts(change.lend) } : {}),
-  ...(change.repay?.length ? { r: encodeLoanParts(change.repay) } : {}),
+  ...(change.lend?.length ? { l: encodeLoanChanges(change.lend) } : {}),
+  ...(change.repay?.length ? { r: encodeLoanChanges(change.repay) } : {}),
   ...(change.preemptedForServices ? { y: change.preemptedForServices } : {}),
 });
 
@@ -385,8 +385,8 @@
             ),
           },
     ...(stored.q === undefined ? {} : { cutoffRisk: stored.q }),
-    lend: decodeLoanParts(stored.l),
-    repay: decodeLoanParts(stored.r),
+    lend: decodeLoanChanges(stored.l),
+    repay: decodeLoanChanges(stored.r),
     preemptedForServices: stored.y,
   };
 };
--- a/packages/controller/src/jobs/job-state.ts
+++ b/packages/controller/src/jobs/job-state.ts
@@ -5,7 +5,7 @@
  */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { decodeAccounts } from '../accounts/codec.js';
-import { foldLogEntry } from '../accounts/fold.js';
+import { applyToAccounts } from '../accounts/aggregate.js';
 import { type Accounts, NO_ACCOUNTS } from '../accounts/model.js';
 import { Calendars } from '../calendar/calendars.js';
 import { generationFloor, type Incarnation, incarnationOf } from '../recovery/model.js';
@@ -417,7 +417,7 @@
         .filter((entry) => entry.sequence > upTo)
         .sort((a, b) => a.sequence - b.sequence);
       for (const entry of later)
-        this.accountsSoFar = foldLogEntry(
+        this.accountsSoFar = applyToAccounts(
           this.accountsSoFar,
           entry.sequence,
           entry.head.at,
--- a/packages/controller/src/jobs/model.ts
+++ b/packages/controller/src/jobs/model.ts
@@ -5,7 +5,7 @@
  */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { NO_USAGE, type Usage } from '../accounts/model.js';
-import { applyLoans, type Loan, type LoanPart } from '../lending/model.js';
+import { applyLoans, type Loan, type LoanChange } from '../lending/model.js';
 
 export type Shape = 'array' | 'gang' | 'service';
 /** Higher is more urgent. */
@@ -37,7 +37,7 @@
   /** Time of day of the first submission request that reached a controller. */
   readonly submitted: Micros;
   /** Id of the cutoff occurrence that the job was bound to when it was accepted (src/calendar); null: none. */
-  readonly tie: string | null;
+  readonly cutoffBinding: string | null;
 }
 
 /** A task that was started and is not known to have exited. */
@@ -88,9 +88,9 @@
   /** A new risk level: the job is at risk of missing its cutoff, has missed it, or neither (`CUTOFF_RISK` in src/calendar). */
   readonly cutoffRisk?: number;
   /** GPUs that the job borrows, by lender. */
-  readonly lend?: readonly LoanPart[];
+  readonly lend?: readonly LoanChange[];
   /** Borrowed GPUs that the job returns, by lender. */
-  readonly repay?: readonly LoanPart[];
+  readonly repay?: readonly LoanChange[];
   /** Number of the job's tasks that are about to be preempted for services. */
   readonly preemptedForServices?: number;
 }
--- a/packages/controller/src/leadership/leader-session.ts
+++ b/packages/controller/src/leadership/leader-session.ts
@@ -25,8 +25,8 @@
 import type { EvidenceStore } from '../recovery/evidence-store.js';
 import { reconcileOrphanedJobs } from '../recovery/orphaned-jobs.js';
 import { LargestJobs, largestJobsTask } from '../scheduler/largest-jobs.js';
-import { summary, runCycle } from '../scheduler/run-cycle.js';
-import { upkeep } from '../scheduler/upkeep.js';
+import { clusterSummary, runCycle } from '../scheduler/run-cycle.js';
+import { runMaintenance } from '../scheduler/maintenance.js';
 import { StartWaits } from '../scheduler/start-waits.js';
 import type { CycleState, CycleContext } from '../scheduler/cycle-context.js';
 import type { Settings } from '../settings/settings.js';
@@ -201,7 +201,7 @@
       const { registry } = cycleContext;
       const state: CycleState = {
         result: null,
-        idleNodes: new Set(),
+        idleMachines: new Set(),
         coLocatedDemand: [],
         computeTime: 0,
         hasBacklog: false,
@@ -220,7 +220,7 @@
       );
       const maintenance = supervise(
         'maintenance',
-        upkeep(cycleContext).pipe(Effect.zipRight(tick(MAINTENANCE_GAP_MS)), Effect.forever),
+        runMaintenance(cycleContext).pipe(Effect.zipRight(tick(MAINTENANCE_GAP_MS)), Effect.forever),
       );
       const weights = imageWeightsTask({ ...cycleContext, machines: () => registry.machines.values() });
       const fleet = autoscaler(cycleContext, state, dependencies.cloud);
@@ -253,7 +253,7 @@
     );
     // The machines that the previous leader was renting and returning.
     const previous = dependencies.peers.lastProvisioning();
-    if (previous !== null) registry.applyProvisioningNews(previous.news, previous.at);
+    if (previous !== null) registry.applyProvisioningUpdate(previous.news, previous.at);
     this.fleet.news = previous?.news ?? NO_NEWS;
     this.fleet.listed = false;
     return {
@@ -347,7 +347,7 @@
     Effect.sleep(SUMMARY_EVERY_MS).pipe(
       Effect.zipRight(
         Effect.suspend(() =>
-          info('cluster', { term: cycleContext.leaderTerm.number, ...summary(cycleContext, state) }),
+          info('cluster', { term: cycleContext.leaderTerm.number, ...clusterSummary(cycleContext, state) }),
         ),
       ),
       Effect.forever,
--- a/packages/controller/src/lending/codec.ts
+++ b/packages/controller/src/lending/codec.ts
@@ -1,11 +1,11 @@
 /** Stored forms of loans: in a job's key, and in a log entry's change of a job. */
 import type { Micros } from '@lilacvalve/runtime/micros';
-import type { Loan, LoanPart } from './model.js';
+import type { Loan, LoanChange } from './model.js';
 
 /** lender -> [thousandths of a GPU, tasks, microseconds from the taker's submission to the first log entry] */
 export type StoredLoans = Readonly<Record<string, readonly [number, number, number]>>;
 /** lender -> [thousandths of a GPU, tasks] */
-export type StoredLoanParts = Readonly<Record<string, readonly [number, number]>>;
+export type StoredLoanChanges = Readonly<Record<string, readonly [number, number]>>;
 
 export const encodeLoans = (loans: ReadonlyMap<string, Loan>, submitted: Micros): StoredLoans =>
   Object.fromEntries(
@@ -24,11 +24,11 @@
   return out;
 };
 
-export const encodeLoanParts = (changes: readonly LoanPart[]): StoredLoanParts =>
+export const encodeLoanChanges = (changes: readonly LoanChange[]): StoredLoanChanges =>
   Object.fromEntries(changes.map((change) => [change.lender, [change.gpus, change.tasks] as const]));
 
 /** Throws on values that `encodeLoanChanges` cannot have written. */
-export const decodeLoanParts = (stored: StoredLoanParts | undefined): LoanPart[] | undefined =>
+export const decodeLoanChanges = (stored: StoredLoanChanges | undefined): LoanChange[] | undefined =>
   stored === undefined
     ? undefined
     : Object.entries(stored).map(([lender, change]) => {
--- a/packages/controller/src/lending/loan-changes.ts
+++ b/packages/controller/src/lending/loan-changes.ts
@@ -2,7 +2,7 @@
 import type { Job } from '../jobs/model.js';
 import { repaymentsWithoutStart, repaymentsByStarts, type Repayments } from './repayment.js';
 import { loansOf } from './loans.js';
-import { thousandths, type LoanPart } from './model.js';
+import { thousandths, type LoanChange } from './model.js';
 
 /** A task that is to be preempted, with the service that takes its resources (`taker`). */
 export interface LendingPreemption {
@@ -14,7 +14,7 @@
 /** The loans of one taker. */
 export interface NewLoans<S extends LendingPreemption> {
   readonly taker: Job;
-  readonly lend: readonly LoanPart[];
+  readonly lend: readonly LoanChange[];
   /** Number of preempted tasks by lender. */
   readonly taken: ReadonlyMap<string, number>;
   readonly preemptions: readonly S[];
@@ -30,7 +30,7 @@
     else byTaker.set(preemption.taker, [preemption]);
   }
   return [...byTaker].map(([taker, takerPreemptions]) => {
-    const byLender = new Map<string, LoanPart>();
+    const byLender = new Map<string, LoanChange>();
     for (const { job } of takerPreemptions) {
       const lender = job.spec.id;
       const old = byLender.get(lender);
@@ -61,7 +61,7 @@
 }
 export interface LoanRepayment {
   readonly taker: string;
-  readonly repay: readonly LoanPart[];
+  readonly repay: readonly LoanChange[];
   readonly ends: readonly LoanEnd[];
 }
 
@@ -80,9 +80,9 @@
   // A loan that ends in part without a start is not repaid by starts until the next cycle.
   const rest = loans.filter((loan) => !withoutStart.get(loan.taker)?.some((p) => p.lender === loan.lender));
   const byStarts = repaymentsByStarts(rest, started, (id) => jobs.get(id)?.spec.gpus ?? 0);
-  const repaymentsOf = (repayments: Repayments, taker: string): readonly LoanPart[] =>
+  const repaymentsOf = (repayments: Repayments, taker: string): readonly LoanChange[] =>
     repayments.get(taker) ?? [];
-  const loanEnd = (taker: string, repayment: LoanPart, reason: LoanEnd['reason']): LoanEnd => ({
+  const loanEnd = (taker: string, repayment: LoanChange, reason: LoanEnd['reason']): LoanEnd => ({
     taker,
     lender: repayment.lender,
     gpus: repayment.gpus / 1000,
--- a/packages/controller/src/lending/model.ts
+++ b/packages/controller/src/lending/model.ts
@@ -19,7 +19,7 @@
 }
 
 /** What one log entry adds to a loan, or takes off it. */
-export interface LoanPart {
+export interface LoanChange {
   readonly lender: string;
   readonly gpus: number;
   readonly tasks: number;
@@ -28,8 +28,8 @@
 /** Applies one log entry to a taker's loans, first what it lends, then what it repays. Amounts never become negative. */
 export const applyLoans = (
   loans: Map<string, Loan>,
-  lend: readonly LoanPart[] | undefined,
-  repay: readonly LoanPart[] | undefined,
+  lend: readonly LoanChange[] | undefined,
+  repay: readonly LoanChange[] | undefined,
   at: Micros,
 ): void => {
   for (const change of lend ?? []) {
--- a/packages/controller/src/lending/repayment.ts
+++ b/packages/controller/src/lending/repayment.ts
@@ -5,12 +5,12 @@
  */
 import type { Job } from '../jobs/model.js';
 import type { OpenLoan } from './loans.js';
-import { thousandths, type LoanPart } from './model.js';
+import { thousandths, type LoanChange } from './model.js';
 
 /** What a log entry repays, by taker. */
-export type Repayments = Map<string, LoanPart[]>;
+export type Repayments = Map<string, LoanChange[]>;
 
-const addRepayment = (out: Repayments, taker: string, repayment: LoanPart): void => {
+const addRepayment = (out: Repayments, taker: string, repayment: LoanChange): void => {
   const list = out.get(taker);
   if (list) list.push(repayment);
   else out.set(taker, [repayment]);
--- a/packages/controller/src/lending/replica-cost.ts
+++ b/packages/controller/src/lending/replica-cost.ts
@@ -85,19 +85,19 @@
       ) as Micros);
 
 /** Returns the time from the stop order until the task's resources are free. */
-export const leaveTime = (victim: Victim): Micros => (victim.checkpoint > 0 ? victim.save : 0) as Micros;
+export const timeToFree = (victim: Victim): Micros => (victim.checkpoint > 0 ? victim.save : 0) as Micros;
 
 /**
  * Whether the task is expected to complete before the replica's image is fetched, so that preempting it gains nothing. A
  * service, which has no estimate, never completes.
  */
-export const endsBeforeFetch = (victim: Victim, fetch: Micros): boolean =>
+export const completesBeforeFetch = (victim: Victim, fetch: Micros): boolean =>
   victim.estimate > 0 && remainingTime(victim) <= fetch;
 
 /** One option for placing a replica. */
 export interface ServingOption {
   /** Time until the resources are available: until the victims have stopped, or the machine has booted. */
-  readonly leave: Micros;
+  readonly availableIn: Micros;
   /** Time to fetch the image. */
   readonly fetch: Micros;
   /** Work that is lost, or GPUs that are paid while idle, in GPU-microseconds. */
@@ -106,14 +106,14 @@
 
 /** Returns the cost of an option. `due`: time left to the class's objective for the start of this job; null: there is none. */
 export const servingCost = (option: ServingOption, due: Micros | null): number => {
-  const serves = (option.leave + option.fetch) / 1e6;
+  const serves = (option.availableIn + option.fetch) / 1e6;
   const late = due === null ? 0 : Math.max(0, serves - Math.max(0, due / 1e6));
   return serves + LATENESS_WEIGHT * late + LOSS_WEIGHT * (option.lost / 1e6);
 };
 
 /** Returns the option of renting a machine, which is paid from the order on, while it boots. */
 export const rentalOption = (boot: Micros, fetch: Micros, gpus: number): ServingOption => ({
-  leave: boot,
+  availableIn: boot,
   fetch,
   lost: boot * gpus,
 });
--- a/packages/controller/src/main.ts
+++ b/packages/controller/src/main.ts
@@ -9,7 +9,7 @@
 import { micros, now, seconds } from '@lilacvalve/runtime/micros';
 import { CloudClient } from './provisioning/cloud.js';
 import { Links } from './links.js';
-import { makeNode } from './node.js';
+import { createController } from './controller.js';
 import { heapStatistics, memoryUsageRatio } from './overload/memory.js';
 import { readSettings, type Settings } from './settings/settings.js';
 import { StateStore } from './state-store/client.js';
@@ -21,7 +21,7 @@
   Effect.scoped(
     Effect.gen(function* () {
       const links = new Links();
-      const controller = makeNode(settings, {
+      const controller = createController(settings, {
         store: new StateStore(settings),
         cloud: new CloudClient(settings),
         workers: new WorkerClient(settings),
--- a/packages/controller/src/provisioning/autoscaler.ts
+++ b/packages/controller/src/provisioning/autoscaler.ts
@@ -259,7 +259,7 @@
   /** For how long an empty machine is kept. */
   private idleLimit(id: string): Micros {
     if (this.context.registry.machines.get(id)?.cordonReason) return 0 as Micros;
-    return this.cycle.idleNodes.has(id) || this.overdue.has(id) ? IDLE_SURPLUS : IDLE;
+    return this.cycle.idleMachines.has(id) || this.overdue.has(id) ? IDLE_SURPLUS : IDLE;
   }
 
   private findReturnable(at: Micros): Returnable {
@@ -274,7 +274,7 @@
       idle: [],
     };
     for (const machine of registry.machines.values()) {
-      const { id, type, zone, spot, emptySince } = machine;
+      const { id, type, zone, spot, idleSince: emptySince } = machine;
       if (machine.cloudStatus === 'failed') found.failed.push(id);
       else if (machine.reported && at > registry.leaseExpiry(machine) + SILENT) found.leaseExpired.push(id);
       else if (isUnreachable(machine, settings.workers, at)) found.unreachable.push(id);
@@ -345,7 +345,7 @@
       bins,
       demand,
       companions: this.cycle.coLocatedDemand,
-      surplus: this.cycle.idleNodes,
+      surplus: this.cycle.idleMachines,
       avoidedMachines: (job) => registry.avoidedMachines(job),
       isRefused: (o) => at < (this.refusedUntil.get(offerKey(o)) ?? 0),
       bootsSlowly: (offer) =>
--- a/packages/controller/src/provisioning/scaling-input.ts
+++ b/packages/controller/src/provisioning/scaling-input.ts
@@ -1,7 +1,7 @@
 /** What the scaling plan is made from: the capacity that is there or pending, and the demand in its order. */
 import type { Micros } from '@lilacvalve/runtime/micros';
-import { dayOf } from '../calendar/cutoff-tracking.js';
-import { pressing } from '../calendar/slack.js';
+import { monotonicDayTime } from '../calendar/cutoff-tracking.js';
+import { pressingCutoff } from '../calendar/slack.js';
 import type { CycleContext } from '../scheduler/cycle-context.js';
 import type { Resources } from '../scheduler/model.js';
 import type { Machine } from '../workers/machine.js';
@@ -82,14 +82,14 @@
 /** What the cycle could not place, in the order in which it is worth a machine. */
 export const orderDemand = (context: CycleContext, unplaced: readonly Demand[]): Demand[] => {
   const { current, classDurations: shown } = context.jobState.calendars;
-  const day = dayOf(context);
+  const day = monotonicDayTime(context);
   const classes = shown?.value ?? new Map<string, readonly number[]>();
   return (
     unplaced
       .filter((demand) => !demand.job.cancelled)
       .map((demand) => ({
         demand,
-        by: pressing(demand.job, current, day, classes) ?? Number.POSITIVE_INFINITY,
+        by: pressingCutoff(demand.job, current, day, classes) ?? Number.POSITIVE_INFINITY,
       }))
       // What would miss its cutoff is worth a machine sooner, by cutoff; the rest in the order of submission.
       .sort(
--- a/packages/controller/src/recovery/calendar-recovery.ts
+++ b/packages/controller/src/recovery/calendar-recovery.ts
@@ -2,9 +2,15 @@
  * Recovers the calendar in a rebuild. Merges what the controllers remember of the keys below `s/c/` (the calendar's head and
  * pages, the outcome counts of its occurrences, the durations by job class) and plans the transactions that write it back.
  */
-import { decodeCalendar, encodeCalendar, encodeTally, decodeTally, type Head } from '../calendar/codec.js';
-import { type Calendars, pagesOf, type Remembered } from '../calendar/calendars.js';
-import { laterTally, type Tally } from '../calendar/model.js';
+import {
+  decodeCalendar,
+  encodeCalendar,
+  encodeOutcomeCounts,
+  decodeOutcomeCounts,
+  type CalendarHead,
+} from '../calendar/codec.js';
+import { type Calendars, paginateCalendar, type RememberedCalendar } from '../calendar/calendars.js';
+import { mergeOutcomeCounts, type OutcomeCounts } from '../calendar/model.js';
 import {
   decodeClassDurations,
   encodeClassDurations,
@@ -23,22 +29,23 @@
  * Merges what two controllers remember: the newer calendar, the higher outcome counts, and the class durations with more
  * samples. The merge is commutative and idempotent.
  */
-export const mergeCalendars = (a: Remembered, b: Remembered): Remembered => {
-  const tallies = new Map<string, Tally>(a.tallies);
-  for (const [id, counts] of b.tallies) {
+export const mergeCalendars = (a: RememberedCalendar, b: RememberedCalendar): RememberedCalendar => {
+  const tallies = new Map<string, OutcomeCounts>(a.outcomeCounts);
+  for (const [id, counts] of b.outcomeCounts) {
     const known = tallies.get(id);
-    tallies.set(id, known === undefined ? counts : laterTally(known, counts));
+    tallies.set(id, known === undefined ? counts : mergeOutcomeCounts(known, counts));
   }
   const [older, newer] = (a.calendar?.version ?? 0) < (b.calendar?.version ?? 0) ? [a, b] : [b, a];
   return {
     calendar: newer.calendar ?? older.calendar,
-    tallies,
-    shown: sampleCount(b.shown) > sampleCount(a.shown) ? b.shown : a.shown,
+    outcomeCounts: tallies,
+    classDurations:
+      sampleCount(b.classDurations) > sampleCount(a.classDurations) ? b.classDurations : a.classDurations,
   };
 };
 
-const areEqual = (a: Tally, b: Tally | undefined): boolean =>
-  JSON.stringify(encodeTally(a)) === JSON.stringify(b === undefined ? null : encodeTally(b));
+const areEqual = (a: OutcomeCounts, b: OutcomeCounts | undefined): boolean =>
+  JSON.stringify(encodeOutcomeCounts(a)) === JSON.stringify(b === undefined ? null : encodeOutcomeCounts(b));
 
 /**
  * Returns the transactions that write what the store lacks of `remembered`; none if the store lacks nothing. The calendar's
@@ -47,7 +54,7 @@
  */
 export const calendarWriteSteps = (
   stored: Calendars,
-  remembered: Remembered,
+  remembered: RememberedCalendar,
   valueBytes: number,
   damaged: ReadonlyMap<string, number> = new Map(),
 ): WriteStep[] => {
@@ -58,7 +65,7 @@
     calendar !== null &&
     (damaged.has(CALENDAR_HEAD) || (stored.head?.value.version ?? 0) < calendar.version || !stored.complete)
   ) {
-    const { head, pages } = pagesOf(calendar, valueBytes);
+    const { head, pages } = paginateCalendar(calendar, valueBytes);
     for (const page of pages)
       steps.push({
         when: [{ key: page.key, stamp: revisionOf(page.key, stored.pages.get(page.key)?.revision) }],
@@ -69,15 +76,15 @@
       then: [{ set: CALENDAR_HEAD, value: head }],
     });
   }
-  const updates = [...remembered.tallies].flatMap(([id, counts]) => {
-    const storedCounts = stored.tallies.get(id);
-    const merged = storedCounts === undefined ? counts : laterTally(storedCounts.value, counts);
+  const updates = [...remembered.outcomeCounts].flatMap(([id, counts]) => {
+    const storedCounts = stored.outcomeCounts.get(id);
+    const merged = storedCounts === undefined ? counts : mergeOutcomeCounts(storedCounts.value, counts);
     if (areEqual(merged, storedCounts?.value)) return [];
     const key = OCCURRENCE + id;
     return [
       {
         when: { key, stamp: revisionOf(key, storedCounts?.revision) },
-        then: { set: key, value: encodeTally(merged) },
+        then: { set: key, value: encodeOutcomeCounts(merged) },
       },
     ];
   });
@@ -85,36 +92,36 @@
     const group = updates.slice(i, i + MAX_COUNTS_PER_STEP);
     steps.push({ when: group.map((update) => update.when), then: group.map((update) => update.then) });
   }
-  if (stored.classDurations === null && remembered.shown.size > 0)
+  if (stored.classDurations === null && remembered.classDurations.size > 0)
     steps.push({
       when: [{ key: CLASS_DURATIONS, stamp: revisionOf(CLASS_DURATIONS, undefined) }],
-      then: [{ set: CLASS_DURATIONS, value: encodeClassDurations(remembered.shown) }],
+      then: [{ set: CLASS_DURATIONS, value: encodeClassDurations(remembered.classDurations) }],
     });
   return steps;
 };
 
 /** The form in which controllers send each other what they remember of the calendar. */
 export type WireRemembered = readonly [
-  calendar: readonly [head: Head, pages: readonly unknown[]] | null,
+  calendar: readonly [head: CalendarHead, pages: readonly unknown[]] | null,
   tallies: readonly (readonly [string, unknown])[],
   shown: unknown,
 ];
-export const encodeRemembered = (remembered: Remembered): WireRemembered => {
+export const encodeRemembered = (remembered: RememberedCalendar): WireRemembered => {
   const paged =
     remembered.calendar === null ? null : encodeCalendar(remembered.calendar, Number.POSITIVE_INFINITY);
   return [
     paged === null ? null : [paged.head, paged.pages.map((page) => page.value)],
-    [...remembered.tallies].map(([id, counts]) => [id, encodeTally(counts)]),
-    encodeClassDurations(remembered.shown),
+    [...remembered.outcomeCounts].map(([id, counts]) => [id, encodeOutcomeCounts(counts)]),
+    encodeClassDurations(remembered.classDurations),
   ];
 };
 /** Decodes what `encodeRemembered` returned; null for anything that is not an array. */
-export const decodeRemembered = (wire: unknown): Remembered | null => {
+export const decodeRemembered = (wire: unknown): RememberedCalendar | null => {
   if (!Array.isArray(wire)) return null;
   const [calendar, tallies, shown] = wire as unknown as WireRemembered;
   return {
     calendar: calendar === null ? null : decodeCalendar(calendar[0], calendar[1]),
-    tallies: new Map(tallies.map(([id, counts]) => [id, decodeTally(counts)])),
-    shown: decodeClassDurations(shown),
+    outcomeCounts: new Map(tallies.map(([id, counts]) => [id, decodeOutcomeCounts(counts)])),
+    classDurations: decodeClassDurations(shown),
   };
 };
--- a/packages/controller/src/recovery/codec.ts
+++ b/packages/controller/src/recovery/codec.ts
@@ -5,7 +5,7 @@
 import { decodeJob, encodeJob } from '../jobs/codec.js';
 import { packFinalState, unpackFinalState } from '../jobs/final-states.js';
 import type { FinalState } from '../jobs/model.js';
-import type { Remembered } from '../calendar/calendars.js';
+import type { RememberedCalendar } from '../calendar/calendars.js';
 import { decodeRemembered, encodeRemembered } from './calendar-recovery.js';
 import type { JobVersion } from './merge.js';
 
@@ -34,7 +34,7 @@
   /** The first range of the next request; null if nothing is left. */
   readonly next: number | null;
   /** What the controller remembers of the calendar; in the first response only. */
-  readonly calendar: Remembered | null;
+  readonly calendar: RememberedCalendar | null;
 }
 
 /** Maximum size of one value of a view's encoded accounts, in bytes; the same as that of a checkpoint in the store. */
--- a/packages/controller/src/recovery/gathered-views.ts
+++ b/packages/controller/src/recovery/gathered-views.ts
@@ -1,6 +1,6 @@
 /** The first step of a rebuild: the leader gathers what the controllers remember from before the loss. */
 import { Effect } from 'effect';
-import type { Remembered } from '../calendar/calendars.js';
+import type { RememberedCalendar } from '../calendar/calendars.js';
 import type { FinalState } from '../jobs/model.js';
 import type { Peer } from '../settings/settings.js';
 import { mergeCalendars } from './calendar-recovery.js';
@@ -20,7 +20,7 @@
   readonly headers = new Map<string, readonly ViewHeader[]>();
   private readonly versions: JobVersion[] = [];
   private readonly finals = new Map<string, FinalState>();
-  private calendar: Remembered | null = null;
+  private calendar: RememberedCalendar | null = null;
 
   /** Adds the response of the controller `label`. */
   add(label: string, response: ViewResponse): void {
@@ -34,7 +34,7 @@
   }
 
   /** Returns what all gathered views and this controller remember of the calendar. */
-  mergedCalendar(own: Pick<RebuildContext, 'jobState'>): Remembered {
+  mergedCalendar(own: Pick<RebuildContext, 'jobState'>): RememberedCalendar {
     const ownCalendar = own.jobState.calendars.remembered();
     return this.calendar === null ? ownCalendar : mergeCalendars(ownCalendar, this.calendar);
   }
--- a/packages/controller/src/recovery/merge.ts
+++ b/packages/controller/src/recovery/merge.ts
@@ -73,7 +73,7 @@
   for (const version of versions) for (const machine of version.job.failedOn) failedOn.add(machine);
   const completed = versions.some((version) => !version.job.cancelled && isComplete(version.job));
   return {
-    spec: { ...spec, submitted: earliest.submitted, tie: earliest.tie },
+    spec: { ...spec, submitted: earliest.submitted, cutoffBinding: earliest.cutoffBinding },
     // If a view has the job completed without a cancellation, the completion was committed before any cancellation, and a
     // user may have been told `done`.
     cancelled: !completed && versions.some((version) => version.job.cancelled),
--- a/packages/controller/src/recovery/rebuild.ts
+++ b/packages/controller/src/recovery/rebuild.ts
@@ -7,7 +7,7 @@
 import { seconds } from '@lilacvalve/runtime/micros';
 import { Effect } from 'effect';
 import { encodeAccounts } from '../accounts/codec.js';
-import { joinAccounts } from '../accounts/fold.js';
+import { joinAccounts } from '../accounts/aggregate.js';
 import type { RebuildStatus } from '../jobs/job-state.js';
 import { accountsKey, QUIESCENT, REBUILD, type RECOVERED } from '../jobs/keys.js';
 import type { StateFailure, Write } from '../state-store/client.js';
--- a/packages/controller/src/scheduler/cluster-capacity.ts
+++ b/packages/controller/src/scheduler/cluster-capacity.ts
@@ -6,14 +6,14 @@
   type CoLocatedDemand,
   EPSILON,
   type PlacedTask,
-  type NodeView,
+  type MachineView,
   type Resources,
   countFittingAmount,
 } from './model.js';
 
 /** A machine's resources as the refill changes them. */
 export interface MachineState {
-  readonly view: NodeView;
+  readonly view: MachineView;
   /** Position among all machines of the cycle; of two equally suitable machines the one with the smaller index is chosen. */
   readonly index: number;
   readonly free: Resources;
--- a/packages/controller/src/scheduler/commit.ts
+++ b/packages/controller/src/scheduler/commit.ts
@@ -2,7 +2,7 @@
 import { Effect } from 'effect';
 import { debug, info } from '@lilacvalve/runtime/log';
 import { type Micros, plus } from '@lilacvalve/runtime/micros';
-import { Booking } from '../accounts/booking.js';
+import { LogEntryUsage } from '../accounts/log-entry-usage.js';
 import { NO_USAGE } from '../accounts/model.js';
 import { recordSamples, logCutoffRisks, cutoffRisksOf } from '../calendar/cutoff-tracking.js';
 import { encodeLogEntry } from '../jobs/codec.js';
@@ -117,7 +117,7 @@
     // Later than the preceding log entry, which another controller may have written: clocks differ, and the durations that
     // the accounts compute from these times must not be negative.
     const entryTime = Math.max(context.dayTime(), context.jobState.lastAt + 1) as Micros;
-    const booking = new Booking(context, entryTime);
+    const booking = new LogEntryUsage(context, entryTime);
     const draft = draftOf(context, starts, preemptions, booking, cutoffRisksOf(context, entryTime));
     if (draft.entries.length === 0) return NOTHING_COMMITTED;
     const usage = booking.usage();
--- a/packages/controller/src/scheduler/cycle-context.ts
+++ b/packages/controller/src/scheduler/cycle-context.ts
@@ -53,7 +53,7 @@
 export interface CycleState {
   result: CycleResult | null;
   /** Machines in excess of the demand, see idle-machines.ts. */
-  idleNodes: ReadonlySet<string>;
+  idleMachines: ReadonlySet<string>;
   coLocatedDemand: readonly CoLocatedDemand[];
   /** Computing time of the latest cycle, in microseconds. */
   computeTime: number;
--- a/packages/controller/src/scheduler/cycle-input.ts
+++ b/packages/controller/src/scheduler/cycle-input.ts
@@ -1,6 +1,6 @@
 /** Builds the input of a scheduling cycle from the worker registry and the job state. */
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
-import { dayOf, paceOf } from '../calendar/cutoff-tracking.js';
+import { monotonicDayTime, slackInputsOf } from '../calendar/cutoff-tracking.js';
 import { cutoffRank } from '../calendar/slack.js';
 import { isComplete, type Job, taskKey } from '../jobs/model.js';
 import { mayBorrow } from '../lending/loans.js';
@@ -11,7 +11,7 @@
   fits,
   type PlacedTask,
   type LendingView,
-  type NodeView,
+  type MachineView,
   type QueuedJob,
   resourcesOf,
 } from './model.js';
@@ -25,7 +25,7 @@
     readonly task: number,
     readonly machine: string,
     readonly zone: string | null,
-    readonly leaving: boolean,
+    readonly terminating: boolean,
     private readonly key: string,
     private readonly now: Micros,
     private readonly registry: WorkerRegistry,
@@ -38,7 +38,7 @@
     return (checkpoint > 0 ? Math.min(since, save) : since) as Micros;
   }
 
-  get left(): Micros {
+  get remaining(): Micros {
     const run = this.registry.running.get(this.key);
     return Math.max(0, this.job.spec.estimate - (run ? this.now - run.since : 0)) as Micros;
   }
@@ -97,9 +97,9 @@
 };
 
 /** Returns the machines of known types whose workers have reported. */
-export const reportedMachines = (context: CycleContext, now: Micros): NodeView[] => {
+export const reportedMachines = (context: CycleContext, now: Micros): MachineView[] => {
   const types = new Map(context.types().map((type) => [type.name, type]));
-  const machines: NodeView[] = [];
+  const machines: MachineView[] = [];
   const fetching = machinesFetchingWeights(context);
   for (const machine of context.registry.machines.values()) {
     const type = types.get(machine.type);
@@ -180,8 +180,8 @@
   for (const { spec } of jobState.jobs.values()) largestJobs.observe(spec);
   const limits = new Map(context.settings.teams.map((team) => [team.name, team.limit]));
   const calendar = jobState.calendars.current;
-  const cutoffDay = dayOf(context);
-  const pace = paceOf(context);
+  const cutoffDay = monotonicDayTime(context);
+  const pace = slackInputsOf(context);
   // A job's key in the store must be able to hold all its placements: about 12 bytes each, in half of a value.
   const maxPlaced = Math.max(50, Math.floor((context.settings.state.valueBytes * 0.5) / 12));
   for (const job of jobState.jobs.values()) {
@@ -198,7 +198,8 @@
     const starvingSince = largestJobs.has(spec)
       ? starvingFrom(job, day, limits.get(spec.team), gang ? Number.POSITIVE_INFINITY : maxPlaced)
       : null;
-    const boundRank = suspect || spec.tie === null ? null : cutoffRank(job, calendar, cutoffDay, pace);
+    const boundRank =
+      suspect || spec.cutoffBinding === null ? null : cutoffRank(job, calendar, cutoffDay, pace);
     const rankOfBound = (cutoff: number): number =>
       starvingSince !== null && day >= starvingSince ? starvingSince : IN_TIME_RANK + cutoff;
     const rank =
@@ -211,7 +212,7 @@
       tasks,
       rank,
       starving,
-      cautious: suspect,
+      suspect,
       mayRent,
       ...(overdue ? { overdue } : {}),
     });
@@ -293,7 +294,7 @@
         machine !== undefined &&
         machine.confirmed &&
         machine.recallAt === null &&
-        now - machine.lastAnswered < maxAge
+        now - machine.lastResponseAt < maxAge
       );
     },
     due: ({ spec }) => {
--- a/packages/controller/src/scheduler/cycle.ts
+++ b/packages/controller/src/scheduler/cycle.ts
@@ -94,7 +94,7 @@
       evictedOn: (machine) => this.evictedOn(machine),
       markChanged: (machine) => void this.changedMachines.push(machine),
       changedMachines: this.changedMachines,
-      zones: [...new Set(input.nodes.map((machine) => machine.zone))].sort(),
+      zones: [...new Set(input.machines.map((machine) => machine.zone))].sort(),
       zonesHeld: this.evictions.zonesHeld,
       zoneUnknown: this.evictions.zoneUnknown,
       coLocatedDemand: input.coLocatedDemand,
@@ -155,7 +155,7 @@
         if (item.kind === 'queued') waiting.set(item.queued.job.spec.id, [team, item]);
     for (const [id, count] of this.input.reservations) {
       const [team, item] = waiting.get(id) ?? [];
-      if (team !== undefined && item !== undefined && !item.queued.cautious)
+      if (team !== undefined && item !== undefined && !item.queued.suspect)
         this.serveReservation(team, item, count);
     }
   }
@@ -285,7 +285,7 @@
 
   /** Places the next task or gang of the item. Returns whether the item has tasks left that may be placed in this cycle. */
   private serve(team: QueueTeam, item: QueuedItem): boolean {
-    const { job, tasks, cautious: suspect } = item.queued;
+    const { job, tasks, suspect } = item.queued;
     const group = nextTasks(item);
     const limited = this.overLimit(team, item.size);
     const failureKey = this.failureKey(item);
@@ -318,7 +318,7 @@
 
   /** Returns a key that is equal for items whose searches fail alike; null if the search depends on the job itself. */
   private failureKey(item: QueuedItem): string | null {
-    const { job, cautious: suspect } = item.queued;
+    const { job, suspect } = item.queued;
     const { spec } = job;
     const gang = isGang(job);
     if (suspect || this.overdue.has(job)) return null;
@@ -403,10 +403,10 @@
       add(team.held, need);
       if (hasZoneRules(job)) this.recordZone(job, machine.view.zone);
       if (start === null) return;
-      const startedOn = start.on.get(machine.view.id);
+      const startedOn = start.tasksByMachine.get(machine.view.id);
       if (startedOn) startedOn.push(task);
       else {
-        start.on.set(machine.view.id, [task]);
+        start.tasksByMachine.set(machine.view.id, [task]);
         this.placements++;
       }
     });
@@ -417,7 +417,7 @@
     let start = this.starts.get(job);
     if (start === undefined) {
       const attempt = Math.max(job.attempt, this.input.attemptFloor ?? 0) + 1;
-      this.starts.set(job, (start = { job, attempt, on: new Map() }));
+      this.starts.set(job, (start = { job, attempt, tasksByMachine: new Map() }));
     }
     return start;
   }
--- a/packages/controller/src/scheduler/draft.ts
+++ b/packages/controller/src/scheduler/draft.ts
@@ -6,7 +6,7 @@
  * exits would hold no starts at all. So changes that do not fit into one log entry go into the next one of the same
  * transaction, and as many tasks of an array are started as fit.
  */
-import type { Booking } from '../accounts/booking.js';
+import type { LogEntryUsage } from '../accounts/log-entry-usage.js';
 import { encodeChange } from '../jobs/codec.js';
 import { jobUnchanged } from '../jobs/keys.js';
 import { encodeRanges } from '../jobs/ranges.js';
@@ -114,7 +114,7 @@
 
   constructor(
     private readonly context: CycleContext,
-    private readonly usageRows: Booking['usageRows'],
+    private readonly usageRows: LogEntryUsage['usageRows'],
   ) {
     const { valueBytes, txnOps } = context.settings.state;
     this.valueLimit = valueBytes * VALUE_FILL_RATIO;
@@ -218,9 +218,9 @@
       this.complete = false;
       return;
     }
-    const addTasks = (on: Start['on']) =>
+    const addTasks = (on: Start['tasksByMachine']) =>
       this.add(id, (present) => ({ ...present, start: { attempt: start.attempt, on } }));
-    let { on: tasksByMachine } = start;
+    let { tasksByMachine } = start;
     if (!addTasks(tasksByMachine)) {
       tasksByMachine = start.job.spec.shape === 'array' ? firstTasks(start, this.maxStartBytes()) : new Map();
       if (tasksByMachine.size === 0 || !addTasks(tasksByMachine)) return;
@@ -244,11 +244,11 @@
 }
 
 /** Returns the tasks of a start on its first machines, as many as fit into `maxBytes`. */
-const firstTasks = (start: Start, maxBytes: number): Start['on'] => {
+const firstTasks = (start: Start, maxBytes: number): Start['tasksByMachine'] => {
   const tasksByMachine = new Map<string, number[]>();
   let bytesLeft =
     maxBytes - sizeOf(start.job.spec.id, { start: { attempt: start.attempt, on: tasksByMachine } });
-  for (const [machine, tasks] of start.on) {
+  for (const [machine, tasks] of start.tasksByMachine) {
     bytesLeft -= JSON.stringify(machine).length + JSON.stringify(encodeRanges(tasks)).length + 2;
     if (bytesLeft < 0) break;
     tasksByMachine.set(machine, tasks);
@@ -281,7 +281,7 @@
   preemptions: readonly Preemption[],
 ): void => {
   for (const { taker, repay, ends } of loanRepayments(context.jobState.jobs, builder.started, (job) =>
-    context.registry.hasUnsettledTasks(job),
+    context.registry.hasUnresolvedTasks(job),
   ))
     if (builder.add(taker, (present) => ({ ...present, repay }))) builder.endedLoans.push(...ends);
   for (const { taker, lend, taken, preemptions: loanPreemptions } of newLoans(preemptions)) {
@@ -305,7 +305,7 @@
   context: CycleContext,
   starts: readonly Start[],
   preemptions: readonly Preemption[],
-  { usageRows }: Booking,
+  { usageRows }: LogEntryUsage,
   cutoffRisks: ReadonlyMap<string, number>,
 ): Draft => {
   const builder = new DraftBuilder(context, usageRows);
--- a/packages/controller/src/scheduler/eviction.ts
+++ b/packages/controller/src/scheduler/eviction.ts
@@ -11,7 +11,7 @@
   add,
   type CycleInput,
   type PlacedTask,
-  type NodeView,
+  type MachineView,
   type QueuedJob,
   type Resources,
   resourcesOf,
@@ -72,7 +72,7 @@
 /** Whether the job's placement depends on the zones of its tasks. */
 export const hasZoneRules = ({ spec }: Job): boolean => spec.oneZone || spec.spread;
 
-const machineStateOf = (view: NodeView, index: number, idle: boolean): MachineState => ({
+const machineStateOf = (view: MachineView, index: number, idle: boolean): MachineState => ({
   view,
   index,
   free: [...view.total],
@@ -136,8 +136,8 @@
   private unitsByMachine: RunUnit[][] | null = null;
 
   constructor(private readonly input: CycleInput) {
-    for (const view of input.nodes) {
-      this.machines.set(view.id, machineStateOf(view, this.machines.size, input.idleNodes.has(view.id)));
+    for (const view of input.machines) {
+      this.machines.set(view.id, machineStateOf(view, this.machines.size, input.idleMachines.has(view.id)));
       add(this.total, view.total);
     }
     this.evictPlacedTasks();
@@ -200,7 +200,7 @@
       add(team.held, need);
       if (machine !== undefined) add(machine.free, need, -1);
       if (eviction.zoneRules) this.recordZone(placed);
-      if (placed.leaving) {
+      if (placed.terminating) {
         if (machine !== undefined) add(machine.terminating, need);
         add(team.used, need);
         continue;
@@ -241,7 +241,7 @@
     const nextIndex = new Map<EvictedRun, number>();
     for (const placed of this.input.placedTasks) {
       const { run, members } = this.jobs.get(placed.job)!;
-      if (placed.leaving || members !== null) continue;
+      if (placed.terminating || members !== null) continue;
       const index = nextIndex.get(run) ?? 0;
       nextIndex.set(run, index + 1);
       const machine = this.machines.get(placed.machine);
--- a/packages/controller/src/scheduler/idle-nodes.ts
+++ b/packages/controller/src/scheduler/idle-machines.ts
@@ -4,14 +4,14 @@
  * machines are given no more low-urgency work without GPUs and are chosen last for other work, so that they become idle
  * and are returned.
  */
-import type { PlacedTask, NodeView, QueuedJob } from './model.js';
+import type { PlacedTask, MachineView, QueuedJob } from './model.js';
 
 /** GPUs kept free for future jobs, as a fraction of the GPUs in use. */
 const RESERVE_RATIO = 0.2;
 
 /** Returns the ids of the GPU machines in excess of the demand, the least used first. */
-export const idleNodesOf = (
-  machines: readonly NodeView[],
+export const findIdleMachines = (
+  machines: readonly MachineView[],
   placedTasks: readonly PlacedTask[],
   queued: readonly QueuedJob[],
 ): Set<string> => {
--- a/packages/controller/src/scheduler/upkeep.ts
+++ b/packages/controller/src/scheduler/maintenance.ts
@@ -4,8 +4,8 @@
  */
 import { Effect } from 'effect';
 import { info } from '@lilacvalve/runtime/log';
-import { checkpointWrites, joinOldPages, writePage } from '../accounts/upkeep.js';
-import { tallyWrites, calendarUpkeep } from '../calendar/cutoff-tracking.js';
+import { checkpointWrites, joinOldPages, writePage } from '../accounts/maintenance.js';
+import { outcomeCountWrites, calendarMaintenance } from '../calendar/cutoff-tracking.js';
 import { encodeFinalState, encodeJob } from '../jobs/codec.js';
 import { ACCOUNTS, activeJobKey, jobUnchanged, finalStateKey, logEntryKey, TERM } from '../jobs/keys.js';
 import { finalState, type Job } from '../jobs/model.js';
@@ -35,7 +35,7 @@
       const changesPerJob = context.jobState.bundleOf.size > 0 ? 3 : 2;
       // A job bound to a cutoff also changes the outcome counts of its occurrence.
       const countChanges = finishedJobs.reduce(
-        (sum, finished) => sum + (finished.spec.tie === null ? 0 : 1),
+        (sum, finished) => sum + (finished.spec.cutoffBinding === null ? 0 : 1),
         0,
       );
       if (
@@ -61,7 +61,7 @@
       );
     }
     const removals = context.jobState.removalFromBundles(finals.map((finished) => finished.id));
-    const counts = tallyWrites(context.jobState, finals);
+    const counts = outcomeCountWrites(context.jobState, finals);
     when.push(...removals.when, ...counts.when);
     then.push(...removals.then, ...counts.then);
     const first = finals[0]!;
@@ -169,10 +169,10 @@
  * Runs one step of maintenance: the calendar, finished jobs, log compaction and the accounts' pages. Runs concurrently with the
  * scheduling cycles, which must not wait for its writes.
  */
-export const upkeep = (context: CycleContext): Effect.Effect<void> =>
+export const runMaintenance = (context: CycleContext): Effect.Effect<void> =>
   Effect.gen(function* () {
     if (!context.mayAct()) return;
-    yield* calendarUpkeep(context);
+    yield* calendarMaintenance(context);
     if (yield* closeFinishedJobs(context)) return;
     if (context.mayAct()) yield* compactLog(context);
     if (context.mayAct() && !(yield* writePage(context))) yield* joinOldPages(context);
--- a/packages/controller/src/scheduler/model.ts
+++ b/packages/controller/src/scheduler/model.ts
@@ -36,7 +36,7 @@
 };
 
 /** A machine whose worker has reported. */
-export interface NodeView {
+export interface MachineView {
   readonly id: string;
   readonly type: string;
   readonly zone: string;
@@ -58,17 +58,17 @@
   /** null: the task's log entry names the machine, but the machine's zone is not known yet. */
   readonly zone: string | null;
   /** Whether the task is being stopped or otherwise about to exit: its resources will be freed, and it can't be preempted. */
-  readonly leaving: boolean;
+  readonly terminating: boolean;
   /** Work that is lost if the task is stopped now. */
   readonly loss: Micros;
   /** Remaining run time according to the job's estimate. */
-  readonly left: Micros;
+  readonly remaining: Micros;
 }
 
 /** Information for placing replicas of GPU services, beside the rest of the cycle's input. */
 export interface LendingView {
   /** State of the job's image on a machine. */
-  readonly imageStatus: (job: Job, machine: NodeView) => ImageStatus;
+  readonly imageStatus: (job: Job, machine: MachineView) => ImageStatus;
   readonly victim: (placedTask: PlacedTask) => Victim;
   /** Whether an order to stop a task would reach the machine now. */
   readonly reachable: (machine: string) => boolean;
@@ -84,14 +84,14 @@
   readonly teams: readonly TeamSettings[];
   /** Reciprocal of each team's priority factor; teams that are not listed have 1. */
   readonly weights: ReadonlyMap<string, number>;
-  readonly nodes: readonly NodeView[];
+  readonly machines: readonly MachineView[];
   readonly placedTasks: readonly PlacedTask[];
   /** Jobs with tasks to start, and the tasks that may be started at once. */
   readonly queued: readonly QueuedJob[];
   /** CPUs and memory that recent GPU jobs need beside each GPU, by urgency. */
   readonly coLocatedDemand: readonly CoLocatedDemand[];
   /** Machines in excess of the demand: they are chosen last, and not for low-urgency work without GPUs. */
-  readonly idleNodes: ReadonlySet<string>;
+  readonly idleMachines: ReadonlySet<string>;
   /** Jobs for which an earlier cycle preempted tasks, with their number of tasks to place before all other jobs' tasks. */
   readonly reservations: ReadonlyMap<string, number>;
   /** Machines that a job avoids because it failed there; null: none. */
@@ -127,7 +127,7 @@
   /** Whether the job is a starving gang, see reserve.ts. */
   readonly starving: boolean;
   /** Whether the job failed wherever it ran: it is only given free resources and preempts no task. */
-  readonly cautious: boolean;
+  readonly suspect: boolean;
   /** Whether machines may be rented for the job. */
   readonly mayRent: boolean;
   /**
@@ -142,7 +142,7 @@
   readonly job: Job;
   readonly attempt: number;
   /** The tasks to start, by machine. */
-  readonly on: Map<string, number[]>;
+  readonly tasksByMachine: Map<string, number[]>;
 }
 /** A task to stop so that other work gets its resources. */
 export interface Preemption {
--- a/packages/controller/src/scheduler/replica-search.ts
+++ b/packages/controller/src/scheduler/replica-search.ts
@@ -8,10 +8,10 @@
 import type { Job } from '../jobs/model.js';
 import {
   servingCost,
-  endsBeforeFetch,
+  completesBeforeFetch,
   fetchTime,
   type ImageStatus,
-  leaveTime,
+  timeToFree,
   lostWork,
   withinPreemptionBudget,
   rentalOption,
@@ -160,7 +160,7 @@
       machine.free[2] - need[2],
     ];
     const cost = (leave: number, lost: number, remaining: Resources): number =>
-      servingCost({ leave: leave as Micros, fetch, lost }, due) +
+      servingCost({ availableIn: leave as Micros, fetch, lost }, due) +
       FIT_WEIGHT * placementScore(this.capacity.coLocatedDemand, job, machine, remaining);
     if (fits(need, machine.free))
       return { machine, cost: cost(0, 0, afterPlacement), victims: [], free: true };
@@ -245,7 +245,7 @@
     // The budget covers tasks with GPUs only; other tasks are preempted by the cycle's general rules.
     if (spec.gpus > 0 && !withinPreemptionBudget(budget, tasks)) return false;
     const { reachable, victim } = this.lossOf(unit);
-    return reachable && !endsBeforeFetch(victim, fetch);
+    return reachable && !completesBeforeFetch(victim, fetch);
   }
 
   /** Returns the state of the job's image on a machine, including the fetches of replicas placed in this cycle. */
@@ -273,7 +273,7 @@
           (unit.job.spec.shape !== 'gang' || unit.members.length === unit.job.spec.tasks) &&
           unit.members.every((member) => this.lending.reachable(member.machine)),
         lost: victims.reduce((sum, member) => sum + lostWork(member) * Math.max(unit.need[1], EPSILON), 0),
-        leave: leaveTime(victim),
+        leave: timeToFree(victim),
       };
       this.losses.set(unit, loss);
     }
--- a/packages/controller/src/scheduler/reserve.ts
+++ b/packages/controller/src/scheduler/reserve.ts
@@ -38,7 +38,7 @@
   const remaining: number[] = [];
   for (const placed of placedTasks)
     if (placed.job.spec.urgency >= job.spec.urgency && machines.has(placed.machine))
-      remaining.push(placed.left);
+      remaining.push(placed.remaining);
   remaining.sort((a, b) => a - b);
   return (remaining[slots - 1] ?? 0) as Micros;
 };
--- a/packages/controller/src/scheduler/run-cycle.ts
+++ b/packages/controller/src/scheduler/run-cycle.ts
@@ -20,7 +20,7 @@
 } from './model.js';
 import { commit } from './commit.js';
 import { maxPlacements } from './draft.js';
-import { idleNodesOf } from './idle-nodes.js';
+import { findIdleMachines } from './idle-machines.js';
 import type { CycleState, CycleContext } from './cycle-context.js';
 import {
   coLocatedDemandOf,
@@ -32,7 +32,7 @@
 } from './cycle-input.js';
 
 /** Returns the fields of the log line about the cluster's state: counts by machine type and by job class. */
-export const summary = (context: CycleContext, state: CycleState): Record<string, string | number> => {
+export const clusterSummary = (context: CycleContext, state: CycleState): Record<string, string | number> => {
   const rows = new Map<string, { up: number; coming: number; empty: number }>();
   for (const machine of context.registry.machines.values()) {
     const kind = `${machine.type}${machine.spot ? '-spot' : ''}`;
@@ -82,7 +82,7 @@
   const loans = loansOf(context.jobState.jobs.values());
   if (loans.length === 0) return reservations;
   const waiting = queued
-    .filter((item) => !item.cautious)
+    .filter((item) => !item.suspect)
     .map((item) => ({ job: item.job, tasks: item.tasks.length }));
   const withLenders = new Map(reservations);
   for (const [id, count] of lendersToRepay(loans, waiting))
@@ -93,7 +93,7 @@
 /** Records for the accounts which teams wait after this cycle, and how their shares compare with what they are entitled to. */
 const recordShares = (context: CycleContext, input: CycleInput, result: CycleResult, now: Micros): void => {
   const capacity: Resources = [0, 0, 0];
-  for (const machine of input.nodes) add(capacity, machine.total);
+  for (const machine of input.machines) add(capacity, machine.total);
   const recentCapacity = context.ledger.share.recentCapacity(capacity, now);
   const groups = sharesOf(input, result, recentCapacity);
   context.ledger.share.record(groups, now);
@@ -150,18 +150,18 @@
   const queued = context.mayStart() ? queuedJobsOf(context, now) : [];
   const machines = reportedMachines(context, now);
   const placedTasks = placedTasksOf(context, now);
-  state.idleNodes = idleNodesOf(machines, placedTasks, queued);
+  state.idleMachines = findIdleMachines(machines, placedTasks, queued);
   state.coLocatedDemand = coLocatedDemandOf(context, now);
   return {
     now,
     teams: context.settings.teams,
     weights: balancedWeights(context, teamWeightsOf(context)),
     reservations: reservationsOf(context, state, queued),
-    nodes: machines,
+    machines,
     placedTasks,
     queued,
     coLocatedDemand: state.coLocatedDemand,
-    idleNodes: state.idleNodes,
+    idleMachines: state.idleMachines,
     avoid: (job) => context.registry.avoidedMachines(job),
     attemptFloor: Math.max(context.jobState.attemptFloor, context.jobState.attemptBase),
     maxPlacements: maxPlacements(context.settings.state),
--- a/packages/controller/src/workers/machine.ts
+++ b/packages/controller/src/workers/machine.ts
@@ -15,7 +15,7 @@
   /** Number of the latest heartbeat within the incarnation. */
   sequence: number;
   /** Time of the last response to one of the worker's heartbeats; its lease may run from there. */
-  lastAnswered: Micros;
+  lastResponseAt: Micros;
   /** Whether a heartbeat has been processed in this term. */
   reported: boolean;
   /**
@@ -53,7 +53,7 @@
   /** Time from which the cloud has listed the machine as running in this term; null if it has not. */
   runningSince: Micros | null;
   /** Since when the machine has been idle; null while it has tasks. */
-  emptySince: Micros | null;
+  idleSince: Micros | null;
   /** Reason why the machine gets no new tasks; null if it is not cordoned. */
   cordonReason: string | null;
   /** Images that the machine's tasks have fetched. */
@@ -99,7 +99,7 @@
   spot,
   incarnation: 0,
   sequence: -1,
-  lastAnswered: termBegan,
+  lastResponseAt: termBegan,
   reported: false,
   confirmed: false,
   unconfirmedSince: at,
@@ -112,7 +112,7 @@
   cloudStatus: null,
   since: at,
   runningSince: null,
-  emptySince: null,
+  idleSince: null,
   cordonReason: null,
   images: new Set(images),
   cooldownUntil: 0 as Micros,
--- a/packages/controller/src/workers/observed-exits.ts
+++ b/packages/controller/src/workers/observed-exits.ts
@@ -3,7 +3,7 @@
  * scheduling cycle writes the exits to a log entry; they are dropped here once that entry is committed.
  */
 import type { Micros } from '@lilacvalve/runtime/micros';
-import { Phases } from '../accounts/phases.js';
+import { PhaseTracker } from '../accounts/phases.js';
 import { type Job, taskKey } from '../jobs/model.js';
 
 /** Observed exits of one job's tasks, by task number. */
@@ -34,7 +34,7 @@
   /** Running tasks by task key. */
   readonly running = new Map<string, RunningTask>();
   /** Times of the placements' phases, for the accounts. */
-  readonly phases = new Phases();
+  readonly phases = new PhaseTracker();
 
   /**
    * `stopping` holds the pending stops by task key; an exit removes the task's stop. `requestCycle` makes a
--- a/packages/controller/src/workers/orphaned-tasks.ts
+++ b/packages/controller/src/workers/orphaned-tasks.ts
@@ -115,7 +115,7 @@
         if (machineTasks) machineTasks.push(task);
         else tasksByMachine.set(machine, [task]);
       }
-      starts.push({ job, attempt, on: tasksByMachine });
+      starts.push({ job, attempt, tasksByMachine: tasksByMachine });
     }
     return starts;
   }
--- a/packages/controller/src/workers/worker-leases.ts
+++ b/packages/controller/src/workers/worker-leases.ts
@@ -35,8 +35,11 @@
    */
   expiryOf(machine: Machine | undefined): Micros {
     const lastRenewal = machine?.confirmed
-      ? machine.lastAnswered
-      : Math.max(machine?.lastAnswered ?? this.termBegan, this.olderLeaderUntil ?? Number.POSITIVE_INFINITY);
+      ? machine.lastResponseAt
+      : Math.max(
+          machine?.lastResponseAt ?? this.termBegan,
+          this.olderLeaderUntil ?? Number.POSITIVE_INFINITY,
+        );
     return plus(lastRenewal as Micros, this.settings.lease * (1 + 2 * DRIFT) + IN_FLIGHT_MARGIN);
   }
 
--- a/packages/controller/src/workers/worker-registry.ts
+++ b/packages/controller/src/workers/worker-registry.ts
@@ -11,8 +11,8 @@
 import type { JobState } from '../jobs/job-state.js';
 import { type Job, type Placement, taskKey } from '../jobs/model.js';
 import type { Settings } from '../settings/settings.js';
-import type { KindOf } from '../accounts/usage-rows.js';
-import type { Phases } from '../accounts/phases.js';
+import type { MachineKind } from '../accounts/usage-rows.js';
+import type { PhaseTracker } from '../accounts/phases.js';
 import type { Start } from '../scheduler/model.js';
 import type { Order, Heartbeat, ReportedTask } from './codec.js';
 import {
@@ -53,7 +53,7 @@
   readonly machines: Machines = this.byId;
   private readonly removedIds = new Set<string>();
   /** Kinds of recently removed machines, the latest last. */
-  private readonly removedKinds = new Map<string, KindOf>();
+  private readonly removedKinds = new Map<string, MachineKind>();
   /** Pending stops by task key. */
   readonly stopping = new Map<string, PendingStop>();
   /** Whether something has changed that a scheduling cycle should process. */
@@ -107,7 +107,7 @@
   }
 
   /** Applies an earlier leader's update on machines that the cloud's list does not show yet or still shows. */
-  applyProvisioningNews(update: ProvisioningNews, at: Micros): void {
+  applyProvisioningUpdate(update: ProvisioningNews, at: Micros): void {
     for (const id of update.removed) this.removeMachine(id);
     for (const { id, age, type, zone, spot } of update.rented) {
       if (this.byId.has(id)) continue;
@@ -152,7 +152,7 @@
   }
 
   /** The machine's kind, also if it was removed recently; null if it has not been known in this term. */
-  kindOf(id: string): KindOf | null {
+  kindOf(id: string): MachineKind | null {
     return this.byId.get(id) ?? this.removedKinds.get(id) ?? null;
   }
 
@@ -165,7 +165,7 @@
       machine.cloudStatus !== 'failed' &&
       !machine.hasUnknownTasks &&
       at >= machine.cooldownUntil &&
-      at - machine.lastAnswered <
+      at - machine.lastResponseAt <
         this.settings.workers.report * MAX_MISSED_INTERVALS + MISSED_INTERVALS_MARGIN_US
     );
   }
@@ -196,7 +196,7 @@
     if (heartbeat.incarnation > machine.incarnation) machine.seenAttempts.clear();
     machine.incarnation = heartbeat.incarnation;
     machine.sequence = heartbeat.sequence;
-    machine.lastAnswered = at;
+    machine.lastResponseAt = at;
   }
 
   /** Applies a heartbeat. Returns null if it is stale or its machine has been removed. */
@@ -213,7 +213,7 @@
       this.needsCycle = true;
       machine.unconfirmedSince = at;
     }
-    const elapsed = at - machine.lastAnswered;
+    const elapsed = at - machine.lastResponseAt;
     this.updateMachine(machine, heartbeat, authoritative, at);
     const placed = this.jobState.placementsByMachine.get(machine.id);
     this.observeTasks(machine, heartbeat.tasks, placed, at);
@@ -222,8 +222,8 @@
     machine.dispatched = NONE_DISPATCHED;
     if (authoritative) this.recordMissing(machine, placed, startsFailed);
     const isIdle = heartbeat.tasks.every((task) => task.status === 'exited') && (placed?.size ?? 0) === 0;
-    if (!isIdle) machine.emptySince = null;
-    else machine.emptySince ??= at;
+    if (!isIdle) machine.idleSince = null;
+    else machine.idleSince ??= at;
     return machine;
   }
 
@@ -249,7 +249,7 @@
     machine.spot = heartbeat.spot;
     machine.incarnation = heartbeat.incarnation;
     machine.sequence = heartbeat.sequence;
-    machine.lastAnswered = at;
+    machine.lastResponseAt = at;
     machine.reported = true;
     machine.authoritative = authoritative;
     if (heartbeat.fencingToken === this.term && !machine.confirmed) {
@@ -317,12 +317,12 @@
     machine.seenAttempts.set(key, attempt);
     if (status !== 'exited') {
       const phase = status === 'fetching' ? 'fetching' : status === 'waiting' ? 'gathering' : 'running';
-      phases.note(key, attempt, phase, at);
+      phases.observe(key, attempt, phase, at);
       if (status === 'running' && !running.has(key)) running.set(key, { since: at, machine: machine.id });
       if (status !== 'fetching') machine.images.add(job.spec.image);
       return;
     }
-    phases.ended(key, attempt, reported.saved);
+    phases.recordExit(key, attempt, reported.saved);
     if (this.hasObservedExit(job.spec.id, task)) return;
     // If the incarnation ends, an older leader that has not seen this exit may start the same attempt in the next
     // incarnation. A completion counts in any case.
@@ -351,7 +351,7 @@
   }
 
   /** Times of the placements' phases, for the accounts. */
-  get phases(): Phases {
+  get phases(): PhaseTracker {
     return this.observedExits.phases;
   }
 
@@ -377,7 +377,7 @@
    * Whether a task of the job is being stopped, or has exited or may be exiting without a committed log entry of
    * it.
    */
-  hasUnsettledTasks(job: Job): boolean {
+  hasUnresolvedTasks(job: Job): boolean {
     const { id } = job.spec;
     if (this.exits.has(id) || this.orphanedTasks.has(id)) return true;
     for (const placement of job.placed.values()) {
@@ -438,7 +438,7 @@
     }
     for (const machine of this.byId.values()) {
       if (!machine.reported || at <= this.leases.expiryOf(machine)) continue;
-      if (machine.confirmed) machine.unconfirmedSince = machine.lastAnswered;
+      if (machine.confirmed) machine.unconfirmedSince = machine.lastResponseAt;
       machine.confirmed = false;
       machine.seenAttempts.clear();
       this.orphaned.forgetMachine(machine.id);
--- a/packages/controller/test/accounts.test.ts
+++ b/packages/controller/test/accounts.test.ts
@@ -8,13 +8,13 @@
 import {
   addGap,
   mergeSmallGroups,
-  foldLogEntry,
+  applyToAccounts,
   joinAccounts,
   joinRows,
   subtractRows,
-  NONE,
-  total,
-} from '../src/accounts/fold.js';
+  ZERO_AMOUNTS,
+  totalAmounts,
+} from '../src/accounts/aggregate.js';
 import {
   type Accounts,
   MAX_GAPS,
@@ -24,11 +24,11 @@
   NO_USAGE,
   type Usage,
   type UsageRow,
-  SPLITS,
+  USAGE_CATEGORIES,
 } from '../src/accounts/model.js';
 import { Ledger } from '../src/accounts/ledger.js';
-import { encodePage, type Page, pageKey, pagesOf } from '../src/accounts/pages.js';
-import { Phases } from '../src/accounts/phases.js';
+import { encodePage, type Page, pageKey, parsePages } from '../src/accounts/pages.js';
+import { PhaseTracker } from '../src/accounts/phases.js';
 import {
   Balance,
   joinShares,
@@ -38,7 +38,7 @@
   shortfalls,
 } from '../src/accounts/share.js';
 import { UsageRows, splitPlacementTime } from '../src/accounts/usage-rows.js';
-import { joinOldPages } from '../src/accounts/upkeep.js';
+import { joinOldPages } from '../src/accounts/maintenance.js';
 import { TERM } from '../src/jobs/keys.js';
 import type { Job } from '../src/jobs/model.js';
 import type { PlacedTask, Resources } from '../src/scheduler/model.js';
@@ -52,7 +52,7 @@
   group: fc.tuple(name, name, fc.constantFrom('c8', 'g4-spot')),
   shape: fc.tuple(fc.nat(1e9), fc.nat(1e6), fc.nat(1e9)),
   rate: fc.nat(1e9),
-  us: fc.array(safeInteger, { minLength: SPLITS.length, maxLength: SPLITS.length }),
+  us: fc.array(safeInteger, { minLength: USAGE_CATEGORIES.length, maxLength: USAGE_CATEGORIES.length }),
 });
 /** Consecutive log entries, some of which close a period. */
 const logEntries = fc
@@ -67,7 +67,7 @@
     });
   });
 const applyAll = (start: Accounts, list: readonly { seq: number; at: Micros; usage: Usage }[]): Accounts =>
-  list.reduce((accounts, entry) => foldLogEntry(accounts, entry.seq, entry.at, entry.usage), start);
+  list.reduce((accounts, entry) => applyToAccounts(accounts, entry.seq, entry.at, entry.usage), start);
 /** The accounts with all rows in a fixed order, for comparison. */
 const sorted = (a: Accounts) => ({ ...a, rows: [...a.rows].sort(), current: [...a.current].sort(), pending: a.pending.map((p) => ({ ...p, rows: [...p.rows].sort() })) }); // prettier-ignore
 
@@ -87,7 +87,7 @@
           tasks += placed;
           cpus += placed * BigInt(usageRow.shape[0]);
         }
-      const sum = total(whole.rows);
+      const sum = totalAmounts(whole.rows);
       const sumOfUnit = (unit: number): bigint =>
         sum.slice(0, 24).reduce((n, v, i) => (i % 4 === unit ? n + v : n), 0n);
       assert.deepEqual([sumOfUnit(0), sumOfUnit(1)], [tasks, cpus]);
@@ -105,17 +105,17 @@
   const rows = new Map(
     Array.from({ length: 900 }, (_, i) => [
       groupKey([`t${i % 3}`, `class-${i}`, `k${i % 2}`]),
-      NONE.map((__, j) => BigInt(i + 1) ** BigInt(1 + (j % 5))),
+      ZERO_AMOUNTS.map((__, j) => BigInt(i + 1) ** BigInt(1 + (j % 5))),
     ]),
   );
   for (const maxGroups of [500, 40, 4, 1]) {
     const merged = mergeSmallGroups(rows, maxGroups);
     assert.ok(merged.size <= Math.max(maxGroups, 3));
-    assert.deepEqual(total(merged), total(rows));
+    assert.deepEqual(totalAmounts(merged), totalAmounts(rows));
   }
   const values = encodeAccounts({ ...NO_ACCOUNTS, rows, current: rows }, 14_000);
   assert.ok(values.length <= 4 && values.every((v) => JSON.stringify(v).length <= 14_000));
-  assert.deepEqual(total(decodeAccounts(values)!.rows), total(rows));
+  assert.deepEqual(totalAmounts(decodeAccounts(values)!.rows), totalAmounts(rows));
   // A checkpoint of which a value is missing is not decoded.
   assert.equal(decodeAccounts(values.slice(0, -1)), null);
   assert.deepEqual(decodeAmounts(encodeAmounts(rows.get(groupKey(['t2', 'class-899', 'k1']))!)).length, 29);
@@ -138,19 +138,19 @@
       fc.constantFrom('done' as const, 'gone' as const, 'cancelled' as const),
       fc.nat(300),
       (observation, length, how, checkpoint) => {
-        const phases = new Phases();
+        const phases = new PhaseTracker();
         if (observation) {
-          phases.note('j/0', 2, observation.as, us(observation.first));
+          phases.observe('j/0', 2, observation.as, us(observation.first));
           if (observation.as === 'fetching')
-            phases.note('j/0', 2, 'gathering', us(observation.first + observation.later[0]));
+            phases.observe('j/0', 2, 'gathering', us(observation.first + observation.later[0]));
           if (observation.as !== 'running')
-            phases.note(
+            phases.observe(
               'j/0',
               2,
               'running',
               us(observation.first + observation.later[0] + observation.later[1]),
             );
-          phases.ended('j/0', 2, observation.saved);
+          phases.recordExit('j/0', 2, observation.saved);
         }
         const times = phases.timesOf('j/0', 2, observation?.own ?? false);
         const j = job('j', { checkpoint: us(checkpoint) });
@@ -169,10 +169,10 @@
     ),
     { seed: 5, numRuns: 500 },
   );
-  const phases = new Phases();
-  phases.note('j/0', 1, 'fetching', us(110));
-  phases.note('j/0', 1, 'gathering', us(120));
-  phases.note('j/0', 1, 'running', us(150));
+  const phases = new PhaseTracker();
+  phases.observe('j/0', 1, 'fetching', us(110));
+  phases.observe('j/0', 1, 'gathering', us(120));
+  phases.observe('j/0', 1, 'running', us(150));
   const times = phases.timesOf('j/0', 1, false);
   const split = (how: 'done' | 'gone', checkpoint: number) =>
     splitPlacementTime(
@@ -195,7 +195,7 @@
   for (const [t, since] of [us(2), us(3), us(0)].entries())
     j.placed.set(t, { task: t, attempt: 1, machine: 'm', since });
   const sources = {
-    phases: new Phases(),
+    phases: new PhaseTracker(),
     kindOf: () => null,
     types: new Map(),
     onLentCapacity: () => false,
@@ -206,21 +206,21 @@
   usageRows.add(j, [0, 1, 2], 'gone');
   const rows = usageRows.all();
   assert.ok(rows.length >= 2 && rows.every((r) => r.us.every(Number.isSafeInteger)));
-  const a = foldLogEntry(NO_ACCOUNTS, 1, century, { ...NO_USAGE, rows });
-  const sum = total(a.rows);
-  assert.equal(sum[SPLITS.indexOf('fetching') * 4], 2n * BigInt(century) - 5n);
-  assert.equal(sum[SPLITS.indexOf('unsure') * 4 + 1], (BigInt(century) - 1n) * 1500n);
+  const a = applyToAccounts(NO_ACCOUNTS, 1, century, { ...NO_USAGE, rows });
+  const sum = totalAmounts(a.rows);
+  assert.equal(sum[USAGE_CATEGORIES.indexOf('fetching') * 4], 2n * BigInt(century) - 5n);
+  assert.equal(sum[USAGE_CATEGORIES.indexOf('unsure') * 4 + 1], (BigInt(century) - 1n) * 1500n);
 });
 
 test('missing or unreadable log entries and data loss each leave a gap with a time range and a capacity bound', () => {
   const at = (n: number): Micros => us(n * 1e6);
-  let a = foldLogEntry(NO_ACCOUNTS, 1, at(1), NO_USAGE);
-  a = foldLogEntry(a, 2, at(2), NO_USAGE);
+  let a = applyToAccounts(NO_ACCOUNTS, 1, at(1), NO_USAGE);
+  a = applyToAccounts(a, 2, at(2), NO_USAGE);
   assert.deepEqual(a.gaps, []);
   // Log entries 3 and 4 are missing, and entry 6 has no time of day; entry 7 states the capacity of all machines.
-  a = foldLogEntry(a, 5, at(5), NO_USAGE);
-  a = foldLogEntry(a, 6, us(0), NO_USAGE);
-  a = foldLogEntry(a, 7, at(7), { ...NO_USAGE, bound: { room: [8, 1, 4], shut: true } });
+  a = applyToAccounts(a, 5, at(5), NO_USAGE);
+  a = applyToAccounts(a, 6, us(0), NO_USAGE);
+  a = applyToAccounts(a, 7, at(7), { ...NO_USAGE, bound: { room: [8, 1, 4], shut: true } });
   const gap = { open: false, room: [8, 1, 4] };
   assert.deepEqual(a.gaps, [
     { ...gap, why: 'records', from: at(2), to: at(5), seqs: [3, 4] },
@@ -230,9 +230,9 @@
   const older = { ...a, upTo: 90, life: 0 };
   const b = joinAccounts([older, { ...a, life: 1 }], 2, 12, false);
   assert.deepEqual([b.life, b.upTo, b.gaps[2]], [2, 12, { why: 'loss', from: at(7), to: at(7), seqs: [8, 12], room: null, open: true }]); // prettier-ignore
-  const c = foldLogEntry(b, 13, at(20), { ...NO_USAGE, bound: { room: [9, 0, 9], shut: false } });
-  const d = foldLogEntry(c, 14, at(30), { ...NO_USAGE, bound: { room: [5, 2, 9], shut: true } });
-  const e = foldLogEntry(d, 15, at(40), NO_USAGE);
+  const c = applyToAccounts(b, 13, at(20), { ...NO_USAGE, bound: { room: [9, 0, 9], shut: false } });
+  const d = applyToAccounts(c, 14, at(30), { ...NO_USAGE, bound: { room: [5, 2, 9], shut: true } });
+  const e = applyToAccounts(d, 15, at(40), NO_USAGE);
   assert.deepEqual(e.gaps[2], { why: 'loss', from: at(7), to: at(30), seqs: [8, 12], room: [9, 2, 9], open: false }); // prettier-ignore
   assert.deepEqual(joinAccounts([a, e], 3, 15, true).gaps, e.gaps);
   const many = Array.from({ length: 90 }, (_, i): Gap => ({ ...e.gaps[2]!, from: at(i), to: at(i + 1) }));
@@ -254,12 +254,12 @@
   const free = new Map<string, Resources>([['a', [2, 0, 30]]]);
   const sharesFor = (mine: Job, limit: number, held: number, recentPeak: Resources = [16, 0, 64]) => {
     const other = job('job-2', { team: 'blue', cpus: 1, tasks: 14 });
-    const holder = (j: Job, task: number): PlacedTask => ({ job: j, task, machine: 'a', zone: 'a', leaving: false, left: us(0), loss: us(0) }); // prettier-ignore
+    const holder = (j: Job, task: number): PlacedTask => ({ job: j, task, machine: 'a', zone: 'a', terminating: false, remaining: us(0), loss: us(0) }); // prettier-ignore
     const holders = [...Array.from({ length: 12 }, (_, i) => holder(other, i)), ...Array.from({ length: held }, (_, i) => holder(mine, i))]; // prettier-ignore
     const teams = [{ name: 'red', guarantee: { cpus: 0, gpus: 0 }, limit: { cpus: limit, gpus: 0 } }];
     const unplaced = [{ job: mine, count: 4 }];
     return sharesOf(
-      { teams, weights: new Map(), nodes, placedTasks: holders },
+      { teams, weights: new Map(), machines: nodes, placedTasks: holders },
       { unplaced, starts: [], free },
       recentPeak,
     );
@@ -344,19 +344,19 @@
   const begins = Date.UTC(2026, 10, 28, 21) * 1000;
   const group = groupKey(['red', 'x', 'c8']);
   const pages = Array.from({ length: 300 }, (_, i): Page => {
-    const booked = new Map([[group, NONE.map((_, j) => BigInt(i * 31 + j))]]);
+    const booked = new Map([[group, ZERO_AMOUNTS.map((_, j) => BigInt(i * 31 + j))]]);
     const from = us(begins + i * 17 * 60e6);
     return { from, to: us(from + 17 * 60e6), booked, open: booked, shares: joinShares([['red', 'x', i, 7 * i, 3 * i, i]]) }; // prettier-ignore
   });
   const { keys, context } = maintenanceContext(pages, us(begins + 100 * 86_400e6));
-  const all = () => pagesOf([...keys].map(([key, value]) => ({ key, value })));
-  const want = total(joinRows(new Map(), ...pages.map((p) => p.booked)));
+  const all = () => parsePages([...keys].map(([key, value]) => ({ key, value })));
+  const want = totalAmounts(joinRows(new Map(), ...pages.map((p) => p.booked)));
   for (let i = 0; i < 900; i++) {
     await Effect.runPromise(joinOldPages(context));
     // Pages that are already part of a joined page but not deleted yet are left out, as in reports.
     const stored = all().map((x) => x.page);
     const top = stored.filter((p) => !stored.some((q) => q !== p && q.from <= p.from && q.to >= p.to && q.to - q.from > p.to - p.from)); // prettier-ignore
-    if (i % 50 === 0) assert.deepEqual(total(joinRows(new Map(), ...top.map((p) => p.booked))), want);
+    if (i % 50 === 0) assert.deepEqual(totalAmounts(joinRows(new Map(), ...top.map((p) => p.booked))), want);
   }
   const left = all();
   assert.deepEqual(
@@ -366,5 +366,5 @@
       ['M', '2026-12-02T10:00:00.000Z'],
     ],
   );
-  assert.deepEqual(total(joinRows(new Map(), ...left.map((x) => x.page.booked))), want);
+  assert.deepEqual(totalAmounts(joinRows(new Map(), ...left.map((x) => x.page.booked))), want);
 });
--- a/packages/controller/test/answer-lost.test.ts
+++ b/packages/controller/test/answer-lost.test.ts
@@ -10,11 +10,11 @@
 import { Effect } from 'effect';
 import { encodeAccounts } from '../src/accounts/codec.js';
 import { MINUTE, NO_ACCOUNTS } from '../src/accounts/model.js';
-import { writePage } from '../src/accounts/upkeep.js';
-import { publish } from '../src/calendar/publish.js';
-import { calendarUpkeep } from '../src/calendar/cutoff-tracking.js';
+import { writePage } from '../src/accounts/maintenance.js';
+import { publishCalendar } from '../src/calendar/publish.js';
+import { calendarMaintenance } from '../src/calendar/cutoff-tracking.js';
 import { makeCalendar } from '../src/calendar/model.js';
-import { pagesOf } from '../src/calendar/calendars.js';
+import { paginateCalendar } from '../src/calendar/calendars.js';
 import {
   ACCOUNTS,
   ACTIVE_JOBS,
@@ -38,13 +38,13 @@
 import { reconcileOrphanedJobs } from '../src/recovery/orphaned-jobs.js';
 import type { JobEvidence } from '../src/recovery/evidence-store.js';
 import { commit } from '../src/scheduler/commit.js';
-import { upkeep } from '../src/scheduler/upkeep.js';
+import { runMaintenance } from '../src/scheduler/maintenance.js';
 import { restore } from '../src/snapshots/restore.js';
 import type { StateFailure, Write } from '../src/state-store/client.js';
 import { hintWriter } from '../src/state-store/hint.js';
 import type { StatePort } from '../src/state-store/port.js';
 import { body, faultFreeController, newController, newJob, HEAD, storedJob, S, Service, SETTINGS, VirtualTime } from './support/late-store.js'; // prettier-ignore
-import { Luck } from './support/random-source.js';
+import { RandomSource } from './support/random-source.js';
 
 /** The only controller of a run, which leads, with its store and its virtual time. */
 type SingleController = ReturnType<typeof faultFreeController>;
@@ -85,7 +85,7 @@
 const startTask = (single: SingleController) =>
   Effect.suspend(() =>
     commit(single.turn, [
-      { job: single.node.jobState.jobs.get(JOB)!, attempt: 7, on: new Map([['m', [0]]]) },
+      { job: single.node.jobState.jobs.get(JOB)!, attempt: 7, tasksByMachine: new Map([['m', [0]]]) },
     ]),
   );
 /** Commits an exit of the job's only task. */
@@ -119,7 +119,7 @@
   },
   [{ id: 'c@1', cutoff: 0, at: micros(1.5e12) }],
 );
-const paged = pagesOf(calendar, SETTINGS.state.valueBytes);
+const paged = paginateCalendar(calendar, SETTINGS.state.valueBytes);
 const calendarKeys: Write[] = [
   ...paged.pages.map((page) => ({ set: page.key, value: page.value })),
   { set: CALENDAR_HEAD, value: paged.head },
@@ -190,7 +190,7 @@
     act: (single) =>
       Effect.zipRight(
         Effect.zipRight(startTask(single), exitTask(single, 'done')),
-        Effect.zipRight(repeat(3, upkeep(single.turn)), outcomeOf(single.node.users.poll(JOB))),
+        Effect.zipRight(repeat(3, runMaintenance(single.turn)), outcomeOf(single.node.users.poll(JOB))),
       ),
   },
   {
@@ -201,9 +201,9 @@
     },
     initialWrites: [
       ...calendarKeys,
-      storedJob(newJob(JOB, { spec: { ...singleTaskSpec, tie: 'c@1' }, cancelled: true })),
+      storedJob(newJob(JOB, { spec: { ...singleTaskSpec, cutoffBinding: 'c@1' }, cancelled: true })),
     ],
-    act: (single) => repeat(3, upkeep(single.turn)),
+    act: (single) => repeat(3, runMaintenance(single.turn)),
   },
   {
     ...{
@@ -215,7 +215,7 @@
     act: (single) =>
       Effect.gen(function* () {
         for (let i = 0; i < 5; i++) yield* i % 2 === 0 ? startTask(single) : exitTask(single, 'gone');
-        yield* repeat(4, upkeep(single.turn));
+        yield* repeat(4, runMaintenance(single.turn));
         return [
           single.node.jobState.missingRecord(),
           single.service.view().missingRecord(),
@@ -246,12 +246,18 @@
   {
     ...{ kind: 'calendar: page', matches: setsKeyBelow(CALENDAR_PAGE), key: CALENDAR_PAGE },
     act: ({ service }) =>
-      Effect.map(retryOnce(publish(service.port(), SETTINGS.state, calendar)), (outcome) => outcome.ok),
+      Effect.map(
+        retryOnce(publishCalendar(service.port(), SETTINGS.state, calendar)),
+        (outcome) => outcome.ok,
+      ),
   },
   {
     ...{ kind: 'calendar: head', matches: setsKeyBelow(CALENDAR_HEAD), key: CALENDAR_HEAD },
     act: ({ service }) =>
-      Effect.map(retryOnce(publish(service.port(), SETTINGS.state, calendar)), (outcome) => outcome.ok),
+      Effect.map(
+        retryOnce(publishCalendar(service.port(), SETTINGS.state, calendar)),
+        (outcome) => outcome.ok,
+      ),
   },
   {
     ...{
@@ -262,7 +268,7 @@
     },
     act: (single) => {
       single.turn.classSamples.ratios.set('x', [1, 2]);
-      return repeat(2, calendarUpkeep(single.turn));
+      return repeat(2, calendarMaintenance(single.turn));
     },
   },
   {
@@ -345,7 +351,7 @@
 test('a restore with a write that is committed without a response continues and completes', () => {
   const restores = [0, 1, 2].map((lostRequest) => {
     const time = new VirtualTime(1);
-    const service = new Service(time, new Luck(1));
+    const service = new Service(time, new RandomSource(1));
     service.isFaulty = false;
     let sent = 0;
     service.losesAnswerTo = () => ++sent === lostRequest;
@@ -367,7 +373,7 @@
 /** Controllers that campaign for leadership, over a state service with leases. */
 const makeElection = (initialWrites: readonly Write[], labels: readonly string[], seed = 3) => {
   const time = new VirtualTime(seed);
-  const service = new Service(time, new Luck(seed));
+  const service = new Service(time, new RandomSource(seed));
   service.isFaulty = false;
   service.transact([], initialWrites);
   /** By lease: cancels the lease's expiry. */
--- a/packages/controller/test/calendar.test.ts
+++ b/packages/controller/test/calendar.test.ts
@@ -12,15 +12,15 @@
   maxConcurrentTasks,
   timeLeft,
 } from '../src/calendar/slack.js';
-import { tieOf } from '../src/calendar/tie.js';
+import { bindToOccurrence } from '../src/calendar/cutoff-binding.js';
 import { decodeJob, encodeJob } from '../src/jobs/codec.js';
 import { decodeViewResponse, encodeViewResponse } from '../src/recovery/codec.js';
 import { mergeVersions } from '../src/recovery/merge.js';
 import { job } from './support/job.js';
-import { Luck } from './support/random-source.js';
+import { RandomSource } from './support/random-source.js';
 
 const ANY = { teams: null, classes: null, shapes: null, urgencies: null };
-const randomCalendar = (random: Luck, version = 1, shift = 0) => {
+const randomCalendar = (random: RandomSource, version = 1, shift = 0) => {
   const cutoffs = Array.from({ length: 1 + random.int(4) }, (_, i) => ({
     name: `c${i}`,
     lead: seconds(random.int(4) * 50),
@@ -44,7 +44,7 @@
 };
 
 test('a job is bound to the earliest occurrence that leaves the lead time; at equal times to that of the first cutoff', () => {
-  const random = new Luck(24);
+  const random = new RandomSource(24);
   let boundCount = 0;
   for (let n = 0; n < 2000; n++) {
     const calendar = randomCalendar(random);
@@ -63,24 +63,24 @@
       );
     });
     const expected = eligible.sort((a, b) => a.at - b.at || a.cutoff - b.cutoff)[0]?.id ?? null;
-    assert.equal(tieOf(calendar, spec), expected);
+    assert.equal(bindToOccurrence(calendar, spec), expected);
     if (expected !== null) boundCount++;
   }
   assert.ok(boundCount > 500, `${boundCount} jobs were bound`);
-  assert.equal(tieOf(null, job('job-1').spec), null);
+  assert.equal(bindToOccurrence(null, job('job-1').spec), null);
 });
 
 test("the cutoff binding survives the stored form of a job and the merge of several controllers' versions", () => {
-  const bound = { ...job('job-1', { tie: 'c0@3', submitted: seconds(5) }), cutoffRisk: 2 };
+  const bound = { ...job('job-1', { cutoffBinding: 'c0@3', submitted: seconds(5) }), cutoffRisk: 2 };
   const decoded = decodeJob('job-1', JSON.parse(JSON.stringify(encodeJob(bound, 0))), 1);
-  assert.equal(decoded.spec.tie, 'c0@3');
+  assert.equal(decoded.spec.cutoffBinding, 'c0@3');
   assert.equal(decoded.cutoffRisk, 2);
   assert.ok(
     !('k' in (encodeJob(job('job-2'), 0) as object)),
     'a job without a binding has no stored field for it',
   );
   // The job was submitted twice and bound by different calendars: the binding of the first accepted submission wins.
-  const retried = job('job-1', { tie: 'c1@9', submitted: seconds(9) as Micros });
+  const retried = job('job-1', { cutoffBinding: 'c1@9', submitted: seconds(9) as Micros });
   for (const versions of [
     [bound, retried],
     [retried, bound],
@@ -88,12 +88,12 @@
     const merged = mergeVersions(
       versions.map((version, i) => ({ generation: 1, revision: i, job: version })),
     );
-    assert.equal(merged.spec.tie, 'c0@3');
+    assert.equal(merged.spec.cutoffBinding, 'c0@3');
   }
 });
 
 test("a controller's pre-loss view, as sent to the rebuilding controller, contains its calendar and outcome counts", () => {
-  const random = new Luck(3);
+  const random = new RandomSource(3);
   const retired = makeCalendar({ version: 9, until: seconds(0), notice: seconds(0), cutoffs: [] }, []);
   for (const calendar of [
     null,
@@ -101,7 +101,7 @@
     ...Array.from({ length: 50 }, (_, n) => randomCalendar(random, n + 1)),
   ]) {
     const counts = { done: random.int(9), risked: 1, missed: 0, cancelled: 2 };
-    const remembered = { calendar, tallies: new Map([['c0@3', counts]]), shown: new Map() };
+    const remembered = { calendar, outcomeCounts: new Map([['c0@3', counts]]), classDurations: new Map() };
     const view = { headers: [], versions: [], finals: [], next: null, calendar: remembered };
     assert.deepEqual(decodeViewResponse(encodeViewResponse(view)), view);
   }
@@ -124,7 +124,7 @@
   total: [1000, 0, 1000],
 };
 const boundJob = (id: string, over: Parameters<typeof job>[1] = {}) =>
-  job(id, { tie: 'c@1', estimate: seconds(100), ...over });
+  job(id, { cutoffBinding: 'c@1', estimate: seconds(100), ...over });
 
 test('bound jobs rank by slack; jobs that cannot meet their cutoff rank behind them, and missed ones last', () => {
   const rank = (j: ReturnType<typeof job>, at: number, day: number) =>
@@ -147,7 +147,7 @@
   assert.ok(rank(short, 1000, 500)! < 0 && rank(short, 9000, 0)! > 1e14);
   assert.equal(rank(job('job-4'), 1000, 0), null);
   assert.equal(
-    rank(boundJob('job-5', { tie: 'gone@1' }), 1000, 0),
+    rank(boundJob('job-5', { cutoffBinding: 'gone@1' }), 1000, 0),
     null,
     'a job whose occurrence is no longer in the calendar is ranked by its own deadline',
   );
@@ -156,7 +156,7 @@
   assert.ok(rank(own, 5000, 0)! < rank(short, 5000, 0)!);
   assert.ok(rank(own, 5000, 301)! === rank(short, 5000, 301)!);
   // Slack only decreases as time passes, and a job with more work never has more slack.
-  const random = new Luck(7);
+  const random = new RandomSource(7);
   for (let n = 0; n < 500; n++) {
     const at = 2000 + random.int(5000);
     const j = boundJob('job-7', { tasks: 1 + random.int(30), estimate: seconds(10 + random.int(300)) });
--- a/packages/controller/test/compound-faults.test.ts
+++ b/packages/controller/test/compound-faults.test.ts
@@ -33,7 +33,7 @@
 import { heartbeatReceiver, heartbeatHandler } from '../src/workers/heartbeat-handler.js';
 import { responseAt, relayHandler } from '../src/workers/heartbeat-relay.js';
 import { job as anyJob } from './support/job.js';
-import { Luck } from './support/random-source.js';
+import { RandomSource } from './support/random-source.js';
 import { type WorkerWorld, noteFault, type TaskSpec, VirtualTime, Worker } from './support/machines.js';
 import { worldSettings } from './support/settings.js';
 
@@ -230,7 +230,7 @@
 /** The machines, the leaders, the log of committed changes, and the rules that are checked. */
 class Cluster implements WorkerWorld {
   readonly time = new VirtualTime();
-  readonly random: Luck;
+  readonly random: RandomSource;
   readonly workers = new Map<string, Worker>();
   readonly running = new Map<string, { machine: string; attempt: number }>();
   readonly finished = new Set<string>();
@@ -252,7 +252,7 @@
     seed: number,
     readonly seenFaults: Map<string, number>,
   ) {
-    this.random = new Luck(seed);
+    this.random = new RandomSource(seed);
     const { random, time } = this;
     for (let index = 0; index < 26; index++) {
       const gangSize = random.chance(0.5) ? 2 + random.int(2) : 0;
--- a/packages/controller/test/draft.test.ts
+++ b/packages/controller/test/draft.test.ts
@@ -11,7 +11,7 @@
 import type { CycleContext } from '../src/scheduler/cycle-context.js';
 import type { Condition, Write } from '../src/state-store/client.js';
 import { faultFreeController, newJob, storedJob, SETTINGS } from './support/late-store.js';
-import { Luck } from './support/random-source.js';
+import { RandomSource } from './support/random-source.js';
 
 type StateLimits = (typeof SETTINGS)['state'];
 interface Case {
@@ -34,7 +34,7 @@
   readonly when: readonly Condition[];
   readonly then: readonly Write[];
 }
-const jobOf = (id: number, maxTasks: number, random: Luck): Job => {
+const jobOf = (id: number, maxTasks: number, random: RandomSource): Job => {
   const gang = random.int(4) === 0;
   const spec = newJob(`job-${id}`).spec;
   const job = newJob(`job-${id}`, {
@@ -53,17 +53,17 @@
   return { ...job, attempt: job.placed.size > 0 ? 1 : 0 };
 };
 /** Returns a start of all waiting tasks of the job, on random machines. */
-const startOf = (job: Job, random: Luck): Start => {
+const startOf = (job: Job, random: RandomSource): Start => {
   const on = new Map<string, number[]>();
   for (let task = 0; task < job.spec.tasks; task++) {
     if (job.placed.has(task) || job.done.has(task)) continue;
     const machine = `vm-${String(random.int(MACHINES)).padStart(6, '0')}`;
     on.set(machine, [...(on.get(machine) ?? []), task]);
   }
-  return { job, attempt: job.attempt + 1, on };
+  return { job, attempt: job.attempt + 1, tasksByMachine: on };
 };
 const taskCount = (start: Start): number =>
-  [...start.on.values()].reduce((sum, tasks) => sum + tasks.length, 0);
+  [...start.tasksByMachine.values()].reduce((sum, tasks) => sum + tasks.length, 0);
 
 /** Returns a leading controller with a function that commits starts, and all transactions that it sends. */
 const leadingController = (jobs: readonly Job[], state: StateLimits) => {
@@ -111,7 +111,7 @@
 test('changes that do not fit into one log entry go into further entries of the same transaction, within its limits', () => {
   const seen = { severalEntries: 0, partialStarts: 0, backlogs: 0 };
   for (const [seed, { state, jobs, tasks }] of CASES.entries()) {
-    const random = new Luck(seed + 1);
+    const random = new RandomSource(seed + 1);
     const leader = leadingController(
       Array.from({ length: jobs }, (_, i) => jobOf(i + 1, tasks, random)),
       state,
@@ -134,7 +134,7 @@
       const starts = [...jobState.jobs.values()]
         .filter((job) => (job.spec.shape === 'gang' ? job.placed.size + job.done.size === 0 : true))
         .map((job) => startOf(job, random))
-        .filter((start) => start.on.size > 0);
+        .filter((start) => start.tasksByMachine.size > 0);
       if (starts.length === 0 && leader.context.registry.exits.size === 0) break;
       const startedBefore = new Map(
         [...jobState.jobs].map(([id, job]) => [id, job.placed.size + job.done.size]),
@@ -197,7 +197,9 @@
       failed: new Set(),
     });
   const first = leader.node.jobState.jobs.get('job-1')!;
-  const { hasBacklog } = leader.commitStarts([{ job: first, attempt: 2, on: new Map([['vm-1', [0]]]) }]);
+  const { hasBacklog } = leader.commitStarts([
+    { job: first, attempt: 2, tasksByMachine: new Map([['vm-1', [0]]]) },
+  ]);
   checkLimits(leader.sent.at(-1)!, state);
   assert.equal(leader.sent.at(-1)!.then.length, 2);
   assert.equal(hasBacklog, false);
--- a/packages/controller/test/fault-attribution.test.ts
+++ b/packages/controller/test/fault-attribution.test.ts
@@ -8,7 +8,7 @@
 import type { Job } from '../src/jobs/model.js';
 import { FaultAttribution } from '../src/workers/fault-attribution.js';
 import { job } from './support/job.js';
-import { Luck } from './support/random-source.js';
+import { RandomSource } from './support/random-source.js';
 
 const ZERO = 0 as Micros;
 const MACHINES = 12;
@@ -32,7 +32,7 @@
   brokenJobs: readonly Job[],
   soundJobs: readonly Job[],
 ): SimulationResult => {
-  const random = new Luck(seed);
+  const random = new RandomSource(seed);
   const attribution = new FaultAttribution(ZERO);
   const result: SimulationResult = {
     attribution,
--- a/packages/controller/test/heartbeat-codec.test.ts
+++ b/packages/controller/test/heartbeat-codec.test.ts
@@ -14,13 +14,13 @@
 import { HeartbeatReader, HEARTBEAT_PATH, readHeartbeat } from '../src/workers/codec.js';
 import { heartbeatReceiver, heartbeatHandler } from '../src/workers/heartbeat-handler.js';
 import { job } from './support/job.js';
-import { Luck } from './support/random-source.js';
+import { RandomSource } from './support/random-source.js';
 import { worldSettings } from './support/settings.js';
 
 type Fields = Record<string, unknown>;
 
 /** Random heartbeat bodies: most as workers send them, some malformed or unusual. */
-const bodyOf = (random: Luck, sequence: number): string => {
+const bodyOf = (random: RandomSource, sequence: number): string => {
   const pieces: Fields[] = Array.from({ length: random.int(3) }, (_, index) => ({
     piece: `job-00${random.int(2)}/${index}`,
     try: 1 + random.int(2),
@@ -58,7 +58,7 @@
 test('decoding a heartbeat does not depend on the heartbeats decoded before', () => {
   let reusedLists = 0;
   for (let seed = 1; seed <= 60; seed++) {
-    const random = new Luck(seed);
+    const random = new RandomSource(seed);
     const reader = new HeartbeatReader();
     const seenLists = new Set<unknown>();
     for (let sequence = 0; sequence < 150; sequence++) {
--- a/packages/controller/test/job-state.test.ts
+++ b/packages/controller/test/job-state.test.ts
@@ -7,7 +7,7 @@
 import { activeJobKey, INCARNATION, logEntryKey, TERM } from '../src/jobs/keys.js';
 import { finalState, NO_HEADER } from '../src/jobs/model.js';
 import { job } from './support/job.js';
-import { Luck } from './support/random-source.js';
+import { RandomSource } from './support/random-source.js';
 
 const stored = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
 
@@ -75,7 +75,7 @@
 // Followers keep no placement index. One that is built on first access must equal one that was updated with every change.
 test('a placement index built on first access equals one that was updated with every change', () => {
   for (let seed = 1; seed <= 40; seed++) {
-    const random = new Luck(seed);
+    const random = new RandomSource(seed);
     const updated = new JobState();
     const rebuilt = new JobState();
     assert.equal(updated.placementsByMachine.size, 0);
--- a/packages/controller/test/late-writes.test.ts
+++ b/packages/controller/test/late-writes.test.ts
@@ -8,9 +8,9 @@
 import { Effect } from 'effect';
 import { encodeAccounts } from '../src/accounts/codec.js';
 import { MINUTE, NO_ACCOUNTS } from '../src/accounts/model.js';
-import { pagesOf } from '../src/accounts/pages.js';
+import { parsePages } from '../src/accounts/pages.js';
 import { joinShares } from '../src/accounts/share.js';
-import { writePage } from '../src/accounts/upkeep.js';
+import { writePage } from '../src/accounts/maintenance.js';
 import { decodeFinalState, decodeLogEntry, encodeBundle } from '../src/jobs/codec.js';
 import {
   ACCOUNTS,
@@ -29,13 +29,13 @@
 import { rebuild } from '../src/recovery/rebuild.js';
 import { writeBack } from '../src/recovery/write-back.js';
 import { commit } from '../src/scheduler/commit.js';
-import { upkeep } from '../src/scheduler/upkeep.js';
+import { runMaintenance } from '../src/scheduler/maintenance.js';
 import type { Start } from '../src/scheduler/model.js';
 import type { CycleContext } from '../src/scheduler/cycle-context.js';
 import { restore } from '../src/snapshots/restore.js';
 import type { StatePort } from '../src/state-store/port.js';
 import { job } from './support/job.js';
-import { Luck } from './support/random-source.js';
+import { RandomSource } from './support/random-source.js';
 import {
   body,
   faultFreeController,
@@ -57,7 +57,7 @@
  */
 const simulate = (seed: number) => {
   const time = new VirtualTime(seed);
-  const random = new Luck(seed);
+  const random = new RandomSource(seed);
   const service = new Service(time, random);
   const check = (holds: boolean, violation: string): void => {
     if (!holds) time.faults.push(`seed ${seed}, ${((time.now - 1e12) / S).toFixed(1)} s: ${violation}`);
@@ -205,7 +205,7 @@
     Effect.gen(function* () {
       yield* Effect.fork(
         time.watched(
-          upkeep(context).pipe(
+          runMaintenance(context).pipe(
             Effect.zipRight(sleepBetween(0.1, 0.4)),
             Effect.repeat({ while: () => context.isCurrentTerm() }),
           ),
@@ -227,7 +227,7 @@
             starts.push({
               job: active,
               attempt: Math.max(context.jobState.attemptBase, active.attempt) + 1,
-              on: new Map([['m', startable]]),
+              tasksByMachine: new Map([['m', startable]]),
             });
         }
         yield* commit(context, starts);
@@ -321,7 +321,7 @@
     for (let cycle = 0; cycle < 6; cycle++) go(Effect.zipRight(exit, commit(turn, [])));
     service.transact([], [{ delete: activeJobKey(id) }]);
     go(node.watcher.refresh);
-    for (let pass = 0; pass < 4; pass++) go(upkeep(turn));
+    for (let pass = 0; pass < 4; pass++) go(runMaintenance(turn));
   }
   assert.ok(service.keys.has(logEntryKey(12)) && !service.keys.has(logEntryKey(8)));
   const compaction = service.sent.find(([, then]) =>
@@ -340,7 +340,11 @@
     storedJob(newJob('job-2')),
   ]);
   const tasks = [...Array(3).keys()];
-  go(commit(turn, [{ job: node.jobState.jobs.get('job-1')!, attempt: 1, on: new Map([['m', tasks]]) }]));
+  go(
+    commit(turn, [
+      { job: node.jobState.jobs.get('job-1')!, attempt: 1, tasksByMachine: new Map([['m', tasks]]) },
+    ]),
+  );
   const recordExits = (id: string, done: number[], gone: number[]): void =>
     void turn.registry.exits.set(id, { done: new Set(done), gone: new Set(gone), failed: new Set() });
   go(node.users.cancel('job-1'));
@@ -359,7 +363,7 @@
   };
   const revisionBefore = service.keys.get(activeJobKey('job-1'))!.stamp;
   recordExits('job-1', [1, 2], []);
-  go(Effect.all([upkeep({ ...turn, store: slowStore }), commit(turn, [])], { concurrency: 2 }), 3);
+  go(Effect.all([runMaintenance({ ...turn, store: slowStore }), commit(turn, [])], { concurrency: 2 }), 3);
   assert.ok(
     service.keys.get(activeJobKey('job-1'))!.stamp > revisionBefore,
     'the compaction must have written the key of job-1',
@@ -368,7 +372,7 @@
     const viewed = view.jobs.get('job-1')!;
     assert.deepEqual([viewed.done.size, viewed.cancelled], [3, true]);
   }
-  go(upkeep(turn));
+  go(runMaintenance(turn));
   assert.deepEqual(decodeFinalState(service.keys.get('s/j/z/job-1')!.value).status, 'cancelled');
 });
 
@@ -376,7 +380,11 @@
   const { service, node, go, turn } = faultFreeController([storedJob(newJob('job-1'))]);
   service.transact([], [storedJob(newJob('job-1', { cancelled: true }))]);
   service.ignoresReads = true;
-  go(commit(turn, [{ job: node.jobState.jobs.get('job-1')!, attempt: 1, on: new Map([['m', [0]]]) }]));
+  go(
+    commit(turn, [
+      { job: node.jobState.jobs.get('job-1')!, attempt: 1, tasksByMachine: new Map([['m', [0]]]) },
+    ]),
+  );
   assert.ok(!node.lossDetector.suspected && service.entries(LOG_ENTRIES).length === 0);
 });
 
@@ -386,7 +394,7 @@
 test('a view never goes back to an earlier revision, however long its reads take', () => {
   for (let seed = 1; seed <= 20; seed++) {
     const time = new VirtualTime(seed);
-    const service = new Service(time, new Luck(seed));
+    const service = new Service(time, new RandomSource(seed));
     service.transact([], HEAD);
     const { jobState, watcher, lossDetector } = newController(time, service);
     let writes = 0;
@@ -428,8 +436,8 @@
   service.transact([], [storedJob(newJob('job-1'))]);
   go(node.watcher.refresh);
   // The maintenance stores the final state of job-2, and writes the bundle without it.
-  go(upkeep(turn));
-  go(upkeep(turn));
+  go(runMaintenance(turn));
+  go(runMaintenance(turn));
   assert.equal(service.keys.has('s/j/z/job-2'), true);
   // A late cancellation of job-2, which had no key of its own, is rejected since its final state exists.
   assert.ok(!service.transact(jobUnchanged('job-2', 0), [storedJob(newJob('job-2'))]).ok);
@@ -496,13 +504,13 @@
   const losingStore = { ...service.port(), transact: (...args: Parameters<StatePort['transact']>) => Effect.zipRight(service.port().transact(...args), noResponse) } as StatePort; // prettier-ignore
   go(writePage({ ...turn, store: losingStore }).pipe(Effect.ignore, Effect.zipRight(node.watcher.refresh)));
   go(writePage(turn));
-  const pages = pagesOf(service.entries('s/a/p/'));
+  const pages = parsePages(service.entries('s/a/p/'));
   assert.deepEqual(pages.map((stored) => [stored.page.to, ...stored.page.shares.values()].slice(0, 2)), pending.map((period) => [period.to, ...shares.values()])); // prettier-ignore
 });
 
 test('late copies of the transactions of a completed restore have no effect', () => {
   const time = new VirtualTime(1);
-  const service = new Service(time, new Luck(1));
+  const service = new Service(time, new RandomSource(1));
   service.isFaulty = false;
   const entries = new Map(
     ['s/a/now', 's/j/a/job-1', 's/types'].map((key) => [key, { key, value: 1, stamp: 1 }]),
--- a/packages/controller/test/lending.test.ts
+++ b/packages/controller/test/lending.test.ts
@@ -7,7 +7,7 @@
 import { applyChange, type Job, type JobSpec, type Urgency } from '../src/jobs/model.js';
 import {
   servingCost,
-  endsBeforeFetch,
+  completesBeforeFetch,
   fetchTime,
   lostWork,
   withinPreemptionBudget,
@@ -18,9 +18,9 @@
 import { loanRepayments, newLoans } from '../src/lending/loan-changes.js';
 import { mergeVersions } from '../src/recovery/merge.js';
 import { schedule } from '../src/scheduler/cycle.js';
-import type { PlacedTask, NodeView, QueuedJob, LendingView } from '../src/scheduler/model.js';
+import type { PlacedTask, MachineView, QueuedJob, LendingView } from '../src/scheduler/model.js';
 import { job } from './support/job.js';
-import { input } from './support/cycle.js';
+import { cycleInput } from './support/cycle.js';
 
 const ZERO = 0 as Micros;
 const at = (time: number): Micros => seconds(time);
@@ -77,7 +77,7 @@
 });
 
 // A small cluster of GPU machines that run other teams' jobs, and services that request GPUs.
-const gpuNode = (id: string, over: Partial<NodeView> = {}): NodeView => ({
+const gpuNode = (id: string, over: Partial<MachineView> = {}): MachineView => ({
   id,
   type: 'g',
   zone: 'a',
@@ -108,13 +108,13 @@
 });
 const placed = (j: Job, machine: string, task = 0, loss = ZERO, zone = 'a'): PlacedTask => {
   j.placed.set(task, { task, attempt: 1, machine, since: ZERO });
-  return { job: j, task, machine, zone, leaving: false, loss, left: ZERO };
+  return { job: j, task, machine, zone, terminating: false, loss, remaining: ZERO };
 };
 const queuedJob = (j: Job): QueuedJob => ({
   job: j,
   rank: 0,
   starving: false,
-  cautious: false,
+  suspect: false,
   mayRent: true,
   tasks: Array.from({ length: j.spec.tasks }, (_, i) => i),
 });
@@ -161,7 +161,7 @@
       const queued = c.takers.map((s, i) =>
         queuedJob(service(`job-9${i}`, { team: s.team, tasks: s.tasks, cpus: 0 })),
       );
-      const result = schedule(input({ teams, nodes, placedTasks, queued, lending: view() }));
+      const result = schedule(cycleInput({ teams, machines: nodes, placedTasks, queued, lending: view() }));
       const preempted = new Set(
         result.preemptions.map((p) => placedTasks.find((h) => h.job === p.job && h.task === p.task)!),
       );
@@ -218,7 +218,7 @@
     );
     const placedTasks = lenders.map((b) => placed(b, 'm0', 0, at(5)));
     const queued = [queuedJob(service('job-90', { team: 'red', tasks: 1, cpus: 0, gpus: 2 }))];
-    return schedule(input({ teams, nodes: [gpuNode('m0')], placedTasks, queued, lending: view() }))
+    return schedule(cycleInput({ teams, machines: [gpuNode('m0')], placedTasks, queued, lending: view() }))
       .preemptions.length;
   };
   assert.deepEqual([2, 3].map(preemptionsWith), [2, 0]);
@@ -246,8 +246,12 @@
             ? []
             : Array.from({ length: j.spec.tasks }, (_, k) => placed(j, free.shift()!, k, at(5))),
         );
-      const cycleInput = input({ nodes, placedTasks, queued: jobs.slice(placedCount).map(queuedJob) });
-      assert.deepEqual(schedule({ ...cycleInput, lending: view() }), schedule(cycleInput));
+      const inputs = cycleInput({
+        machines: nodes,
+        placedTasks,
+        queued: jobs.slice(placedCount).map(queuedJob),
+      });
+      assert.deepEqual(schedule({ ...inputs, lending: view() }), schedule(inputs));
     }),
     { seed: 24, numRuns: 400 },
   );
@@ -260,10 +264,10 @@
   const warm = gpuNode('warm', { images: new Set([taker.spec.image]) });
   const busy = (id: string, from: number, loss: Micros): PlacedTask[] =>
     [0, 1, 2, 3].map((i) => placed(lender, id, from + i, loss));
-  const scheduleWith = (placedTasks: PlacedTask[], nodes: NodeView[], over: Partial<LendingView> = {}) =>
-    schedule(input({ nodes, placedTasks, queued: [queuedJob(taker)], lending: view(over) }));
+  const scheduleWith = (placedTasks: PlacedTask[], nodes: MachineView[], over: Partial<LendingView> = {}) =>
+    schedule(cycleInput({ machines: nodes, placedTasks, queued: [queuedJob(taker)], lending: view(over) }));
   // With free resources on both machines, the one that holds the weights is taken.
-  assert.deepEqual([...scheduleWith([], [cold, warm]).starts[0]!.on.keys()], ['warm']);
+  assert.deepEqual([...scheduleWith([], [cold, warm]).starts[0]!.tasksByMachine.keys()], ['warm']);
   // Serving 40 s sooner justifies the loss of 10 s of another job's work.
   const result = scheduleWith(busy('warm', 0, at(10)), [cold, warm]);
   assert.deepEqual(
@@ -299,11 +303,11 @@
   // Less work is lost just after a checkpoint than just before the next one.
   assert.ok(lostWork(saves) < lostWork({ ...saves, ran: at(119) }));
   assert.ok(lostWork({ ...saves, checkpoint: ZERO }) > lostWork(saves));
-  assert.equal(endsBeforeFetch({ ...saves, ran: at(170) }, at(40)), true);
-  assert.equal(endsBeforeFetch({ ...saves, ran: at(150) }, at(40)), false);
-  assert.equal(endsBeforeFetch({ ...saves, ran: at(210) }, at(40)), false);
-  assert.equal(endsBeforeFetch({ ...saves, estimate: ZERO }, at(1e6)), false);
-  const option = { leave: at(2), fetch: at(40), lost: 10e6 };
+  assert.equal(completesBeforeFetch({ ...saves, ran: at(170) }, at(40)), true);
+  assert.equal(completesBeforeFetch({ ...saves, ran: at(150) }, at(40)), false);
+  assert.equal(completesBeforeFetch({ ...saves, ran: at(210) }, at(40)), false);
+  assert.equal(completesBeforeFetch({ ...saves, estimate: ZERO }, at(1e6)), false);
+  const option = { availableIn: at(2), fetch: at(40), lost: 10e6 };
   assert.equal(servingCost(option, null), 44);
   assert.ok(servingCost(option, at(30)) > servingCost(option, at(60)));
 });
--- a/packages/controller/test/link.test.ts
+++ b/packages/controller/test/link.test.ts
@@ -5,7 +5,7 @@
 import { Effect, Exit, Scope } from 'effect';
 import { Link, serveLinks } from '@lilacvalve/runtime/link';
 import { type Answer, json } from '@lilacvalve/runtime/http-server';
-import { Luck } from './support/random-source.js';
+import { RandomSource } from './support/random-source.js';
 
 interface Peer {
   readonly port: number;
@@ -44,7 +44,7 @@
 };
 
 test('responses find their requests in whatever order they arrive, and a failed one does not affect the others', async () => {
-  const luck = new Luck(7);
+  const luck = new RandomSource(7);
   const peer = await peerOn(0);
   const link = new Link(`127.0.0.1:${peer.port}`);
   const large = 'x'.repeat(400_000);
--- a/packages/controller/test/overload.test.ts
+++ b/packages/controller/test/overload.test.ts
@@ -9,7 +9,7 @@
 import { memoryUsageRatio } from '../src/overload/memory.js';
 import { limitsOf, type Load, WORK_CLASSES } from '../src/overload/model.js';
 import { SLOT_PERIOD, SLOT_DURATION } from '../src/overload/poll-slots.js';
-import { Luck } from './support/random-source.js';
+import { RandomSource } from './support/random-source.js';
 
 const limits = limitsOf(1000);
 const idle = { poll: 0, submission: 0, order: 0, report: 0 };
@@ -168,7 +168,7 @@
   jobs: number,
   pollIntervalUs: number,
 ): { longestWait: number; maxPerSecond: number } => {
-  const random = new Luck(seed);
+  const random = new RandomSource(seed);
   const clockSkews = [0, 5000, -5000];
   let now = 0;
   const startTime = 1e15 + random.between(0, 1e9);
@@ -237,7 +237,7 @@
 });
 
 test('a refused poll is told to retry in the slot of its job, and is served then', () => {
-  const random = new Luck(3);
+  const random = new RandomSource(3);
   let now = 0;
   const admission = new Admission(
     1945,
--- a/packages/controller/test/program.test.ts
+++ b/packages/controller/test/program.test.ts
@@ -101,7 +101,7 @@
     save: 7 as never,
     deadline: null,
     submitted: 8 as never,
-    tie: null,
+    cutoffBinding: null,
   };
   const job = {
     spec,
--- a/packages/controller/test/read-lease.test.ts
+++ b/packages/controller/test/read-lease.test.ts
@@ -17,7 +17,7 @@
   type PeerKnowledge,
 } from '../src/leadership/read-lease.js';
 import type { StatePort } from '../src/state-store/port.js';
-import { Luck } from './support/random-source.js';
+import { RandomSource } from './support/random-source.js';
 
 const TTL = seconds(3);
 /** Maximum delay of a worker that stops its tasks when its lease expires: timer steps and work that it has to do first. */
@@ -38,7 +38,7 @@
  * time, and adds the kinds of cases that occurred to `occurrences`.
  */
 const simulateOutage = (
-  random: Luck,
+  random: RandomSource,
   workers: { lease: Micros; cancel: Micros },
   occurrences: Map<string, number>,
 ): number => {
@@ -155,7 +155,7 @@
   ];
   const occurrences = new Map<string, number>();
   for (let seed = 1; seed <= 700; seed++) {
-    const random = new Luck(seed);
+    const random = new RandomSource(seed);
     const [lease, cancel] =
       seed % 2 ? fixedSettings[seed % fixedSettings.length]! : [random.between(5, 40), random.between(5, 80)];
     const excess = simulateOutage(random, { lease: seconds(lease), cancel: seconds(cancel) }, occurrences);
--- a/packages/controller/test/scheduler.test.ts
+++ b/packages/controller/test/scheduler.test.ts
@@ -6,17 +6,17 @@
 import type { Job, JobSpec, Urgency } from '../src/jobs/model.js';
 import { schedule } from '../src/scheduler/cycle.js';
 import { LargestJobs } from '../src/scheduler/largest-jobs.js';
-import type { CycleInput, CycleResult, PlacedTask, NodeView, QueuedJob } from '../src/scheduler/model.js';
+import type { CycleInput, CycleResult, PlacedTask, MachineView, QueuedJob } from '../src/scheduler/model.js';
 import { StartWaits } from '../src/scheduler/start-waits.js';
-import { idleNodesOf } from '../src/scheduler/idle-nodes.js';
+import { findIdleMachines } from '../src/scheduler/idle-machines.js';
 import { job } from './support/job.js';
-import { input } from './support/cycle.js';
+import { cycleInput } from './support/cycle.js';
 import { plainSchedule } from './support/plain-cycle.js';
 import { plainPlacementSearch } from './support/plain-placement-search.js';
 import { starvingFrom, type ClassObjective, rankOf } from '../src/scheduler/rank.js';
 
 const ZERO = 0 as Micros;
-const machineOf = (id: string, overrides: Partial<NodeView> = {}): NodeView => ({
+const machineOf = (id: string, overrides: Partial<MachineView> = {}): MachineView => ({
   id,
   type: 'c8',
   zone: 'a',
@@ -29,7 +29,7 @@
 const queuedJob = (queued: Job, rank = 0, suspect = false): QueuedJob => ({
   job: queued,
   rank,
-  cautious: suspect,
+  suspect,
   mayRent: !suspect,
   starving: false,
   tasks: Array.from({ length: queued.spec.tasks }, (_, task) => task),
@@ -39,16 +39,16 @@
   task,
   machine,
   zone: 'a',
-  leaving: terminating,
+  terminating,
   loss: ZERO,
-  left: ZERO,
+  remaining: ZERO,
 });
 const deadlineObjective = (...multiples: number[]): ClassObjective => ({ multiples, within: null });
 /** Number of the job's tasks that the cycle starts. */
 const startedTasks = (result: CycleResult, id: string): number =>
   result.starts
     .filter((start) => start.job.spec.id === id)
-    .reduce((sum, start) => sum + [...start.on.values()].flat().length, 0);
+    .reduce((sum, start) => sum + [...start.tasksByMachine.values()].flat().length, 0);
 
 const arbitraryJob = (index: number) =>
   fc
@@ -99,15 +99,15 @@
     }),
   );
   const first = schedule(
-    input({
+    cycleInput({
       teams,
-      nodes: machines,
+      machines,
       queued: state.jobs.slice(0, state.runs).map((running, i) => queuedJob(running, i)),
     }),
   );
   const placedTasks: PlacedTask[] = [];
   for (const start of first.starts) {
-    for (const [machineId, tasks] of start.on) {
+    for (const [machineId, tasks] of start.tasksByMachine) {
       for (const task of tasks) {
         placedTasks.push({
           ...placedTask(start.job, machineId, task),
@@ -129,9 +129,9 @@
       overdue: i % 3 === 1,
       tasks: queuedJob(unplaced).tasks.filter((task) => !unplaced.placed.has(task)),
     }));
-  return input({
+  return cycleInput({
     teams,
-    nodes: machines.map((machine, i) => ({ ...machine, open: state.machines[i]!.open })),
+    machines: machines.map((machine, i) => ({ ...machine, open: state.machines[i]!.open })),
     placedTasks,
     queued: waiting,
   });
@@ -145,7 +145,7 @@
       const cycle: CycleInput = {
         ...inputOf(state),
         coLocatedDemand: withDemand ? coLocatedDemand : [],
-        idleNodes: new Set([`vm-${avoided}`]),
+        idleMachines: new Set([`vm-${avoided}`]),
         avoid: (avoiding: Job) => (avoiding.spec.id.endsWith('3') ? new Set([`vm-${avoided}`]) : null),
       };
       const result = schedule(cycle);
@@ -216,7 +216,7 @@
           {
             ...placedTask(owner, machine.id, task, placement.terminating && placement.job % 3 === 0),
             zone,
-            left: seconds(task),
+            remaining: seconds(task),
           },
         ];
       });
@@ -231,13 +231,13 @@
           },
         ];
       });
-      const cycle = input({
+      const cycle = cycleInput({
         teams: [
           { name: 'team-0', guarantee: { cpus: 9, gpus: 0 }, limit: { cpus: 20, gpus: 0 } },
           { name: 'team-1', guarantee: { cpus: 4, gpus: 0 }, limit: { cpus: 0, gpus: 0 } },
         ],
         weights: new Map(state.weights.map((weight, i) => [`team-${i}`, weight])),
-        nodes: machines,
+        machines,
         placedTasks,
         queued: waiting,
         maxPlacements: state.maxPlacements,
@@ -251,7 +251,7 @@
       seen.preemptions += result.preemptions.length;
       seen.reservations += result.reservations.size;
       seen.unplaced += result.unplaced.length;
-      const placements = result.starts.reduce((sum, start) => sum + start.on.size, 0);
+      const placements = result.starts.reduce((sum, start) => sum + start.tasksByMachine.size, 0);
       seen.limited += placements >= (state.maxPlacements ?? Number.POSITIVE_INFINITY) ? 1 : 0;
     }),
     { seed: 2026, numRuns: 500 },
@@ -264,7 +264,7 @@
       const cycle: CycleInput = {
         ...inputOf(state),
         coLocatedDemand,
-        idleNodes: new Set([`vm-${avoided}`]),
+        idleMachines: new Set([`vm-${avoided}`]),
         avoid: (avoiding: Job) => (avoiding.spec.id.endsWith('3') ? new Set([`vm-${avoided}`]) : null),
       };
       assert.deepEqual(schedule(cycle), plainSchedule(cycle));
@@ -278,7 +278,7 @@
     fc.property(arbitraryState, (state) => {
       const cycle = inputOf(state);
       const result = schedule(cycle);
-      const machineById = new Map(cycle.nodes.map((machine) => [machine.id, machine]));
+      const machineById = new Map(cycle.machines.map((machine) => [machine.id, machine]));
       const usedByMachine = new Map<string, [number, number, number]>();
       const usedByTeam = new Map<string, [number, number]>();
       const tasksByZone = new Map<Job, Map<string, number>>();
@@ -298,11 +298,11 @@
       // Placed tasks count until they have exited, whether or not they are being stopped.
       for (const placed of cycle.placedTasks) addTask(placed.job, placed.machine);
       for (const start of result.starts) {
-        const tasks = [...start.on.values()].flat();
+        const tasks = [...start.tasksByMachine.values()].flat();
         assert.equal(new Set(tasks).size, tasks.length, 'a task is started twice');
         if (start.job.spec.shape === 'gang')
           assert.equal(tasks.length, start.job.spec.tasks, 'a gang is started partially');
-        for (const [machineId, on] of start.on) {
+        for (const [machineId, on] of start.tasksByMachine) {
           const machine = machineById.get(machineId)!;
           assert.ok(machine.open);
           assert.ok(start.job.spec.types === null || start.job.spec.types.includes(machine.type));
@@ -337,7 +337,10 @@
         assert.equal(result.preemptions.length, 0, 'tasks are preempted with no jobs queued');
       const unplaced = result.unplaced.reduce((sum, item) => sum + item.count, 0);
       const queued = cycle.queued.reduce((sum, item) => sum + item.tasks.length, 0);
-      const started = result.starts.reduce((sum, start) => sum + [...start.on.values()].flat().length, 0);
+      const started = result.starts.reduce(
+        (sum, start) => sum + [...start.tasksByMachine.values()].flat().length,
+        0,
+      );
       if (unplaced + started === queued)
         assert.equal(result.preemptions.length, 0, 'tasks are preempted with no tasks waiting for them');
       for (const preemption of result.preemptions) {
@@ -368,20 +371,20 @@
   const red = job('job-1', { team: 'red', tasks: 8 });
   const blue = job('job-2', { team: 'blue', tasks: 8 });
   const equalWeights = schedule(
-    input({ nodes: [machineOf('m')], queued: [queuedJob(red), queuedJob(blue)] }),
+    cycleInput({ machines: [machineOf('m')], queued: [queuedJob(red), queuedJob(blue)] }),
   );
   assert.deepEqual([startedTasks(equalWeights, 'job-1'), startedTasks(equalWeights, 'job-2')], [4, 4]);
   const weighted = schedule(
-    input({
-      nodes: [machineOf('m')],
+    cycleInput({
+      machines: [machineOf('m')],
       queued: [queuedJob(red), queuedJob(blue)],
       weights: new Map([['red', 3]]),
     }),
   );
   assert.deepEqual([startedTasks(weighted, 'job-1'), startedTasks(weighted, 'job-2')], [6, 2]);
   const redRunning = schedule(
-    input({
-      nodes: [machineOf('m')],
+    cycleInput({
+      machines: [machineOf('m')],
       placedTasks: [placedTask(job('job-3', { team: 'red', cpus: 4 }), 'm')],
       queued: [queuedJob(red), queuedJob(blue)],
     }),
@@ -395,8 +398,8 @@
   const machines = [machineOf('m0'), machineOf('m1')];
   const placedTasks = [placedTask(low, 'm0'), placedTask(normal, 'm1')];
   const urgent = schedule(
-    input({
-      nodes: machines,
+    cycleInput({
+      machines,
       placedTasks,
       queued: [queuedJob(job('job-3', { cpus: 8, urgency: 2, team: 'blue' }))],
     }),
@@ -407,8 +410,8 @@
   );
   assert.equal(urgent.starts.length, 0, 'a task is started on resources that a stopping task still holds');
   const sameUrgency = schedule(
-    input({
-      nodes: machines,
+    cycleInput({
+      machines,
       placedTasks,
       queued: [queuedJob(job('job-3', { cpus: 8, urgency: 0, team: 'blue' }))],
     }),
@@ -427,7 +430,7 @@
     placedTask(job('job-2', { cpus: 8 }), 'm1'),
   ];
   const result = schedule(
-    input({ nodes: machines, placedTasks, queued: [queuedJob(job('job-3', { cpus: 8, urgency: 3 }))] }),
+    cycleInput({ machines, placedTasks, queued: [queuedJob(job('job-3', { cpus: 8, urgency: 3 }))] }),
   );
   assert.equal(result.preemptions.length, 0);
   assert.equal(result.starts.length, 0);
@@ -438,9 +441,9 @@
     placedTask(job(`job-${i}`, { cpus: 4, team: 'blue', urgency: 2 }), 'm'),
   );
   const result = schedule(
-    input({
+    cycleInput({
       teams,
-      nodes: [machineOf('m')],
+      machines: [machineOf('m')],
       placedTasks: borrowing,
       queued: [queuedJob(job('job-9', { cpus: 4, team: 'red', urgency: 0 }))],
     }),
@@ -457,8 +460,8 @@
   const started = (overrides: Partial<CycleInput>, spec: Partial<JobSpec> = {}) =>
     startedTasks(
       schedule(
-        input({
-          nodes: machines,
+        cycleInput({
+          machines,
           coLocatedDemand,
           placedTasks: [gpuTask],
           queued: cpuJob(spec),
@@ -485,8 +488,8 @@
   const startedWith = (zone: string | null) =>
     startedTasks(
       schedule(
-        input({
-          nodes: machines,
+        cycleInput({
+          machines,
           placedTasks: [{ ...placedTask(oneZone, 'unreported'), zone }],
           queued: waiting,
         }),
@@ -497,7 +500,7 @@
   const spread = job('job-2', { tasks: 4, spread: true });
   const placedTasks = [0, 1].map((task) => ({ ...placedTask(spread, 'unreported', task), zone: 'b' }));
   const result = schedule(
-    input({ nodes: machines, placedTasks, queued: [{ ...queuedJob(spread), tasks: [2, 3] }] }),
+    cycleInput({ machines, placedTasks, queued: [{ ...queuedJob(spread), tasks: [2, 3] }] }),
   );
   assert.equal(startedTasks(result, 'job-2'), 0);
 });
@@ -517,28 +520,28 @@
       since: 0 as Micros,
     });
   const waiting = { ...queuedJob(array), tasks: [3] };
-  const first = schedule(input({ nodes: machines, placedTasks, queued: [queuedJob(gang), waiting] }));
+  const first = schedule(cycleInput({ machines, placedTasks, queued: [queuedJob(gang), waiting] }));
   assert.deepEqual([first.preemptions.length, first.reservations.get('job-1')], [2, 2]);
   // One preempted task has exited and the other one is being stopped; the gang's team uses more on another machine than the
   // other team.
   const [exitedOn, stoppingOn] = first.preemptions.map((preemption) => preemption.machine);
   const otherTask = placedTask(job('job-3', { urgency: 1, cpus: 8 }), 'p');
   const next: Partial<CycleInput> = {
-    nodes: [...machines, machineOf('p')],
+    machines: [...machines, machineOf('p')],
     placedTasks: [
       otherTask,
       ...placedTasks
         .filter((placed) => placed.machine !== exitedOn)
-        .map((placed): PlacedTask => ({ ...placed, leaving: placed.machine === stoppingOn })),
+        .map((placed): PlacedTask => ({ ...placed, terminating: placed.machine === stoppingOn })),
     ],
     queued: [queuedJob(gang), waiting],
   };
   assert.equal(
-    startedTasks(schedule(input(next)), 'job-2'),
+    startedTasks(schedule(cycleInput(next)), 'job-2'),
     1,
     'without the reservation the other team is served first',
   );
-  const reserved = schedule(input({ ...next, reservations: first.reservations }));
+  const reserved = schedule(cycleInput({ ...next, reservations: first.reservations }));
   assert.deepEqual(
     [startedTasks(reserved, 'job-2'), reserved.preemptions.length, reserved.reservations.get('job-1')],
     [0, 0, 2],
@@ -550,12 +553,15 @@
   const low = job('job-1', { team: 'blue', cpus: 8 });
   const urgent = job('job-2', { urgency: 2, cpus: 8 });
   low.placed.set(0, { task: 0, attempt: 1, machine: 'm', since: 0 as Micros });
-  const full: Partial<CycleInput> = { nodes: [machineOf('m')], placedTasks: [placedTask(low, 'm')] };
-  assert.equal(schedule(input({ ...full, queued: [queuedJob(urgent)] })).preemptions.length, 1);
-  const suspect = schedule(input({ ...full, queued: [queuedJob(urgent, 0, true)] }));
+  const full: Partial<CycleInput> = { machines: [machineOf('m')], placedTasks: [placedTask(low, 'm')] };
+  assert.equal(schedule(cycleInput({ ...full, queued: [queuedJob(urgent)] })).preemptions.length, 1);
+  const suspect = schedule(cycleInput({ ...full, queued: [queuedJob(urgent, 0, true)] }));
   assert.deepEqual([suspect.starts, suspect.preemptions, suspect.unplaced], [[], [], []]);
   assert.equal(
-    startedTasks(schedule(input({ nodes: [machineOf('m')], queued: [queuedJob(urgent, 0, true)] })), 'job-2'),
+    startedTasks(
+      schedule(cycleInput({ machines: [machineOf('m')], queued: [queuedJob(urgent, 0, true)] })),
+      'job-2',
+    ),
     1,
   );
   assert.ok(
@@ -566,7 +572,7 @@
 
 test('several hundred tasks of one array are placed on all machines, and the rest is unplaced', () => {
   const machines = Array.from({ length: 48 }, (_, i) => machineOf(`m${i}`));
-  const result = schedule(input({ nodes: machines, queued: [queuedJob(job('job-1', { tasks: 400 }))] }));
+  const result = schedule(cycleInput({ machines, queued: [queuedJob(job('job-1', { tasks: 400 }))] }));
   assert.equal(startedTasks(result, 'job-1'), 384);
   assert.deepEqual(
     result.unplaced.map((item) => item.count),
@@ -579,18 +585,21 @@
   const machines = Array.from({ length: 5 }, (_, i) => machineOf(`m${i}`, { type: 'g4', total: [8, 2, 32] }));
   const gpuTask = (machine: string) => placedTask(job('job-1', { gpus: 1, tasks: 5 }), machine);
   const placedTasks = [gpuTask('m0'), gpuTask('m1'), gpuTask('m2')];
-  const idle = idleNodesOf(machines, placedTasks, []);
+  const idle = findIdleMachines(machines, placedTasks, []);
   assert.deepEqual([...idle].sort(), ['m2', 'm3', 'm4']);
-  assert.equal(idleNodesOf(machines, placedTasks, [queuedJob(job('job-2', { gpus: 1, tasks: 6 }))]).size, 0);
+  assert.equal(
+    findIdleMachines(machines, placedTasks, [queuedJob(job('job-2', { gpus: 1, tasks: 6 }))]).size,
+    0,
+  );
   const result = schedule(
-    input({
-      nodes: machines,
+    cycleInput({
+      machines,
       placedTasks,
-      idleNodes: idle,
+      idleMachines: idle,
       queued: [queuedJob(job('job-3', { gpus: 1, urgency: 1 }))],
     }),
   );
-  assert.ok(!idle.has([...result.starts[0]!.on.keys()][0]!));
+  assert.ok(!idle.has([...result.starts[0]!.tasksByMachine.keys()][0]!));
 });
 
 // If late jobs kept their positions, each late job would make the next one late.
@@ -642,8 +651,8 @@
   const chosenMachine = (overrides: Partial<JobSpec>): string =>
     [
       ...schedule(
-        input({ nodes: machines, queued: [queuedJob(job('job-1', overrides))] }),
-      ).starts[0]!.on.keys(),
+        cycleInput({ machines, queued: [queuedJob(job('job-1', overrides))] }),
+      ).starts[0]!.tasksByMachine.keys(),
     ][0]!;
   assert.equal(chosenMachine({ estimate: seconds(20) }), 's');
   assert.equal(chosenMachine({ estimate: seconds(150) }), 'm');
@@ -722,21 +731,21 @@
   other.placed.set(0, { task: 0, attempt: 1, machine: 'm2', since: ZERO });
   // The task on m2 finishes in about a minute. The other zone has one machine only, and the gang needs two.
   const machines = [machineOf('m1'), machineOf('m2'), machineOf('m3', { zone: 'b' })];
-  const running: PlacedTask = { ...placedTask(other, 'm2'), left: seconds(60) };
+  const running: PlacedTask = { ...placedTask(other, 'm2'), remaining: seconds(60) };
   const placements = (next: Job, starving = true, available = machines): string[] => {
     const first = { ...queuedJob(large), starving };
     // With this weight the other team is served after the gang's team.
     const weights = new Map([['blue', 0.01]]);
     const result = schedule(
-      input({
-        nodes: available,
+      cycleInput({
+        machines: available,
         placedTasks: [running],
         queued: [first, queuedJob(next, 1)],
         weights,
       }),
     );
     return result.starts.flatMap((start) =>
-      [...start.on.keys()].map((machine) => `${start.job.spec.id} ${machine}`),
+      [...start.tasksByMachine.keys()].map((machine) => `${start.job.spec.id} ${machine}`),
     );
   };
   assert.deepEqual(
@@ -777,7 +786,7 @@
     const machines = [machineOf('m1', { type: 'g4', total: [8, 4, 64] })];
     const coLocatedDemand = [{ ...gpuDemand, waiting }];
     return startedTasks(
-      schedule(input({ nodes: machines, queued: [{ ...queuedJob(array), overdue }], coLocatedDemand })),
+      schedule(cycleInput({ machines, queued: [{ ...queuedJob(array), overdue }], coLocatedDemand })),
       'job-1',
     );
   };
--- a/packages/controller/test/server.test.ts
+++ b/packages/controller/test/server.test.ts
@@ -8,7 +8,7 @@
 import { untilTick } from '@lilacvalve/runtime/tick';
 import { CycleGate } from '../src/workers/cycle-gate.js';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
-import { Luck } from './support/random-source.js';
+import { RandomSource } from './support/random-source.js';
 
 const get = (port: number, path: string): Promise<{ status: number; retry: string | undefined }> =>
   new Promise((done, fail) => {
@@ -70,7 +70,7 @@
 });
 
 test('ticks of one period fall together whenever they are asked for, and never twice for a timer a moment early', () => {
-  const luck = new Luck(11);
+  const luck = new RandomSource(11);
   for (let i = 0; i < 2000; i++) {
     const every = [250, 500, 1000, 1500, 2000][luck.int(5)]!;
     const at = luck.int(1e9);
--- a/packages/controller/test/support/cycle.ts
+++ b/packages/controller/test/support/cycle.ts
@@ -3,15 +3,15 @@
 import type { CycleInput } from '../../src/scheduler/model.js';
 
 /** Returns an empty input with some properties overridden. */
-export const input = (overrides: Partial<CycleInput>): CycleInput => ({
+export const cycleInput = (overrides: Partial<CycleInput>): CycleInput => ({
   now: 0 as Micros,
   teams: [],
   weights: new Map(),
-  nodes: [],
+  machines: [],
   placedTasks: [],
   queued: [],
   coLocatedDemand: [],
-  idleNodes: new Set(),
+  idleMachines: new Set(),
   reservations: new Map(),
   avoid: () => null,
   ...overrides,
--- a/packages/controller/test/support/job.ts
+++ b/packages/controller/test/support/job.ts
@@ -27,7 +27,7 @@
     save: ZERO,
     deadline: null,
     submitted: ZERO,
-    tie: null,
+    cutoffBinding: null,
     ...overrides,
   },
   cancelled: false,
--- a/packages/controller/test/support/late-store.ts
+++ b/packages/controller/test/support/late-store.ts
@@ -22,7 +22,7 @@
 import { type Condition, Refused, type StateFailure, type Write } from '../../src/state-store/client.js';
 import type { StatePort } from '../../src/state-store/port.js';
 import { job } from './job.js';
-import { Luck } from './random-source.js';
+import { RandomSource } from './random-source.js';
 import { TYPES, worldSettings } from './settings.js';
 
 /** One second in microseconds. */
@@ -121,7 +121,7 @@
 
   constructor(
     private readonly time: VirtualTime,
-    private readonly random: Luck,
+    private readonly random: RandomSource,
   ) {}
 
   /** Executes a transaction at once. `term`: the term that its sender acts for; `Infinity`: none. */
@@ -330,7 +330,7 @@
   replicate?: (evidence: JobEvidence) => Effect.Effect<void>,
 ) => {
   const time = new VirtualTime(1);
-  const service = new Service(time, new Luck(1));
+  const service = new Service(time, new RandomSource(1));
   service.isFaulty = false;
   service.transact([], wire([...HEAD, ...writes]) as Write[]);
   const node = newController(time, service, 0, replicate);
--- a/packages/controller/test/support/machines.ts
+++ b/packages/controller/test/support/machines.ts
@@ -4,7 +4,7 @@
  * runs where and records violations.
  */
 import { seconds } from '@lilacvalve/runtime/micros';
-import type { Luck } from './random-source.js';
+import type { RandomSource } from './random-source.js';
 import { worldSettings } from './settings.js';
 
 const { report, lease, gangWait, gangPeer } = worldSettings('n0').workers;
@@ -52,7 +52,7 @@
 /** What the model workers share: the clock, all workers, and the observed faults and violations. */
 export interface WorkerWorld {
   readonly time: VirtualTime;
-  readonly random: Luck;
+  readonly random: RandomSource;
   readonly workers: Map<string, Worker>;
   /** Tasks running on machines, by task key. */
   readonly running: Map<string, { readonly machine: string; readonly attempt: number }>;
--- a/packages/controller/test/support/plain-cycle.ts
+++ b/packages/controller/test/support/plain-cycle.ts
@@ -68,7 +68,7 @@
 ): CycleResult => {
   const machines = new Map<string, PlainMachineState>();
   const total: Resources = [0, 0, 0];
-  for (const view of input.nodes) {
+  for (const view of input.machines) {
     machines.set(view.id, {
       view,
       index: machines.size,
@@ -81,7 +81,7 @@
         [0, 0, 0],
         [0, 0, 0],
       ],
-      idle: input.idleNodes.has(view.id),
+      idle: input.idleMachines.has(view.id),
       reservation: null,
     });
     add(total, view.total);
@@ -136,7 +136,7 @@
       if (!zones) zonesHeld.set(placed.job, (zones = new Map()));
       zones.set(placed.zone, (zones.get(placed.zone) ?? 0) + 1);
     }
-    if (placed.leaving) {
+    if (placed.terminating) {
       if (machine) add(machine.terminating, need);
       add(team.used, need);
     } else if (placed.job.spec.shape === 'gang') {
@@ -245,7 +245,7 @@
     evictedOn: (machine) => [...(machine as PlainMachineState).evicted],
     markChanged: () => undefined,
     changedMachines: [],
-    zones: [...new Set(input.nodes.map((machine) => machine.zone))].sort(),
+    zones: [...new Set(input.machines.map((machine) => machine.zone))].sort(),
     zonesHeld,
     zoneUnknown,
     coLocatedDemand: input.coLocatedDemand,
@@ -272,7 +272,7 @@
     }
     let start = starts.get(job);
     if (choice.free && !start) {
-      start = { job, attempt: Math.max(job.attempt, input.attemptFloor ?? 0) + 1, on: new Map() };
+      start = { job, attempt: Math.max(job.attempt, input.attemptFloor ?? 0) + 1, tasksByMachine: new Map() };
       starts.set(job, start);
     }
     let zones = zonesHeld.get(job);
@@ -284,10 +284,10 @@
       add(team.held, need);
       zones.set(machine.view.zone, (zones.get(machine.view.zone) ?? 0) + 1);
       if (choice.free) {
-        const startedOn = start!.on.get(machine.view.id);
+        const startedOn = start!.tasksByMachine.get(machine.view.id);
         if (startedOn) startedOn.push(task);
         else {
-          start!.on.set(machine.view.id, [task]);
+          start!.tasksByMachine.set(machine.view.id, [task]);
           placements++;
         }
       }
@@ -368,7 +368,7 @@
 
   /** Places the next task or gang of the item. Returns whether the item has tasks left that may be placed in this cycle. */
   const serve = (team: PlainTeamState, item: QueuedItem): boolean => {
-    const { job, tasks, cautious: suspect, mayRent } = item.queued;
+    const { job, tasks, suspect, mayRent } = item.queued;
     const gang = job.spec.shape === 'gang';
     const group = nextTasks(item);
     const { spec } = job;
@@ -420,7 +420,7 @@
   for (const [id, count] of input.reservations) {
     for (const team of teams.values()) {
       const item = team.queue.find((queued) => queued.kind === 'queued' && queued.queued.job.spec.id === id);
-      if (item?.kind !== 'queued' || item.queued.cautious) continue;
+      if (item?.kind !== 'queued' || item.queued.suspect) continue;
       while (item.nextTask < Math.min(count, item.queued.tasks.length) && !overLimit(team, sizeOf(item))) {
         const group = nextTasks(item);
         if (!place(team, item, group, findMachines(item.queued.job, team, group.length, WITHOUT_PREEMPTION)))
--- a/packages/controller/test/support/random-source.ts
+++ b/packages/controller/test/support/random-source.ts
@@ -1,6 +1,6 @@
 /** Seeded random numbers for tests and the simulation. */
 /** A xorshift generator, separate from the random numbers that the program under test draws. */
-export class Luck {
+export class RandomSource {
   private state: number;
   constructor(seed: number) {
     this.state = (seed * 2654435761 + 97) >>> 0 || 1;
--- a/packages/operator-cli/src/accounts/read.ts
+++ b/packages/operator-cli/src/accounts/read.ts
@@ -2,9 +2,9 @@
 import { DiskFiles } from '@lilacvalve/snapshot/files';
 import { load } from '@lilacvalve/snapshot/read';
 import { openPlacementsAt } from '@lilacvalve/controller/accounts/ledger';
-import { joinRows, subtractRows } from '@lilacvalve/controller/accounts/fold';
-import type { Accounts, Rows } from '@lilacvalve/controller/accounts/model';
-import { type Page, PAGES, pagesOf } from '@lilacvalve/controller/accounts/pages';
+import { joinRows, subtractRows } from '@lilacvalve/controller/accounts/aggregate';
+import type { Accounts, AmountsByGroup } from '@lilacvalve/controller/accounts/model';
+import { type Page, PAGE_PREFIX, parsePages } from '@lilacvalve/controller/accounts/pages';
 import { listAll } from '@lilacvalve/controller/calendar/publish';
 import { JobState } from '@lilacvalve/controller/jobs/job-state';
 import {
@@ -26,11 +26,11 @@
   /** In order; none lies within another. */
   readonly pages: readonly Page[];
   /** What is placed, from its start to the last record. */
-  readonly open: Rows;
+  readonly open: AmountsByGroup;
   /** Placements of which nobody knows since when they are. */
   readonly ageless: number;
   /** What is booked and on no page, nor waits for one: pages that are lost, or damaged. */
-  readonly undated: Rows;
+  readonly undated: AmountsByGroup;
 }
 
 interface StateEntry {
@@ -56,7 +56,7 @@
   // A page of a period that the accounts have without one is of a history that a loss has ended.
   const paged = accounts.pending[0]?.from ?? accounts.closed;
   const pages = outermostPages(
-    pagesOf(entries)
+    parsePages(entries)
       .map((p) => p.page)
       .filter((p) => p.to <= paged),
   );
@@ -79,7 +79,7 @@
       const first = yield* store.page(TERM, null, 1);
       const entries: StateEntry[] = [];
       // The accounts last, as controllers read them.
-      for (const prefix of [STORE_STATUS, LOG_ENTRIES, JOB_BUNDLES, ACTIVE_JOBS, PAGES, ACCOUNTS])
+      for (const prefix of [STORE_STATUS, LOG_ENTRIES, JOB_BUNDLES, ACTIVE_JOBS, PAGE_PREFIX, ACCOUNTS])
         entries.push(...(yield* listAll(store, prefix)));
       const since = yield* store.follow(ROOT, first.revision, 0);
       if (since.tooOld) continue;
--- a/packages/operator-cli/src/accounts/report.ts
+++ b/packages/operator-cli/src/accounts/report.ts
@@ -1,13 +1,13 @@
 /** Reports of accounts: pure. Amounts stay integers until they are printed, so the sum of all lines is what was placed. */
-import { joinRows, subtractRows, NONE, addAmounts } from '@lilacvalve/controller/accounts/fold';
+import { joinRows, subtractRows, ZERO_AMOUNTS, addAmounts } from '@lilacvalve/controller/accounts/aggregate';
 import {
   type Amounts,
   groupOf,
-  indexOf,
-  MONEY,
-  type Rows,
-  type Split,
-  SPLITS,
+  amountIndex,
+  COST_INDEX,
+  type AmountsByGroup,
+  type UsageCategory,
+  USAGE_CATEGORIES,
   type Unit,
 } from '@lilacvalve/controller/accounts/model';
 import {
@@ -28,20 +28,20 @@
 export interface Stretch {
   readonly from: number;
   readonly to: number;
-  readonly booked: Rows;
+  readonly booked: AmountsByGroup;
   /** What stood open at its end, less what did at its begin: with `booked`, what was placed in it. */
-  readonly carried: Rows;
+  readonly carried: AmountsByGroup;
   readonly shares: readonly Shares[];
 }
 
-const NOTHING: Rows = new Map();
+const NOTHING: AmountsByGroup = new Map();
 
 /** A period of the accounts; `open` null: it is not known what stood open at its end. */
 interface Period {
   readonly from: number;
   readonly to: number;
-  readonly booked: Rows;
-  readonly open: Rows | null;
+  readonly booked: AmountsByGroup;
+  readonly open: AmountsByGroup | null;
   readonly shares: Shares;
 }
 
@@ -58,7 +58,7 @@
 /** All of the accounts as stretches, the last one until the last record. */
 export const stretches = (view: AccountsView): Stretch[] => {
   const out: Stretch[] = [];
-  let openBefore: Rows = NOTHING;
+  let openBefore: AmountsByGroup = NOTHING;
   let periods: Period[] = [];
   for (const period of periodsOf(view)) {
     periods.push(period);
@@ -107,7 +107,8 @@
   const lines = new Map<string, Sums>();
   const sumsOf = (name: string): Sums => {
     let sums = lines.get(name);
-    if (sums === undefined) lines.set(name, (sums = { amounts: NONE, carried: NONE, share: null }));
+    if (sums === undefined)
+      lines.set(name, (sums = { amounts: ZERO_AMOUNTS, carried: ZERO_AMOUNTS, share: null }));
     return sums;
   };
   for (const stretch of chosen) {
@@ -139,8 +140,8 @@
 /** Of one unit: all splits that are time, and what is carried. */
 export const placed = ({ amounts, carried }: ReportLine, unit: Unit): bigint => {
   let sum = 0n;
-  for (const split of SPLITS)
-    if (split !== 'unsure') sum += amounts[indexOf(split, unit)]! + carried[indexOf(split, unit)]!;
+  for (const split of USAGE_CATEGORIES)
+    if (split !== 'unsure') sum += amounts[amountIndex(split, unit)]! + carried[amountIndex(split, unit)]!;
   return sum;
 };
 
@@ -154,7 +155,7 @@
 /** Seconds, or seconds of a whole unit, exact: amounts are microseconds, of thousandths but for tasks. */
 const secondsOf = (amount: bigint, unit: Unit): string => decimal(amount, unit === 'tasks' ? 6 : 9);
 
-const SHOWN: readonly Split[] = ['useful', 'repeated', 'gathering', 'fetching', 'lent', 'unknown'];
+const SHOWN: readonly UsageCategory[] = ['useful', 'repeated', 'gathering', 'fetching', 'lent', 'unknown'];
 
 /** The largest part that the line has of any unit of all lines. */
 const dominantShare = (line: ReportLine, all: readonly ReportLine[]): number => {
@@ -171,9 +172,10 @@
 
 const timeFields = ({ amounts, carried }: ReportLine, unit: Unit): LineFields => {
   const fields: LineFields = {};
-  for (const split of SHOWN) fields[`${unit}_${split}_s`] = secondsOf(amounts[indexOf(split, unit)]!, unit);
-  fields[`${unit}_carried_s`] = secondsOf(carried[indexOf('unknown', unit)]!, unit);
-  fields[`${unit}_unsure_s`] = secondsOf(amounts[indexOf('unsure', unit)]!, unit);
+  for (const split of SHOWN)
+    fields[`${unit}_${split}_s`] = secondsOf(amounts[amountIndex(split, unit)]!, unit);
+  fields[`${unit}_carried_s`] = secondsOf(carried[amountIndex('unknown', unit)]!, unit);
+  fields[`${unit}_unsure_s`] = secondsOf(amounts[amountIndex('unsure', unit)]!, unit);
   return fields;
 };
 
@@ -196,6 +198,6 @@
   for (const unit of ['tasks', 'cpus', 'gpus', 'mem'] as const)
     Object.assign(fields, { [`${unit}_s`]: secondsOf(placed(line, unit), unit) }, timeFields(line, unit));
   // Millionths of a price unit an hour, times microseconds: cut to millionths of a price unit.
-  const money = decimal((line.amounts[MONEY]! + line.carried[MONEY]!) / 3_600_000_000n, 6);
+  const money = decimal((line.amounts[COST_INDEX]! + line.carried[COST_INDEX]!) / 3_600_000_000n, 6);
   return { ...fields, dominant_share: dominantShare(line, all).toFixed(6), money, ...shareFields(line) };
 };
--- a/packages/operator-cli/src/accounts/verify.ts
+++ b/packages/operator-cli/src/accounts/verify.ts
@@ -1,6 +1,12 @@
 /** Recomputes the sums of the accounts from what they are made of. */
-import { joinRows, subtractRows, total } from '@lilacvalve/controller/accounts/fold';
-import { type Accounts, indexOf, type Rows, SPLITS, UNITS } from '@lilacvalve/controller/accounts/model';
+import { joinRows, subtractRows, totalAmounts } from '@lilacvalve/controller/accounts/aggregate';
+import {
+  type Accounts,
+  amountIndex,
+  type AmountsByGroup,
+  USAGE_CATEGORIES,
+  UNITS,
+} from '@lilacvalve/controller/accounts/model';
 import type { AccountsView } from './read.js';
 import { isoTime } from '../output.js';
 import { decimal, stretches } from './report.js';
@@ -17,10 +23,10 @@
 
 const time = (at: number): string => (at === 0 ? 'the beginning' : isoTime(at));
 
-const cpuSeconds = (rows: Rows): string => {
-  const all = total(rows);
+const cpuSeconds = (rows: AmountsByGroup): string => {
+  const all = totalAmounts(rows);
   let sum = 0n;
-  for (const split of SPLITS) if (split !== 'unsure') sum += all[indexOf(split, 'cpus')]!;
+  for (const split of USAGE_CATEGORIES) if (split !== 'unsure') sum += all[amountIndex(split, 'cpus')]!;
   return decimal(sum, 9);
 };
 
@@ -36,13 +42,13 @@
 };
 
 /** Amounts below 0, and amounts without any time of tasks. */
-const impossibleAmounts = (rows: Rows): string[] => {
+const impossibleAmounts = (rows: AmountsByGroup): string[] => {
   const wrong: string[] = [];
   for (const [key, amounts] of rows)
-    for (const split of SPLITS)
+    for (const split of USAGE_CATEGORIES)
       for (const unit of UNITS) {
-        const amount = amounts[indexOf(split, unit)]!;
-        if (amount < 0n || (amount > 0n && amounts[indexOf(split, 'tasks')] === 0n))
+        const amount = amounts[amountIndex(split, unit)]!;
+        if (amount < 0n || (amount > 0n && amounts[amountIndex(split, 'tasks')] === 0n))
           wrong.push(`${key}: ${split} ${unit} is ${amount}`);
       }
   return wrong;
@@ -72,10 +78,10 @@
   const rest = subtractRows(joinRows(accounts.rows, open), joinRows(undated, ...all));
   if (rest.size > 0) wrong.push(`stretches lack ${cpuSeconds(rest)} CPU seconds`);
   const notes = accounts.gaps.map(gapNote);
-  const unsure = total(accounts.rows);
-  if (unsure[indexOf('unsure', 'tasks')]! > 0n)
+  const unsure = totalAmounts(accounts.rows);
+  if (unsure[amountIndex('unsure', 'tasks')]! > 0n)
     notes.push(
-      `placements of unknown age ended: at most ${decimal(unsure[indexOf('unsure', 'cpus')]!, 9)} CPU seconds beside the sums`,
+      `placements of unknown age ended: at most ${decimal(unsure[amountIndex('unsure', 'cpus')]!, 9)} CPU seconds beside the sums`,
     );
   if (ageless > 0) notes.push(`${ageless} tasks are placed of which nobody knows since when`);
   return { wrong, notes };
--- a/packages/operator-cli/src/calendar/compile.ts
+++ b/packages/operator-cli/src/calendar/compile.ts
@@ -11,7 +11,7 @@
   type Calendar,
   type Cutoff,
   makeCalendar,
-  MOST_OCCURRENCES,
+  MAX_OCCURRENCES,
   type Occurrence,
 } from '@lilacvalve/controller/calendar/model';
 import { type Shape, URGENCY } from '@lilacvalve/controller/jobs/model';
@@ -161,9 +161,9 @@
       occurrences.push(...compiled.occurrences);
       clockChanges.push(...compiled.clockChanges);
       if (compiled.skipped.length > 0) skipped.set(name, compiled.skipped);
-      if (occurrences.length > MOST_OCCURRENCES)
+      if (occurrences.length > MAX_OCCURRENCES)
         return yield* Either.left(
-          `until: the table would hold more than ${MOST_OCCURRENCES} occurrences: choose an earlier date`,
+          `until: the table would hold more than ${MAX_OCCURRENCES} occurrences: choose an earlier date`,
         );
     }
     const until = Temporal.PlainDate.from(file.until).add({ days: 1 }).toZonedDateTime(file.zone);
--- a/packages/operator-cli/src/calendar/file.ts
+++ b/packages/operator-cli/src/calendar/file.ts
@@ -1,7 +1,7 @@
 /** The calendar's file: TOML checked by a schema; every error names the field and what to do about it. */
 import { Either, Schema } from 'effect';
 import { checkedToml } from '@lilacvalve/runtime/toml';
-import { MOST_CUTOFFS } from '@lilacvalve/controller/calendar/model';
+import { MAX_CUTOFFS } from '@lilacvalve/controller/calendar/model';
 
 const or = <A, I>(schema: Schema.Schema<A, I>, value: A) =>
   Schema.optionalWith(schema, { default: () => value });
@@ -89,9 +89,7 @@
       urgencies: NoneOr(Schema.NonEmptyArray(Schema.Literal('production', 'high', 'normal', 'low'))),
     }),
   ).pipe(
-    Schema.filter(
-      (l) => l.length <= MOST_CUTOFFS || `at most ${MOST_CUTOFFS} cutoffs: join those that can be`,
-    ),
+    Schema.filter((l) => l.length <= MAX_CUTOFFS || `at most ${MAX_CUTOFFS} cutoffs: join those that can be`),
   ),
 });
 /** A checked calendar file. */
