--- a/packages/operator-cli/src/calendar/state-commands.ts
+++ b/packages/operator-cli/src/calendar/state-commands.ts
@@ -1,7 +1,11 @@
 /** `calendar diff`, `apply`, `show` and `retire`: the calendar in the shared state. */
 import { Effect } from 'effect';
 import type { Micros } from '@lilacvalve/runtime/micros';
-import { publish, type Published, retire } from '@lilacvalve/controller/calendar/publish';
+import {
+  publishCalendar,
+  type PublishResult,
+  publishRetirement,
+} from '@lilacvalve/controller/calendar/publish';
 import type { StateFailure } from '@lilacvalve/controller/state-store/client';
 import { wholeFlag } from '../input.js';
 import { type CommandFailure, CommandRefused, EXIT, type Io, type StateOptions } from '../io.js';
@@ -38,7 +42,7 @@
     if (differences.length > 0) process.exitCode = EXIT.refused;
   });
 
-const reportPublished = (io: Io, published: Published): Effect.Effect<void, CommandRefused> => {
+const reportPublished = (io: Io, published: PublishResult): Effect.Effect<void, CommandRefused> => {
   if (!published.ok) return Effect.fail(new CommandRefused({ message: published.reason }));
   const { version, pages, already } = published;
   return Effect.sync(() =>
@@ -63,7 +67,7 @@
     const { store, limits } = yield* io.open(options);
     for (const line of clockChangeLines(compiled)) io.note(line);
     if (calendar.until < io.dayTime()) io.note('the whole table lies in the past: nothing will be tied');
-    yield* reportPublished(io, yield* publish(store, limits, calendar, expected));
+    yield* reportPublished(io, yield* publishCalendar(store, limits, calendar, expected));
   });
 
 const MICROS_A_MINUTE = 60e6;
@@ -100,5 +104,5 @@
     const what = 'a whole number above the version that is there';
     const version = yield* wholeFlag('--version', options.version, 1, what);
     const { store, limits } = yield* io.open(options);
-    yield* reportPublished(io, yield* retire(store, limits, version, io.dayTime() as Micros));
+    yield* reportPublished(io, yield* publishRetirement(store, limits, version, io.dayTime() as Micros));
   });
--- a/packages/operator-cli/src/calendar/stored.ts
+++ b/packages/operator-cli/src/calendar/stored.ts
@@ -1,7 +1,7 @@
 /** The calendar in the shared state, and what another one would change of it. */
 import { Effect } from 'effect';
 import type { Micros } from '@lilacvalve/runtime/micros';
-import { decodeCalendar, type Head } from '@lilacvalve/controller/calendar/codec';
+import { decodeCalendar, type CalendarHead } from '@lilacvalve/controller/calendar/codec';
 import type { Calendar } from '@lilacvalve/controller/calendar/model';
 import { listAll, readHead } from '@lilacvalve/controller/calendar/publish';
 import { CALENDAR_PAGE } from '@lilacvalve/controller/jobs/keys';
@@ -10,7 +10,7 @@
 
 /** The head in the shared state with its calendar; null: its pages are not there as the head says. */
 export interface StoredCalendar {
-  readonly head: Head;
+  readonly head: CalendarHead;
   readonly calendar: Calendar | null;
 }
 
--- a/packages/operator-cli/src/cutoffs.ts
+++ b/packages/operator-cli/src/cutoffs.ts
@@ -2,7 +2,7 @@
 import type { Command } from 'commander';
 import { Effect } from 'effect';
 import type { Micros } from '@lilacvalve/runtime/micros';
-import { isRisk, NO_TALLY, CUTOFF_RISK, RISK_REASONS } from '@lilacvalve/controller/calendar/model';
+import { isRisk, NO_OUTCOMES, CUTOFF_RISK, RISK_REASONS } from '@lilacvalve/controller/calendar/model';
 import { listAll } from '@lilacvalve/controller/calendar/publish';
 import { JobState } from '@lilacvalve/controller/jobs/job-state';
 import {
@@ -82,7 +82,7 @@
 
 const emptyRow = ({ calendars }: JobState, id: string, now: Micros): CountedRow => {
   const at = calendars.current?.byId.get(id)?.at ?? null;
-  const { done, cancelled, missed } = calendars.tallies.get(id)?.value ?? NO_TALLY;
+  const { done, cancelled, missed } = calendars.outcomeCounts.get(id)?.value ?? NO_OUTCOMES;
   return {
     id,
     at,
@@ -139,9 +139,9 @@
     if (row === undefined) rows.set(id, (row = emptyRow(jobState, id, now)));
     return row;
   };
-  for (const id of jobState.calendars.tallies.keys()) rowOf(id);
+  for (const id of jobState.calendars.outcomeCounts.keys()) rowOf(id);
   for (const job of jobState.jobs.values())
-    if (job.spec.tie !== null) countJob(rowOf(job.spec.tie), job, now, mostJobs);
+    if (job.spec.cutoffBinding !== null) countJob(rowOf(job.spec.cutoffBinding), job, now, mostJobs);
   return [...rows.values()].sort(
     (a, b) =>
       (a.at ?? Number.POSITIVE_INFINITY) - (b.at ?? Number.POSITIVE_INFINITY) || (a.id < b.id ? -1 : 1),
--- a/packages/operator-cli/test/accounts.test.ts
+++ b/packages/operator-cli/test/accounts.test.ts
@@ -3,18 +3,18 @@
 import { test } from 'node:test';
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { encodeAccounts } from '@lilacvalve/controller/accounts/codec';
-import { foldLogEntry } from '@lilacvalve/controller/accounts/fold';
+import { applyToAccounts } from '@lilacvalve/controller/accounts/aggregate';
 import { openPlacementsAt } from '@lilacvalve/controller/accounts/ledger';
-import { type Accounts, NO_ACCOUNTS, type Rows } from '@lilacvalve/controller/accounts/model';
+import { type Accounts, NO_ACCOUNTS, type AmountsByGroup } from '@lilacvalve/controller/accounts/model';
 import { encodePage, joinPages, type Page, pageKey } from '@lilacvalve/controller/accounts/pages';
-import { Phases } from '@lilacvalve/controller/accounts/phases';
+import { PhaseTracker } from '@lilacvalve/controller/accounts/phases';
 import { joinShares } from '@lilacvalve/controller/accounts/share';
 import { UsageRows } from '@lilacvalve/controller/accounts/usage-rows';
 import { JobState } from '@lilacvalve/controller/jobs/job-state';
 import { encodeJob, encodeLogEntry } from '@lilacvalve/controller/jobs/codec';
 import { accountsKey, activeJobKey, logEntryKey } from '@lilacvalve/controller/jobs/keys';
 import { job } from '@lilacvalve/controller/support/job';
-import { Luck } from '@lilacvalve/controller/support/random-source';
+import { RandomSource } from '@lilacvalve/controller/support/random-source';
 import { Either } from 'effect';
 import { parquetReadObjects } from 'hyparquet';
 import { csv, lines, parquet } from '../src/accounts/command.js';
@@ -32,7 +32,7 @@
 
 /** A seeded history of starts and ends, and what is in the store after it; `truth`: CPU time placed, by team. */
 const history = (seed: number) => {
-  const luck = new Luck(seed);
+  const luck = new RandomSource(seed);
   const jobState = new JobState();
   const entries: Entry[] = [];
   const truth = new Map<string, bigint>();
@@ -49,10 +49,10 @@
     at += 1 + luck.int(25e6);
     const minute = (at - (at % MINUTE)) as Micros;
     const closes = minute > accounts.closed ? minute : null;
-    const open: Rows =
+    const open: AmountsByGroup =
       closes === null ? new Map() : openPlacementsAt(jobState, closes, () => null, new Map());
     const chosen = jobs[luck.int(jobs.length)]!;
-    const books = { phases: new Phases(), kindOf: () => null, types: new Map(), onLentCapacity: () => false, termFrom: 0 as Micros, dayTimeOf: (t: Micros) => t }; // prettier-ignore
+    const books = { phases: new PhaseTracker(), kindOf: () => null, types: new Map(), onLentCapacity: () => false, termFrom: 0 as Micros, dayTimeOf: (t: Micros) => t }; // prettier-ignore
     const spending = new UsageRows(books, at as Micros);
     const gone = [...chosen.placed.keys()].filter(() => luck.chance(0.5));
     spending.add(chosen, gone, 'gone');
@@ -65,7 +65,7 @@
     for (const task of tasks)
       chosen.placed.set(task, { task, attempt: seq, machine: 'm', since: at as Micros });
     const head = { at: at as Micros, calendar: 0, usage: { rows: spending.all(), closes, bound: null } };
-    accounts = foldLogEntry(accounts, seq, head.at, head.usage);
+    accounts = applyToAccounts(accounts, seq, head.at, head.usage);
     if (closes !== null) {
       const period = accounts.pending[0]!;
       // Now and then the leader ends before it has said what stood open.
--- a/packages/simulation/src/sample-fleet.ts
+++ b/packages/simulation/src/sample-fleet.ts
@@ -1,8 +1,8 @@
 /** Inputs of one scheduling cycle, made up at a given size: what measurements and property tests of the cycle run on. */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Job, JobSpec } from '@lilacvalve/controller/jobs/model';
-import type { CycleInput, PlacedTask, NodeView, QueuedJob } from '@lilacvalve/controller/scheduler/model';
-import { idleNodesOf } from '@lilacvalve/controller/scheduler/idle-nodes';
+import type { CycleInput, PlacedTask, MachineView, QueuedJob } from '@lilacvalve/controller/scheduler/model';
+import { findIdleMachines } from '@lilacvalve/controller/scheduler/idle-machines';
 import { job } from '@lilacvalve/controller/support/job';
 
 export interface SampleFleet {
@@ -73,7 +73,7 @@
   }
 
   /** Places the next task of the open job of this kind; a full one is followed by a fresh one. */
-  hold(kind: string, fresh: () => Job, machine: NodeView): void {
+  hold(kind: string, fresh: () => Job, machine: MachineView): void {
     let open = this.open.get(kind);
     if (open === undefined || open.placed.size === open.spec.tasks) {
       open = fresh();
@@ -86,9 +86,9 @@
       task,
       machine: machine.id,
       zone: machine.zone,
-      leaving: false,
+      terminating: false,
       loss: 5e6 as Micros,
-      left: 10e6 as Micros,
+      remaining: 10e6 as Micros,
     });
   }
 
@@ -98,12 +98,12 @@
       tasks: Array.from({ length: waiting.spec.tasks }, (_, i) => i),
       rank: this.random() * 1e9,
       starving: waiting.spec.shape === 'gang',
-      cautious: false,
+      suspect: false,
       mayRent: true,
     });
   }
 
-  input(nodes: readonly NodeView[]): CycleInput {
+  input(nodes: readonly MachineView[]): CycleInput {
     return {
       now: 1e9 as Micros,
       teams: this.teams.map((name) => ({
@@ -112,13 +112,13 @@
         limit: { cpus: 0, gpus: 0 },
       })),
       weights: new Map(),
-      nodes,
+      machines: nodes,
       placedTasks: this.placedTasks,
       queued: this.queued,
       coLocatedDemand: [
         { urgency: 0, cpusPerGpu: 5, memPerGpu: 18, waiting: true, patience: 30e6 as Micros },
       ],
-      idleNodes: idleNodesOf(nodes, this.placedTasks, this.queued),
+      idleMachines: findIdleMachines(nodes, this.placedTasks, this.queued),
       reservations: new Map(),
       avoid: () => null,
     };
@@ -128,7 +128,7 @@
 /** Every machine is full of gangs, GPU tasks or small ones; more waits than will find room. */
 export const mixedFleet = (machines: number, waiting: number): SampleFleet => {
   const random = lehmer();
-  const nodes: NodeView[] = Array.from({ length: machines }, (_, i) => {
+  const nodes: MachineView[] = Array.from({ length: machines }, (_, i) => {
     const gpu = i % 3 === 0;
     return {
       id: `vm-${String(i).padStart(6, '0')}`,
@@ -170,7 +170,7 @@
 export const shortTaskFleet = (sizes: ShortTaskSizes): SampleFleet => {
   const random = lehmer();
   const teams = Array.from({ length: sizes.teams }, (_, i) => `team-${i}`);
-  const nodes: NodeView[] = Array.from({ length: sizes.machines }, (_, i) => ({
+  const nodes: MachineView[] = Array.from({ length: sizes.machines }, (_, i) => ({
     id: `vm-${String(i).padStart(6, '0')}`,
     type: 'c',
     zone: ZONES[i % 3]!,
--- a/packages/simulation/src/turns.ts
+++ b/packages/simulation/src/turns.ts
@@ -60,7 +60,7 @@
   );
   const tied = jobs
     .filter((_, i) => i % 2 === 0)
-    .map((j, i) => ({ ...j, spec: { ...j.spec, tie: `c@${i % 1000}` } }));
+    .map((j, i) => ({ ...j, spec: { ...j.spec, cutoffBinding: `c@${i % 1000}` } }));
   const pace = { classDurations: new Map(), limit: () => undefined, total: [10_000, 400, 40_000] as const };
   const { median, longest } = timed(rounds, () => {
     for (const j of tied) {
@@ -81,7 +81,10 @@
 };
 
 const startedBy = (result: CycleResult): number =>
-  result.starts.reduce((n, s) => n + [...s.on.values()].reduce((k, tasks) => k + tasks.length, 0), 0);
+  result.starts.reduce(
+    (n, s) => n + [...s.tasksByMachine.values()].reduce((k, tasks) => k + tasks.length, 0),
+    0,
+  );
 
 const run = (machines: number, waiting: number, rounds: number, options: Options): void => {
   const fleet: SampleFleet =
--- a/packages/simulation/src/world/accounts-check.ts
+++ b/packages/simulation/src/world/accounts-check.ts
@@ -1,6 +1,6 @@
 /** Holds the accounts of every controller against one another, and against the simulation's own count. */
 import { encodeRows } from '@lilacvalve/controller/accounts/codec';
-import type { Node } from '@lilacvalve/controller/node';
+import type { Controller } from '@lilacvalve/controller/controller';
 import type { Controllers } from './controllers.js';
 import { beyondGaps, type UsageCount, differences, type Held, pagesWrong, sumsOf } from './usage-count.js';
 import type { StateService } from './state-service/state-service.js';
@@ -59,7 +59,7 @@
   }
 
   /** What a controller has placed now. */
-  private open(node: Node): Held['open'] {
+  private open(node: Controller): Held['open'] {
     const open: Held['open'][number][] = [];
     for (const { spec, placed } of node.jobState.jobs.values())
       for (const placement of placed.values())
@@ -77,7 +77,7 @@
       .up()
       .filter(
         ({ node }) =>
-          node.unready() === null &&
+          node.unreadyReason() === null &&
           node.lossDetector.incarnation !== null &&
           !node.lossDetector.suspected &&
           node.jobState.rebuild === null,
--- a/packages/simulation/src/world/calendar-operators.ts
+++ b/packages/simulation/src/world/calendar-operators.ts
@@ -1,5 +1,5 @@
 /** Operators who apply calendars during a day, two of them at once while the leader crashes. */
-import type { Luck } from '@lilacvalve/controller/support/random-source';
+import type { RandomSource } from '@lilacvalve/controller/support/random-source';
 import { type Controllers, DAY_BEGINS } from './controllers.js';
 import { calendarOf, Cutoffs } from './cutoffs.js';
 import type { FaultLog } from './fault-log.js';
@@ -13,7 +13,7 @@
 /** What operators act on, and what the cutoffs are checked against. */
 export interface CalendarOperatorsParts {
   readonly time: Time;
-  readonly random: Luck;
+  readonly random: RandomSource;
   readonly state: StateService;
   readonly controllers: Controllers;
   readonly rules: Rules;
--- a/packages/simulation/src/world/cloud.ts
+++ b/packages/simulation/src/world/cloud.ts
@@ -4,7 +4,7 @@
 import { micros } from '@lilacvalve/runtime/micros';
 import { type CloudPort, CloudRefused } from '@lilacvalve/controller/provisioning/cloud';
 import type { ListedMachine, MachineType } from '@lilacvalve/controller/provisioning/model';
-import type { Luck } from '@lilacvalve/controller/support/random-source';
+import type { RandomSource } from '@lilacvalve/controller/support/random-source';
 import { TYPES } from '@lilacvalve/controller/support/settings';
 import type { FaultLog } from './fault-log.js';
 import type { Scenarios } from './scenarios/scenarios.js';
@@ -37,7 +37,7 @@
 /** What the cloud needs of the simulation around it. */
 export interface CloudOptions {
   readonly time: Time;
-  readonly random: Luck;
+  readonly random: RandomSource;
   readonly rules: Rules;
   readonly log: FaultLog;
   /** The list may be up to so old, microseconds. */
--- a/packages/simulation/src/world/controllers.ts
+++ b/packages/simulation/src/world/controllers.ts
@@ -4,10 +4,10 @@
 import type { Answer, Incoming, Quick } from '@lilacvalve/runtime/http-server';
 import { type Micros, micros } from '@lilacvalve/runtime/micros';
 import type { CloudPort } from '@lilacvalve/controller/provisioning/cloud';
-import { makeNode, type Node } from '@lilacvalve/controller/node';
+import { createController, type Controller } from '@lilacvalve/controller/controller';
 import type { Settings } from '@lilacvalve/controller/settings/settings';
 import type { StatePort } from '@lilacvalve/controller/state-store/port';
-import type { Luck } from '@lilacvalve/controller/support/random-source';
+import type { RandomSource } from '@lilacvalve/controller/support/random-source';
 import type { DuplicateDelivery } from './duplicate-delivery.js';
 import type { FaultLog } from './fault-log.js';
 import type { Links } from './links.js';
@@ -28,7 +28,7 @@
 
 /** One run of a controller, from its start to its crash. */
 export interface ControllerProcess extends Process {
-  readonly node: Node;
+  readonly node: Controller;
   readonly host: Host;
   readonly fiber: Fiber.RuntimeFiber<unknown, unknown>;
 }
@@ -39,7 +39,7 @@
   readonly nodes: readonly string[];
   readonly settings: (label: string) => Settings;
   readonly time: Time;
-  readonly random: Luck;
+  readonly random: RandomSource;
   readonly links: Links;
   readonly state: StateService;
   readonly duplicates: DuplicateDelivery;
@@ -51,7 +51,7 @@
   /** A worker's heartbeat has reached a controller. */
   readonly onHeartbeat: (node: string) => void;
   /** A controller has crashed. */
-  readonly onCrash: (node: Node) => void;
+  readonly onCrash: (node: Controller) => void;
 }
 
 /** As the server does: outside any fiber if the quick handler takes the request, else by the handler. */
@@ -104,7 +104,7 @@
   }
 
   /** The controllers that are up. */
-  up(): { readonly name: string; readonly node: Node }[] {
+  up(): { readonly name: string; readonly node: Controller }[] {
     return [...this.running].map(([name, process]) => ({ name, node: process.node }));
   }
 
@@ -126,7 +126,7 @@
   /** The node says that it can take requests. */
   ready(label: string): boolean {
     const process = this.running.get(label);
-    return process !== undefined && process.node.unready() === null;
+    return process !== undefined && process.node.unreadyReason() === null;
   }
 
   /** The machine that a controller runs on. */
@@ -145,7 +145,7 @@
     const host = new Host(label);
     const store = this.storePort(label, host, clock);
     const { time } = this.options;
-    const node = makeNode(this.options.settings(label), {
+    const node = createController(this.options.settings(label), {
       store,
       cloud: this.cloudPort(host),
       workers: { sendOrders: (address, body) => Effect.sync(() => this.sendOrders(label, address, body)) },
@@ -234,7 +234,7 @@
   private peerPorts(
     label: string,
     host: Host,
-  ): Pick<Parameters<typeof makeNode>[1], 'peers' | 'views' | 'relay'> {
+  ): Pick<Parameters<typeof createController>[1], 'peers' | 'views' | 'relay'> {
     return {
       peers: {
         exchange: (peer, beat) =>
--- a/packages/simulation/src/world/cutoffs.ts
+++ b/packages/simulation/src/world/cutoffs.ts
@@ -5,9 +5,9 @@
 import { Effect, Exit } from 'effect';
 import { type Micros, micros, seconds } from '@lilacvalve/runtime/micros';
 import { type Calendar, makeCalendar, CUTOFF_RISK } from '@lilacvalve/controller/calendar/model';
-import { publish } from '@lilacvalve/controller/calendar/publish';
+import { publishCalendar } from '@lilacvalve/controller/calendar/publish';
 import type { JobState } from '@lilacvalve/controller/jobs/job-state';
-import { decodeTally } from '@lilacvalve/controller/calendar/codec';
+import { decodeOutcomeCounts } from '@lilacvalve/controller/calendar/codec';
 import { decodeLogEntry } from '@lilacvalve/controller/jobs/codec';
 import {
   ACTIVE_JOBS,
@@ -98,7 +98,7 @@
   apply(who: string, c: Calendar, tries = 40): void {
     const { time, state } = this.p;
     const again = (): void => void (tries > 0 && time.after(2e6, () => this.apply(who, c, tries - 1)));
-    time.fork(Effect.either(publish(state.port(who), LIMITS, c))).addObserver((e) => {
+    time.fork(Effect.either(publishCalendar(state.port(who), LIMITS, c))).addObserver((e) => {
       if (!Exit.isSuccess(e) || e.value._tag === 'Left') again();
       else if (e.value.right.ok) this.applied++;
       else if (/newer|other content|theirs holds/.test(e.value.right.reason)) this.refused++;
@@ -172,8 +172,8 @@
       const what = JSON.stringify([
         c.current?.version ?? 0,
         c.current?.occurrences[0]?.at ?? 0,
-        [...c.tallies].map(([id, t]) => [id, t.value]).sort(),
-        [...v.jobs.values()].map((j) => [j.spec.id, j.spec.tie]).sort(),
+        [...c.outcomeCounts].map(([id, t]) => [id, t.value]).sort(),
+        [...v.jobs.values()].map((j) => [j.spec.id, j.spec.cutoffBinding]).sort(),
       ]);
       const key = `${v.incarnation.id} ${v.revision}`;
       const other = by.get(key);
@@ -194,7 +194,7 @@
     let counted = 0;
     for (const [key, kept] of this.p.state.keys)
       if (key.startsWith(OCCURRENCE)) {
-        const t = decodeTally(JSON.parse(kept.value));
+        const t = decodeOutcomeCounts(JSON.parse(kept.value));
         counted += t.done + t.cancelled;
       }
     const over = [...this.over.values()].filter((t) => t !== '').length;
--- a/packages/simulation/src/world/data-loss.ts
+++ b/packages/simulation/src/world/data-loss.ts
@@ -1,7 +1,7 @@
 /** The state service loses data, and what the controllers that lived through it must still know afterwards. */
 import { INCARNATION, REBUILD } from '@lilacvalve/controller/jobs/keys';
-import type { Node } from '@lilacvalve/controller/node';
-import type { Luck } from '@lilacvalve/controller/support/random-source';
+import type { Controller } from '@lilacvalve/controller/controller';
+import type { RandomSource } from '@lilacvalve/controller/support/random-source';
 import type { Controllers } from './controllers.js';
 import type { FaultLog } from './fault-log.js';
 import type { LossPlan } from './faults.js';
@@ -19,7 +19,7 @@
 /** What data losses need of the simulation around them. */
 export interface DataLossOptions {
   readonly time: Time;
-  readonly random: Luck;
+  readonly random: RandomSource;
   readonly links: Links;
   readonly state: StateService;
   readonly controllers: Controllers;
@@ -41,12 +41,12 @@
   /** The store's incarnation before the last loss. */
   private incarnation: string | null = null;
   /** The controllers that lived through the last loss so far; null: that is decided. */
-  private survivors: Set<Node> | null = null;
+  private survivors: Set<Controller> | null = null;
 
   constructor(private readonly options: DataLossOptions) {}
 
   /** A controller has crashed. */
-  crashed(node: Node): void {
+  crashed(node: Controller): void {
     this.survivors?.delete(node);
   }
 
@@ -62,7 +62,7 @@
         process,
         fine:
           !process.host.still &&
-          process.node.unready() === null &&
+          process.node.unreadyReason() === null &&
           !state.out &&
           !state.refusedTo.has(process.label) &&
           connected(process.label, 'state'),
--- a/packages/simulation/src/world/duplicate-delivery.ts
+++ b/packages/simulation/src/world/duplicate-delivery.ts
@@ -1,5 +1,5 @@
 /** Requests that are delivered a second time, late: what a network or a dying process may do with any of them. */
-import type { Luck } from '@lilacvalve/controller/support/random-source';
+import type { RandomSource } from '@lilacvalve/controller/support/random-source';
 import type { FaultLog } from './fault-log.js';
 import type { Time } from './time.js';
 
@@ -19,7 +19,7 @@
   constructor(
     private readonly enabled: boolean,
     private readonly time: Time,
-    private readonly random: Luck,
+    private readonly random: RandomSource,
     private readonly log: FaultLog,
   ) {}
 
--- a/packages/simulation/src/world/fault-injector.ts
+++ b/packages/simulation/src/world/fault-injector.ts
@@ -3,7 +3,7 @@
  * to 25 s. The order of the kinds and of the draws is part of what a seed means.
  */
 import { Duration } from 'effect';
-import type { Luck } from '@lilacvalve/controller/support/random-source';
+import type { RandomSource } from '@lilacvalve/controller/support/random-source';
 import { ZONES } from '@lilacvalve/controller/support/settings';
 import type { Cloud } from './cloud.js';
 import type { Controllers } from './controllers.js';
@@ -29,7 +29,7 @@
   readonly faults: Faults;
   readonly size: Size;
   readonly time: Time;
-  readonly random: Luck;
+  readonly random: RandomSource;
   readonly links: Links;
   readonly state: StateService;
   readonly controllers: Controllers;
--- a/packages/simulation/src/world/lending.ts
+++ b/packages/simulation/src/world/lending.ts
@@ -8,7 +8,7 @@
 import { isComplete, type Job } from '@lilacvalve/controller/jobs/model';
 import { loansOf } from '@lilacvalve/controller/lending/loans';
 import type { TeamSettings } from '@lilacvalve/controller/settings/settings';
-import type { Luck } from '@lilacvalve/controller/support/random-source';
+import type { RandomSource } from '@lilacvalve/controller/support/random-source';
 import type { Arrival } from './load-burst.js';
 import type { JobTruth } from './job-truth.js';
 
@@ -43,7 +43,7 @@
 };
 
 /** `scale`: 1 for a small day. Services come in bursts, and some come and go every 20 s. */
-export const coming = (l: Luck, troubled: number, scale: number): Coming[] => {
+export const coming = (l: RandomSource, troubled: number, scale: number): Coming[] => {
   const out: Coming[] = [];
   const team = (): string => (l.chance(0.5) ? 'red' : 'blue');
   for (let i = 0; i < 10 * scale; i++) {
--- a/packages/simulation/src/world/links.ts
+++ b/packages/simulation/src/world/links.ts
@@ -3,7 +3,7 @@
  * state service as `state`, the cloud as `cloud`, users as `users`. A message from one end to another meets the state of
  * that one link at that moment; its answer meets the other direction's.
  */
-import type { Luck } from '@lilacvalve/controller/support/random-source';
+import type { RandomSource } from '@lilacvalve/controller/support/random-source';
 import type { Time } from './time.js';
 
 /**
@@ -20,7 +20,7 @@
 
   constructor(
     private readonly time: Time,
-    private readonly luck: Luck,
+    private readonly luck: RandomSource,
   ) {}
 
   state(from: string, to: string): LinkState | null {
--- a/packages/simulation/src/world/load-burst.ts
+++ b/packages/simulation/src/world/load-burst.ts
@@ -3,7 +3,7 @@
  * same urgency, gangs of up to two thirds of a zone above them, and arrays on GPUs. What goes by least work left begins
  * the longest arrays last; what takes whichever gang fits begins the largest gangs last.
  */
-import type { Luck } from '@lilacvalve/controller/support/random-source';
+import type { RandomSource } from '@lilacvalve/controller/support/random-source';
 import type { JobTruth } from './job-truth.js';
 
 export interface Arrival {
@@ -14,12 +14,12 @@
 }
 
 /** Median and 95 in 100 of a log-normal number. */
-const skewed = (luck: Luck, median: number, p95: number): number => {
+const skewed = (luck: RandomSource, median: number, p95: number): number => {
   const normal = Math.sqrt(-2 * Math.log(1 - luck.next())) * Math.cos(2 * Math.PI * luck.next());
   return median * Math.exp((Math.log(p95 / median) / 1.645) * normal);
 };
 
-export const loadBurstArrival = (luck: Luck): Arrival => {
+export const loadBurstArrival = (luck: RandomSource): Arrival => {
   const common = { types: null, zone: null, oneZone: false, spread: false, spot: true, broken: false };
   const kind = luck.next();
   if (kind < 0.25) {
--- a/packages/simulation/src/world/scenario-host.ts
+++ b/packages/simulation/src/world/scenario-host.ts
@@ -12,12 +12,12 @@
 import type { Time } from './time.js';
 import type { Users } from './users.js';
 import type { Worker } from './worker/worker.js';
-import type { Luck } from '@lilacvalve/controller/support/random-source';
+import type { RandomSource } from '@lilacvalve/controller/support/random-source';
 
 /** The parts of a simulation that scenarios look at and act on. */
 export interface ScenarioHostParts {
   readonly time: Time;
-  readonly random: Luck;
+  readonly random: RandomSource;
   readonly links: Links;
   readonly state: StateService;
   readonly rules: Rules;
--- a/packages/simulation/src/world/scenarios/scenario-kit.ts
+++ b/packages/simulation/src/world/scenarios/scenario-kit.ts
@@ -1,6 +1,6 @@
 /** What the scenarios of compound faults see of the simulation, and what several of them do. */
 import type { Answer } from '@lilacvalve/runtime/http-server';
-import type { Luck } from '@lilacvalve/controller/support/random-source';
+import type { RandomSource } from '@lilacvalve/controller/support/random-source';
 import type { Arrival } from '../load-burst.js';
 import type { Answered, Ask, Asked } from '../history.js';
 import type { LinkState } from '../links.js';
@@ -28,7 +28,7 @@
 export interface ScenarioWorld {
   readonly cloud: BootWays;
   readonly time: Time;
-  readonly random: Luck;
+  readonly random: RandomSource;
   readonly state: StateService;
   readonly rules: Rules;
   readonly jobs: Map<string, JobTruth>;
--- a/packages/simulation/src/world/state-service/connection.ts
+++ b/packages/simulation/src/world/state-service/connection.ts
@@ -12,7 +12,7 @@
   type Write,
 } from '@lilacvalve/controller/state-store/client';
 import type { StatePort } from '@lilacvalve/controller/state-store/port';
-import type { Luck } from '@lilacvalve/controller/support/random-source';
+import type { RandomSource } from '@lilacvalve/controller/support/random-source';
 import type { Links } from '../links.js';
 import type { Time } from '../time.js';
 import type { StateService } from './state-service.js';
@@ -60,7 +60,7 @@
     private readonly node: string,
     private readonly service: StateService,
     private readonly time: Time,
-    private readonly random: Luck,
+    private readonly random: RandomSource,
     private readonly links: Links,
   ) {}
 
--- a/packages/simulation/src/world/state-service/leases.ts
+++ b/packages/simulation/src/world/state-service/leases.ts
@@ -1,5 +1,5 @@
 /** The state service's leases: each expires when it is not extended in time. */
-import type { Luck } from '@lilacvalve/controller/support/random-source';
+import type { RandomSource } from '@lilacvalve/controller/support/random-source';
 import type { Time } from '../time.js';
 
 /** A lease expires late by up to this, microseconds. */
@@ -18,7 +18,7 @@
   /** `onExpired`: called when a lease's time is over; it is for the service to end it, which it can't while it is out. */
   constructor(
     private readonly time: Time,
-    private readonly random: Luck,
+    private readonly random: RandomSource,
     private readonly onExpired: (id: number) => void,
   ) {}
 
--- a/packages/simulation/src/world/state-service/state-service.ts
+++ b/packages/simulation/src/world/state-service/state-service.ts
@@ -8,7 +8,7 @@
   type Write,
 } from '@lilacvalve/controller/state-store/client';
 import type { StatePort } from '@lilacvalve/controller/state-store/port';
-import type { Luck } from '@lilacvalve/controller/support/random-source';
+import type { RandomSource } from '@lilacvalve/controller/support/random-source';
 import type { Links } from '../links.js';
 import type { Time } from '../time.js';
 import { Connection } from './connection.js';
@@ -68,7 +68,7 @@
 
   constructor(
     private readonly time: Time,
-    private readonly random: Luck,
+    private readonly random: RandomSource,
     private readonly links: Links,
   ) {
     this.store = new Store(
--- a/packages/simulation/src/world/usage-count.ts
+++ b/packages/simulation/src/world/usage-count.ts
@@ -2,9 +2,9 @@
  * The world's own count of machine time: reads the records as they reach the state service, byte for byte, with no code
  * of the controllers', and knows of jobs and machines by itself. Held against the accounts that the controllers keep.
  */
-import { joinRows, subtractRows } from '@lilacvalve/controller/accounts/fold';
-import { pagesOf } from '@lilacvalve/controller/accounts/pages';
-import { type Accounts, NO_KIND } from '@lilacvalve/controller/accounts/model';
+import { joinRows, subtractRows } from '@lilacvalve/controller/accounts/aggregate';
+import { parsePages } from '@lilacvalve/controller/accounts/pages';
+import { type Accounts, UNKNOWN_KIND } from '@lilacvalve/controller/accounts/model';
 
 /** Placed time of one group: tasks, thousandths of CPUs, GPUs and GB of memory, each times microseconds. */
 type Sums = [tasks: bigint, cpus: bigint, gpus: bigint, mem: bigint];
@@ -173,7 +173,7 @@
   placed: Placed,
 ): string[] => {
   const out: string[] = [];
-  const pages = pagesOf(entries).map((p) => p.page);
+  const pages = parsePages(entries).map((p) => p.page);
   const paged = joinRows(accounts.current, ...[...accounts.pending, ...pages.map((p) => ({ rows: p.booked }))].map((p) => p.rows)); // prettier-ignore
   const rest = subtractRows(accounts.rows, paged);
   if (rest.size > 0) out.push(`not on pages: ${[...rest.keys()].join()}`);
@@ -232,7 +232,7 @@
   new Set(
     [...told.keys()].flatMap((g) => {
       const [team, jobClass, kind] = JSON.parse(g) as string[];
-      return kind === NO_KIND ? [JSON.stringify([team, jobClass])] : [];
+      return kind === UNKNOWN_KIND ? [JSON.stringify([team, jobClass])] : [];
     }),
   );
 const without = (sums: ReadonlyMap<string, Sums>, kinds: ReadonlySet<string>): Map<string, Sums> => {
--- a/packages/simulation/src/world/users.ts
+++ b/packages/simulation/src/world/users.ts
@@ -1,7 +1,7 @@
 /** Users of a simulated deployment: they submit jobs, poll them, cancel some, and every answer is held against the rules. */
 import { Exit } from 'effect';
 import type { Answer } from '@lilacvalve/runtime/http-server';
-import type { Luck } from '@lilacvalve/controller/support/random-source';
+import type { RandomSource } from '@lilacvalve/controller/support/random-source';
 import type { StartLatencyCheck } from './start-latency-check.js';
 import type { Controllers } from './controllers.js';
 import type { Arrival } from './load-burst.js';
@@ -64,7 +64,7 @@
 /** What users need of the simulation around them. */
 export interface UsersOptions {
   readonly time: Time;
-  readonly random: Luck;
+  readonly random: RandomSource;
   readonly links: Links;
   readonly controllers: Controllers;
   readonly rules: Rules;
--- a/packages/simulation/src/world/worker/task-runner.ts
+++ b/packages/simulation/src/world/worker/task-runner.ts
@@ -1,5 +1,5 @@
 /** The tasks of one machine: images are fetched, gangs gather, tasks run, save and end. */
-import type { Luck } from '@lilacvalve/controller/support/random-source';
+import type { RandomSource } from '@lilacvalve/controller/support/random-source';
 import type { StartLatencyCheck } from '../start-latency-check.js';
 import { jobIdOf, type JobTruth, TASK_MEM_GB, taskNumberOf } from '../job-truth.js';
 import type { Step } from '../lending.js';
@@ -77,7 +77,7 @@
   constructor(
     private readonly host: TaskHost,
     private readonly time: Time,
-    private readonly random: Luck,
+    private readonly random: RandomSource,
     private readonly rules: Rules,
     private readonly world: TaskWorld,
     private readonly timing: GangTiming,
--- a/packages/simulation/src/world/worker/worker.ts
+++ b/packages/simulation/src/world/worker/worker.ts
@@ -1,7 +1,7 @@
 /** Stand-in for one machine and its worker, by the protocol: incarnations, tokens, leases, heartbeats and orders. */
 import { type Effect, Exit } from 'effect';
 import type { Answer, Incoming } from '@lilacvalve/runtime/http-server';
-import type { Luck } from '@lilacvalve/controller/support/random-source';
+import type { RandomSource } from '@lilacvalve/controller/support/random-source';
 import type { Links } from '../links.js';
 import type { Place, Rules } from '../rules.js';
 import type { Time } from '../time.js';
@@ -51,7 +51,7 @@
   readonly place: Place;
   readonly room: { readonly cpus: number; readonly gpus: number; readonly memGb: number };
   readonly time: Time;
-  readonly random: Luck;
+  readonly random: RandomSource;
   readonly net: WorkerNet;
   readonly rules: Rules;
   readonly world: TaskWorld;
--- a/packages/simulation/src/world/world.ts
+++ b/packages/simulation/src/world/world.ts
@@ -6,9 +6,9 @@
 import type { Answer, Incoming } from '@lilacvalve/runtime/http-server';
 import type { MachineType } from '@lilacvalve/controller/provisioning/model';
 import { LOG_ENTRIES } from '@lilacvalve/controller/jobs/keys';
-import type { Node } from '@lilacvalve/controller/node';
+import type { Controller } from '@lilacvalve/controller/controller';
 import type { Settings } from '@lilacvalve/controller/settings/settings';
-import { Luck } from '@lilacvalve/controller/support/random-source';
+import { RandomSource } from '@lilacvalve/controller/support/random-source';
 import { worldSettings } from '@lilacvalve/controller/support/settings';
 import { AccountsCheck } from './accounts-check.js';
 import { StartLatencyCheck, type LeastRow } from './start-latency-check.js';
@@ -53,7 +53,7 @@
 /** One simulated deployment, and the day that is played in it. The same seed, faults and size give the same day. */
 export class World {
   readonly time: Time;
-  readonly random: Luck;
+  readonly random: RandomSource;
   readonly links: Links;
   readonly state: StateService;
   readonly rules: Rules;
@@ -94,7 +94,7 @@
     const lossless = (faults.losses?.length ?? 0) === 0;
     this.time = new Time(seed, print);
     this.history = lossless ? new History() : null;
-    this.random = new Luck(seed);
+    this.random = new RandomSource(seed);
     const { random, time } = this;
     this.links = new Links(time, random);
     this.state = new StateService(time, random, this.links);
@@ -211,7 +211,7 @@
   }
 
   /** The controllers that are up. */
-  up(): { readonly name: string; readonly node: Node }[] {
+  up(): { readonly name: string; readonly node: Controller }[] {
     return this.controllers.up();
   }
 
--- a/packages/simulation/test/calendar.test.ts
+++ b/packages/simulation/test/calendar.test.ts
@@ -5,10 +5,14 @@
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { encodeCalendar } from '@lilacvalve/controller/calendar/codec';
 import { type Calendar, makeCalendar } from '@lilacvalve/controller/calendar/model';
-import { publish, type Published, retire } from '@lilacvalve/controller/calendar/publish';
+import {
+  publishCalendar,
+  type PublishResult,
+  publishRetirement,
+} from '@lilacvalve/controller/calendar/publish';
 import { JobState } from '@lilacvalve/controller/jobs/job-state';
 import { CALENDAR_HEAD, CALENDAR_PAGE, INCARNATION } from '@lilacvalve/controller/jobs/keys';
-import { Luck } from '@lilacvalve/controller/support/random-source';
+import { RandomSource } from '@lilacvalve/controller/support/random-source';
 import { Links } from '../src/world/links.js';
 import { StateService } from '../src/world/state-service/state-service.js';
 import { Time } from '../src/world/time.js';
@@ -41,18 +45,18 @@
 }
 const stage = (seed: number): Stage => {
   const time = new Time(seed);
-  const luck = new Luck(seed);
+  const luck = new RandomSource(seed);
   const state = new StateService(time, luck, new Links(time, luck));
   const s = { time, state };
   state.keys.set(`${INCARNATION}one`, { value: '{"g":1,"by":"n0"}', stamp: 1, lease: null });
   state.revision = 1;
   return s;
 };
-type Outcome = Published | 'failed' | 'ended';
+type Outcome = PublishResult | 'failed' | 'ended';
 /** Runs it until it ends, or ends it after so long. */
 const run = (s: Stage, c: Calendar, lasts = 60e6, who = 'a'): Outcome => {
   let result: Outcome = 'ended';
-  const fiber = s.time.fork(publish(s.state.port(who), limits, c));
+  const fiber = s.time.fork(publishCalendar(s.state.port(who), limits, c));
   fiber.addObserver((e) => (result = Exit.isSuccess(e) ? e.value : 'failed'));
   s.time.run(s.time.now + lasts);
   if (result === 'ended') fiber.unsafeInterruptAsFork(fiber.id());
@@ -101,12 +105,12 @@
   const wins = { a: 0, b: 0 };
   for (let seed = 1; seed <= 40; seed++) {
     const s = stage(seed);
-    const results: Record<string, Published | undefined> = {};
+    const results: Record<string, PublishResult | undefined> = {};
     for (const [who, c] of [
       ['a', calendar(5, 1)],
       ['b', calendar(seed % 2 === 0 ? 5 : 6, 2)],
     ] as const) {
-      s.time.fork(publish(s.state.port(who), limits, c)).addObserver((e) => {
+      s.time.fork(publishCalendar(s.state.port(who), limits, c)).addObserver((e) => {
         if (Exit.isSuccess(e)) results[who] = e.value;
       });
     }
@@ -148,7 +152,7 @@
     }
   };
   for (let v = 1; v <= 6; v++) {
-    if (v === 4) s.time.fork(retire(s.state.port('a'), limits, 4, seconds(5)));
+    if (v === 4) s.time.fork(publishRetirement(s.state.port('a'), limits, 4, seconds(5)));
     else run(s, calendar(v, v), v % 2 === 0 ? 25_000 : 60e6);
     follow();
     const fresh = view(s);
--- a/packages/simulation/test/checks.test.ts
+++ b/packages/simulation/test/checks.test.ts
@@ -5,7 +5,7 @@
 import { activeJobKey, logEntryKey } from '@lilacvalve/controller/jobs/keys';
 import { type JobChange, type JobSpec, NO_HEADER } from '@lilacvalve/controller/jobs/model';
 import { job } from '@lilacvalve/controller/support/job';
-import { Luck } from '@lilacvalve/controller/support/random-source';
+import { RandomSource } from '@lilacvalve/controller/support/random-source';
 import { type DayResult, faultsOf } from '../src/play.js';
 import { StartLatencyCheck } from '../src/world/start-latency-check.js';
 import { LENDING_TEAMS, Loans } from '../src/world/lending.js';
@@ -127,7 +127,7 @@
 
 test('the state service loses what it is told to lose', () => {
   const time = new Time(1);
-  const luck = new Luck(1);
+  const luck = new RandomSource(1);
   const state = new StateService(time, luck, new Links(time, luck));
   const set = (key: string, value: unknown): void => {
     time.fork(state.port('n0').transact([], [{ set: key, value }], 1, 1000));
@@ -156,7 +156,7 @@
   const arrived: string[] = [];
   const run = (how: Parameters<Links['set']>[2] | null): string => {
     const time = new Time(2);
-    const links = new Links(time, new Luck(2));
+    const links = new Links(time, new RandomSource(2));
     if (how !== null) links.set('a', 'b', how, 5e6);
     arrived.length = 0;
     let there = -1;
--- a/packages/simulation/test/restore.test.ts
+++ b/packages/simulation/test/restore.test.ts
@@ -14,7 +14,7 @@
 } from '@lilacvalve/controller/jobs/keys';
 import { RESTORE_PROGRESS, restore, type Restored } from '@lilacvalve/controller/snapshots/restore';
 import { job } from '@lilacvalve/controller/support/job';
-import { Luck } from '@lilacvalve/controller/support/random-source';
+import { RandomSource } from '@lilacvalve/controller/support/random-source';
 import type { Entry } from '@lilacvalve/snapshot/format';
 import type { Content } from '@lilacvalve/snapshot/read';
 import { Links } from '../src/world/links.js';
@@ -38,7 +38,7 @@
 
 const world = (seed: number): { time: Time; state: StateService } => {
   const time = new Time(seed);
-  const luck = new Luck(seed);
+  const luck = new RandomSource(seed);
   return { time, state: new StateService(time, luck, new Links(time, luck)) };
 };
 /** Plays it until it ends, or for so long. */
@@ -80,7 +80,7 @@
   for (let seed = 1; seed <= 60; seed++) {
     const w = world(seed);
     w.state.lossy = 0.1;
-    const luck = new Luck(seed);
+    const luck = new RandomSource(seed);
     for (let i = 0; i < 40; i++) {
       const r = play(w, content(25), luck.between(10_000, 900_000));
       if (r === null) continue;
--- a/packages/simulation/test/scenarios-late.test.ts
+++ b/packages/simulation/test/scenarios-late.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { decodeHead } from '@lilacvalve/controller/calendar/codec';
-import { publish, type Store } from '@lilacvalve/controller/calendar/publish';
+import { publishCalendar, type CalendarStore } from '@lilacvalve/controller/calendar/publish';
 import { CALENDAR_HEAD, CALENDAR_PAGE, FOUNDED, INCARNATION } from '@lilacvalve/controller/jobs/keys';
 import type { Outcome, StateFailure } from '@lilacvalve/controller/state-store/client';
 import { Effect, Exit } from 'effect';
@@ -32,7 +32,7 @@
     const born = [...w.state.keys.keys()].filter((k) => k.startsWith(INCARNATION));
     assert.equal(born.length, 1, `seed ${seed}: ${born.join()}`);
     assert.ok(w.leader() !== undefined);
-    for (const { name, node } of w.up()) assert.equal(node.unready(), null, name);
+    for (const { name, node } of w.up()) assert.equal(node.unreadyReason(), null, name);
     for (const { node } of w.up()) assert.equal(node.lossDetector.suspected, false);
     w.stop();
   }
@@ -44,7 +44,7 @@
   w.time.run(15e6);
   const port = w.state.port('operator');
   const sent: (() => Effect.Effect<Outcome, StateFailure>)[] = [];
-  const noting: Store = {
+  const noting: CalendarStore = {
     get: (k) => port.get(k),
     page: (...a) => port.page(...a),
     transact: (...a) => {
@@ -62,7 +62,9 @@
     return (out as { readonly value: A }).value;
   };
   for (const version of [1, 2, 3]) {
-    const told = run(publish(noting, { valueBytes: 1500, txnOps: 10 }, calendarOf(version, w.time.now)));
+    const told = run(
+      publishCalendar(noting, { valueBytes: 1500, txnOps: 10 }, calendarOf(version, w.time.now)),
+    );
     assert.ok(told.ok, JSON.stringify(told));
   }
   const kept = (): string => w.state.keys.get(CALENDAR_HEAD)!.value;
--- a/packages/simulation/test/stored-data.test.ts
+++ b/packages/simulation/test/stored-data.test.ts
@@ -15,9 +15,9 @@
 import {
   decodeCalendar,
   decodeHead,
-  decodeTally,
+  decodeOutcomeCounts,
   encodeCalendar,
-  encodeTally,
+  encodeOutcomeCounts,
 } from '@lilacvalve/controller/calendar/codec';
 import { decodeClassDurations, encodeClassDurations } from '@lilacvalve/controller/calendar/class-durations';
 import {
@@ -100,7 +100,7 @@
   's/a/p/': (v) => encodePage(whole(decodePage([v])), 16_384)[0],
   's/p/': (v) => encodeBundle(decodeBundle(v)),
   's/y/': (v) => encodeFinalStates(decodeFinalStates(v)),
-  's/c/o/': (v) => encodeTally(decodeTally(v)),
+  's/c/o/': (v) => encodeOutcomeCounts(decodeOutcomeCounts(v)),
   's/c/e': (v) => encodeClassDurations(decodeClassDurations(v)),
   's/types/largest': (v) => new LargestJobs(v).hint(),
   's/types/weights': (v) => encodeImageWeights(new Map(Object.entries(v)), 16_384),
