--- a/packages/controller/src/accounts/pages.ts
+++ b/packages/controller/src/accounts/pages.ts
@@ -48,11 +48,11 @@
 };
 
 /**
- * Returns the key of a page's value. It contains the end of the period in padded seconds, so that keys sort by time; the
- * keys of further values end in their number.
+ * Returns the key of a page's value. It contains the end of the period in padded seconds, so that keys sort by time. The
+ * keys of the second and further values of a page end in the value's number.
  */
-export const pageKey = (level: Level, to: Micros, part = 0): string =>
-  `${PAGES}${level}/${String(to / 1e6).padStart(12, '0')}${part === 0 ? '' : `.${part}`}`;
+export const pageKey = (level: Level, to: Micros, valueNumber = 0): string =>
+  `${PAGES}${level}/${String(to / 1e6).padStart(12, '0')}${valueNumber === 0 ? '' : `.${valueNumber}`}`;
 export const levelKey = (level: Level): string => `${PAGES}${level}/`;
 
 /** First value of a page. `f`, `t`: start and end of the period; `r`: rows. */
@@ -122,10 +122,10 @@
   const valuesByPage = new Map<string, { values: unknown[]; keys: string[] }>();
   for (const entry of entries) {
     if (!entry.key.startsWith(PAGES)) continue;
-    const [firstKey, part = '0'] = entry.key.split('.') as [string, string?];
+    const [firstKey, valueNumber = '0'] = entry.key.split('.') as [string, string?];
     let stored = valuesByPage.get(firstKey);
     if (!stored) valuesByPage.set(firstKey, (stored = { values: [], keys: [] }));
-    stored.values[Number(part)] = entry.value;
+    stored.values[Number(valueNumber)] = entry.value;
     stored.keys.push(entry.key);
   }
   const out: { level: Level; page: Page; keys: string[] }[] = [];
--- a/packages/controller/src/calendar/cutoff-tracking.ts
+++ b/packages/controller/src/calendar/cutoff-tracking.ts
@@ -145,12 +145,12 @@
 ): { readonly when: Condition[]; readonly then: Write[] } => {
   const added = new Map<string, Tally>();
   for (const { job, final } of finished) {
-    const { tie } = job.spec;
-    if (tie === null) continue;
+    const { tie: occurrenceId } = job.spec;
+    if (occurrenceId === null) continue;
     const done = final.status === 'done' ? 1 : 0;
     added.set(
-      tie,
-      addTally(added.get(tie) ?? NO_TALLY, {
+      occurrenceId,
+      addTally(added.get(occurrenceId) ?? NO_TALLY, {
         done,
         risked: done === 1 && isRisk(job.cutoffRisk) ? 1 : 0,
         missed: done === 1 && job.cutoffRisk === CUTOFF_RISK.missed ? 1 : 0,
