--- a/packages/controller/src/calendar/cutoff-tracking.ts
+++ b/packages/controller/src/calendar/cutoff-tracking.ts
@@ -152,12 +152,12 @@
 ): { readonly when: Condition[]; readonly then: Write[] } => {
   const added = new Map<string, OutcomeCounts>();
   for (const { job, final } of finished) {
-    const { cutoffBinding: tie } = job.spec;
-    if (tie === null) continue;
+    const { cutoffBinding: occurrenceId } = job.spec;
+    if (occurrenceId === null) continue;
     const done = final.status === 'done' ? 1 : 0;
     added.set(
-      tie,
-      addOutcomeCounts(added.get(tie) ?? NO_OUTCOMES, {
+      occurrenceId,
+      addOutcomeCounts(added.get(occurrenceId) ?? NO_OUTCOMES, {
         done,
         risked: done === 1 && isRisk(job.cutoffRisk) ? 1 : 0,
         missed: done === 1 && job.cutoffRisk === CUTOFF_RISK.missed ? 1 : 0,
