--- a/packages/controller/src/jobs/job-state.ts
+++ b/packages/controller/src/jobs/job-state.ts
@@ -104,8 +104,8 @@
   leaderRevision = 0;
   term = 0;
   termRevision = 0;
-  /** Incremented when a job is added, cancelled or removed: the leader then runs a scheduling cycle. */
-  version = 0;
+  /** Incremented by each `load`, and when a job is added, cancelled or removed. */
+  jobsVersion = 0;
   /** The machine types as last written by a leader: a controller that restarts during an outage of the cloud needs them. */
   types: unknown = null;
   /** The largest jobs of each class, as last written by a leader; src/scheduler decodes the value. */
@@ -138,7 +138,7 @@
   readonly damaged = new Map<string, number>();
   /** Revisions at which jobs completed, by job id, for the latest completions: tells which peers know of a completion. */
   readonly recentlyCompleted = new Map<string, number>();
-  /** Called when a job is added, cancelled or removed. */
+  /** Called when a job is added, cancelled or removed: a leader then runs a scheduling cycle. */
   onJobsChanged: () => void = () => undefined;
   /** Called when the leader key is deleted. */
   onLeaderKeyDeleted: () => void = () => undefined;
@@ -153,7 +153,7 @@
     for (const current of [0, 1, 2, 3])
       for (const entry of entries) if (rank(entry.key) === current) this.apply({ ...entry });
     this.revision = revision;
-    this.version++;
+    this.jobsVersion++;
   }
 
   /** Empties the view, except for final states: these are valid in every incarnation. */
@@ -494,7 +494,7 @@
   }
 
   private jobsChanged(): void {
-    this.version++;
+    this.jobsVersion++;
     this.onJobsChanged();
   }
 }
--- a/packages/controller/src/jobs/store-watcher.ts
+++ b/packages/controller/src/jobs/store-watcher.ts
@@ -63,7 +63,7 @@
     private readonly isLeader: () => boolean,
     private readonly lossDetector: DataLossDetector,
     /** Maximum age of the view by which a leader may respond to heartbeats; 0: no limit can be kept. */
-    private readonly maxLag: Micros,
+    private readonly maxViewAge: Micros,
   ) {}
 
   /** Prepares for another incarnation of the store: its revisions start again, and may coincide with earlier own ones. */
@@ -323,7 +323,7 @@
       const untilNextRead = this.readAsOf + millis(WATCH_GAP_MS.follower) - this.clock();
       if (this.loaded && !this.isLeader() && untilNextRead > 0) return Effect.sleep(toMillis(untilNextRead));
       const blockMs =
-        this.isLeader() && this.maxLag > 0 ? Math.min(WATCH_MS, toMillis(this.maxLag / 4)) : WATCH_MS;
+        this.isLeader() && this.maxViewAge > 0 ? Math.min(WATCH_MS, toMillis(this.maxViewAge / 4)) : WATCH_MS;
       return this.read(this.loaded ? blockMs : 0).pipe(
         Effect.matchEffect({
           onSuccess: () => Effect.sleep(WATCH_GAP_MS[this.role()]),
--- a/packages/controller/src/leadership/peers.ts
+++ b/packages/controller/src/leadership/peers.ts
@@ -181,7 +181,7 @@
     return Math.min(this.clock(), unchangedSince(knowledge, incarnation, revision));
   }
 
-  /** Whether so many controllers, this one included, know `term` that every majority contains one of them. */
+  /** Whether enough controllers, this one included, know `term` that every majority contains one of them. */
   acknowledged(term: number): boolean {
     let acknowledging = 1;
     for (const response of this.responses.values()) if (response.heartbeat.term >= term) acknowledging++;
--- a/packages/controller/test/read-lease.test.ts
+++ b/packages/controller/test/read-lease.test.ts
@@ -28,7 +28,7 @@
   readonly at: number;
   /** Index of the controller that wrote it; 0 is the leader. */
   readonly controller: number;
-  /** When the user was told that the job is cancelled; null: the change is no cancellation. */
+  /** When the cancellation was confirmed to its user; null: the change is no cancellation. */
   readonly confirmedAt: number | null;
 }
 
