--- a/packages/controller/src/provisioning/boot-tracker.ts
+++ b/packages/controller/src/provisioning/boot-tracker.ts
@@ -1,91 +1,108 @@
 /**
- * What to expect of machines that were rented and have not reported yet. A pending machine is capacity to come, so nothing else
- * is rented for the work that waits for it; but one that is overdue may come very late, or never. It counts for less the longer
- * it is overdue, and what it counts less is rented elsewhere.
+ * Estimates the capacity of machines that were rented and have not reported yet. A pending machine counts as future capacity,
+ * so nothing else is rented for the work that waits for it. An overdue machine may boot very late or never: the longer it is
+ * overdue, the smaller the fraction of it that counts, and the rest is rented elsewhere.
  */
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 
-/** Most machines are up within this many times their stated boot time. */
-const USUAL_BOOT = 1.5;
-/** From `USUAL_BOOT` on a machine counts for less, and from here on for nothing. */
-const HOPELESS_BOOT = 3.5;
-/** Listed as running, and its worker silent: usual up to here; counts for nothing from `HOPELESS_SILENCE` on. */
-const USUAL_SILENCE = seconds(10);
-const HOPELESS_SILENCE = seconds(40);
-/** At the most this part of what is pending is rented a second time. */
-const MAX_REPLACED = 1 / 2;
-/** Boots looked back on, and for how long they say something. */
-const BOOTS_KEPT = 8;
-const REMEMBERED = seconds(240);
-/** Where the median of the last boots took this many stated boot times, other offers go first. */
-const SLOW_BOOT = 2;
-/** So many overdue, and none up lately, tells the same before any of them is up. */
-const SLOW_IF_OVERDUE = 2;
-/** A machine is given up after the longest of these: a time, stated boot times, the longest boot learnt. */
-const GIVE_UP = { least: seconds(90), times: 5, learnt: 1.5 };
+/** Nearly all machines report within this many times their stated boot time. */
+const NORMAL_BOOT_FACTOR = 1.5;
+/** At this many times the stated boot time a machine no longer counts as capacity. */
+const LOST_BOOT_FACTOR = 3.5;
+/** Usual maximum delay between the cloud listing a machine as running and its first heartbeat. */
+const NORMAL_FIRST_HEARTBEAT_DELAY = seconds(10);
+/** After this delay a machine that is listed as running and has sent no heartbeat no longer counts as capacity. */
+const LOST_FIRST_HEARTBEAT_DELAY = seconds(40);
+/** Maximum fraction of the pending machines that is rented a second time. */
+const MAX_REPLACED_FRACTION = 1 / 2;
+/** Number of latest boot times kept for each type and zone. */
+const MAX_BOOTS = 8;
+/** Boot times older than this are ignored. */
+const MAX_BOOT_AGE = seconds(240);
+/** If the median of the recent boot times exceeds this many stated boot times, other offers are preferred. */
+const SLOW_BOOT_FACTOR = 2;
+/** With no recent boot, this many overdue machines also make the controller prefer other offers. */
+const MIN_OVERDUE_FOR_SLOW = 2;
+/**
+ * A machine is given up after the largest of: a minimum, a multiple of its stated boot time, and a multiple of the longest
+ * recently observed boot time.
+ */
+const GIVE_UP = { minimum: seconds(90), statedFactor: 5, observedFactor: 1.5 };
 
-/** A machine that was rented and serves nobody yet. */
+/** A rented machine that can't run tasks yet. */
 export interface PendingMachine {
-  /** Since it was rented. */
+  /** Time since the rental. */
   readonly age: Micros;
-  /** Its type's stated boot time. */
+  /** The machine type's stated boot time. */
   readonly boot: Micros;
-  /** For how long the cloud has called it running; null: not yet. */
+  /** For how long the cloud has listed the machine as running; null if it has not. */
   readonly runningFor: Micros | null;
 }
 
-/** 1 up to `from`, falling to 0 at `to`. */
-const fade = (value: number, from: number, to: number): number =>
+/** Returns 1 for values up to `from`, decreasing linearly to 0 at `to`. */
+const linearDecrease = (value: number, from: number, to: number): number =>
   Math.min(1, Math.max(0, (to - value) / (to - from)));
 
-/** How far a pending machine counts as capacity: 1 as rented, 0 as good as lost. */
+/** Returns the fraction of a pending machine that counts as capacity: 1 while it is on time, 0 once it is considered lost. */
 export const expectedShare = (pending: PendingMachine): number => {
-  const byAge = fade(pending.age, pending.boot * USUAL_BOOT, pending.boot * HOPELESS_BOOT);
+  const byAge = linearDecrease(
+    pending.age,
+    pending.boot * NORMAL_BOOT_FACTOR,
+    pending.boot * LOST_BOOT_FACTOR,
+  );
   return pending.runningFor === null
     ? byAge
-    : Math.max(byAge, fade(pending.runningFor, USUAL_SILENCE, HOPELESS_SILENCE));
+    : Math.max(
+        byAge,
+        linearDecrease(pending.runningFor, NORMAL_FIRST_HEARTBEAT_DELAY, LOST_FIRST_HEARTBEAT_DELAY),
+      );
 };
 
-/** It takes longer than usual. */
+/** Whether a pending machine takes longer to boot or report than usual. */
 export const isOverdue = (pending: PendingMachine): boolean => expectedShare(pending) < 1;
 
-/** How many of these, alike in type and zone, count as capacity. */
+/** Returns how many of these pending machines, all of the same type and zone, count as capacity. */
 export const pendingCapacity = (pending: readonly PendingMachine[]): number => {
-  const sum = pending.reduce((n, a) => n + expectedShare(a), 0);
-  const least = pending.length > 1 ? Math.ceil(pending.length * (1 - MAX_REPLACED)) : 0;
-  return Math.min(pending.length, Math.max(least, Math.round(sum)));
+  const sum = pending.reduce((total, machine) => total + expectedShare(machine), 0);
+  const minimum = pending.length > 1 ? Math.ceil(pending.length * (1 - MAX_REPLACED_FRACTION)) : 0;
+  return Math.min(pending.length, Math.max(minimum, Math.round(sum)));
 };
 
-/** Boot times are learnt by type and zone, whatever the price. */
+/** Returns the key under which boot times are kept: type and zone. Spot machines boot like the others. */
 export const bootKey = (offer: { readonly type: string; readonly zone: string }): string =>
   `${offer.type}|${offer.zone}`;
 
-/** Boot times of what came up lately, by `bootKey`. */
+/** Keeps the recently observed boot times, by `bootKey`. */
 export class BootTracker {
-  private readonly boots = new Map<string, { at: Micros; took: Micros }[]>();
+  private readonly boots = new Map<string, { at: Micros; bootTime: Micros }[]>();
 
-  /** A machine of this offer came up `took` after it was rented. */
-  recordBoot(offer: string, took: Micros, at: Micros): void {
-    const boots = this.boots.get(offer) ?? [];
-    boots.push({ at, took });
-    if (boots.length > BOOTS_KEPT) boots.shift();
-    this.boots.set(offer, boots);
+  /** Records that a machine of the type and zone `key` sent its first heartbeat `bootTime` after its rental. */
+  recordBoot(key: string, bootTime: Micros, at: Micros): void {
+    const boots = this.boots.get(key) ?? [];
+    boots.push({ at, bootTime });
+    if (boots.length > MAX_BOOTS) boots.shift();
+    this.boots.set(key, boots);
   }
 
-  private recentBootTimes(offer: string, at: Micros): number[] {
-    return (this.boots.get(offer) ?? []).filter((a) => at - a.at < REMEMBERED).map((a) => a.took);
+  private recentBootTimes(key: string, at: Micros): number[] {
+    return (this.boots.get(key) ?? [])
+      .filter((boot) => at - boot.at < MAX_BOOT_AGE)
+      .map((boot) => boot.bootTime);
   }
 
-  /** Machines of this offer come up late at present: others go first. `overdue`: how many of them are. */
-  bootsSlowly(offer: string, boot: Micros, overdue: number, at: Micros): boolean {
-    const took = this.recentBootTimes(offer, at).sort((a, b) => a - b);
-    if (took.length === 0) return overdue >= SLOW_IF_OVERDUE;
-    return took[Math.floor(took.length / 2)]! > boot * SLOW_BOOT;
+  /**
+   * Whether machines of the type and zone `key` currently boot late, so that other offers are preferred. `boot` is the stated
+   * boot time, `overdue` the number of pending machines of this kind that are overdue.
+   */
+  bootsSlowly(key: string, boot: Micros, overdue: number, at: Micros): boolean {
+    const bootTimes = this.recentBootTimes(key, at).sort((a, b) => a - b);
+    if (bootTimes.length === 0) return overdue >= MIN_OVERDUE_FOR_SLOW;
+    return bootTimes[Math.floor(bootTimes.length / 2)]! > boot * SLOW_BOOT_FACTOR;
   }
 
-  /** After this age a machine that has not reported is given up and deleted. */
-  giveUpAfter(offer: string, boot: Micros, at: Micros): Micros {
-    const longest = Math.max(0, ...this.recentBootTimes(offer, at));
-    return Math.max(GIVE_UP.least, GIVE_UP.times * boot, GIVE_UP.learnt * longest) as Micros;
+  /** Returns the age at which a machine that has not reported is given up and deleted. */
+  giveUpAfter(key: string, boot: Micros, at: Micros): Micros {
+    const longest = Math.max(0, ...this.recentBootTimes(key, at));
+    return Math.max(GIVE_UP.minimum, GIVE_UP.statedFactor * boot, GIVE_UP.observedFactor * longest) as Micros;
   }
 }
--- a/packages/controller/src/provisioning/cloud.ts
+++ b/packages/controller/src/provisioning/cloud.ts
@@ -1,4 +1,4 @@
-/** Client of the cloud's interface. The protocol's names stand only here. */
+/** Client of the cloud's HTTP interface. The protocol's field names occur only in this file. */
 import { Data, Effect, Schema } from 'effect';
 import { HttpClient, keptOpen, type NoAnswer, type Reply } from '@lilacvalve/runtime/http-client';
 import { seconds } from '@lilacvalve/runtime/micros';
@@ -6,21 +6,21 @@
 import { Budget, Priority } from '../state-store/budget.js';
 import type { ListedMachine, MachineType } from './model.js';
 
-/** The cloud answered with another status than 200, or the caller was not entitled to send (status 0). */
+/** The cloud responded with a status other than 200, or the request was not sent because the caller may not act (status 0). */
 export class CloudRefused extends Data.TaggedError('CloudRefused')<{
   readonly status: number;
   readonly reason: string;
 }> {}
-/** The cloud has no machine of the offer now. */
+/** The cloud has no capacity for the offer at present. */
 export class OutOfCapacity extends Data.TaggedError('OutOfCapacity')<{ readonly reason: string }> {}
-/** The cloud's answer is not what its interface promises. */
-export class CloudAnswerMalformed extends Data.TaggedError('CloudAnswerMalformed')<{
+/** The body of the cloud's response does not match the interface. */
+export class MalformedCloudResponse extends Data.TaggedError('MalformedCloudResponse')<{
   readonly reason: string;
 }> {}
-/** Why the cloud did not do what was asked. */
-export type CloudFailure = CloudRefused | OutOfCapacity | CloudAnswerMalformed | NoAnswer;
+/** Why a request to the cloud failed. */
+export type CloudFailure = CloudRefused | OutOfCapacity | MalformedCloudResponse | NoAnswer;
 
-/** One rental. Repeated under the same name, it is carried out only once. */
+/** A request to rent machines. The cloud carries out repeated requests with the same name only once. */
 export interface RentalRequest {
   readonly name: string;
   readonly type: string;
@@ -29,24 +29,21 @@
   readonly count: number;
 }
 
-/** The cloud, as the controller uses it. */
+/** The operations of the cloud that the controller uses. */
 export interface CloudPort {
   types(): Effect.Effect<readonly MachineType[], CloudFailure>;
   list(): Effect.Effect<readonly ListedMachine[], CloudFailure>;
-  /** The ids of the machines rented, perhaps fewer than asked for; null: no capacity. */
-  rent(
-    request: RentalRequest,
-    isEntitled: StillEntitled,
-  ): Effect.Effect<readonly string[] | null, CloudFailure>;
-  /** Deletes the machines; once this succeeds, they and everything on them are gone. */
-  remove(ids: readonly string[], isEntitled: StillEntitled): Effect.Effect<void, CloudFailure>;
+  /** Rents machines. Succeeds with their ids, perhaps fewer than requested, or with null if there is no capacity. */
+  rent(request: RentalRequest, maySend: MaySend): Effect.Effect<readonly string[] | null, CloudFailure>;
+  /** Deletes the machines; once this succeeds, they no longer exist and no task runs on them. */
+  remove(ids: readonly string[], maySend: MaySend): Effect.Effect<void, CloudFailure>;
 }
-/** A failure's reason is cut to this length. */
+/** Maximum length of a failure's reason. */
 const REASON_BYTES = 200;
 
-/** Whether the caller may still act; asked when the call has waited for its share of the rate and is about to be sent. */
-export type StillEntitled = () => boolean;
-const ALWAYS: StillEntitled = () => true;
+/** Whether the caller may still act. Called after the request has waited for the rate limit, right before it is sent. */
+export type MaySend = () => boolean;
+const ALWAYS: MaySend = () => true;
 
 const Types = Schema.Struct({
   hostsKinds: Schema.Array(
@@ -66,22 +63,22 @@
 });
 const decodeTypes = Schema.decodeUnknownSync(Types);
 
-/** Throws on anything that is not a list of machine types. */
+/** Decodes the list of machine types; throws if the value is not one. */
 export const readTypes = (value: unknown): MachineType[] =>
-  decodeTypes(value).hostsKinds.map((k) => ({
-    name: k.label,
-    cpus: k.vcpus,
-    gpus: k.accelerators,
-    memGb: k.memGb,
-    cacheGb: k.cacheGb,
-    fetchGbPerS: k.pullGbPerS,
-    price: k.hourly,
-    spotPrice: k.spotPrice,
-    boot: seconds(k.startupS),
-    zones: k.rooms,
+  decodeTypes(value).hostsKinds.map((kind) => ({
+    name: kind.label,
+    cpus: kind.vcpus,
+    gpus: kind.accelerators,
+    memGb: kind.memGb,
+    cacheGb: kind.cacheGb,
+    fetchGbPerS: kind.pullGbPerS,
+    price: kind.hourly,
+    spotPrice: kind.spotPrice,
+    boot: seconds(kind.startupS),
+    zones: kind.rooms,
   }));
 
-interface WireHost {
+interface WireMachine {
   readonly id: unknown;
   readonly addr?: unknown;
   readonly hostKind: unknown;
@@ -95,43 +92,51 @@
   running: 'running',
   failed: 'failed',
 };
-const text = (v: unknown): v is string => typeof v === 'string';
+const isString = (value: unknown): value is string => typeof value === 'string';
 /**
- * A page of the list; throws `CloudAnswerMalformed` on anything else. Checked by hand: it names every machine, again and again, and a schema's
- * decoder takes ten times as long.
+ * Decodes a page of the machine list; throws `MalformedCloudResponse` if the value is not one. The fields are checked by hand
+ * because the list contains every machine and is read all the time, and a schema decoder takes ten times as long.
  */
 export const readList = (value: unknown): { readonly machines: ListedMachine[]; readonly more: boolean } => {
   const { hosts, more } = value as { hosts: unknown; more?: unknown };
   if (!Array.isArray(hosts) || (more !== undefined && more !== null && typeof more !== 'boolean'))
-    throw new CloudAnswerMalformed({ reason: 'not a list' });
-  const machines = (hosts as WireHost[]).map((host): ListedMachine => {
+    throw new MalformedCloudResponse({
+      reason: 'machine list: "hosts" is not an array or "more" is not a boolean',
+    });
+  const machines = (hosts as WireMachine[]).map((host): ListedMachine => {
     const { id, hostKind: type, room: zone, heldS } = host;
     const addr = host.addr ?? '';
     const spot = host.borrowed ?? false;
-    const status = text(host.status) ? STATUSES[host.status] : undefined;
-    if (!text(id) || !text(addr) || !text(type) || !text(zone) || typeof spot !== 'boolean')
-      throw new CloudAnswerMalformed({ reason: `not a machine: ${String(id)}` });
+    const status = isString(host.status) ? STATUSES[host.status] : undefined;
+    if (!isString(id) || !isString(addr) || !isString(type) || !isString(zone) || typeof spot !== 'boolean')
+      throw new MalformedCloudResponse({ reason: `machine ${String(id)}: a field has the wrong type` });
     if (status === undefined || typeof heldS !== 'number' || !Number.isFinite(heldS))
-      throw new CloudAnswerMalformed({ reason: `${id}: status or age` });
+      throw new MalformedCloudResponse({ reason: `machine ${id}: unknown status or age is not a number` });
     return { id, addr, type, zone, spot, status, age: seconds(heldS) };
   });
   return { machines, more: more === true };
 };
 const decodeRented = Schema.decodeUnknownSync(Schema.Struct({ hosts: Schema.Array(Schema.String) }));
 
-/** An answer that can't be decoded is a failure like any other: no supervised task ends of it. */
-const read = <A>(reply: Reply, decode: (value: unknown) => A): Effect.Effect<A, CloudAnswerMalformed> =>
+/** Decodes a response body. A malformed body becomes a typed failure, so that it does not end a supervised task. */
+const decodeResponse = <A>(
+  reply: Reply,
+  decode: (value: unknown) => A,
+): Effect.Effect<A, MalformedCloudResponse> =>
   Effect.try({
     try: () => decode(JSON.parse(reply.body.toString())),
     catch: (reason) =>
-      reason instanceof CloudAnswerMalformed
+      reason instanceof MalformedCloudResponse
         ? reason
-        : new CloudAnswerMalformed({ reason: `unreadable: ${String(reason).slice(0, REASON_BYTES)}` }),
+        : new MalformedCloudResponse({
+            reason: `response can't be decoded: ${String(reason).slice(0, REASON_BYTES)}`,
+          }),
   });
 
-/** How the cloud says, with status 503, that it has no machine of the offer. */
+/** Text in the body of a 503 response when the cloud has no capacity for the offer. */
 const NO_CAPACITY = 'no capacity';
 
+/** Returns the failure that a response with a status other than 200 stands for. */
 const failureOf = ({ status, body }: Reply): CloudRefused | OutOfCapacity => {
   const reason = body.toString('utf8', 0, REASON_BYTES);
   return status === 503 && reason.includes(NO_CAPACITY)
@@ -139,25 +144,27 @@
     : new CloudRefused({ status, reason });
 };
 
-/** The cloud's HTTP interface, within the rate that the settings allow. */
+/** Calls the cloud's HTTP interface within the request rate that the settings allow. */
 export class CloudClient implements CloudPort {
   private readonly client: HttpClient;
   private readonly budget: Budget;
 
   constructor(settings: Settings) {
     this.client = new HttpClient(settings.cloudAddress, keptOpen(6));
-    // Nearly all calls are the leader's; the others read the machine types now and then.
+    // The leader makes nearly all calls; the other controllers only read the machine types occasionally.
     this.budget = new Budget(settings.cloud.rps * 0.8, Math.max(1, settings.cloud.rps));
   }
 
   types(): Effect.Effect<readonly MachineType[], CloudFailure> {
-    return this.call('GET', '/flavors', null, Priority.Read).pipe(Effect.flatMap((r) => read(r, readTypes)));
+    return this.call('GET', '/flavors', null, Priority.Read).pipe(
+      Effect.flatMap((reply) => decodeResponse(reply, readTypes)),
+    );
   }
 
   list(): Effect.Effect<readonly ListedMachine[], CloudFailure> {
     const page = (
       after: string | null,
-      sofar: ListedMachine[],
+      machines: ListedMachine[],
     ): Effect.Effect<ListedMachine[], CloudFailure> =>
       this.call(
         'GET',
@@ -165,20 +172,17 @@
         null,
         Priority.Read,
       ).pipe(
-        Effect.flatMap((r) => read(r, readList)),
-        Effect.flatMap((answer) => {
-          sofar.push(...answer.machines);
-          const last = answer.machines[answer.machines.length - 1];
-          return answer.more && last ? page(last.id, sofar) : Effect.succeed(sofar);
+        Effect.flatMap((reply) => decodeResponse(reply, readList)),
+        Effect.flatMap((listPage) => {
+          machines.push(...listPage.machines);
+          const last = listPage.machines[listPage.machines.length - 1];
+          return listPage.more && last ? page(last.id, machines) : Effect.succeed(machines);
         }),
       );
     return page(null, []);
   }
 
-  rent(
-    request: RentalRequest,
-    isEntitled: StillEntitled,
-  ): Effect.Effect<readonly string[] | null, CloudFailure> {
+  rent(request: RentalRequest, maySend: MaySend): Effect.Effect<readonly string[] | null, CloudFailure> {
     const body = JSON.stringify({
       hire: request.name,
       hostKind: request.type,
@@ -186,20 +190,18 @@
       borrowed: request.spot,
       howMany: request.count,
     });
-    return this.call('POST', '/hosts', body, Priority.Commit, isEntitled).pipe(
-      Effect.flatMap((r) => read(r, (v) => decodeRented(v).hosts as readonly string[] | null)),
+    return this.call('POST', '/hosts', body, Priority.Commit, maySend).pipe(
+      Effect.flatMap((reply) =>
+        decodeResponse(reply, (value) => decodeRented(value).hosts as readonly string[] | null),
+      ),
       Effect.catchTag('OutOfCapacity', () => Effect.succeed(null)),
     );
   }
 
-  remove(ids: readonly string[], isEntitled: StillEntitled): Effect.Effect<void, CloudFailure> {
-    return this.call(
-      'POST',
-      '/hosts/delete',
-      JSON.stringify({ hosts: ids }),
-      Priority.Commit,
-      isEntitled,
-    ).pipe(Effect.asVoid);
+  remove(ids: readonly string[], maySend: MaySend): Effect.Effect<void, CloudFailure> {
+    return this.call('POST', '/hosts/delete', JSON.stringify({ hosts: ids }), Priority.Commit, maySend).pipe(
+      Effect.asVoid,
+    );
   }
 
   private call(
@@ -207,14 +209,14 @@
     path: string,
     body: string | null,
     priority: Priority,
-    isEntitled: StillEntitled = ALWAYS,
+    maySend: MaySend = ALWAYS,
   ): Effect.Effect<Reply, CloudFailure> {
     return this.budget.take(priority, 1).pipe(
       Effect.zipRight(
         Effect.suspend((): Effect.Effect<Reply, CloudFailure> =>
-          isEntitled()
+          maySend()
             ? this.client.request(method, path, body, 4000)
-            : new CloudRefused({ status: 0, reason: 'no longer entitled' }),
+            : new CloudRefused({ status: 0, reason: 'not sent: the controller may no longer act' }),
         ),
       ),
       Effect.flatMap((reply) =>
--- a/packages/controller/src/provisioning/model.ts
+++ b/packages/controller/src/provisioning/model.ts
@@ -1,7 +1,7 @@
-/** Machines as the cloud offers, rents and lists them. */
+/** Machine types, offers and machines as the cloud describes them. */
 import type { Micros } from '@lilacvalve/runtime/micros';
 
-/** A type of machine; prices per hour. */
+/** A type of machine; prices are per hour. */
 export interface MachineType {
   readonly name: string;
   readonly cpus: number;
@@ -11,24 +11,24 @@
   readonly fetchGbPerS: number;
   readonly price: number;
   readonly spotPrice: number;
-  /** Stated boot time. */
+  /** Boot time that the cloud states. */
   readonly boot: Micros;
   readonly zones: readonly string[];
 }
 
-/** What a machine can be rented as. */
+/** A kind of machine that can be rented: type, zone, and whether it is a spot machine. */
 export interface Offer {
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
 }
 
-/** One string for each offer. */
-export const offerKey = (o: Offer): string => `${o.type}|${o.zone}|${o.spot}`;
+/** Returns a map key for the offer. */
+export const offerKey = (offer: Offer): string => `${offer.type}|${offer.zone}|${offer.spot}`;
 
 /**
- * What a leader knows of the cloud and its list does not show yet; a new leader begins with it. It travels as it is in the
- * controllers' heartbeats to each other: its fields' names are wire names.
+ * Rentals and deletions that a leader knows about and the cloud's list may not show yet. A new leader starts from the latest
+ * one. It is sent unchanged in the peer heartbeats, so its field names are wire names.
  */
 export interface ProvisioningNews {
   readonly rented: readonly {
@@ -39,11 +39,11 @@
     readonly age: number;
   }[];
   readonly removed: readonly string[];
-  /** Rentals that were asked for and not answered yet: they may still be carried out, or have been. */
+  /** Rental requests without a response: the cloud may have carried them out, or may still do so. */
   readonly asked?: readonly (Offer & { readonly count: number; readonly age: number })[];
 }
 
-/** A machine in the cloud's list. `age`: since it was rented. */
+/** A machine in the cloud's list; `age` is the time since its rental. */
 export interface ListedMachine {
   readonly id: string;
   readonly addr: string;
--- a/packages/controller/src/provisioning/rental-requests.ts
+++ b/packages/controller/src/provisioning/rental-requests.ts
@@ -1,7 +1,7 @@
 /**
- * Rentals that were asked for and not answered: carried out already, or later, or never. A request that was carried out gets
- * the same answer when it is repeated under its name and rents nothing more, so whoever wants the same again repeats it: under
- * a new name the same demand was rented for twice.
+ * Rental requests that got no response: the cloud may have carried them out, may do so later, or never. A request repeated
+ * under its name gets the same response and rents nothing more, so the same demand is requested again under the same name.
+ * With a new name each time, machines for the same demand were rented twice.
  */
 import { type Micros, plus } from '@lilacvalve/runtime/micros';
 import type { RentalRequest } from './cloud.js';
@@ -9,50 +9,53 @@
 
 interface OpenRequest {
   readonly request: RentalRequest;
-  readonly at: Micros;
+  readonly sentAt: Micros;
 }
-/** What an earlier leader had asked for when it was last heard. */
+/** A request without a response that an earlier leader published before this leader's term. */
 interface InheritedRequest extends Offer {
   readonly count: number;
-  readonly at: Micros;
+  readonly sentAt: Micros;
 }
 
-/** Requests for machines whose answer is not known yet, under names that are never used again. */
+/** Tracks the rental requests whose outcome is not known; their names are never reused. */
 export class RentalRequests {
-  /** By offer. */
+  /** Requests of this leader, by `offerKey`. */
   private readonly open = new Map<string, OpenRequest>();
   private readonly inherited: readonly InheritedRequest[];
 
-  /** `shownAfter`: after so long the list shows what was rented, or it was not; `news` as of `at`. */
+  /**
+   * `listDelay` is the time after which the cloud's list shows every machine that a request rented. `news` is the earlier
+   * leader's published state as of `at`.
+   */
   constructor(
-    private readonly shownAfter: Micros,
+    private readonly listDelay: Micros,
     news: ProvisioningNews,
     at: Micros,
   ) {
-    this.inherited = (news.asked ?? []).map((a) => ({ ...a, at: plus(at, -a.age) }));
+    this.inherited = (news.asked ?? []).map((request) => ({ ...request, sentAt: plus(at, -request.age) }));
   }
 
-  /** What to ask the cloud for: the same again, if it was not answered, or a new rental by the next name. */
+  /** Returns the request to send: the earlier one if it got no response, otherwise a new one under the next name. */
   requestFor(wanted: Offer & { readonly count: number }, nextName: () => string, at: Micros): RentalRequest {
     const key = offerKey(wanted);
-    const before = this.open.get(key);
-    if (before !== undefined && at - before.at < this.shownAfter) return before.request;
+    const previous = this.open.get(key);
+    if (previous !== undefined && at - previous.sentAt < this.listDelay) return previous.request;
     const { type, zone, spot, count } = wanted;
     const request = { name: nextName(), type, zone, spot, count };
-    this.open.set(key, { request, at });
+    this.open.set(key, { request, sentAt: at });
     return request;
   }
 
-  /** The cloud has answered the request. */
-  confirm(request: RentalRequest): void {
+  /** Removes a request that the cloud has responded to. */
+  complete(request: RentalRequest): void {
     this.open.delete(offerKey(request));
   }
 
-  /** Requests without an answer, for the next leader, which can't repeat them by their names. */
-  unanswered(at: Micros): NonNullable<ProvisioningNews['asked']> {
+  /** Returns the requests without a response, for the next leader, which can't repeat them because it lacks their names. */
+  unresolved(at: Micros): NonNullable<ProvisioningNews['asked']> {
     return [...this.open.values()]
-      .filter((open) => at - open.at < this.shownAfter)
-      .map(({ request: { type, zone, spot, count }, at: since }) => ({
+      .filter((open) => at - open.sentAt < this.listDelay)
+      .map(({ request: { type, zone, spot, count }, sentAt: since }) => ({
         type,
         zone,
         spot,
@@ -61,14 +64,16 @@
       }));
   }
 
-  /** Machines that an earlier leader may have rented and that nobody has seen yet, one entry each. */
+  /** Returns one entry for each machine that an earlier leader may have rented and that is not among the `known` ones. */
   possibleArrivals(known: Iterable<Offer & { readonly since: Micros }>, at: Micros): Offer[] {
-    const fresh = this.inherited.filter((request) => at - request.at < this.shownAfter);
-    if (fresh.length === 0) return [];
+    const recent = this.inherited.filter((request) => at - request.sentAt < this.listDelay);
+    if (recent.length === 0) return [];
     const machines = [...known];
-    return fresh.flatMap((request) => {
+    return recent.flatMap((request) => {
       const key = offerKey(request);
-      const seen = machines.filter((m) => m.since >= request.at && offerKey(m) === key).length;
+      const seen = machines.filter(
+        (machine) => machine.since >= request.sentAt && offerKey(machine) === key,
+      ).length;
       return Array.from({ length: Math.max(0, request.count - seen) }, () => request);
     });
   }
--- a/packages/controller/src/provisioning/scaling-input.ts
+++ b/packages/controller/src/provisioning/scaling-input.ts
@@ -1,4 +1,4 @@
-/** What the scaling plan is made from: the capacity that is there or pending, and the demand in its order. */
+/** Builds the input of the scaling plan: the available and pending capacity, and the ordered demand. */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { dayOf } from '../calendar/cutoff-tracking.js';
 import { pressing } from '../calendar/slack.js';
@@ -13,25 +13,26 @@
 
 type MachineTypes = ReadonlyMap<string, MachineType>;
 
-/** The room of an empty machine of the type. */
-export const wholeRoom = (type: MachineType): Resources => [type.cpus, type.gpus, type.memGb];
+/** Returns the resources of an empty machine of the type. */
+export const fullCapacity = (type: MachineType): Resources => [type.cpus, type.gpus, type.memGb];
 
-/** Machines as the scaling plan sees them. */
+/** The capacity that the scaling plan may count on. */
 export interface Capacity {
-  /** Free room on machines that can be used, then pending machines as far as they count. */
+  /** Free resources on usable machines, followed by the pending machines that count as capacity. */
   readonly bins: Bin[];
-  /** How many pending machines are overdue, by `bootKey`. */
+  /** Number of overdue pending machines, by `bootKey`. */
   readonly overdue: ReadonlyMap<string, number>;
-  /** A machine that the cloud calls running has not been confirmed. */
-  readonly anySilent: boolean;
+  /** Whether any machine that the cloud lists as running has not carried this term's fencing token yet. */
+  readonly anyUnconfirmed: boolean;
 }
 
-interface Pending {
+/** A pending machine and the data from which its capacity is estimated. */
+interface PendingEntry {
   readonly machine: Machine;
   readonly state: PendingMachine;
 }
 
-/** Capacity after a scheduling cycle that left `free` room on the machines. */
+/** Returns the capacity after a scheduling cycle; `free` holds the resources that the cycle left free on each machine. */
 export const capacityOf = (
   registry: Pick<WorkerRegistry, 'machines' | 'isSchedulable'>,
   free: ReadonlyMap<string, Resources>,
@@ -39,63 +40,64 @@
   at: Micros,
 ): Capacity => {
   const bins: Bin[] = [];
-  const pending = new Map<string, Pending[]>();
-  let anySilent = false;
+  const pending = new Map<string, PendingEntry[]>();
+  let anyUnconfirmed = false;
   for (const machine of registry.machines.values()) {
-    const known = types.get(machine.type);
-    if (!known || machine.cordonReason !== null) continue;
+    const machineType = types.get(machine.type);
+    if (!machineType || machine.cordonReason !== null) continue;
     if (machine.cloudStatus === 'failed' || machine.recallAt !== null) continue;
     const { id, type, zone, spot } = machine;
-    const room = free.get(id);
-    if (registry.isSchedulable(machine, at) && room) bins.push({ id, type, zone, spot, free: room });
+    const freeResources = free.get(id);
+    if (registry.isSchedulable(machine, at) && freeResources)
+      bins.push({ id, type, zone, spot, free: freeResources });
     else if (!machine.reported || !machine.confirmed) {
-      if (machine.cloudStatus === 'running') anySilent = true;
-      const alike = pending.get(offerKey(machine));
-      const one = { machine, state: pendingMachine(machine, known.boot, at) };
-      if (alike) alike.push(one);
-      else pending.set(offerKey(machine), [one]);
+      if (machine.cloudStatus === 'running') anyUnconfirmed = true;
+      const sameOffer = pending.get(offerKey(machine));
+      const entry = { machine, state: pendingMachine(machine, machineType.boot, at) };
+      if (sameOffer) sameOffer.push(entry);
+      else pending.set(offerKey(machine), [entry]);
     }
   }
-  return { bins, overdue: addPending(pending, types, bins), anySilent };
+  return { bins, overdue: addPending(pending, types, bins), anyUnconfirmed };
 };
 
-/** Adds the pending machines, alike by offer, as far as they count; returns how many are overdue. */
+/** Adds the pending machines of each offer that count as capacity to `bins`; returns the numbers of overdue machines. */
 const addPending = (
-  pending: ReadonlyMap<string, Pending[]>,
+  pending: ReadonlyMap<string, PendingEntry[]>,
   types: MachineTypes,
   bins: Bin[],
 ): Map<string, number> => {
   const overdue = new Map<string, number>();
-  for (const alike of pending.values()) {
-    alike.sort((x, y) => expectedShare(y.state) - expectedShare(x.state));
-    const { type, zone, spot } = alike[0]!.machine;
-    const known = types.get(type)!;
-    for (const { machine } of alike.slice(0, pendingCapacity(alike.map((x) => x.state))))
-      bins.push({ id: machine.id, type, zone, spot, free: wholeRoom(known) });
-    const late = alike.filter((x) => isOverdue(x.state)).length;
+  for (const sameOffer of pending.values()) {
+    sameOffer.sort((left, right) => expectedShare(right.state) - expectedShare(left.state));
+    const { type, zone, spot } = sameOffer[0]!.machine;
+    const machineType = types.get(type)!;
+    for (const { machine } of sameOffer.slice(0, pendingCapacity(sameOffer.map((entry) => entry.state))))
+      bins.push({ id: machine.id, type, zone, spot, free: fullCapacity(machineType) });
+    const overdueCount = sameOffer.filter((entry) => isOverdue(entry.state)).length;
     const key = bootKey({ type, zone });
-    overdue.set(key, (overdue.get(key) ?? 0) + late);
+    overdue.set(key, (overdue.get(key) ?? 0) + overdueCount);
   }
   return overdue;
 };
 
-/** What the cycle could not place, in the order in which it is worth a machine. */
+/** Orders the demand that the cycle could not place by its priority for machines; drops cancelled jobs. */
 export const orderDemand = (context: CycleContext, unplaced: readonly Demand[]): Demand[] => {
-  const { current, classDurations: shown } = context.jobState.calendars;
+  const { current, classDurations } = context.jobState.calendars;
   const day = dayOf(context);
-  const classes = shown?.value ?? new Map<string, readonly number[]>();
+  const classes = classDurations?.value ?? new Map<string, readonly number[]>();
   return (
     unplaced
       .filter((demand) => !demand.job.cancelled)
       .map((demand) => ({
         demand,
-        by: pressing(demand.job, current, day, classes) ?? Number.POSITIVE_INFINITY,
+        cutoff: pressing(demand.job, current, day, classes) ?? Number.POSITIVE_INFINITY,
       }))
-      // What would miss its cutoff is worth a machine sooner, by cutoff; the rest in the order of submission.
+      // Within an urgency, jobs that would otherwise miss their cutoff come first, by cutoff; the others by submission time.
       .sort(
         (a, b) =>
           b.demand.job.spec.urgency - a.demand.job.spec.urgency ||
-          (a.by === b.by ? 0 : a.by - b.by) ||
+          (a.cutoff === b.cutoff ? 0 : a.cutoff - b.cutoff) ||
           a.demand.job.spec.submitted - b.demand.job.spec.submitted,
       )
       .map(({ demand }) => demand)
--- a/packages/controller/src/provisioning/scaling-plan.ts
+++ b/packages/controller/src/provisioning/scaling-plan.ts
@@ -1,4 +1,4 @@
-/** The scaling plan, what to rent and what to return: a pure function of demand, machines and time. */
+/** Plans which machines to rent and which to return. Pure functions of the demand, the machines and the time. */
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import type { Job } from '../jobs/model.js';
 import {
@@ -12,21 +12,21 @@
 import { protectedDemand, strandsGpus } from '../scheduler/cluster-capacity.js';
 import { type MachineType, type Offer, offerKey } from './model.js';
 
-/** A machine with free room, as in bin packing. */
+/** A machine with its free resources, as a bin of the bin packing. */
 export interface Bin {
-  /** Absent for a machine that is only planned, or that nobody has seen yet. */
+  /** Absent for a machine that is only planned, or that was requested and has not been seen yet. */
   readonly id?: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
   readonly free: Resources;
 }
-/** Tasks of one job that found no place. */
+/** The number of tasks of one job that could not be placed. */
 export interface Demand {
   readonly job: Job;
   readonly count: number;
 }
-/** An empty machine that may be returned. */
+/** A machine without tasks that may be returned. */
 export interface IdleMachine {
   readonly id: string;
   readonly type: string;
@@ -35,96 +35,106 @@
   readonly idleFor: Micros;
   readonly age: Micros;
 }
-/** What the plan is made from. */
+/** Input of the rental plan. */
 export interface ScalingInput {
   readonly types: readonly MachineType[];
-  /** Capacity that is there or pending: free room after the cycle, and machines still booting. */
+  /** Available and pending capacity: the resources left free by the cycle, and machines that are still booting. */
   readonly bins: readonly Bin[];
   readonly demand: readonly Demand[];
-  /** As the cycle saw them: room on a GPU machine that it keeps for GPU jobs is no room for the others. */
-  readonly companions: readonly CoLocatedDemand[];
-  readonly surplus: ReadonlySet<string>;
-  readonly isRefused: (o: Offer) => boolean;
-  /** Machines of this offer come up late at present: the last choice. */
-  readonly bootsSlowly: (o: Offer) => boolean;
+  /** Demand of GPU jobs as the cycle saw it: resources on a GPU machine that are kept for GPU jobs are not free to others. */
+  readonly coLocatedDemand: readonly CoLocatedDemand[];
+  /** Machines that the cycle calls surplus. */
+  readonly surplusMachines: ReadonlySet<string>;
+  /** Whether the cloud recently refused the offer for lack of capacity. */
+  readonly isRefused: (offer: Offer) => boolean;
+  /** Whether machines of the offer currently boot late; such offers are chosen last. */
+  readonly bootsSlowly: (offer: Offer) => boolean;
   /**
-   * Machines a job should avoid, because it failed there; null: none. Counted as its room, such a machine kept a gang
-   * that had to spread waiting for ever: nothing was rented for it, and the machine was not returned.
+   * Returns the machines that a job should avoid because it failed there, or null. When such a machine counted as capacity
+   * for the job, a gang that had to spread waited forever: nothing was rented for it, and the machine was not returned.
    */
   readonly avoidedMachines: (job: Job) => ReadonlySet<string> | null;
-  /** Machines of each type that may be rented in one step. */
+  /** Maximum number of machines of each type rented in one step. */
   readonly maxPerType: number;
 }
-/** Machines to rent of one offer. */
+/** An offer and the number of machines to rent of it. */
 export interface Rental extends Offer {
   count: number;
 }
 
-/** How many of a task a whole machine takes. */
-const perMachine = (machineType: MachineType, need: Resources): number =>
+/** Returns how many tasks with these resources fit on an empty machine of the type. */
+const tasksPerMachine = (machineType: MachineType, need: Resources): number =>
   Math.min(1000, countFitting(need, [machineType.cpus, machineType.gpus, machineType.memGb]));
 
-/** How much more spot capacity costs by lost work: more for a task that saves nothing. */
+/**
+ * Factor on the spot price for the work that is lost when the cloud reclaims a machine; larger for tasks that write no
+ * checkpoints.
+ */
 const spotLossFactor = (job: Job): number => (job.spec.checkpoint > 0 ? 1.1 : 1.3);
 
-/** Offers that a task of the job could run on, the cheapest for `count` of them first. */
+/** Returns the offers that tasks of the job could run on, cheapest per task first when `count` tasks need a machine. */
 export const offersFor = (job: Job, types: readonly MachineType[], count: number): Offer[] => {
   const need = resourcesOf(job.spec);
-  const found: { offer: Offer; cost: number }[] = [];
+  const candidates: { offer: Offer; cost: number }[] = [];
   for (const type of types) {
     if (job.spec.types !== null && !job.spec.types.includes(type.name)) continue;
-    const fitting = Math.min(count, perMachine(type, need));
+    const fitting = Math.min(count, tasksPerMachine(type, need));
     if (fitting < 1) continue;
-    // GPU machines cost many times as much: not rented for low work that has no use for GPUs.
+    // GPU machines cost many times as much, so they are not rented for low-urgency jobs that need no GPU.
     if (job.spec.gpus === 0 && type.gpus > 0 && job.spec.urgency === 0 && job.spec.types === null) continue;
     for (const zone of type.zones) {
       if (job.spec.zone !== null && job.spec.zone !== zone) continue;
-      found.push({ offer: { type: type.name, zone, spot: false }, cost: type.price / fitting });
+      candidates.push({ offer: { type: type.name, zone, spot: false }, cost: type.price / fitting });
       if (job.spec.spot && type.spotPrice > 0) {
-        found.push({
+        candidates.push({
           offer: { type: type.name, zone, spot: true },
           cost: (type.spotPrice * spotLossFactor(job)) / fitting,
         });
       }
     }
   }
-  found.sort((a, b) => a.cost - b.cost);
-  return found.map((o) => o.offer);
+  candidates.sort((a, b) => a.cost - b.cost);
+  return candidates.map((candidate) => candidate.offer);
 };
 
-/** What to rent, and for which demand. */
+/** The rentals, and the existing machines that demand was assigned to. */
 export interface ScalingPlan {
   readonly rent: Rental[];
-  /** Machines that the demand counts on, though it can't use them yet: a gang waits for all of its machines. */
+  /** Machines that demand was assigned to, though it can't use them yet: a gang waits until all of its machines are up. */
   readonly needed: Set<string>;
 }
 
-/** Packs the demand into the capacity that is there or pending, and into rented machines where that does not suffice. */
+/** Packs the demand into the available and pending capacity, and plans rentals for the rest. */
 class RentalPlanner {
   private readonly types: ReadonlyMap<string, MachineType>;
   private readonly bins: Bin[];
   private readonly rentals = new Map<string, Rental>();
   private readonly needed = new Set<string>();
-  /** By type: work that can only use a type that is sold out must not keep others from what is not. */
+  /**
+   * Number of machines planned by type. The limit per step applies to each type, so that demand for a type without capacity
+   * does not keep other demand from renting.
+   */
   private readonly rentedOfType = new Map<string, number>();
 
   constructor(private readonly input: ScalingInput) {
-    this.types = new Map(input.types.map((t) => [t.name, t]));
-    this.bins = input.bins.map((b) => ({ ...b, free: [...b.free] }));
+    this.types = new Map(input.types.map((machineType) => [machineType.name, machineType]));
+    this.bins = input.bins.map((bin) => ({ ...bin, free: [...bin.free] }));
   }
 
+  /** Plans all of the demand in its order. */
   plan(): ScalingPlan {
-    for (const demand of this.input.demand) this.pack(demand);
+    for (const demand of this.input.demand) this.packDemand(demand);
     return { rent: [...this.rentals.values()], needed: this.needed };
   }
 
-  private wholeRoom(type: string): Resources {
+  /** Returns the resources of an empty machine of the type, or none for an unknown type. */
+  private fullCapacity(type: string): Resources {
     const machineType = this.types.get(type);
     return machineType ? [machineType.cpus, machineType.gpus, machineType.memGb] : [0, 0, 0];
   }
 
-  /** Whether a task of this job can go there as the cycle sees it. */
-  private takes(job: Job, guards: readonly CoLocatedDemand[], need: Resources, bin: Bin): boolean {
+  /** Whether the scheduling cycle could place a task of the job in the bin. */
+  private canTake(job: Job, protectedJobs: readonly CoLocatedDemand[], need: Resources, bin: Bin): boolean {
     const { spec } = job;
     return (
       fits(need, bin.free) &&
@@ -133,21 +143,21 @@
       (!bin.spot || spec.spot) &&
       !(bin.id !== undefined && this.input.avoidedMachines(job)?.has(bin.id)) &&
       !strandsGpus(
-        guards,
+        protectedJobs,
         job,
-        this.wholeRoom(bin.type),
-        bin.id !== undefined && this.input.surplus.has(bin.id),
+        this.fullCapacity(bin.type),
+        bin.id !== undefined && this.input.surplusMachines.has(bin.id),
         [bin.free[0] - need[0], bin.free[1] - need[1], bin.free[2] - need[2]],
       )
     );
   }
 
-  /** Plans one more machine of the offer; null: there are enough of its type for one step. */
+  /** Plans one more machine of the offer; returns null once the limit of its type for one step is reached. */
   private addMachine(offer: Offer): Bin | null {
     const sameType = this.rentedOfType.get(offer.type) ?? 0;
     if (sameType >= this.input.maxPerType) return null;
     this.rentedOfType.set(offer.type, sameType + 1);
-    const bin: Bin = { ...offer, free: this.wholeRoom(offer.type) };
+    const bin: Bin = { ...offer, free: this.fullCapacity(offer.type) };
     this.bins.push(bin);
     const rental = this.rentals.get(offerKey(offer));
     if (rental) rental.count++;
@@ -155,60 +165,69 @@
     return bin;
   }
 
-  private pack({ job, count }: Demand): void {
+  /** Assigns the tasks of one job to bins, and plans machines for tasks that fit in none. */
+  private packDemand({ job, count }: Demand): void {
     const { input, bins } = this;
     const need = resourcesOf(job.spec);
-    const guards = protectedDemand(input.companions, job);
-    const takes = (bin: Bin): boolean => this.takes(job, guards, need, bin);
-    const offers = (left: number): Offer[] =>
-      offersFor(job, input.types, left)
-        .filter((o) => !input.isRefused(o) && takes({ ...o, free: this.wholeRoom(o.type) }))
+    const protectedJobs = protectedDemand(input.coLocatedDemand, job);
+    const canTake = (bin: Bin): boolean => this.canTake(job, protectedJobs, need, bin);
+    const offers = (remaining: number): Offer[] =>
+      offersFor(job, input.types, remaining)
+        .filter(
+          (offer) => !input.isRefused(offer) && canTake({ ...offer, free: this.fullCapacity(offer.type) }),
+        )
         .sort((a, b) => Number(input.bootsSlowly(a)) - Number(input.bootsSlowly(b)));
     let onlyZone: string | null = null;
     if (job.spec.oneZone && count > 1) {
-      onlyZone = this.bestZone(count, need, takes, offers(count));
+      onlyZone = this.bestZone(count, need, canTake, offers(count));
       if (onlyZone === null) return;
     }
-    // A job that must spread needs room in more than one zone, however much one of them has.
+    // A job that must spread over zones places at most half of its tasks in one zone, however much capacity the zone has.
     const maxInZone = job.spec.spread ? Math.ceil(job.spec.tasks / 2) : Number.POSITIVE_INFINITY;
-    const inZone = new Map<string, number>();
+    const tasksInZone = new Map<string, number>();
     const isZoneOpen = (zone: string): boolean =>
-      (onlyZone === null || zone === onlyZone) && (inZone.get(zone) ?? 0) < maxInZone;
+      (onlyZone === null || zone === onlyZone) && (tasksInZone.get(zone) ?? 0) < maxInZone;
     // A bin that can't take one of these tasks can't take a later one either.
-    let at = 0;
+    let index = 0;
     for (let task = 0; task < count; task++) {
-      while (at < bins.length && !(isZoneOpen(bins[at]!.zone) && takes(bins[at]!))) at++;
-      let bin = bins[at];
+      while (index < bins.length && !(isZoneOpen(bins[index]!.zone) && canTake(bins[index]!))) index++;
+      let bin = bins[index];
       if (!bin) {
-        const offer = offers(count - task).find((o) => isZoneOpen(o.zone));
+        const offer = offers(count - task).find((candidate) => isZoneOpen(candidate.zone));
         bin = (offer && this.addMachine(offer)) ?? undefined;
         if (!bin) break;
       }
       add(bin.free, need, -1);
       if (bin.id !== undefined) this.needed.add(bin.id);
-      inZone.set(bin.zone, (inZone.get(bin.zone) ?? 0) + 1);
+      tasksInZone.set(bin.zone, (tasksInZone.get(bin.zone) ?? 0) + 1);
     }
   }
 
-  /** The zone that already has the most room for a job that needs one zone, or could get it; null: there is none. */
+  /**
+   * Returns the zone for a job that must run in a single zone: among the zones that can hold all `count` tasks or offer more
+   * machines, the one where most tasks fit already. Returns null if there is no such zone.
+   */
   private bestZone(
     count: number,
     need: Resources,
-    takes: (bin: Bin) => boolean,
+    canTake: (bin: Bin) => boolean,
     offers: readonly Offer[],
   ): string | null {
-    const rooms = new Map<string, number>();
+    const fittingByZone = new Map<string, number>();
     for (const bin of this.bins) {
-      if (!takes(bin)) continue;
-      rooms.set(bin.zone, Math.min(count, (rooms.get(bin.zone) ?? 0) + countFitting(need, bin.free)));
+      if (!canTake(bin)) continue;
+      fittingByZone.set(
+        bin.zone,
+        Math.min(count, (fittingByZone.get(bin.zone) ?? 0) + countFitting(need, bin.free)),
+      );
     }
-    const offered = new Set(offers.map((o) => o.zone));
+    const offeredZones = new Set(offers.map((offer) => offer.zone));
     let best: string | null = null;
-    let most = -1;
-    for (const zone of [...new Set([...rooms.keys(), ...offered])].sort()) {
-      const fitting = rooms.get(zone) ?? 0;
-      if ((fitting === count || offered.has(zone)) && fitting > most) {
-        most = fitting;
+    let mostFitting = -1;
+    for (const zone of [...new Set([...fittingByZone.keys(), ...offeredZones])].sort()) {
+      const fitting = fittingByZone.get(zone) ?? 0;
+      if ((fitting === count || offeredZones.has(zone)) && fitting > mostFitting) {
+        mostFitting = fitting;
         best = zone;
       }
     }
@@ -216,28 +235,31 @@
   }
 }
 
-/** What to rent for the demand, and which machines it counts on. */
+/** Plans what to rent for the demand, and determines which machines the demand relies on. */
 export const planRentals = (input: ScalingInput): ScalingPlan => new RentalPlanner(input).plan();
 
-/** A machine is charged for its first minute anyway, so it is not returned long before. */
+/** Minimum age of a returned machine: its first minute is charged anyway, so it is not returned much earlier. */
 const MIN_AGE = seconds(55);
 
-/** Empty machines to return: idle for as long as `limit` says, and past what is charged anyway. */
+/** Returns the ids of machines that have been idle for at least `limit` and are past the minimum charge. */
 export const planReturns = (
   idle: readonly IdleMachine[],
   limit: (machine: IdleMachine) => Micros,
-): string[] => idle.filter((m) => m.idleFor >= limit(m) && m.age >= MIN_AGE).map((m) => m.id);
+): string[] =>
+  idle
+    .filter((machine) => machine.idleFor >= limit(machine) && machine.age >= MIN_AGE)
+    .map((machine) => machine.id);
 
-/** Types of machine that some waiting work could use, were more of them there. */
-export const wantedTypes = (types: readonly MachineType[], demand: readonly Demand[]): Set<string> =>
+/** Returns the names of the machine types that some task of the demand could run on. */
+export const typesUsableBy = (types: readonly MachineType[], demand: readonly Demand[]): Set<string> =>
   new Set(
     types
-      .filter((k) =>
+      .filter((machineType) =>
         demand.some(
           ({ job: { spec } }) =>
-            (spec.types === null || spec.types.includes(k.name)) &&
-            fits(resourcesOf(spec), [k.cpus, k.gpus, k.memGb]),
+            (spec.types === null || spec.types.includes(machineType.name)) &&
+            fits(resourcesOf(spec), [machineType.cpus, machineType.gpus, machineType.memGb]),
         ),
       )
-      .map((k) => k.name),
+      .map((machineType) => machineType.name),
   );
--- a/packages/controller/src/settings/settings.ts
+++ b/packages/controller/src/settings/settings.ts
@@ -1,4 +1,4 @@
-/** The platform's settings file: TOML checked by Schema. Unknown fields are ignored. */
+/** Reads the settings file that the platform provides: TOML, checked against a schema. Unknown fields are ignored. */
 import { readFileSync } from 'node:fs';
 import { Either, Schema } from 'effect';
 import { type Micros, millis, seconds } from '@lilacvalve/runtime/micros';
@@ -9,39 +9,41 @@
 );
 const Amount = Schema.Finite.pipe(Schema.nonNegative());
 const Positive = Schema.Finite.pipe(Schema.positive());
-const opt = <A, I>(s: Schema.Schema<A, I>, value: A) => Schema.optionalWith(s, { default: () => value });
+/** An optional field with a default value. */
+const withDefault = <A, I>(schema: Schema.Schema<A, I>, value: A) =>
+  Schema.optionalWith(schema, { default: () => value });
 
-const File = Schema.Struct({
+const SettingsFile = Schema.Struct({
   label: Schema.NonEmptyString,
   zone: Schema.NonEmptyString,
   listen: Address,
   cluster_listen: Address,
-  others: opt(
+  others: withDefault(
     Schema.Array(Schema.Struct({ label: Schema.NonEmptyString, zone: Schema.String, peer_addr: Address })),
     [],
   ),
   services: Schema.Struct({ cloud: Address, state: Address }),
   cluster: Schema.Struct({
     nodes: Schema.Int.pipe(Schema.positive()),
-    zones: opt(Schema.Array(Schema.String), []),
-    skew_ms: opt(Amount, 0),
+    zones: withDefault(Schema.Array(Schema.String), []),
+    skew_ms: withDefault(Amount, 0),
     teams: Schema.Array(
       Schema.Struct({
         name: Schema.NonEmptyString,
-        cpus: opt(Amount, 0),
-        cpus_max: opt(Amount, 0),
-        gpus: opt(Amount, 0),
-        gpus_max: opt(Amount, 0),
+        cpus: withDefault(Amount, 0),
+        cpus_max: withDefault(Amount, 0),
+        gpus: withDefault(Amount, 0),
+        gpus_max: withDefault(Amount, 0),
       }),
     ),
-    objectives: opt(
+    objectives: withDefault(
       Schema.Array(
         Schema.Struct({
           kind: Schema.String,
-          class: opt(Schema.String, ''),
-          within_s: opt(Amount, 0),
-          share: opt(Amount, 0),
-          times: opt(Amount, 1),
+          class: withDefault(Schema.String, ''),
+          within_s: withDefault(Amount, 0),
+          share: withDefault(Amount, 0),
+          times: withDefault(Amount, 1),
         }),
       ),
       [],
@@ -68,19 +70,19 @@
   }),
 });
 
-/** Another controller. */
+/** Another controller of the cluster. */
 export interface Peer {
   readonly label: string;
   readonly zone: string;
   readonly address: string;
 }
-/** Zero in a limit means the team has none; zero in a guarantee means nothing is guaranteed. */
+/** A team's quota. A limit of zero means no limit; a guarantee of zero means that nothing is guaranteed. */
 export interface TeamSettings {
   readonly name: string;
   readonly guarantee: { readonly cpus: number; readonly gpus: number };
   readonly limit: { readonly cpus: number; readonly gpus: number };
 }
-/** A service-level objective of a class of jobs. */
+/** A service-level objective for a class of jobs. */
 export interface Objective {
   readonly kind: string;
   readonly jobClass: string;
@@ -88,7 +90,7 @@
   readonly share: number;
   readonly times: number;
 }
-/** What the platform hands over in the settings file, checked; times in microseconds. */
+/** The checked content of the settings file; durations are in microseconds. */
 export interface Settings {
   readonly label: string;
   readonly zone: string;
@@ -97,15 +99,20 @@
   readonly peers: readonly Peer[];
   readonly cloudAddress: string;
   readonly stateAddress: string;
+  /** Number of controllers in the cluster. */
   readonly nodes: number;
   readonly zones: readonly string[];
+  /** Maximum difference between the controllers' times of day. */
   readonly skew: Micros;
   readonly teams: readonly TeamSettings[];
   readonly objectives: readonly Objective[];
   readonly workers: {
+    /** Interval between two heartbeats of a worker. */
     readonly report: Micros;
     readonly lease: Micros;
+    /** How long a gang's task waits for the rest of its gang before it exits. */
     readonly gangWait: Micros;
+    /** How long a gang's tasks may go on after one of their peers stopped. */
     readonly gangPeer: Micros;
     readonly cancel: Micros;
   };
@@ -114,18 +121,18 @@
     readonly writeRps: number;
     readonly valueBytes: number;
     readonly txnOps: number;
-    /** Records kept before they are folded; what `scheduler/records.ts` says if left out. */
+    /** Number of log entries kept before compaction; absent: the scheduler's default. Not part of the settings file. */
     readonly tail?: number;
   };
   readonly cloud: { readonly rps: number; readonly listLag: Micros };
   readonly limits: { readonly cores: number; readonly memoryMb: number; readonly maxConnections: number };
 }
 
-const readFile = checkedToml(File);
+const decodeFile = checkedToml(SettingsFile);
 
-/** Either a checked configuration, or one line that names the field and the reason. */
+/** Parses a settings file's text. Returns the settings, or one line that names the invalid field and the reason. */
 export const parseSettings = (text: string): Either.Either<Settings, string> => {
-  const decoded = readFile(text);
+  const decoded = decodeFile(text);
   if (Either.isLeft(decoded)) return Either.left(decoded.left);
   const file = decoded.right;
   const workers = file.cluster.workers;
@@ -134,7 +141,7 @@
     zone: file.zone,
     listen: file.listen,
     peerListen: file.cluster_listen,
-    peers: file.others.map((o) => ({ label: o.label, zone: o.zone, address: o.peer_addr })),
+    peers: file.others.map((peer) => ({ label: peer.label, zone: peer.zone, address: peer.peer_addr })),
     cloudAddress: file.services.cloud,
     stateAddress: file.services.state,
     nodes: file.cluster.nodes,
@@ -174,7 +181,7 @@
   });
 };
 
-/** The settings of a file, or one line that names the field and the reason. */
+/** Reads a settings file. Returns the settings, or one line that names the invalid field and the reason. */
 export const readSettings = (path: string): Either.Either<Settings, string> => {
   try {
     return parseSettings(readFileSync(path, 'utf8'));
--- a/packages/controller/src/snapshots/command.ts
+++ b/packages/controller/src/snapshots/command.ts
@@ -1,7 +1,7 @@
-/** The snapshots' command: looks at what controllers have kept on a disk, and puts it back. */
+/** The command line tool for snapshots: verifies, prints and compares a controller's snapshot, and restores it. */
 import { logLayer } from '@lilacvalve/runtime/log';
 import { DiskFiles } from '@lilacvalve/snapshot/files';
-import { check, type Content, differences, load } from '@lilacvalve/snapshot/read';
+import { checkFiles, type Content, compareContents, load } from '@lilacvalve/snapshot/read';
 import { Command, InvalidArgumentError } from 'commander';
 import { Effect, Either } from 'effect';
 import { readSettings } from '../settings/settings.js';
@@ -10,100 +10,108 @@
 
 const cli = new Command()
   .name('lilacvalve-snapshot')
-  .description('Snapshots of the state service')
+  .description('Inspects and restores snapshots of the state service')
   .showHelpAfterError(false);
 const print = (line: string): void => void process.stdout.write(`${line}\n`);
-const count = (text: string): number => {
-  const n = Number(text);
-  if (!Number.isInteger(n) || n < 1) throw new InvalidArgumentError('a whole number from 1 on');
-  return n;
+/** Parses a positive whole number. */
+const parseCount = (text: string): number => {
+  const value = Number(text);
+  if (!Number.isInteger(value) || value < 1) throw new InvalidArgumentError('a whole number from 1 on');
+  return value;
 };
-const content = async (dir: string): Promise<Content> =>
-  (await load(new DiskFiles(dir))) ?? cli.error(`${dir}: no base that is whole`, { exitCode: 1 });
+/** Loads a snapshot; ends the command with status 1 if it has no usable base. */
+const loadContent = async (dir: string): Promise<Content> =>
+  (await load(new DiskFiles(dir))) ??
+  cli.error(`${dir}: no complete and undamaged base file found`, { exitCode: 1 });
 
 cli
   .command('verify')
-  .description('reads every file through; status 1 if nothing could be restored, or a block is damaged')
+  .description('reads and checks all files; status 1 if nothing can be restored or a block is damaged')
   .argument('<dir>')
-  .option('--output <form>', 'text or json', 'text')
-  .action(async (dir: string, o: { output: string }) => {
-    const files = await check(new DiskFiles(dir));
-    const best = await load(new DiskFiles(dir));
-    if (o.output === 'json') print(JSON.stringify({ files, revision: best?.revision ?? null }));
+  .option('--output <form>', 'output format: text or json', 'text')
+  .action(async (dir: string, options: { output: string }) => {
+    const files = await checkFiles(new DiskFiles(dir));
+    const content = await load(new DiskFiles(dir));
+    if (options.output === 'json') print(JSON.stringify({ files, revision: content?.revision ?? null }));
     else {
-      for (const f of files)
+      for (const file of files)
         print(
-          `${f.name}: ${f.usable ? 'whole' : 'not usable'}, ${f.entries} entries, ${f.bytes} bytes` +
-            (f.flaw
-              ? `; ${f.flaw.kind} at block ${f.flaw.block}, byte ${f.flaw.offset}: ${f.flaw.reason}`
+          `${file.name}: ${file.usable ? 'whole' : 'not usable'}, ${file.entries} entries, ${file.bytes} bytes` +
+            (file.flaw
+              ? `; ${file.flaw.kind} at block ${file.flaw.block}, byte ${file.flaw.offset}: ${file.flaw.reason}`
               : ''),
         );
       print(
-        best === null
+        content === null
           ? 'nothing can be restored'
-          : `can be restored up to revision ${best.revision}, generation ${best.generation}`,
+          : `can be restored up to revision ${content.revision}, generation ${content.generation}`,
       );
     }
-    process.exitCode = best === null || files.some((f) => f.flaw?.kind === 'damaged') ? 1 : 0;
+    process.exitCode = content === null || files.some((file) => file.flaw?.kind === 'damaged') ? 1 : 0;
   });
 
 cli
   .command('show')
-  .description('prints keys and values')
+  .description('prints keys with their revisions and values')
   .argument('<dir>')
-  .option('--prefix <prefix>', 'only keys below it', '')
-  .option('--most <n>', 'at the most so many', count, 100)
-  .action(async (dir: string, o: { prefix: string; most: number }) => {
-    const c = await content(dir);
-    const keys = [...c.entries.keys()].filter((k) => k.startsWith(o.prefix)).sort();
-    for (const k of keys.slice(0, o.most)) {
-      const e = c.entries.get(k)!;
-      print(`${k}\t${e.stamp}\t${JSON.stringify(e.value)}`);
+  .option('--prefix <prefix>', 'only keys with this prefix', '')
+  .option('--most <n>', 'maximum number of keys', parseCount, 100)
+  .action(async (dir: string, options: { prefix: string; most: number }) => {
+    const content = await loadContent(dir);
+    const keys = [...content.entries.keys()].filter((key) => key.startsWith(options.prefix)).sort();
+    for (const key of keys.slice(0, options.most)) {
+      const entry = content.entries.get(key)!;
+      print(`${key}\t${entry.stamp}\t${JSON.stringify(entry.value)}`);
     }
-    if (keys.length > o.most) print(`(${keys.length - o.most} more)`);
+    if (keys.length > options.most) print(`(${keys.length - options.most} more)`);
   });
 
 cli
   .command('diff')
-  .description('keys that two snapshots have otherwise; status 1 if there are any')
+  .description('prints the keys whose values differ between two snapshots; status 1 if there are any')
   .argument('<left>')
   .argument('<right>')
   .action(async (left: string, right: string) => {
-    const list = differences(await content(left), await content(right));
-    for (const d of list) print(`${d.left === null ? '+' : d.right === null ? '-' : '~'} ${d.key}`);
-    process.exitCode = list.length > 0 ? 1 : 0;
+    const differences = compareContents(await loadContent(left), await loadContent(right));
+    for (const difference of differences)
+      print(`${difference.left === null ? '+' : difference.right === null ? '-' : '~'} ${difference.key}`);
+    process.exitCode = differences.length > 0 ? 1 : 0;
   });
 
 cli
   .command('restore')
-  .description('writes a snapshot into an empty state service; begun again, it goes on where it was')
+  .description('writes a snapshot into an empty state service; run again after an interruption, it continues')
   .argument('<dir>')
   .requiredOption(
     '--config <file>',
-    "the platform's settings file of a controller: address and limits of the service",
+    "a controller's settings file, with the address and the limits of the state service",
   )
-  .action(async (dir: string, o: { config: string }) => {
-    const settings = readSettings(o.config);
+  .action(async (dir: string, options: { config: string }) => {
+    const settings = readSettings(options.config);
     if (Either.isLeft(settings)) return cli.error(`settings: ${settings.left}`, { exitCode: 2 });
-    const c = await content(dir);
-    // Nobody else is writing: the whole of the rate is this command's.
+    const content = await loadContent(dir);
+    // No controller is writing to the store, so this command may use the whole request rate.
     const store = new StateStore({ ...settings.right, nodes: 1 });
     store.leading(true);
-    let shown = 0;
+    let lastPrinted = 0;
     const result = await Effect.runPromise(
-      restore(c, store, settings.right.state, (written, all) => {
-        if (process.stderr.isTTY) process.stderr.write(`\r${written} of ${all} keys`);
-        else if (written - shown >= 1000) process.stderr.write(`${(shown = written)} of ${all} keys\n`);
+      restore(content, store, settings.right.state, (written, total) => {
+        if (process.stderr.isTTY) process.stderr.write(`\r${written} of ${total} keys`);
+        else if (written - lastPrinted >= 1000)
+          process.stderr.write(`${(lastPrinted = written)} of ${total} keys\n`);
       }).pipe(
-        Effect.catchAll((e) =>
-          Effect.succeed({ ok: false, reason: `the state service: ${e.reason}` } as const),
+        Effect.catchAll((failure) =>
+          Effect.succeed({
+            ok: false,
+            reason: `request to the state service failed: ${failure.reason}`,
+          } as const),
         ),
         Effect.provide(logLayer('error')),
       ),
     );
     if (process.stderr.isTTY) process.stderr.write('\n');
     if (!result.ok) return cli.error(result.reason, { exitCode: 1 });
-    print(`${result.written} keys restored${result.resumed ? ', after an earlier beginning' : ''}`);
+    print(`${result.written} keys restored${result.resumed ? ', continuing an interrupted restore' : ''}`);
     process.exit(0);
   });
 
--- a/packages/controller/src/snapshots/restore.ts
+++ b/packages/controller/src/snapshots/restore.ts
@@ -1,7 +1,7 @@
 /**
- * Writes a snapshot's content into an empty state service, by ordinary transactions. They begin a new incarnation that is
- * marked as being rebuilt: terms and attempts used after the snapshot are never used again, and the first leader waits until
- * nothing from before can be running.
+ * Restores a snapshot's content into an empty state service, using ordinary transactions. The last transaction begins a new
+ * incarnation that is marked as being rebuilt: terms and attempts used after the snapshot are never used again, and the first
+ * leader waits until no task from before the restore can be running.
  */
 import { Effect, Random } from 'effect';
 import type { Content } from '@lilacvalve/snapshot/read';
@@ -11,116 +11,136 @@
 import type { StateFailure, Write } from '../state-store/client.js';
 import type { StatePort } from '../state-store/port.js';
 
-/** There while a restore is under way: of which snapshot, and how far it has come. */
+/** Key that exists while a restore is in progress; its value identifies the snapshot and the last key restored. */
 export const RESTORE_PROGRESS = 's/l/restore';
 
+/** Limits of the state service: operations per transaction, and bytes per value. */
 export interface RestoreLimits {
   readonly txnOps: number;
   readonly valueBytes: number;
 }
+/** Outcome of a restore: the number of keys, and whether an interrupted restore was resumed; or why it failed. */
 export type Restored =
   | { readonly ok: true; readonly written: number; readonly resumed: boolean }
   | { readonly ok: false; readonly reason: string };
 
+/** Value of `RESTORE_PROGRESS`; it is stored under these field names. */
 interface Progress {
+  /** The snapshot being restored, as `incarnation@revision`. */
   readonly of: string;
-  /** The last key written; '': none yet. */
+  /** The last key written; empty if none was. */
   readonly to: string;
 }
 
-/** Keys that a restore leaves out: they tell who led, or belong to the incarnation that is over. */
-const isLeftOut = (key: string): boolean =>
+/** Whether a restore omits the key: the keys of the leadership, and those that belong to the lost incarnation. */
+const isExcluded = (key: string): boolean =>
   key === LEADER ||
   key === TERM ||
   key === RESTORE_PROGRESS ||
   [REBUILD, QUIESCENT, RECOVERED].includes(key) ||
   key.startsWith(INCARNATION);
 
-/** Bytes of values in one transaction: the protocol's limit, with room for what is around them. */
+/** Maximum bytes of keys and values in one transaction: the protocol's body limit less an allowance for the other fields. */
 const TRANSACTION_BYTES = 48 * 1024;
 
-/** Restores `content`; begun again after an interruption, it continues where it was. `said`: called after each transaction. */
+/**
+ * Restores `content`. After an interruption, a repeated call continues after the last key restored. `onProgress` is called
+ * after each transaction with the numbers of keys written and of all keys.
+ */
 export const restore = (
   content: Content,
   store: StatePort,
   limits: RestoreLimits,
-  said: (written: number, all: number) => void,
+  onProgress: (written: number, total: number) => void,
 ): Effect.Effect<Restored, StateFailure> =>
   Effect.gen(function* () {
-    const of = `${content.incarnation}@${content.revision}`;
-    const there = yield* store.page(ROOT, null, 1);
-    const mark = (yield* store.get(RESTORE_PROGRESS)).entry;
-    if (mark === null && there.entries.length > 0)
-      return { ok: false, reason: `the store is not empty: it has ${there.entries[0]!.key}` } as const;
-    let progress = (mark?.value as Progress | undefined) ?? { of, to: '' };
-    let stamp = mark?.stamp ?? 0;
-    if (progress.of !== of)
-      return { ok: false, reason: `a restore of another snapshot (${progress.of}) is under way` } as const;
-    const all = [...content.entries.values()]
-      .filter((e) => e.key.startsWith(ROOT) && !isLeftOut(e.key) && e.value !== undefined)
+    const snapshot = `${content.incarnation}@${content.revision}`;
+    const firstPage = yield* store.page(ROOT, null, 1);
+    const stored = (yield* store.get(RESTORE_PROGRESS)).entry;
+    if (stored === null && firstPage.entries.length > 0)
+      return {
+        ok: false,
+        reason: `the store is not empty: it contains the key ${firstPage.entries[0]!.key}`,
+      } as const;
+    let progress = (stored?.value as Progress | undefined) ?? { of: snapshot, to: '' };
+    let revision = stored?.stamp ?? 0;
+    if (progress.of !== snapshot)
+      return {
+        ok: false,
+        reason: `a restore of another snapshot (${progress.of}) is in progress`,
+      } as const;
+    const entries = [...content.entries.values()]
+      .filter((entry) => entry.key.startsWith(ROOT) && !isExcluded(entry.key) && entry.value !== undefined)
       .sort((a, b) => (a.key < b.key ? -1 : 1));
-    const resumed = mark !== null;
-    let rest = all.filter((e) => e.key > progress.to);
-    const commit = (then: readonly Write[], next: Progress | null) =>
+    const resumed = stored !== null;
+    let remaining = entries.filter((entry) => entry.key > progress.to);
+    /** Writes one batch together with the progress; returns false if another process changed the store. */
+    const commit = (writes: readonly Write[], next: Progress | null) =>
       Effect.gen(function* () {
         for (;;) {
-          const o = yield* Effect.either(
+          const outcome = yield* Effect.either(
             store.transact(
-              // The mark goes with the last part. The term comes with it: a late copy of the first one, for which there was no
-              // mark yet either, must not set back what the controllers have made of it since.
+              // The last transaction deletes the progress and writes the term. Requiring that there is no term protects the
+              // store from a delayed copy of the first transaction, which also expects no progress: applied after the restore,
+              // it would overwrite what the controllers have written since.
               [
-                { key: RESTORE_PROGRESS, stamp },
+                { key: RESTORE_PROGRESS, stamp: revision },
                 { key: TERM, stamp: 0 },
               ],
               [
-                ...then,
+                ...writes,
                 next === null ? { delete: RESTORE_PROGRESS } : { set: RESTORE_PROGRESS, value: next },
               ],
               Priority.Commit,
               3000,
             ),
           );
-          if (o._tag === 'Right' && o.right.ok) {
-            stamp = o.right.revision;
+          if (outcome._tag === 'Right' && outcome.right.ok) {
+            revision = outcome.right.revision;
             return true;
           }
-          // Perhaps it was applied and its answer lost: then the mark says so.
-          const now = (yield* store.get(RESTORE_PROGRESS)).entry;
-          const same = JSON.stringify(now?.value ?? null) === JSON.stringify(next);
-          if (same) {
-            stamp = now?.stamp ?? 0;
+          // The transaction may have been applied and its response lost; the stored progress then equals the new one.
+          const current = (yield* store.get(RESTORE_PROGRESS)).entry;
+          const applied = JSON.stringify(current?.value ?? null) === JSON.stringify(next);
+          if (applied) {
+            revision = current?.stamp ?? 0;
             return true;
           }
-          if (o._tag === 'Right' || now?.stamp !== (stamp === 0 ? undefined : stamp)) return false;
+          if (outcome._tag === 'Right' || current?.stamp !== (revision === 0 ? undefined : revision))
+            return false;
           yield* Effect.sleep(100 + 100 * (yield* Random.next));
         }
       });
-    while (rest.length > 0) {
-      const part: Write[] = [];
+    while (remaining.length > 0) {
+      const batch: Write[] = [];
       let bytes = 0;
-      for (const e of rest) {
-        const size = JSON.stringify(e.value).length + e.key.length + 40;
-        if (part.length > 0 && (part.length >= limits.txnOps - 1 || bytes + size > TRANSACTION_BYTES)) break;
+      for (const entry of remaining) {
+        const size = JSON.stringify(entry.value).length + entry.key.length + 40;
+        if (batch.length > 0 && (batch.length >= limits.txnOps - 1 || bytes + size > TRANSACTION_BYTES))
+          break;
         if (size > limits.valueBytes)
-          return { ok: false, reason: `${e.key}: larger than a value may be here` } as const;
-        part.push({ set: e.key, value: e.value });
+          return {
+            ok: false,
+            reason: `${entry.key}: ${size} bytes exceed the store's limit of ${limits.valueBytes} per value`,
+          } as const;
+        batch.push({ set: entry.key, value: entry.value });
         bytes += size;
       }
-      const to = rest[part.length - 1]!.key;
-      if (!(yield* commit(part, { of, to })))
-        return { ok: false, reason: 'somebody else writes to the store' } as const;
-      progress = { of, to };
-      rest = rest.slice(part.length);
-      said(all.length - rest.length, all.length);
+      const to = remaining[batch.length - 1]!.key;
+      if (!(yield* commit(batch, { of: snapshot, to })))
+        return { ok: false, reason: 'another process is writing to the store' } as const;
+      progress = { of: snapshot, to };
+      remaining = remaining.slice(batch.length);
+      onProgress(entries.length - remaining.length, entries.length);
     }
     const generation = content.generation + 1;
     const random = (yield* Random.nextIntBetween(0, 2 ** 31)).toString(36);
-    const last: Write[] = [
+    const finalWrites: Write[] = [
       { set: TERM, value: { term: generationFloor(generation) } },
       { set: `${INCARNATION}restored.${generation}.${random}`, value: { g: generation, by: 'restore' } },
       { set: REBUILD, value: { phase: 'gather', heard: [] } },
     ];
-    if (!(yield* commit(last, null)))
-      return { ok: false, reason: 'somebody else writes to the store' } as const;
-    return { ok: true, written: all.length, resumed } as const;
+    if (!(yield* commit(finalWrites, null)))
+      return { ok: false, reason: 'another process is writing to the store' } as const;
+    return { ok: true, written: entries.length, resumed } as const;
   });
--- a/packages/controller/src/snapshots/snapshot-task.ts
+++ b/packages/controller/src/snapshots/snapshot-task.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps a snapshot of the store on this node's disk, where operators have turned that on, and reads the one that is there
- * when the node starts: a store that has lost what the snapshot holds is rebuilt from it as well (docs/snapshots.md).
+ * Keeps a snapshot of the store on this controller's disk, if operators have enabled it, and reads the existing snapshot when
+ * the controller starts. If the store has lost data that the snapshot contains, the rebuild uses the snapshot as well
+ * (docs/snapshots.md).
  */
 import { supervise } from '@lilacvalve/runtime/supervise';
 import { error, info } from '@lilacvalve/runtime/log';
@@ -17,32 +18,38 @@
 import type { Page } from '../state-store/client.js';
 import type { StatePort } from '../state-store/port.js';
 
-/** A change is on the disk so long after this node has read it, at the latest, unless the disk is slower. */
-export const SYNC_EVERY_MS = 200;
+/** Maximum time between reading a change from the store and its being synced to disk, unless the disk is slower. */
+export const SYNC_INTERVAL_MS = 200;
+/** Entries per page when a base is read from the store. */
 const PAGE_SIZE = 500;
-/** Between two pages of a base: it is read beside everything else. */
+/** Pause between two pages while a base is read, so that the reads leave capacity for other requests. */
 const PAGE_GAP_MS = 100;
 
-export const SETTINGS: Omit<WriterOptions, 'revision' | 'now' | 'sleep' | 'say'> = {
-  syncMs: SYNC_EVERY_MS,
+/** Limits and retention of the snapshot's files. */
+export const WRITER_SETTINGS: Omit<WriterOptions, 'revision' | 'now' | 'sleep' | 'say'> = {
+  syncMs: SYNC_INTERVAL_MS,
   journalBytes: 32 * 1024 * 1024,
   queue: 20_000,
   keep: 3,
   maxAgeMs: 24 * 3600 * 1000,
 };
 
-/** A snapshot's content as a view of jobs. */
-export const viewOf = (c: Content): JobState => {
+/** Returns the job state that a snapshot's content describes. */
+export const viewOf = (content: Content): JobState => {
   const jobState = new JobState();
   jobState.load(
-    [...c.entries.values()].map((e) => ({ key: e.key, value: e.value, stamp: e.stamp })),
-    c.revision,
+    [...content.entries.values()].map((entry) => ({
+      key: entry.key,
+      value: entry.value,
+      stamp: entry.stamp,
+    })),
+    content.revision,
   );
   return jobState;
 };
 
-/** What the task works with. */
-export interface SnapshotParts {
+/** Dependencies of the snapshot task. */
+export interface SnapshotTaskDependencies {
   readonly files: Files;
   readonly store: StatePort;
   readonly watcher: StoreWatcher;
@@ -51,25 +58,36 @@
   readonly preLossViews: PreLossViews;
 }
 
-/** Before anything is read of the store: what the snapshot has counts as known, and is kept until it is durable. */
-const restoreFromSnapshot = (parts: SnapshotParts): Effect.Effect<void> =>
-  Effect.promise(() => load(parts.files)).pipe(
-    Effect.flatMap((c) => {
-      if (c === null) return info('no snapshot');
-      const view = viewOf(c);
-      for (const [id, f] of view.finalStates.entries()) parts.jobState.finalStates.remember(id, f);
-      const snapshotView = parts.preLossViews.captureView(view, c.generation, null);
-      parts.preLossViews.add(snapshotView);
-      // A store of that incarnation that is at least as new has lost nothing of it.
-      parts.lossDetector.onIncarnationConfirmed = (id) => {
-        if (id === c.incarnation) parts.preLossViews.drop([snapshotView.id]);
-        parts.lossDetector.onIncarnationConfirmed = () => undefined;
+/**
+ * Reads the snapshot on the disk, if there is one, before anything is read from the store. Its content counts as known data:
+ * it is kept as a pre-loss view until the store is known to contain all of it.
+ */
+const restoreFromSnapshot = (dependencies: SnapshotTaskDependencies): Effect.Effect<void> =>
+  Effect.promise(() => load(dependencies.files)).pipe(
+    Effect.flatMap((content) => {
+      if (content === null) return info('no snapshot');
+      const view = viewOf(content);
+      for (const [id, finalState] of view.finalStates.entries())
+        dependencies.jobState.finalStates.remember(id, finalState);
+      const snapshotView = dependencies.preLossViews.captureView(view, content.generation, null);
+      dependencies.preLossViews.add(snapshotView);
+      // A store of the same incarnation that is at least as new as the snapshot has lost none of its content.
+      dependencies.lossDetector.onIncarnationConfirmed = (id) => {
+        if (id === content.incarnation) dependencies.preLossViews.drop([snapshotView.id]);
+        dependencies.lossDetector.onIncarnationConfirmed = () => undefined;
       };
-      parts.lossDetector.restoreKnowledge(c.incarnation, c.generation, c.revision, view.term);
-      const flaws = c.files.flatMap((f) => (f.flaw ? [`${f.name} ${f.flaw.kind} at ${f.flaw.offset}`] : []));
+      dependencies.lossDetector.restoreKnowledge(
+        content.incarnation,
+        content.generation,
+        content.revision,
+        view.term,
+      );
+      const flaws = content.files.flatMap((file) =>
+        file.flaw ? [`${file.name} ${file.flaw.kind} at byte ${file.flaw.offset}`] : [],
+      );
       return info('snapshot read', {
-        revision: c.revision,
-        generation: c.generation,
+        revision: content.revision,
+        generation: content.generation,
         jobs: view.jobs.size,
         ...(flaws.length > 0 ? { flaws: flaws.join(', ') } : {}),
       });
@@ -77,38 +95,43 @@
     Effect.catchAllCause((cause) => error('snapshot not read', { reason: String(cause).slice(0, 300) })),
   );
 
-/** `first`: to be run before anything is read of the store. `run`: writes the snapshot, for ever. */
+/**
+ * Returns the two effects of the snapshot task. `first` reads the existing snapshot and must run before anything is read from
+ * the store; `run` writes the snapshot forever.
+ */
 export const snapshotTask = (
-  parts: SnapshotParts,
+  dependencies: SnapshotTaskDependencies,
 ): { readonly first: Effect.Effect<void>; readonly run: Effect.Effect<never> } => ({
-  first: restoreFromSnapshot(parts),
+  first: restoreFromSnapshot(dependencies),
   run: supervise(
     'snapshots',
     Effect.gen(function* () {
       const runtime = yield* Effect.runtime<never>();
       const runPromise = Runtime.runPromise(runtime);
       const fork = Runtime.runFork(runtime);
-      const sleep = (ms: number): Promise<void> => runPromise(Effect.sleep(ms));
-      const writer = new SnapshotWriter(parts.files, {
-        ...SETTINGS,
-        revision: () => parts.jobState.revision,
+      const sleep = (durationMs: number): Promise<void> => runPromise(Effect.sleep(durationMs));
+      const writer = new SnapshotWriter(dependencies.files, {
+        ...WRITER_SETTINGS,
+        revision: () => dependencies.jobState.revision,
         now: () => Date.now(),
         sleep,
-        say: (event, what) => void fork(info(`snapshot ${event}`, { what })),
+        say: (event, detail) => void fork(info(`snapshot ${event}`, { what: detail })),
       });
       let incarnationId: string | null = null;
-      parts.watcher.onChanges = (changes) => {
-        const i = parts.lossDetector.incarnation;
-        if (i === null) return;
-        if (i.id !== incarnationId) {
-          incarnationId = i.id;
-          writer.begin({ incarnation: i.id, generation: i.generation });
+      dependencies.watcher.onChanges = (changes) => {
+        const incarnation = dependencies.lossDetector.incarnation;
+        if (incarnation === null) return;
+        if (incarnation.id !== incarnationId) {
+          incarnationId = incarnation.id;
+          writer.begin({ incarnation: incarnation.id, generation: incarnation.generation });
         }
         writer.changes(changes);
       };
       const source = async function* (): AsyncGenerator<SourcePage> {
         for (let after: string | null = null, more = true; more;) {
-          const page: Page = await runPromise(parts.store.page(ROOT, after, PAGE_SIZE, Priority.Upkeep));
+          const page: Page = await runPromise(
+            dependencies.store.page(ROOT, after, PAGE_SIZE, Priority.Upkeep),
+          );
           yield page;
           after = page.entries[page.entries.length - 1]?.key ?? null;
           more = page.more && after !== null;
@@ -118,7 +141,7 @@
       yield* Effect.promise(() => writer.run(source)).pipe(
         Effect.ensuring(
           Effect.sync(() => {
-            parts.watcher.onChanges = null;
+            dependencies.watcher.onChanges = null;
             writer.close();
           }),
         ),
--- a/packages/controller/test/program.test.ts
+++ b/packages/controller/test/program.test.ts
@@ -1,4 +1,4 @@
-/** Settings, the built program's command line, and the small codecs. */
+/** The settings parser, the built program's command line, and the codecs of ranges, jobs and log entries. */
 import assert from 'node:assert/strict';
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { spawn, spawnSync } from 'node:child_process';
@@ -15,10 +15,10 @@
 const FIXTURE = 'packages/controller/test/fixtures/node.toml';
 const text = readFileSync(FIXTURE, 'utf8');
 
-test('settings: unknown fields are ignored, times become microseconds, faults name the field', () => {
-  const ok = Either.getOrThrow(parseSettings(text));
-  assert.equal(ok.workers.lease, 12_000_000);
-  assert.equal(ok.state.valueBytes, 16_384);
+test('settings: unknown fields are ignored, durations become microseconds, errors name the field', () => {
+  const settings = Either.getOrThrow(parseSettings(text));
+  assert.equal(settings.workers.lease, 12_000_000);
+  assert.equal(settings.state.valueBytes, 16_384);
   const cases: [string, string, RegExp][] = [
     ['label = "node-0"\n', '', /^label: .*missing/],
     ['lease_s = 12.0', 'lease_s = "long"', /^cluster\.workers\.lease_s: /],
@@ -26,14 +26,14 @@
     ['txn_ops = 20', 'txn_ops = 0', /^cluster\.state\.txn_ops: /],
     ['[cluster]', '[cluster', /^not TOML: /],
   ];
-  for (const [from, to, want] of cases) {
-    const bad = parseSettings(text.replace(from, to));
-    assert.ok(Either.isLeft(bad), to);
-    assert.match(bad.left, want);
+  for (const [from, to, expectedError] of cases) {
+    const parsed = parseSettings(text.replace(from, to));
+    assert.ok(Either.isLeft(parsed), to);
+    assert.match(parsed.left, expectedError);
   }
 });
 
-test('the built program: help, version, check, one line and a status for bad settings', () => {
+test('the built program prints help and version, checks settings, and exits with one line for invalid settings', () => {
   const run = (...args: string[]) => spawnSync('node', ['target/main.cjs', ...args], { encoding: 'utf8' });
   assert.match(run('--help').stdout, /--config <file>/);
   assert.equal(
@@ -41,40 +41,40 @@
     (JSON.parse(readFileSync('package.json', 'utf8')) as { version: string }).version,
   );
   assert.equal(run('--check', '--config', FIXTURE).status, 0);
-  const bad = join(mkdtempSync(join(tmpdir(), 'lilacvalve-')), 'bad.toml');
-  writeFileSync(bad, text.replace('rps = 100.0', ''));
-  const r = run('--config', bad);
-  assert.equal(r.status, 2);
-  assert.match(r.stderr, /^settings: cluster\.state\.rps: .*\n$/);
+  const invalidFile = join(mkdtempSync(join(tmpdir(), 'lilacvalve-')), 'bad.toml');
+  writeFileSync(invalidFile, text.replace('rps = 100.0', ''));
+  const result = run('--config', invalidFile);
+  assert.equal(result.status, 2);
+  assert.match(result.stderr, /^settings: cluster\.state\.rps: .*\n$/);
 });
 
-test('the built program starts, listens and stops in order', async () => {
+test('the built program starts, listens and exits on SIGTERM', async () => {
   const child = spawn('node', ['target/main.cjs', '--config', FIXTURE], {
     env: { ...process.env, LOG_LEVEL: 'info' },
   });
-  let err = '';
-  await new Promise<void>((done, fail) => {
-    child.stderr.on('data', (d: Buffer) => {
-      err += d.toString();
-      if (err.includes('listening')) done();
+  let log = '';
+  await new Promise<void>((resolve, reject) => {
+    child.stderr.on('data', (chunk: Buffer) => {
+      log += chunk.toString();
+      if (log.includes('listening')) resolve();
     });
-    child.on('exit', () => fail(new Error(`ended: ${err}`)));
+    child.on('exit', () => reject(new Error(`the program exited: ${log}`)));
   });
   child.removeAllListeners('exit');
-  const code = await new Promise<number | null>((done) => {
-    child.on('exit', done);
+  const code = await new Promise<number | null>((resolve) => {
+    child.on('exit', resolve);
     child.kill('SIGTERM');
   });
   assert.notEqual(code, null);
-  assert.match(err, /info listening node=node-0/);
+  assert.match(log, /info listening node=node-0/);
 });
 
-test('ranges and durable forms come back as they went', () => {
+test('ranges, jobs and log entries are unchanged after encoding and decoding', () => {
   fc.assert(
-    fc.property(fc.uniqueArray(fc.nat(500)), (a) => {
+    fc.property(fc.uniqueArray(fc.nat(500)), (numbers) => {
       assert.deepEqual(
-        decodeRanges(encodeRanges(a)),
-        [...a].sort((x, y) => x - y),
+        decodeRanges(encodeRanges(numbers)),
+        [...numbers].sort((left, right) => left - right),
       );
     }),
     { seed: 3 },
--- a/packages/controller/test/server.test.ts
+++ b/packages/controller/test/server.test.ts
@@ -1,4 +1,4 @@
-/** The HTTP server: what is handled outside fibers can't end the process, and the rest still goes to the handler. */
+/** The HTTP server and its helpers: an exception outside a fiber does not end the process; aligned timers; the cycle gate. */
 import assert from 'node:assert/strict';
 import { request } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -11,23 +11,25 @@
 import { Luck } from './support/random-source.js';
 
 const get = (port: number, path: string): Promise<{ status: number; retry: string | undefined }> =>
-  new Promise((done, fail) => {
-    const r = request({ host: '127.0.0.1', port, path }, (res) => {
-      res.resume();
-      res.on('end', () => done({ status: res.statusCode!, retry: res.headers['retry-after'] }));
+  new Promise((resolve, reject) => {
+    const clientRequest = request({ host: '127.0.0.1', port, path }, (response) => {
+      response.resume();
+      response.on('end', () =>
+        resolve({ status: response.statusCode!, retry: response.headers['retry-after'] }),
+      );
     });
-    r.on('error', fail);
-    r.end();
+    clientRequest.on('error', reject);
+    clientRequest.end();
   });
 
-test('a request that fails outside fibers gets 503, the next ones their answers', async () => {
+test('a request whose handling throws outside a fiber gets 503, and later requests are handled', async () => {
   const scope = Effect.runSync(Scope.make());
   const server = await Effect.runPromise(
     serve({ host: '127.0.0.1', port: 0 }, 10, () => Effect.succeed(json(200, { by: 'handler' })), {
-      quick: (r, reply) => {
-        if (r.path === '/broken') throw new Error('broken on purpose');
-        if (r.path === '/quick') reply(json(202, {}));
-        return r.path === '/quick';
+      quick: (incoming, reply) => {
+        if (incoming.path === '/broken') throw new Error('broken on purpose');
+        if (incoming.path === '/quick') reply(json(202, {}));
+        return incoming.path === '/quick';
       },
     }).pipe(Scope.extend(scope)),
   );
@@ -38,47 +40,49 @@
   await Effect.runPromise(Scope.close(scope, Exit.void));
 });
 
-test('a port that a process killed a moment ago still holds is taken once it is free', async () => {
+test('a port that is still in use is retried until it is free', async () => {
   const scope = Effect.runSync(Scope.make());
-  const other = Effect.runSync(Scope.make());
-  const on = (port: number, s: Scope.Scope) =>
-    serve({ host: '127.0.0.1', port }, 10, () => Effect.succeed(json(200, {}))).pipe(Scope.extend(s));
-  const { port } = (await Effect.runPromise(on(0, other))).address() as AddressInfo;
-  const second = Effect.runPromise(on(port, scope));
-  // It has been refused once when this goes through.
-  await Effect.runPromise(Effect.sleep(20).pipe(Effect.zipRight(Scope.close(other, Exit.void))));
+  const earlierScope = Effect.runSync(Scope.make());
+  const serveOn = (port: number, serverScope: Scope.Scope) =>
+    serve({ host: '127.0.0.1', port }, 10, () => Effect.succeed(json(200, {}))).pipe(
+      Scope.extend(serverScope),
+    );
+  const { port } = (await Effect.runPromise(serveOn(0, earlierScope))).address() as AddressInfo;
+  const second = Effect.runPromise(serveOn(port, scope));
+  // By the time the first server is closed, the second one has failed to listen at least once.
+  await Effect.runPromise(Effect.sleep(20).pipe(Effect.zipRight(Scope.close(earlierScope, Exit.void))));
   await second;
   assert.equal((await get(port, '/')).status, 200);
   await Effect.runPromise(Scope.close(scope, Exit.void));
 });
 
-test('at the gate one that fails keeps nobody waiting, and whoever waits too long is let go', () => {
+test('a failing callback at the cycle gate does not delay the others, and overdue callbacks are released', () => {
   let now = 0 as Micros;
   const gate = new CycleGate(() => now);
-  const gone: string[] = [];
+  const released: string[] = [];
   gate.wait(() => {
     throw new Error('broken on purpose');
   });
-  gate.wait(() => gone.push('first'));
+  gate.wait(() => released.push('first'));
   gate.cycleBegan();
-  gate.wait(() => gone.push('during the turn'));
+  gate.wait(() => released.push('during the cycle'));
   assert.throws(() => gate.cycleEnded(), /on purpose/);
-  assert.deepEqual(gone, ['first']);
+  assert.deepEqual(released, ['first']);
   now = seconds(2);
   gate.releaseOverdue(seconds(1));
-  assert.deepEqual(gone, ['first', 'during the turn']);
+  assert.deepEqual(released, ['first', 'during the cycle']);
 });
 
-test('ticks of one period fall together whenever they are asked for, and never twice for a timer a moment early', () => {
-  const luck = new Luck(11);
+test('ticks of one period coincide whatever the start time, and a timer that fires early does not tick twice', () => {
+  const random = new Luck(11);
   for (let i = 0; i < 2000; i++) {
-    const every = [250, 500, 1000, 1500, 2000][luck.int(5)]!;
-    const at = luck.int(1e9);
-    const left = untilTick(at, every);
-    assert.ok(left >= every / 10 && left < every * 1.1);
-    const woke = at + left - luck.int(every / 10);
-    assert.equal((at + left) % every, 0);
-    assert.ok(untilTick(woke, every) >= every / 10);
-    assert.ok(woke + untilTick(woke, every) > at + left);
+    const periodMs = [250, 500, 1000, 1500, 2000][random.int(5)]!;
+    const startMs = random.int(1e9);
+    const remaining = untilTick(startMs, periodMs);
+    assert.ok(remaining >= periodMs / 10 && remaining < periodMs * 1.1);
+    const firedEarlyAt = startMs + remaining - random.int(periodMs / 10);
+    assert.equal((startMs + remaining) % periodMs, 0);
+    assert.ok(untilTick(firedEarlyAt, periodMs) >= periodMs / 10);
+    assert.ok(firedEarlyAt + untilTick(firedEarlyAt, periodMs) > startMs + remaining);
   }
 });
--- a/packages/controller/test/settings-format.test.ts
+++ b/packages/controller/test/settings-format.test.ts
@@ -1,6 +1,6 @@
 /**
- * Holds what operators and the platform write: the settings file's keys, flags and commands, environment variables, exit
- * statuses and the deploy file. Scripts and deployments depend on these.
+ * Guards the interfaces that operators and the platform use: the settings file's keys, flags and commands, environment
+ * variables, exit statuses and the deploy file. Scripts and deployments depend on them.
  */
 import assert from 'node:assert/strict';
 import { execFile, spawnSync } from 'node:child_process';
@@ -14,28 +14,30 @@
 const FIXTURE = 'packages/controller/test/fixtures/node.toml';
 const text = readFileSync(FIXTURE, 'utf8');
 
-test('settings file: each key is read, and each that has no default is required', () => {
-  const whole = JSON.stringify(Either.getOrThrow(parseSettings(text)));
+test('settings file: every key is read, and every key without a default is required', () => {
+  const complete = JSON.stringify(Either.getOrThrow(parseSettings(text)));
   const lines = text.split('\n');
   let section = '';
   const outcomes: string[] = [];
-  lines.forEach((line, i) => {
+  lines.forEach((line, lineIndex) => {
     section = /^\[+([^\]]+)\]/.exec(line)?.[1] ?? section;
     const key = /^(\w+) = /.exec(line)?.[1];
     if (key === undefined || key === 'a_field_of_the_future') return;
     const without = parseSettings(
-      lines.map((l, n) => (n === i ? l.replace(key, `${key}_other`) : l)).join('\n'),
+      lines
+        .map((other, index) => (index === lineIndex ? other.replace(key, `${key}_other`) : other))
+        .join('\n'),
     );
     const missing = Either.isLeft(without);
-    // What is left out changes what is read, unless it was the default.
-    const changed = missing || JSON.stringify(without.right) !== whole;
+    // Leaving a key out changes the settings unless its value in the file is the default.
+    const changed = missing || JSON.stringify(without.right) !== complete;
     outcomes.push(`${section === '' ? '' : `${section}.`}${key}${missing ? '' : changed ? ' ?' : ' ??'}`);
   });
   assert.deepEqual(outcomes, [
     ...['label', 'zone', 'listen', 'cluster_listen', 'others.label', 'others.zone', 'others.peer_addr'],
     ...['services.cloud', 'services.state', 'cluster.nodes', 'cluster.zones ?', 'cluster.skew_ms ?'],
     ...['cluster.teams.name', 'cluster.teams.cpus ?', 'cluster.teams.cpus_max ?'],
-    // These are 0 in the file, which is their default.
+    // The file sets these to 0, which is their default.
     ...['cluster.teams.gpus ??', 'cluster.teams.gpus_max ??'],
     ...['cluster.objectives.kind', 'cluster.objectives.class ?', 'cluster.objectives.within_s ?'],
     ...['cluster.objectives.share ?', 'cluster.workers.report_s', 'cluster.workers.lease_s'],
@@ -46,14 +48,14 @@
   ]);
   for (const line of ['gpus = 3.0', 'gpus_max = 3.0', 'times = 3.0']) {
     const key = line.split(' ')[0]!;
-    const given = text.includes(`\n${key} = `)
+    const changedText = text.includes(`\n${key} = `)
       ? text.replace(new RegExp(`\n${key} = .*`), `\n${line}`)
       : text.replace('share = 0.9', `share = 0.9\n${line}`);
-    assert.notEqual(JSON.stringify(Either.getOrThrow(parseSettings(given))), whole, key);
+    assert.notEqual(JSON.stringify(Either.getOrThrow(parseSettings(changedText))), complete, key);
   }
 });
 
-test('deploy file: how the service is built and run', () => {
+test('deploy file: the build and run commands are unchanged', () => {
   assert.equal(
     readFileSync('deploy/service.toml', 'utf8'),
     'build = "[ node_modules -nt package-lock.json ] || npm ci --silent; node tools/build.mjs"\n' +
@@ -61,7 +63,7 @@
   );
 });
 
-test('the service: environment variable and exit statuses', () => {
+test('service: environment variable LOG_LEVEL and exit statuses', () => {
   const status = (args: string[], level?: string): number | null =>
     spawnSync('node', ['target/main.cjs', ...args], {
       env: { ...process.env, ...(level === undefined ? {} : { LOG_LEVEL: level }) },
@@ -73,7 +75,7 @@
   assert.equal(status(['--config', FIXTURE, '--balance', '59']), 1);
 });
 
-/** Sorted: where a command is declared in the code is no part of this. */
+/** The expected commands, flags and arguments of each program; sorted, since their order in the code does not matter. */
 const COMMANDS = {
   service: '--balance <seconds>, --check, --config <file>, --snapshots <dir>',
   capacity: '--size <file>, --slopes <file>, --write <page>',
@@ -103,29 +105,29 @@
     '<right>, diff, restore, show, verify',
   turns: '--free <share>, --held <n>, --json, --teams <n>, [machines], [rounds], [waiting]',
 };
-/** Commands, flags and arguments that a bundled program declares. */
-const declared = (bundle: string): string => {
+/** Returns the commands, flags and arguments that a bundled program declares. */
+const declaredNames = (bundle: string): string => {
   const code = bundle.replace(/\/\*[\s\S]*?\*\//g, '').replace(/^\s*\/\/.*$/gm, '');
-  const own = code.matchAll(
+  const declarations = code.matchAll(
     /(?:\.(?:command|option|requiredOption|argument)|new \w*Option)\(\s*["'`]([^"'`]+)["'`]/g,
   );
-  return [...own]
-    .map((m) => m[1]!)
+  return [...declarations]
+    .map((match) => match[1]!)
     .filter((name) => !name.includes('${'))
     .sort()
     .join(', ');
 };
-test('commands and flags of the service and of each tool of package.json', async () => {
+test('commands and flags of the service and of each tool in package.json are unchanged', async () => {
   const { scripts } = JSON.parse(readFileSync('package.json', 'utf8')) as { scripts: Record<string, string> };
   const tools = Object.entries(scripts).flatMap(([name, line]) => {
     const file = /--tool (\S+)/.exec(line)?.[1];
     return file === undefined ? [] : [[name, file] as const];
   });
-  const found: Record<string, string> = { service: declared(readFileSync('target/main.cjs', 'utf8')) };
+  const found: Record<string, string> = { service: declaredNames(readFileSync('target/main.cjs', 'utf8')) };
   await Promise.all(
     tools.map(async ([name, file]) => {
       await promisify(execFile)('node', ['tools/build.mjs', '--tool', file]);
-      found[name] = declared(readFileSync(`target/${basename(file, '.ts')}.cjs`, 'utf8'));
+      found[name] = declaredNames(readFileSync(`target/${basename(file, '.ts')}.cjs`, 'utf8'));
     }),
   );
   assert.deepEqual(found, COMMANDS);
--- a/packages/controller/test/support/settings.ts
+++ b/packages/controller/test/support/settings.ts
@@ -1,9 +1,11 @@
-/** A small deployment's settings and machine types, for tests and for the lab's small days. */
+/** Settings and machine types of a small cluster, for tests and for small simulations. */
 import { micros, seconds } from '@lilacvalve/runtime/micros';
 import type { MachineType } from '../../src/provisioning/model.js';
 import type { Settings } from '../../src/settings/settings.js';
 
+/** Zones of the test cluster. */
 export const ZONES = ['a', 'b'];
+/** Machine types of the test cluster: one without GPUs, one with. */
 export const TYPES: MachineType[] = [
   {
     name: 'c8',
@@ -30,12 +32,15 @@
     zones: ZONES,
   },
 ];
-export const worldSettings = (label: string, over: Partial<Settings> = {}): Settings => ({
+/** Returns the settings of the controller `label` of three controllers; `overrides` replaces single settings. */
+export const worldSettings = (label: string, overrides: Partial<Settings> = {}): Settings => ({
   label,
   zone: 'a',
   listen: '127.0.0.1:1',
   peerListen: '127.0.0.1:2',
-  peers: ['n0', 'n1', 'n2'].filter((n) => n !== label).map((n) => ({ label: n, zone: 'a', address: '' })),
+  peers: ['n0', 'n1', 'n2']
+    .filter((peer) => peer !== label)
+    .map((peer) => ({ label: peer, zone: 'a', address: '' })),
   cloudAddress: '127.0.0.1:3',
   stateAddress: '127.0.0.1:4',
   nodes: 3,
@@ -57,5 +62,5 @@
   state: { rps: 100, writeRps: 30, valueBytes: 16384, txnOps: 20 },
   cloud: { rps: 4, listLag: seconds(4) },
   limits: { cores: 0.3, memoryMb: 200, maxConnections: 1000 },
-  ...over,
+  ...overrides,
 });
--- a/packages/runtime/src/closed-pipe.ts
+++ b/packages/runtime/src/closed-pipe.ts
@@ -1,9 +1,9 @@
-/** What a command does when the reader of its output goes away, as `| head` does. */
+/** Handling of a closed output pipe in commands, as in `command | head`. */
 
-/** Ends the process quietly, with status 0, once standard output can't be written any more; other errors are thrown. */
+/** Exits with status 0 when standard output is closed by its reader; other errors of standard output are thrown. */
 export const endOnClosedPipe = (): void => {
-  process.stdout.on('error', (e: NodeJS.ErrnoException) => {
-    if (e.code !== 'EPIPE') throw e;
+  process.stdout.on('error', (failure: NodeJS.ErrnoException) => {
+    if (failure.code !== 'EPIPE') throw failure;
     process.exit(0);
   });
 };
--- a/packages/runtime/src/http-client.ts
+++ b/packages/runtime/src/http-client.ts
@@ -1,24 +1,30 @@
-/** HTTP client on Node's http. "No response" is a failure of its own: the request may still be carried out. */
+/**
+ * HTTP client on Node's `http`. A missing response is a failure of its own type, because the server may have carried out the
+ * request, or may still do so.
+ */
 import * as http from 'node:http';
 import { Data, Effect } from 'effect';
 
-/** No answer came; what was asked may have been done, or may be done later. */
+/** No response was received. The server may have carried out the request, or may still do so. */
 export class NoAnswer extends Data.TaggedError('NoAnswer')<{ readonly reason: string }> {}
 
+/** A response with its whole body. */
 export interface Reply {
   readonly status: number;
   readonly body: Buffer;
 }
 
-export const parseAddress = (addr: string): { host: string; port: number } => {
-  const at = addr.lastIndexOf(':');
-  return { host: addr.slice(0, at), port: Number(addr.slice(at + 1)) };
+/** Splits an address of the form `host:port`. */
+export const parseAddress = (address: string): { host: string; port: number } => {
+  const colon = address.lastIndexOf(':');
+  return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
 };
 
-/** Connections to one server, kept open between requests. */
+/** Returns an agent that keeps up to `maxSockets` connections to a server open between requests. */
 export const keptOpen = (maxSockets: number): http.Agent =>
   new http.Agent({ keepAlive: true, maxSockets, scheduling: 'fifo' });
 
+/** Sends requests to one server. */
 export class HttpClient {
   private readonly target: { host: string; port: number };
 
@@ -30,6 +36,7 @@
     this.target = parseAddress(address);
   }
 
+  /** Sends a request; fails if the whole response is not received within `timeoutMs`. */
   request(
     method: string,
     path: string,
@@ -37,9 +44,9 @@
     timeoutMs: number,
   ): Effect.Effect<Reply, NoAnswer> {
     return Effect.async<Reply, NoAnswer>((resume) => {
-      let over = false;
+      let finished = false;
       const data = body === null ? null : Buffer.from(body);
-      const req = http.request({
+      const clientRequest = http.request({
         host: this.target.host,
         port: this.target.port,
         method,
@@ -48,32 +55,32 @@
         headers: data === null ? {} : { 'Content-Type': this.contentType, 'Content-Length': data.length },
       });
       const finish = (outcome: Effect.Effect<Reply, NoAnswer>) => {
-        if (over) return;
-        over = true;
+        if (finished) return;
+        finished = true;
         clearTimeout(timer);
         resume(outcome);
       };
       const fail = (reason: string) => {
         finish(Effect.fail(new NoAnswer({ reason })));
-        req.destroy();
+        clientRequest.destroy();
       };
       const timer = setTimeout(() => fail('timeout'), timeoutMs);
-      req.on('error', (e) => fail(e.message));
-      req.on('response', (res) => {
-        const parts: Buffer[] = [];
-        res.on('data', (part: Buffer) => parts.push(part));
-        res.on('error', (e) => fail(e.message));
-        res.on('aborted', () => fail('aborted'));
-        res.on('end', () =>
-          finish(Effect.succeed({ status: res.statusCode ?? 0, body: Buffer.concat(parts) })),
+      clientRequest.on('error', (failure) => fail(failure.message));
+      clientRequest.on('response', (response) => {
+        const chunks: Buffer[] = [];
+        response.on('data', (chunk: Buffer) => chunks.push(chunk));
+        response.on('error', (failure) => fail(failure.message));
+        response.on('aborted', () => fail('aborted'));
+        response.on('end', () =>
+          finish(Effect.succeed({ status: response.statusCode ?? 0, body: Buffer.concat(chunks) })),
         );
       });
-      if (data !== null) req.write(data);
-      req.end();
+      if (data !== null) clientRequest.write(data);
+      clientRequest.end();
       return Effect.sync(() => {
-        over = true;
+        finished = true;
         clearTimeout(timer);
-        req.destroy();
+        clientRequest.destroy();
       });
     });
   }
--- a/packages/runtime/src/http-server.ts
+++ b/packages/runtime/src/http-server.ts
@@ -1,113 +1,134 @@
 /**
- * HTTP server on Node's http: one fiber per connection, which answers that connection's requests in
- * order and is interrupted when the connection closes.
+ * HTTP server on Node's `http`. A fiber per connection handles the connection's requests in order and is interrupted when the
+ * connection closes. Frequent requests can be handled without a fiber.
  */
 import * as http from 'node:http';
 import type { Socket } from 'node:net';
 import { Cause, Effect, Fiber, Queue, Runtime, Schedule, Scope } from 'effect';
 import { error } from './log.js';
 
+/** A request with its whole body. */
 export interface Incoming {
   readonly method: string;
   readonly path: string;
-  /** null: the body was larger than a request may be. */
+  /** null if the body exceeds the maximum size. */
   readonly body: Buffer | null;
 }
+/** A response; its content type is JSON unless `headers` says otherwise. */
 export interface Answer {
   readonly status: number;
   readonly body: Buffer | string;
   readonly headers?: Record<string, string>;
 }
+/** Handles a request in a fiber. */
 export type Handler = (request: Incoming) => Effect.Effect<Answer>;
 /**
- * Takes a request outside any fiber and replies once, at once or later; false: it is left to the handler. For what
- * comes in hundreds a second: a fiber's start and end cost several times what the answer does.
+ * Handles a request without a fiber, and calls `reply` exactly once, immediately or later. Returns false to leave the request
+ * to the handler. Meant for requests that arrive hundreds of times a second: starting and ending a fiber costs several times
+ * as much as handling such a request.
  */
 export type Quick = (request: Incoming, reply: (answer: Answer) => void) => boolean;
 
-interface Pending {
-  readonly req: http.IncomingMessage;
-  readonly res: http.ServerResponse;
+/** A request that waits for the fiber of its connection. */
+interface QueuedRequest {
+  readonly incoming: http.IncomingMessage;
+  readonly response: http.ServerResponse;
   readonly body: Buffer | null;
 }
 
-/** A port that is in use is tried again so often, for so long. */
-const PORT_AGAIN_MS = 50;
-const PORT_FOR_MS = 5000;
-/** A connection so long without a packet is asked whether its peer is there: ten times, a second apart. */
-const SILENT_MS = 15_000;
-/** What users and workers may send. */
-const BODY_LIMIT = 64 * 1024;
+/** Interval of the attempts to listen on a port that is in use. */
+const PORT_RETRY_INTERVAL_MS = 50;
+/** Total duration of these attempts. */
+const PORT_RETRY_LIMIT_MS = 5000;
+/** Idle time after which the system probes whether a connection's peer is alive: ten times, a second apart. */
+const KEEP_ALIVE_DELAY_MS = 15_000;
+/** Default maximum size of a request's body. */
+const MAX_BODY_BYTES = 64 * 1024;
 
+/** Returns a response with a JSON body. */
 export const json = (status: number, value: unknown, headers?: Record<string, string>): Answer => ({
   status,
   body: JSON.stringify(value),
   headers,
 });
+/** Returns a 503 response that asks the client to retry after `afterS` seconds. */
 export const retryLater = (reason: string, afterS = 1): Answer =>
   json(503, { error: reason }, { 'Retry-After': String(afterS) });
 
-/** Collects a request's body; null: it is too large. Done by events, so that a fiber takes up whole requests only. */
-const readBody = (req: http.IncomingMessage, limit: number, whole: (body: Buffer | null) => void): void => {
-  const parts: Buffer[] = [];
+/** Reads a request's body and passes it to `onBody`, or null if it is too large. Uses events, so that a fiber only gets whole requests. */
+const readBody = (
+  incoming: http.IncomingMessage,
+  maxBytes: number,
+  onBody: (body: Buffer | null) => void,
+): void => {
+  const chunks: Buffer[] = [];
   let size = 0;
-  req.on('data', (part: Buffer) => {
-    size += part.length;
-    if (size <= limit) parts.push(part);
+  incoming.on('data', (chunk: Buffer) => {
+    size += chunk.length;
+    if (size <= maxBytes) chunks.push(chunk);
   });
-  req.on('end', () => whole(size > limit ? null : parts.length === 1 ? parts[0]! : Buffer.concat(parts)));
+  incoming.on('end', () =>
+    onBody(size > maxBytes ? null : chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks)),
+  );
 };
 
-const write = (res: http.ServerResponse, answer: Answer): void => {
+/** Writes a response. */
+const writeResponse = (target: http.ServerResponse, answer: Answer): void => {
   const { body } = answer;
-  // Raw pairs pass through unchecked; a string body goes out in one piece with the head.
-  const head = ['Content-Type', 'application/json', 'Content-Length', String(Buffer.byteLength(body))];
+  // Node does not validate headers given as raw pairs, and sends a string body in one write with the headers.
+  const rawHeaders = ['Content-Type', 'application/json', 'Content-Length', String(Buffer.byteLength(body))];
   if (answer.headers !== undefined) {
     for (const [name, value] of Object.entries(answer.headers)) {
-      if (name === 'Content-Type') head[1] = value;
-      else head.push(name, value);
+      if (name === 'Content-Type') rawHeaders[1] = value;
+      else rawHeaders.push(name, value);
     }
   }
-  res.sendDate = false;
-  res.writeHead(answer.status, head);
-  res.end(body);
+  target.sendDate = false;
+  target.writeHead(answer.status, rawHeaders);
+  target.end(body);
 };
 
-const incoming = (req: http.IncomingMessage, body: Buffer | null): Incoming => {
-  const url = req.url ?? '/';
-  const mark = url.indexOf('?');
-  return { method: req.method ?? 'GET', path: mark < 0 ? url : url.slice(0, mark), body };
+/** Returns the request as handlers see it: without the query string. */
+const toRequest = (incoming: http.IncomingMessage, body: Buffer | null): Incoming => {
+  const url = incoming.url ?? '/';
+  const queryStart = url.indexOf('?');
+  return { method: incoming.method ?? 'GET', path: queryStart < 0 ? url : url.slice(0, queryStart), body };
 };
 
-interface Options {
+/** Optional settings of a server. */
+interface ServerOptions {
+  /** Maximum size of a request's body, in bytes. */
   readonly bodyLimit?: number;
+  /** Called first for each request; see the type. */
   readonly quick?: Quick;
-  /** Takes an exchange whose body is read as it comes; false: the body is read whole, as ever. */
-  readonly stream?: (req: http.IncomingMessage, res: http.ServerResponse) => boolean;
+  /** Takes over a request whose body is streamed. Returns false for requests whose body is to be read as a whole. */
+  readonly stream?: (incoming: http.IncomingMessage, response: http.ServerResponse) => boolean;
 }
 
+/** Starts a server that is closed with the scope. Retries for a while if the port is in use. */
 export const serve = (
   listen: { readonly host: string; readonly port: number },
   maxConnections: number,
   handler: Handler,
-  { bodyLimit = BODY_LIMIT, quick, stream }: Options = {},
+  { bodyLimit = MAX_BODY_BYTES, quick, stream }: ServerOptions = {},
 ): Effect.Effect<http.Server, Error, Scope.Scope> =>
   Effect.gen(function* () {
     const runtime = yield* Effect.runtime<never>();
     const fork = Runtime.runFork(runtime);
     const fibers = new Set<Fiber.RuntimeFiber<unknown, unknown>>();
-    const queues = new WeakMap<object, Queue.Queue<Pending>>();
+    const queues = new WeakMap<object, Queue.Queue<QueuedRequest>>();
 
-    const one = ({ req, res, body }: Pending): Effect.Effect<void> =>
-      Effect.suspend(() => handler(incoming(req, body))).pipe(
-        Effect.map((answer) => write(res, answer)),
+    /** Handles one request; a failure is logged and gets a 503 response. */
+    const handleRequest = ({ incoming, response, body }: QueuedRequest): Effect.Effect<void> =>
+      Effect.suspend(() => handler(toRequest(incoming, body))).pipe(
+        Effect.map((answer) => writeResponse(response, answer)),
         Effect.catchAllCause((cause) =>
           Cause.isInterruptedOnly(cause)
             ? Effect.interrupt
-            : error('request failed', { path: req.url, reason: Cause.pretty(cause).slice(0, 600) }).pipe(
+            : error('request failed', { path: incoming.url, reason: Cause.pretty(cause).slice(0, 600) }).pipe(
                 Effect.zipRight(
                   Effect.sync(() => {
-                    if (!res.headersSent) write(res, retryLater('internal'));
+                    if (!response.headersSent) writeResponse(response, retryLater('internal'));
                   }),
                 ),
               ),
@@ -121,17 +142,17 @@
     server.timeout = 0;
     server.maxConnections = maxConnections;
     server.on('connection', (socket) => {
-      // A peer that is gone without a word would hold its socket for good.
-      socket.setKeepAlive(true, SILENT_MS);
+      // Without probes, the socket of a peer that vanished without closing it would stay open forever.
+      socket.setKeepAlive(true, KEEP_ALIVE_DELAY_MS);
       socket.on('error', () => socket.destroy());
     });
-    /** A connection's queue of requests, with the fiber that answers them; most connections never need one. */
-    const queueOf = (socket: Socket): Queue.Queue<Pending> => {
+    /** Returns the connection's queue of requests; starts the fiber that handles them when the first request needs it. */
+    const queueOf = (socket: Socket): Queue.Queue<QueuedRequest> => {
       let queue = queues.get(socket);
       if (queue !== undefined) return queue;
-      queue = Effect.runSync(Queue.unbounded<Pending>());
+      queue = Effect.runSync(Queue.unbounded<QueuedRequest>());
       queues.set(socket, queue);
-      const fiber = fork(Effect.forever(Effect.flatMap(Queue.take(queue), one)));
+      const fiber = fork(Effect.forever(Effect.flatMap(Queue.take(queue), handleRequest)));
       fibers.add(fiber);
       socket.on('close', () => {
         fibers.delete(fiber);
@@ -139,46 +160,47 @@
       });
       return queue;
     };
-    server.on('request', (req, res) => {
-      res.on('error', () => undefined);
-      if (stream?.(req, res) === true) return;
-      readBody(req, bodyLimit, (body) => {
-        let taken = false;
+    server.on('request', (incoming, response) => {
+      response.on('error', () => undefined);
+      if (stream?.(incoming, response) === true) return;
+      readBody(incoming, bodyLimit, (body) => {
+        let handled = false;
         try {
-          taken = quick?.(incoming(req, body), (answer) => write(res, answer)) ?? false;
-        } catch (e) {
-          // Outside any fiber nobody else would catch it, and the whole process would end of one request.
-          taken = true;
-          fork(error('request failed', { path: req.url, reason: String(e).slice(0, 600) }));
-          if (!res.headersSent) write(res, retryLater('internal'));
+          handled = quick?.(toRequest(incoming, body), (answer) => writeResponse(response, answer)) ?? false;
+        } catch (failure) {
+          // Outside a fiber, an uncaught exception would end the whole process because of one request.
+          handled = true;
+          fork(error('request failed', { path: incoming.url, reason: String(failure).slice(0, 600) }));
+          if (!response.headersSent) writeResponse(response, retryLater('internal'));
         }
-        // Closed meanwhile: nobody waits for the answer.
-        if (!taken && !req.socket.destroyed) Queue.unsafeOffer(queueOf(req.socket), { req, res, body });
+        // If the connection was closed meanwhile, the response could not be delivered.
+        if (!handled && !incoming.socket.destroyed)
+          Queue.unsafeOffer(queueOf(incoming.socket), { incoming, response, body });
       });
     });
-    server.on('clientError', (_e, socket) => {
+    server.on('clientError', (_failure, socket) => {
       if (socket.writable)
         socket.end('HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n');
       else socket.destroy();
     });
 
     // A process that was killed a moment ago may still hold the port.
-    const open = Effect.async<void, NodeJS.ErrnoException>((resume) => {
-      const failed = (e: Error): void => resume(Effect.fail(e));
-      server.once('error', failed);
+    const listening = Effect.async<void, NodeJS.ErrnoException>((resume) => {
+      const onError = (failure: Error): void => resume(Effect.fail(failure));
+      server.once('error', onError);
       server.listen({ host: listen.host, port: listen.port, backlog: 511 }, () => {
-        server.off('error', failed);
+        server.off('error', onError);
         server.on('error', () => undefined);
         resume(Effect.void);
       });
     }).pipe(
       Effect.retry({
-        while: (e) => e.code === 'EADDRINUSE',
-        schedule: Schedule.spaced(PORT_AGAIN_MS),
-        times: PORT_FOR_MS / PORT_AGAIN_MS,
+        while: (failure) => failure.code === 'EADDRINUSE',
+        schedule: Schedule.spaced(PORT_RETRY_INTERVAL_MS),
+        times: PORT_RETRY_LIMIT_MS / PORT_RETRY_INTERVAL_MS,
       }),
     );
-    yield* Effect.acquireRelease(open, () =>
+    yield* Effect.acquireRelease(listening, () =>
       Effect.sync(() => {
         server.close();
         server.closeAllConnections();
--- a/packages/runtime/src/link.ts
+++ b/packages/runtime/src/link.ts
@@ -1,8 +1,8 @@
 /**
- * Questions and answers between controllers: msgpack values in the bodies of one HTTP exchange that stays open for each
- * direction, request and response both streamed. An exchange of its own for each question costs both sides several times
- * what the question does, and controllers ask dozens a second whatever happens. "No answer" says no more here than there:
- * what was asked may be done, or later.
+ * Requests and responses between controllers. Each controller keeps one HTTP exchange open to each other controller, and
+ * streams requests in its request body and responses in its response body, both as msgpack values. A separate HTTP exchange
+ * for each request would cost both sides several times as much, and controllers always send dozens of requests a second. As
+ * with other HTTP requests, a request without a response may have been carried out, or may still be.
  */
 import * as http from 'node:http';
 import type { Readable } from 'node:stream';
@@ -13,120 +13,134 @@
 import { error } from './log.js';
 import { now, seconds } from './micros.js';
 
-/** Number, path, body. */
-type Question = readonly [id: number, path: string, body: Buffer];
-/** Number, status, body. */
-type Told = readonly [id: number, status: number, body: Buffer];
+/** A request on the wire; the id identifies its response. */
+type WireRequest = readonly [id: number, path: string, body: Buffer];
+/** A response on the wire, with the id of its request. */
+type WireResponse = readonly [id: number, status: number, body: Buffer];
 
-/** Bytes of one message, and of messages that the other side has not taken yet. */
-const MOST_BYTES = 4 * 1024 * 1024;
+/** Maximum size of one message, and of the messages that the other side has not read yet, in bytes. */
+const MAX_BYTES = 4 * 1024 * 1024;
 
 /**
- * A connection that brings nothing for so long is given up with the first question that has waited in vain: what is asked
- * next should not queue behind what may be held on the way. Sooner would cost a busy node all that it is about to answer.
+ * When a request times out and its exchange has received nothing for this long, the exchange is closed, so that the next
+ * requests don't queue behind data that is stuck in the network. With a shorter time, a busy controller would lose all the
+ * responses that it is about to send.
  */
-const SILENT = seconds(2.4);
+const SILENCE_TIMEOUT = seconds(2.4);
 
-const shaped = (m: unknown, second: 'string' | 'number'): boolean =>
-  Array.isArray(m) &&
-  m.length === 3 &&
-  Number.isSafeInteger(m[0]) &&
-  typeof m[1] === second &&
-  m[2] instanceof Uint8Array;
+/** Whether a value has the form of a request (`secondType` string) or of a response (`secondType` number). */
+const isMessage = (value: unknown, secondType: 'string' | 'number'): boolean =>
+  Array.isArray(value) &&
+  value.length === 3 &&
+  Number.isSafeInteger(value[0]) &&
+  typeof value[1] === secondType &&
+  value[2] instanceof Uint8Array;
 
-/** The path of the exchange. */
-const LINK = '/link';
+/** HTTP path of the exchange. */
+const LINK_PATH = '/link';
 
-/** Reads messages off a body; `end`: whatever else arrives ends the exchange. */
-const read = (body: Readable, take: (m: unknown) => boolean, end: () => void): void => {
-  const bounds = { maxIncompleteBufferSize: MOST_BYTES, useRecords: false };
-  const messages = new UnpackrStream(bounds);
-  messages.on('error', end);
-  messages.on('data', (m: unknown) => {
-    if (!take(m)) end();
+/** Passes each message of a body to `onMessage`. Calls `onError` if the body is malformed or `onMessage` returns false. */
+const readMessages = (
+  body: Readable,
+  onMessage: (message: unknown) => boolean,
+  onError: () => void,
+): void => {
+  const options = { maxIncompleteBufferSize: MAX_BYTES, useRecords: false };
+  const messages = new UnpackrStream(options);
+  messages.on('error', onError);
+  messages.on('data', (message: unknown) => {
+    if (!onMessage(message)) onError();
   });
-  body.on('error', end);
+  body.on('error', onError);
   body.pipe(messages);
 };
 
-/** One controller's questions to another. */
+/** Sends one controller's requests to another controller. */
 export class Link {
-  private open: http.ClientRequest | null = null;
-  private last = 0;
-  /** When the present exchange was begun, or last brought an answer. */
-  private heard = now();
-  /** It has brought the answer's head. */
-  private begun = false;
-  private readonly waiting = new Map<number, (r: Reply | NoAnswer) => void>();
+  private exchange: http.ClientRequest | null = null;
+  private lastId = 0;
+  /** When the current exchange was opened or last received a response. */
+  private lastReceivedAt = now();
+  /** Whether the current exchange has received the HTTP response headers. */
+  private responseStarted = false;
+  /** Called with the outcome of each request without a response yet, by request id. */
+  private readonly pending = new Map<number, (outcome: Reply | NoAnswer) => void>();
   private readonly target: { host: string; port: number };
 
   constructor(address: string) {
     this.target = parseAddress(address);
   }
 
+  /** Sends a request; fails if no response is received within `timeoutMs` or the exchange is closed. */
   ask(path: string, body: Buffer, timeoutMs: number): Effect.Effect<Reply, NoAnswer> {
     return Effect.async<Reply, NoAnswer>((resume) => {
-      const exchange = this.opened();
-      const id = ++this.last;
+      const exchange = this.openExchange();
+      const id = ++this.lastId;
       const timer = setTimeout(() => {
-        const over = this.waiting.get(id);
-        if (this.open === exchange && (!this.begun || now() - this.heard >= SILENT)) this.drop('silent');
-        over?.(new NoAnswer({ reason: 'timeout' }));
+        const finish = this.pending.get(id);
+        if (
+          this.exchange === exchange &&
+          (!this.responseStarted || now() - this.lastReceivedAt >= SILENCE_TIMEOUT)
+        )
+          this.closeExchange('silent');
+        finish?.(new NoAnswer({ reason: 'timeout' }));
       }, timeoutMs);
-      this.waiting.set(id, (r) => {
-        this.waiting.delete(id);
+      this.pending.set(id, (outcome) => {
+        this.pending.delete(id);
         clearTimeout(timer);
-        resume(r instanceof NoAnswer ? Effect.fail(r) : Effect.succeed(r));
+        resume(outcome instanceof NoAnswer ? Effect.fail(outcome) : Effect.succeed(outcome));
       });
-      if (exchange.writableLength > MOST_BYTES) this.waiting.get(id)!(new NoAnswer({ reason: 'link full' }));
-      else exchange.write(pack([id, path, body] satisfies Question));
+      if (exchange.writableLength > MAX_BYTES)
+        this.pending.get(id)!(new NoAnswer({ reason: 'link buffer full' }));
+      else exchange.write(pack([id, path, body] satisfies WireRequest));
       return Effect.sync(() => {
-        this.waiting.delete(id);
+        this.pending.delete(id);
         clearTimeout(timer);
       });
     });
   }
 
-  private opened(): http.ClientRequest {
-    if (this.open !== null) return this.open;
-    // A connection of its own, which ends with the exchange.
+  /** Returns the current exchange, or opens one. */
+  private openExchange(): http.ClientRequest {
+    if (this.exchange !== null) return this.exchange;
+    // Without an agent, the exchange gets a connection of its own that is closed with it.
     const headers = { 'Content-Type': 'application/msgpack', 'Transfer-Encoding': 'chunked' };
-    const exchange = http.request({ ...this.target, method: 'POST', path: LINK, agent: false, headers });
-    this.open = exchange;
-    this.heard = now();
-    this.begun = false;
-    const gone = (reason: string) => () => {
-      if (this.open === exchange) this.drop(reason);
+    const exchange = http.request({ ...this.target, method: 'POST', path: LINK_PATH, agent: false, headers });
+    this.exchange = exchange;
+    this.lastReceivedAt = now();
+    this.responseStarted = false;
+    const onEnd = (reason: string) => () => {
+      if (this.exchange === exchange) this.closeExchange(reason);
     };
-    exchange.on('error', gone('closed'));
-    exchange.on('close', gone('closed'));
-    exchange.on('response', (res) => {
-      if (res.statusCode !== 200) return void exchange.destroy();
-      if (this.open !== exchange) return;
-      this.begun = true;
-      res.on('close', gone('closed'));
-      const take = (m: unknown): boolean => {
-        if (!shaped(m, 'number')) return false;
-        if (this.open !== exchange) return true;
-        const [id, status, body] = m as Told;
-        this.heard = now();
-        this.waiting.get(id)?.({ status, body });
+    exchange.on('error', onEnd('closed'));
+    exchange.on('close', onEnd('closed'));
+    exchange.on('response', (response) => {
+      if (response.statusCode !== 200) return void exchange.destroy();
+      if (this.exchange !== exchange) return;
+      this.responseStarted = true;
+      response.on('close', onEnd('closed'));
+      const onMessage = (message: unknown): boolean => {
+        if (!isMessage(message, 'number')) return false;
+        if (this.exchange !== exchange) return true;
+        const [id, status, body] = message as WireResponse;
+        this.lastReceivedAt = now();
+        this.pending.get(id)?.({ status, body });
         return true;
       };
-      read(res, take, () => exchange.destroy());
+      readMessages(response, onMessage, () => exchange.destroy());
     });
     return exchange;
   }
 
-  /** The next question begins an exchange of its own; those on their way are given up. */
-  private drop(reason: string): void {
-    this.open?.destroy();
-    this.open = null;
-    for (const over of [...this.waiting.values()]) over(new NoAnswer({ reason }));
+  /** Closes the exchange and fails all requests without a response; the next request opens a new exchange. */
+  private closeExchange(reason: string): void {
+    this.exchange?.destroy();
+    this.exchange = null;
+    for (const finish of [...this.pending.values()]) finish(new NoAnswer({ reason }));
   }
 }
 
-/** Answers the questions of other controllers: by `quick` where it can, else by `handler`, in a fiber. */
+/** Starts the server for other controllers' links. A request goes to `quick` first, and if that returns false to `handler`. */
 export const serveLinks = (
   listen: { readonly host: string; readonly port: number },
   maxConnections: number,
@@ -135,46 +149,46 @@
 ): Effect.Effect<http.Server, Error, Scope.Scope> =>
   Effect.gen(function* () {
     const fork = Runtime.runFork(yield* Effect.runtime<never>());
-    const stream = (req: http.IncomingMessage, res: http.ServerResponse): boolean => {
-      if (req.method !== 'POST' || req.url !== LINK) return false;
-      const end = (): void => void req.socket.destroy();
-      res.sendDate = false;
-      res.writeHead(200, { 'Content-Type': 'application/msgpack' });
-      res.flushHeaders();
-      // The asker has ended its part, so nobody waits for an answer any more.
-      req.on('end', end);
-      const take = (m: unknown): boolean => {
-        if (!shaped(m, 'string')) return false;
-        const [id, path, body] = m as Question;
-        const reply = (a: Answer): void => {
-          if (res.destroyed) return;
-          // It asks and does not read: its questions would fill this node's memory.
-          if (res.writableLength > MOST_BYTES) return end();
-          const said = typeof a.body === 'string' ? Buffer.from(a.body) : a.body;
-          res.write(pack([id, a.status, said] satisfies Told));
+    const stream = (incoming: http.IncomingMessage, response: http.ServerResponse): boolean => {
+      if (incoming.method !== 'POST' || incoming.url !== LINK_PATH) return false;
+      const closeConnection = (): void => void incoming.socket.destroy();
+      response.sendDate = false;
+      response.writeHead(200, { 'Content-Type': 'application/msgpack' });
+      response.flushHeaders();
+      // The other controller has ended its request body, so it no longer waits for responses.
+      incoming.on('end', closeConnection);
+      const onMessage = (message: unknown): boolean => {
+        if (!isMessage(message, 'string')) return false;
+        const [id, path, body] = message as WireRequest;
+        const reply = (answer: Answer): void => {
+          if (response.destroyed) return;
+          // The other controller sends requests without reading the responses, which would fill this controller's memory.
+          if (response.writableLength > MAX_BYTES) return closeConnection();
+          const responseBody = typeof answer.body === 'string' ? Buffer.from(answer.body) : answer.body;
+          response.write(pack([id, answer.status, responseBody] satisfies WireResponse));
         };
         const request = { method: 'POST', path, body };
-        const failed = (reason: unknown): void => {
+        const replyFailed = (reason: unknown): void => {
           fork(error('request failed', { path, reason: String(reason).slice(0, 600) }));
           reply(retryLater('internal'));
         };
         try {
           if (quick(request, reply)) return true;
-        } catch (e) {
-          failed(e);
+        } catch (failure) {
+          replyFailed(failure);
           return true;
         }
         fork(
           Effect.suspend(() => handler(request)).pipe(
             Effect.map(reply),
-            Effect.catchAllCause((cause) => Effect.sync(() => failed(cause))),
+            Effect.catchAllCause((cause) => Effect.sync(() => replyFailed(cause))),
           ),
         );
         return true;
       };
-      read(req, take, end);
+      readMessages(incoming, onMessage, closeConnection);
       return true;
     };
-    const elsewhere: Handler = () => Effect.succeed({ status: 404, body: '{}' });
-    return yield* serve(listen, maxConnections, elsewhere, { stream });
+    const notFound: Handler = () => Effect.succeed({ status: 404, body: '{}' });
+    return yield* serve(listen, maxConnections, notFound, { stream });
   });
--- a/packages/runtime/src/tick.ts
+++ b/packages/runtime/src/tick.ts
@@ -1,21 +1,24 @@
 /**
- * Duties that look at something now and then do it at the same moments, the multiples of their period: a node that wakes
- * seldom for many things does them for a fraction of what it costs to wake for each.
+ * Aligned timers. Periodic tasks run at the multiples of their period, so that many of them run at the same moment. Waking the
+ * process rarely for many tasks costs a fraction of waking it for each one.
  */
 import { Clock, Effect } from 'effect';
 
-/** Milliseconds from `at` to the next tick: at least a tenth of the period, so that a timer a moment early ticks once. */
-export const untilTick = (at: number, everyMs: number): number => {
-  const left = everyMs - (at % everyMs);
-  return left < everyMs / 10 ? left + everyMs : left;
+/**
+ * Returns the milliseconds from the time `nowMs` to the next multiple of `periodMs`. The result is at least a tenth of the
+ * period, so that a timer that fires slightly early does not fire twice for one tick.
+ */
+export const untilTick = (nowMs: number, periodMs: number): number => {
+  const remaining = periodMs - (nowMs % periodMs);
+  return remaining < periodMs / 10 ? remaining + periodMs : remaining;
 };
 
-/** Until the next multiple of `everyMs`. */
-export const tick = (everyMs: number): Effect.Effect<void> =>
-  Effect.flatMap(Clock.currentTimeMillis, (at) => Effect.sleep(untilTick(at, everyMs)));
+/** Sleeps until the next multiple of `periodMs`. */
+export const tick = (periodMs: number): Effect.Effect<void> =>
+  Effect.flatMap(Clock.currentTimeMillis, (nowMs) => Effect.sleep(untilTick(nowMs, periodMs)));
 
-/** `what`, given up at the next tick. */
-export const orTick = <A>(what: Effect.Effect<A>, everyMs: number): Effect.Effect<void> =>
-  Effect.flatMap(Clock.currentTimeMillis, (at) =>
-    Effect.asVoid(Effect.timeoutOption(what, untilTick(at, everyMs))),
+/** Runs an effect, and interrupts it at the next multiple of `periodMs`. */
+export const orTick = <A>(effect: Effect.Effect<A>, periodMs: number): Effect.Effect<void> =>
+  Effect.flatMap(Clock.currentTimeMillis, (nowMs) =>
+    Effect.asVoid(Effect.timeoutOption(effect, untilTick(nowMs, periodMs))),
   );
--- a/packages/snapshot/src/files.ts
+++ b/packages/snapshot/src/files.ts
@@ -1,15 +1,15 @@
-/** What the writer needs of a disk; tests put in one that crashes, fills up or loses what was not synced. */
+/** The disk operations that snapshots use; tests replace them with a disk that crashes, fills up or loses unsynced data. */
 import { open, mkdir, readdir, readFile, rename, rm, type FileHandle } from 'node:fs/promises';
 import { join } from 'node:path';
 
-/** A file that is being appended to. */
+/** A file opened for appending. */
 export interface OpenFile {
   append(data: Buffer): Promise<void>;
-  /** Completes once what was appended is on the disk. */
+  /** Completes once the appended data is on the disk. */
   sync(): Promise<void>;
   close(): Promise<void>;
 }
-/** One directory. */
+/** A directory that holds the files of one snapshot. */
 export interface Files {
   create(name: string): Promise<OpenFile>;
   rename(from: string, to: string): Promise<void>;
@@ -18,7 +18,7 @@
   read(name: string): Promise<Buffer>;
 }
 
-/** A directory of a real disk. */
+/** A directory on a real disk. */
 export class DiskFiles implements Files {
   constructor(private readonly dir: string) {}
 
@@ -36,12 +36,12 @@
 
   async rename(from: string, to: string): Promise<void> {
     await rename(join(this.dir, from), join(this.dir, to));
-    // The name itself must be on the disk too.
-    const dir = await open(this.dir, 'r');
+    // Syncs the directory, so that the new name is on the disk as well.
+    const directory = await open(this.dir, 'r');
     try {
-      await dir.sync();
+      await directory.sync();
     } finally {
-      await dir.close();
+      await directory.close();
     }
   }
 
@@ -52,9 +52,9 @@
   async list(): Promise<string[]> {
     try {
       return await readdir(this.dir);
-    } catch (e) {
-      if ((e as NodeJS.ErrnoException).code === 'ENOENT') return [];
-      throw e;
+    } catch (failure) {
+      if ((failure as NodeJS.ErrnoException).code === 'ENOENT') return [];
+      throw failure;
     }
   }
 
--- a/packages/snapshot/src/format.ts
+++ b/packages/snapshot/src/format.ts
@@ -1,135 +1,154 @@
 /**
- * The files' format. A file is a row of blocks; a block is a header of 13 bytes and a payload:
+ * The format of snapshot files. A file is a sequence of blocks; a block is a header of 13 bytes and a payload:
  *
- *     length of the payload   4 bytes, little-endian
- *     CRC-32 of what follows  4 bytes
- *     number of the block     4 bytes, from 0 on: a block can't stand in for another
- *     kind                    1 byte: 0 head, 1 entries, 2 entries deflated, 3 end
+ *     payload length          4 bytes, little-endian
+ *     CRC-32 of the rest      4 bytes, of the block number, the kind and the payload
+ *     block number            4 bytes, counted from 0, so that a block can't be taken for another one
+ *     kind                    1 byte: 0 head, 1 entries, 2 deflated entries, 3 end
  *
- * The first block is the head (JSON), a base's last one is its end with the number of its entries. Entries are msgpack:
- * a row of [key, value, revision], without a value where the key was deleted.
+ * The first block is the head (JSON). The last block of a base is its end (JSON), with the number of its entries. Entries are
+ * encoded as msgpack: an array of [key, revision, value], without the value if the key was deleted.
  */
 import { crc32, deflateRawSync, inflateRawSync } from 'node:zlib';
 import { pack, unpack } from 'msgpackr';
 
+/** Version of the file format. */
 export const VERSION = 1;
-const HEADER = 13;
-/** Deflating less than this gains nothing. */
-const DEFLATE_FROM = 512;
-/** No block is larger: a length beyond it is damage, not a reason to read on. */
+/** Size of a block's header. */
+const HEADER_BYTES = 13;
+/** Smaller payloads are not deflated, as that saves nothing. */
+const MIN_DEFLATE_BYTES = 512;
+/** Maximum payload length in bytes; a larger length in a header means that the block is damaged. */
 export const MAX_PAYLOAD = 8 * 1024 * 1024;
 
-/** One key's value, or its deletion. */
+/** A key with its value, or the deletion of a key. */
 export interface Entry {
   readonly key: string;
-  /** undefined: deleted. */
+  /** undefined if the key was deleted. */
   readonly value: unknown;
-  /** Revision of the change. */
+  /** The revision of the store that set or deleted the key. */
   readonly stamp: number;
 }
 
-/** The first block of a file; JSON of this object, so its field names are part of the format. */
-export interface Head {
+/** The first block of a file. It is written as JSON of this object, so the field names are part of the format. */
+export interface FileHead {
   readonly version: number;
   readonly kind: 'base' | 'journal';
-  /** Which incarnation of the store's data this is of, and how many there were before. */
+  /** Id of the incarnation of the store that the snapshot is of. */
   readonly incarnation: string;
+  /** Number of incarnations before that one. */
   readonly generation: number;
-  /** A base was begun at this revision; a journal goes on from it. */
+  /** Revision at which a base was begun, and from which a journal continues. */
   readonly revision: number;
-  /** A journal: nothing is missing between the one before it and this one. */
+  /** For a journal: whether it follows on the previous journal without missing changes. */
   readonly continues: boolean;
-  /** Time of day, milliseconds. */
+  /** Time of day at which the file was created, in milliseconds. */
   readonly at: number;
 }
 
-const KIND = { head: 0, entries: 1, deflated: 2, end: 3 } as const;
+/** The values of a block's kind byte. */
+const BLOCK_KIND = { head: 0, entries: 1, deflated: 2, end: 3 } as const;
 
-const block = (number: number, kind: number, payload: Buffer): Buffer => {
-  const out = Buffer.allocUnsafe(HEADER + payload.length);
-  out.writeUInt32LE(payload.length, 0);
-  out.writeUInt32LE(number >>> 0, 8);
-  out.writeUInt8(kind, 12);
-  payload.copy(out, HEADER);
-  out.writeUInt32LE(crc32(out.subarray(8)), 4);
-  return out;
+/** Encodes a block with its header and checksum. */
+const encodeBlock = (number: number, kind: number, payload: Buffer): Buffer => {
+  const block = Buffer.allocUnsafe(HEADER_BYTES + payload.length);
+  block.writeUInt32LE(payload.length, 0);
+  block.writeUInt32LE(number >>> 0, 8);
+  block.writeUInt8(kind, 12);
+  payload.copy(block, HEADER_BYTES);
+  block.writeUInt32LE(crc32(block.subarray(8)), 4);
+  return block;
 };
 
-export const headBlock = (h: Head): Buffer => block(0, KIND.head, Buffer.from(JSON.stringify(h)));
+/** Encodes the head block of a file. */
+export const headBlock = (head: FileHead): Buffer =>
+  encodeBlock(0, BLOCK_KIND.head, Buffer.from(JSON.stringify(head)));
+/** Encodes a block of entries, deflated unless it is small. */
 export const entriesBlock = (number: number, entries: readonly Entry[]): Buffer => {
   const raw = pack(
-    entries.map((e) => (e.value === undefined ? [e.key, e.stamp] : [e.key, e.stamp, e.value])),
+    entries.map((entry) =>
+      entry.value === undefined ? [entry.key, entry.stamp] : [entry.key, entry.stamp, entry.value],
+    ),
   );
-  return raw.length < DEFLATE_FROM
-    ? block(number, KIND.entries, Buffer.from(raw))
-    : block(number, KIND.deflated, deflateRawSync(raw, { level: 1 }));
+  return raw.length < MIN_DEFLATE_BYTES
+    ? encodeBlock(number, BLOCK_KIND.entries, Buffer.from(raw))
+    : encodeBlock(number, BLOCK_KIND.deflated, deflateRawSync(raw, { level: 1 }));
 };
-/** `revision`: of the latest page that a base was read from: it holds only with a journal that reaches so far. */
+/**
+ * Encodes the end block of a base. `revision` is the highest revision of the pages that the base was read from; the base is
+ * consistent only together with a journal that is complete up to this revision.
+ */
 export const endBlock = (number: number, count: number, revision: number): Buffer =>
-  block(number, KIND.end, Buffer.from(JSON.stringify({ count, revision })));
-/** The key of an entry that only says up to which revision a journal is complete. */
-export const REACHED = '';
+  encodeBlock(number, BLOCK_KIND.end, Buffer.from(JSON.stringify({ count, revision })));
+/** Key of an entry that carries no data; its revision is the one up to which the journal is complete. */
+export const REACHED_KEY = '';
 
-export type Part =
-  | { readonly kind: 'head'; readonly head: Head }
+/** The decoded content of a block. */
+export type Block =
+  | { readonly kind: 'head'; readonly head: FileHead }
   | { readonly kind: 'entries'; readonly entries: readonly Entry[] }
   | { readonly kind: 'end'; readonly count: number; readonly revision: number };
 
-/** Why reading a file stopped before its end: where, in bytes, and at which block. */
+/** Why reading a file stopped before its end, with the block and its offset in bytes. */
 export interface Flaw {
-  /** `torn`: the file ends within a block. `damaged`: a whole block's checksum, number or content is wrong. */
+  /** `torn`: the file ends within a block. `damaged`: a complete block has a wrong checksum, number or content. */
   readonly kind: 'torn' | 'damaged';
   readonly block: number;
   readonly offset: number;
   readonly reason: string;
 }
 
-/** A whole block that this version can't read. */
-class UnreadablePart extends Error {
-  override readonly name = 'UnreadablePart';
+/** Thrown for a complete block whose content this version can't decode. */
+class UnreadableBlock extends Error {
+  override readonly name = 'UnreadableBlock';
 }
 
-const partOf = (kind: number, payload: Buffer): Part => {
-  if (kind === KIND.head) {
-    const head = JSON.parse(payload.toString('utf8')) as Head;
+/** Decodes a block's payload; throws if it is malformed. */
+const decodeBlock = (kind: number, payload: Buffer): Block => {
+  if (kind === BLOCK_KIND.head) {
+    const head = JSON.parse(payload.toString('utf8')) as FileHead;
     if (head.version !== VERSION)
-      throw new UnreadablePart(`version ${head.version}, this program reads ${VERSION}`);
+      throw new UnreadableBlock(`format version ${head.version}, expected ${VERSION}`);
     return { kind: 'head', head };
   }
-  if (kind === KIND.end)
+  if (kind === BLOCK_KIND.end)
     return { kind: 'end', ...(JSON.parse(payload.toString('utf8')) as { count: number; revision: number }) };
-  if (kind !== KIND.entries && kind !== KIND.deflated) throw new UnreadablePart(`unknown kind ${kind}`);
-  const rows = unpack(kind === KIND.deflated ? inflateRawSync(payload) : payload) as [
+  if (kind !== BLOCK_KIND.entries && kind !== BLOCK_KIND.deflated)
+    throw new UnreadableBlock(`unknown block kind ${kind}`);
+  const rows = unpack(kind === BLOCK_KIND.deflated ? inflateRawSync(payload) : payload) as [
     string,
     number,
     unknown?,
   ][];
   return {
     kind: 'entries',
-    entries: rows.map((r) => ({ key: r[0], stamp: r[1], value: r.length > 2 ? r[2] : undefined })),
+    entries: rows.map((row) => ({ key: row[0], stamp: row[1], value: row.length > 2 ? row[2] : undefined })),
   };
 };
 
-/** The parts of a file up to its first flaw, which comes last if there is one. Nothing after a flaw is read. */
-export function* readParts(file: Buffer): Generator<Part | Flaw> {
+/** Yields the blocks of a file. If a block is flawed, yields the flaw and stops, so nothing after a flaw is read. */
+export function* readBlocks(file: Buffer): Generator<Block | Flaw> {
   let offset = 0;
   for (let number = 0; offset < file.length; number++) {
     const flaw = (kind: Flaw['kind'], reason: string): Flaw => ({ kind, block: number, offset, reason });
-    if (file.length - offset < HEADER) return yield flaw('torn', 'ends within a header');
+    if (file.length - offset < HEADER_BYTES) return yield flaw('torn', 'the file ends within a block header');
     const length = file.readUInt32LE(offset);
-    if (length > MAX_PAYLOAD) return yield flaw('damaged', `a length of ${length}`);
-    const end = offset + HEADER + length;
-    if (end > file.length) return yield flaw('torn', 'ends within a block');
+    if (length > MAX_PAYLOAD)
+      return yield flaw('damaged', `payload length ${length} exceeds the maximum of ${MAX_PAYLOAD}`);
+    const end = offset + HEADER_BYTES + length;
+    if (end > file.length) return yield flaw('torn', 'the file ends within a block payload');
     if (crc32(file.subarray(offset + 8, end)) !== file.readUInt32LE(offset + 4))
       return yield flaw('damaged', 'wrong checksum');
-    if (file.readUInt32LE(offset + 8) !== number) return yield flaw('damaged', 'not its place');
+    if (file.readUInt32LE(offset + 8) !== number)
+      return yield flaw('damaged', 'block number out of sequence');
     try {
-      yield partOf(file.readUInt8(offset + 12), file.subarray(offset + HEADER, end));
-    } catch (e) {
-      return yield flaw('damaged', (e as Error).message);
+      yield decodeBlock(file.readUInt8(offset + 12), file.subarray(offset + HEADER_BYTES, end));
+    } catch (failure) {
+      return yield flaw('damaged', (failure as Error).message);
     }
     offset = end;
   }
 }
 
-export const isFlaw = (p: Part | Flaw): p is Flaw => p.kind === 'torn' || p.kind === 'damaged';
+/** Whether an item of `readBlocks` is a flaw. */
+export const isFlaw = (item: Block | Flaw): item is Flaw => item.kind === 'torn' || item.kind === 'damaged';
--- a/packages/snapshot/src/read.ts
+++ b/packages/snapshot/src/read.ts
@@ -1,122 +1,132 @@
-/** Reads what a writer has left: the newest base that is complete, and the journals after it as far as they are. */
+/** Reads and checks a snapshot: the newest complete base, and the valid beginning of the journals after it. */
 import type { Files } from './files.js';
-import { type Entry, type Flaw, type Head, isFlaw, readParts, REACHED } from './format.js';
+import { type Entry, type Flaw, type FileHead, isFlaw, readBlocks, REACHED_KEY } from './format.js';
 import { parseNames, type SnapshotFile } from './names.js';
 
-/** What reading a file through has shown. */
+/** The result of reading and checking one file. The command line tool prints it as JSON, under these field names. */
 export interface CheckedFile {
   readonly name: string;
   readonly kind: 'base' | 'journal';
-  readonly head: Head | null;
+  readonly head: FileHead | null;
   readonly entries: number;
-  /** The highest revision in it. */
+  /** The highest revision in the file. */
   readonly last: number;
   readonly bytes: number;
-  /** A base: its end block is there, with the right count. A journal: it begins with a head. */
+  /** Whether a base has an end block with the right count, or a journal begins with a head. */
   readonly usable: boolean;
   readonly flaw: Flaw | null;
 }
 
-/** The store's content as a snapshot has it. */
+/** The store's content as of the snapshot. */
 export interface Content {
   readonly incarnation: string;
   readonly generation: number;
-  /** The content is as of this revision. */
+  /** The revision that the content is as of. */
   readonly revision: number;
   readonly entries: ReadonlyMap<string, Entry>;
   readonly files: readonly CheckedFile[];
 }
 
-const checkFile = (file: SnapshotFile, data: Buffer, take: (e: Entry) => void): CheckedFile => {
-  let head: Head | null = null;
+/** Reads and checks one file, and passes its entries to `onEntry`. */
+const checkFile = (file: SnapshotFile, data: Buffer, onEntry: (entry: Entry) => void): CheckedFile => {
+  let head: FileHead | null = null;
   let entries = 0;
   let last = 0;
-  let ended: number | null = null;
+  let statedCount: number | null = null;
   let flaw: Flaw | null = null;
-  for (const p of readParts(data)) {
-    if (isFlaw(p)) flaw = p;
-    else if (p.kind === 'head') head = p.head;
+  for (const block of readBlocks(data)) {
+    if (isFlaw(block)) flaw = block;
+    else if (block.kind === 'head') head = block.head;
     else if (head === null) break;
-    else if (p.kind === 'end') {
-      ended = p.count;
-      last = Math.max(last, p.revision);
+    else if (block.kind === 'end') {
+      statedCount = block.count;
+      last = Math.max(last, block.revision);
     } else
-      for (const e of p.entries) {
+      for (const entry of block.entries) {
         entries++;
-        last = Math.max(last, e.stamp);
-        take(e);
+        last = Math.max(last, entry.stamp);
+        onEntry(entry);
       }
   }
   const usable =
     head !== null &&
     head.kind === file.kind &&
-    (file.kind === 'journal' || (flaw === null && ended === entries));
+    (file.kind === 'journal' || (flaw === null && statedCount === entries));
   return { name: file.name, kind: file.kind, head, entries, last, bytes: data.length, usable, flaw };
 };
 
-/** Every file, read through and checked. */
-export const check = async (files: Files): Promise<CheckedFile[]> => {
-  const out: CheckedFile[] = [];
-  for (const f of parseNames(await files.list()))
-    out.push(checkFile(f, await files.read(f.name), () => undefined));
-  return out;
+/** Reads and checks all files of a snapshot. */
+export const checkFiles = async (files: Files): Promise<CheckedFile[]> => {
+  const checked: CheckedFile[] = [];
+  for (const file of parseNames(await files.list()))
+    checked.push(checkFile(file, await files.read(file.name), () => undefined));
+  return checked;
 };
 
 /**
- * The content as far as it can be vouched for; null: there is none. A base is used only whole. Of journals nothing after
- * a flaw is used, and none after one that has a flaw unless a whole base follows it.
+ * Loads the newest content that is known to be consistent; null if there is none. A base is used only if it is complete and
+ * undamaged. Nothing after a flaw in a journal is used, nor any later journal that has no complete base of its own.
  */
 export const load = async (files: Files): Promise<Content | null> => {
   const all = parseNames(await files.list());
-  const bases = all.filter((f) => f.kind === 'base').reverse();
+  const bases = all.filter((file) => file.kind === 'base').reverse();
   for (const base of bases) {
     const entries = new Map<string, Entry>();
-    const read: CheckedFile[] = [];
-    const first = checkFile(base, await files.read(base.name), (e) => entries.set(e.key, e));
-    read.push(first);
-    if (!first.usable || first.head === null) continue;
-    const { head } = first;
+    const checkedFiles: CheckedFile[] = [];
+    const checkedBase = checkFile(base, await files.read(base.name), (entry) =>
+      entries.set(entry.key, entry),
+    );
+    checkedFiles.push(checkedBase);
+    if (!checkedBase.usable || checkedBase.head === null) continue;
+    const { head } = checkedBase;
     let revision = head.revision;
-    // Keys that went while the base was being read are in the journal only.
-    const gone = new Map<string, number>();
-    for (const j of all.filter((f) => f.kind === 'journal' && f.number >= base.number)) {
-      const rows: Entry[] = [];
-      const checked = checkFile(j, await files.read(j.name), (e) => rows.push(e));
-      read.push(checked);
+    // Revisions at which keys were deleted. A key deleted while the base was being read may appear in the journal only.
+    const deletedAt = new Map<string, number>();
+    for (const journal of all.filter((file) => file.kind === 'journal' && file.number >= base.number)) {
+      const changes: Entry[] = [];
+      const checked = checkFile(journal, await files.read(journal.name), (entry) => changes.push(entry));
+      checkedFiles.push(checked);
       if (!checked.usable || checked.head?.incarnation !== head.incarnation) break;
-      // Changes were dropped before it, so it does not follow on what was read so far.
-      if (j.number > base.number && !checked.head.continues) break;
-      for (const e of rows) {
-        revision = Math.max(revision, e.stamp);
-        if (e.key === REACHED) continue;
-        const stamp = Math.max(entries.get(e.key)?.stamp ?? 0, gone.get(e.key) ?? 0);
-        if (e.stamp < stamp) continue;
-        if (e.value === undefined) {
-          entries.delete(e.key);
-          gone.set(e.key, e.stamp);
-        } else entries.set(e.key, e);
+      // Changes were dropped before this journal, so it does not continue the content read so far.
+      if (journal.number > base.number && !checked.head.continues) break;
+      for (const change of changes) {
+        revision = Math.max(revision, change.stamp);
+        if (change.key === REACHED_KEY) continue;
+        const known = Math.max(entries.get(change.key)?.stamp ?? 0, deletedAt.get(change.key) ?? 0);
+        if (change.stamp < known) continue;
+        if (change.value === undefined) {
+          entries.delete(change.key);
+          deletedAt.set(change.key, change.stamp);
+        } else entries.set(change.key, change);
       }
       if (checked.flaw !== null) break;
     }
-    // The base was read while changes went on and shows some of them; the journal ends before it has them all.
-    if (revision < first.last) continue;
-    return { incarnation: head.incarnation, generation: head.generation, revision, entries, files: read };
+    // The base was read while the store changed and contains some of those changes. If the journal ends before the base's
+    // highest revision, other changes up to that revision may be missing.
+    if (revision < checkedBase.last) continue;
+    return {
+      incarnation: head.incarnation,
+      generation: head.generation,
+      revision,
+      entries,
+      files: checkedFiles,
+    };
   }
   return null;
 };
 
-/** A key whose values differ; null: the key is missing on that side. */
+/** A key whose values differ; a side is null if the key is missing there. */
 export interface Difference {
   readonly key: string;
   readonly left: Entry | null;
   readonly right: Entry | null;
 }
-/** The keys whose values differ between two contents, in key order. */
-export const differences = (a: Content, b: Content): Difference[] => {
-  const keys = [...new Set([...a.entries.keys(), ...b.entries.keys()])].sort();
+/** Returns the keys whose values differ between two contents, in key order. */
+export const compareContents = (leftContent: Content, rightContent: Content): Difference[] => {
+  const keys = [...new Set([...leftContent.entries.keys(), ...rightContent.entries.keys()])].sort();
   return keys.flatMap((key) => {
-    const left = a.entries.get(key) ?? null;
-    const right = b.entries.get(key) ?? null;
+    const left = leftContent.entries.get(key) ?? null;
+    const right = rightContent.entries.get(key) ?? null;
     return JSON.stringify(left?.value) === JSON.stringify(right?.value) ? [] : [{ key, left, right }];
   });
 };
--- a/packages/snapshot/src/writer.ts
+++ b/packages/snapshot/src/writer.ts
@@ -1,129 +1,147 @@
 /**
- * Writes a base and, beside and after it, a journal of changes. The caller that hands changes over never waits: they go into
- * a bounded queue; when that is full, a new base is begun instead. Whatever `synced` covers is on the disk.
+ * Writes a snapshot: a base and, concurrently and after it, a journal of changes. The caller that hands over changes never
+ * waits: they go into a bounded queue, and if the queue is full they are dropped and a new base is written instead.
  */
 import type { Files, OpenFile } from './files.js';
-import { endBlock, type Entry, entriesBlock, type Head, headBlock, REACHED, VERSION } from './format.js';
-import { baseName, journalName, parseNames, PART } from './names.js';
+import {
+  endBlock,
+  type Entry,
+  entriesBlock,
+  type FileHead,
+  headBlock,
+  REACHED_KEY,
+  VERSION,
+} from './format.js';
+import { baseName, journalName, parseNames, PARTIAL_SUFFIX } from './names.js';
 
+/** Limits, retention and environment of a writer. */
 export interface WriterOptions {
-  /** Changes are on the disk so long after they were handed over, at the latest, unless the disk is slower. */
+  /** Interval between two flushes of the queued changes to disk, in milliseconds. */
   readonly syncMs: number;
-  /** A journal larger than this calls for a new base. */
+  /** Journal size in bytes above which a new base is written. */
   readonly journalBytes: number;
-  /** Entries that may wait to be written. */
+  /** Maximum number of entries waiting to be written. */
   readonly queue: number;
-  /** Bases to keep, and for how long at the most (a base younger than that is never removed for its age). */
+  /** Number of bases to keep. */
   readonly keep: number;
+  /** Maximum age of a kept base, in milliseconds; the newest base is kept whatever its age. */
   readonly maxAgeMs: number;
-  /** Everything up to this revision has been handed over. */
+  /** Returns the revision up to which all changes have been handed over. */
   readonly revision: () => number;
-  /** Time of day, milliseconds. */
+  /** Returns the time of day in milliseconds. */
   readonly now: () => number;
   readonly sleep: (ms: number) => Promise<void>;
-  /** What operators should know; never called for each change. */
-  readonly say: (event: 'behind' | 'failed' | 'base' | 'removed', what: string) => void;
+  /** Reports an event for operators; not called for every change. */
+  readonly say: (event: 'behind' | 'failed' | 'base' | 'removed', detail: string) => void;
 }
 
-/** Part of the store's content, as of a revision. */
+/** A page of the store's content, as of a revision. */
 export interface SourcePage {
   readonly entries: readonly Entry[];
   readonly revision: number;
 }
-/** The store's content in pages, for a base. Whatever changes meanwhile must be handed over as changes too. */
+/** Reads the store's content page by page for a base. Changes made meanwhile must also be handed over as changes. */
 export type Source = () => AsyncIterable<SourcePage>;
-/** Which incarnation of the store's data a snapshot is of, as the files' heads name it. */
+/** The incarnation of the store that a snapshot is of, as written to the files' heads. */
 export interface StoreIncarnation {
   readonly incarnation: string;
   readonly generation: number;
 }
 
-/** How often a base that has been read waits for its journal to catch up, `syncMs` each time. */
-const CATCH_UP = 50;
+/** Maximum number of flush intervals that a base, once read, waits for the journal to catch up with it. */
+const MAX_CATCH_UP_WAITS = 50;
 
-/** Writes one directory's snapshot; `run` does the work, `changes` and `begin` hand over what there is. */
+/** Writes the snapshot of one directory. Changes and incarnations are handed over by calls; `run` writes them to disk. */
 export class SnapshotWriter {
   private queue: Entry[] = [];
-  private file: OpenFile | null = null;
-  private blocks = 0;
-  private bytes = 0;
-  private number = 0;
+  /** The journal being written; null before the first base. */
+  private journal: OpenFile | null = null;
+  /** Number of blocks in the journal. */
+  private blockCount = 0;
+  /** Size of the journal, in bytes. */
+  private journalSize = 0;
+  /** Number of the latest base and journal. */
+  private fileNumber = 0;
   private incarnation: StoreIncarnation | null = null;
-  /** A base must be written: there is none, changes were dropped, or the journal is large. */
+  /** Whether a base must be written because there is none, changes were dropped, or the journal is too large. */
   private baseWanted = true;
-  private writing = false;
+  private writingBase = false;
   private closed = false;
-  /** The journal may have a hole: it goes on with the next base only. */
-  private broken = true;
-  /** Revision up to which everything handed over is on the disk. */
+  /** Whether changes may be missing from the journal; nothing more is written to it until the next base begins a new one. */
+  private hasGap = true;
+  /** Revision up to which all changes handed over are on the disk. */
   synced = -1;
-  private last = -1;
-  /** The journal's writes, one after the other; see `serialize`. */
-  private serialized: Promise<unknown> = Promise.resolve();
+  private writtenRevision = -1;
+  /** Completes with the latest operation on the journal; see `serialize`. */
+  private lastJournalWrite: Promise<unknown> = Promise.resolve();
 
   constructor(
     private readonly files: Files,
     private readonly options: WriterOptions,
   ) {}
 
-  /** Hands changes over; returns at once. */
+  /** Queues changes to be written, and returns at once. */
   changes(entries: readonly Entry[]): void {
     if (this.closed || entries.length === 0) return;
     if (this.queue.length + entries.length > this.options.queue) {
-      if (!this.broken) this.options.say('behind', `${this.queue.length} changes wait for the disk`);
+      if (!this.hasGap)
+        this.options.say(
+          'behind',
+          `${this.queue.length} changes waiting for the disk, dropped for a new base`,
+        );
       this.queue = [];
-      this.broken = true;
+      this.hasGap = true;
       this.baseWanted = true;
       return;
     }
     this.queue.push(...entries);
   }
 
-  /** Another incarnation of the store has begun: files of the one before are kept until a base of this one is complete. */
+  /** Begins another incarnation of the store. Files of the previous one are kept until a base of the new one is complete. */
   begin(incarnation: StoreIncarnation): void {
     this.incarnation = incarnation;
     this.queue = [];
-    this.broken = true;
+    this.hasGap = true;
     this.baseWanted = true;
   }
 
-  /** A base is wanted and none is being written. */
+  /** Whether a base must be written and none is being written. */
   needsBase(): boolean {
-    return this.baseWanted && !this.writing && !this.closed && this.incarnation !== null;
+    return this.baseWanted && !this.writingBase && !this.closed && this.incarnation !== null;
   }
 
-  /** Writes a base; the journal for what comes meanwhile is begun before the source is first read. */
+  /** Writes a base. A new journal is begun before the source is first read, so that it has all changes made meanwhile. */
   async base(source: Source): Promise<void> {
     const { incarnation } = this;
-    if (incarnation === null || this.writing) return;
-    this.writing = true;
+    if (incarnation === null || this.writingBase) return;
+    this.writingBase = true;
     try {
-      const numbers = parseNames(await this.files.list()).map((f) => f.number);
-      this.number = Math.max(this.number, ...numbers, 0) + 1;
-      const n = this.number;
-      const head: Head = {
+      const numbers = parseNames(await this.files.list()).map((file) => file.number);
+      this.fileNumber = Math.max(this.fileNumber, ...numbers, 0) + 1;
+      const number = this.fileNumber;
+      const head: FileHead = {
         version: VERSION,
         kind: 'journal',
         ...incarnation,
         revision: this.options.revision(),
-        continues: !this.broken,
+        continues: !this.hasGap,
         at: this.options.now(),
       };
       await this.flush();
-      await this.stopJournal();
-      const journal = await this.files.create(journalName(n));
-      const first = headBlock(head);
-      await journal.append(first);
+      await this.closeJournal();
+      const journal = await this.files.create(journalName(number));
+      const journalHead = headBlock(head);
+      await journal.append(journalHead);
       await journal.sync();
-      this.file = journal;
-      this.blocks = 1;
-      this.bytes = first.length;
-      // From here on nothing is dropped, or this base is for nothing.
-      this.broken = false;
+      this.journal = journal;
+      this.blockCount = 1;
+      this.journalSize = journalHead.length;
+      // If a change is dropped from here on, this base can't be used.
+      this.hasGap = false;
       this.baseWanted = false;
-      const part = baseName(n) + PART;
-      await this.files.remove(part);
-      const base = await this.files.create(part);
+      const partialName = baseName(number) + PARTIAL_SUFFIX;
+      await this.files.remove(partialName);
+      const base = await this.files.create(partialName);
       await base.append(headBlock({ ...head, kind: 'base' }));
       let count = 0;
       let blocks = 1;
@@ -137,118 +155,121 @@
       await base.append(endBlock(blocks, count, revision));
       await base.sync();
       await base.close();
-      // The base shows changes of the time it was read in: it is whole only once the journal has them all.
-      for (let i = 0; i < CATCH_UP && this.options.revision() < revision; i++)
+      // The base contains some of the changes made while it was read, so it is consistent only once the journal has all
+      // changes up to the base's highest revision.
+      for (let waits = 0; waits < MAX_CATCH_UP_WAITS && this.options.revision() < revision; waits++)
         await this.options.sleep(this.options.syncMs);
-      const reached = this.options.revision();
+      const reachedRevision = this.options.revision();
       await this.flush();
       await this.serialize(async () => {
-        if (this.broken || reached < revision) return;
-        await journal.append(entriesBlock(this.blocks++, [{ key: REACHED, value: null, stamp: reached }]));
+        if (this.hasGap || reachedRevision < revision) return;
+        await journal.append(
+          entriesBlock(this.blockCount++, [{ key: REACHED_KEY, value: null, stamp: reachedRevision }]),
+        );
         await journal.sync();
       });
-      if (this.broken || this.incarnation !== incarnation || reached < revision) {
+      if (this.hasGap || this.incarnation !== incarnation || reachedRevision < revision) {
         this.baseWanted = true;
-        await this.files.remove(part);
+        await this.files.remove(partialName);
         return;
       }
-      await this.files.rename(part, baseName(n));
-      this.options.say('base', `${baseName(n)}: ${count} entries`);
-      await this.removeOld();
-    } catch (e) {
+      await this.files.rename(partialName, baseName(number));
+      this.options.say('base', `${baseName(number)}: ${count} entries`);
+      await this.removeOldFiles();
+    } catch (failure) {
       this.baseWanted = true;
-      this.options.say('failed', (e as Error).message);
+      this.options.say('failed', (failure as Error).message);
     } finally {
-      this.writing = false;
+      this.writingBase = false;
     }
   }
 
   /**
-   * Runs the journal's writes one after the other. A base and `run` both flush: without this, two blocks could get one
-   * number, and a reader would take the second one, and all after it, for damaged.
+   * Runs operations on the journal one after the other. Writing a base and `run` both flush the queue; concurrently, they
+   * could give two blocks the same number, and a reader would treat the second one and everything after it as damaged.
    */
-  private serialize(go: () => Promise<void>): Promise<void> {
-    const done = this.serialized.then(go);
-    this.serialized = done.catch(() => undefined);
+  private serialize(operation: () => Promise<void>): Promise<void> {
+    const done = this.lastJournalWrite.then(operation);
+    this.lastJournalWrite = done.catch(() => undefined);
     return done;
   }
 
-  /** Writes and syncs what waits; called again and again. */
+  /** Writes the queued changes to the journal and syncs it. */
   flush(): Promise<void> {
-    return this.serialize(() => this.write());
+    return this.serialize(() => this.writeQueue());
   }
 
-  private async write(): Promise<void> {
-    const { file } = this;
-    if (file === null || this.broken || this.queue.length === 0) return;
+  private async writeQueue(): Promise<void> {
+    const { journal } = this;
+    if (journal === null || this.hasGap || this.queue.length === 0) return;
     const batch = this.queue;
     this.queue = [];
     try {
-      const block = entriesBlock(this.blocks, batch);
-      await file.append(block);
-      await file.sync();
-      // Another journal has been begun: this one stays as it is.
-      if (this.file !== file) return;
-      this.blocks++;
-      this.bytes += block.length;
-      this.last = Math.max(this.last, ...batch.map((e) => e.stamp));
-      this.synced = this.last;
-      if (this.bytes > this.options.journalBytes) this.baseWanted = true;
-    } catch (e) {
-      // Perhaps half a block stands there: nothing may follow it.
-      this.broken = true;
+      const block = entriesBlock(this.blockCount, batch);
+      await journal.append(block);
+      await journal.sync();
+      // Another journal was begun meanwhile; the counters below are those of the new one.
+      if (this.journal !== journal) return;
+      this.blockCount++;
+      this.journalSize += block.length;
+      this.writtenRevision = Math.max(this.writtenRevision, ...batch.map((entry) => entry.stamp));
+      this.synced = this.writtenRevision;
+      if (this.journalSize > this.options.journalBytes) this.baseWanted = true;
+    } catch (failure) {
+      // The journal may now end with an incomplete block; nothing may be written after it.
+      this.hasGap = true;
       this.baseWanted = true;
-      this.options.say('failed', (e as Error).message);
+      this.options.say('failed', (failure as Error).message);
     }
   }
 
-  /** Flushes, and writes bases when they are wanted. Ends once closed. */
+  /** Flushes the queue at each interval and writes bases when needed; completes once the writer is closed. */
   async run(source: Source): Promise<void> {
-    let wait = 1000;
+    let retryDelay = 1000;
     let base: Promise<void> | null = null;
-    let next = 0;
+    let retryAt = 0;
     while (!this.closed) {
       await this.flush();
-      if (base === null && this.needsBase() && this.options.now() >= next) {
+      if (base === null && this.needsBase() && this.options.now() >= retryAt) {
         base = this.base(source).then(() => {
           base = null;
-          // A disk that is full now is full a second later, too.
-          wait = this.baseWanted ? Math.min(60_000, wait * 2) : 1000;
-          next = this.baseWanted ? this.options.now() + wait : 0;
+          // A failure such as a full disk usually persists, so the delay before the next attempt doubles.
+          retryDelay = this.baseWanted ? Math.min(60_000, retryDelay * 2) : 1000;
+          retryAt = this.baseWanted ? this.options.now() + retryDelay : 0;
         });
       }
       await this.options.sleep(this.options.syncMs);
     }
     await base;
     await this.flush();
-    await this.stopJournal();
+    await this.closeJournal();
   }
 
-  /** Makes `run` flush and end. */
+  /** Makes `run` flush the queue and complete. */
   close(): void {
     this.closed = true;
   }
 
-  private stopJournal(): Promise<void> {
+  private closeJournal(): Promise<void> {
     return this.serialize(async () => {
-      const { file } = this;
-      this.file = null;
-      await file?.close().catch(() => undefined);
+      const { journal } = this;
+      this.journal = null;
+      await journal?.close().catch(() => undefined);
     });
   }
 
-  /** Removes what is neither among the bases to keep nor needed to go on from one of them. */
-  private async removeOld(): Promise<void> {
+  /** Removes the files older than the bases to keep, and kept bases that exceed the maximum age. */
+  private async removeOldFiles(): Promise<void> {
     const all = parseNames(await this.files.list());
-    const bases = all.filter((f) => f.kind === 'base').map((f) => f.number);
+    const bases = all.filter((file) => file.kind === 'base').map((file) => file.number);
     const kept = bases.slice(-this.options.keep);
     const oldest = kept[0] ?? 0;
-    for (const f of all) {
-      if (f.number >= oldest) continue;
-      await this.files.remove(f.name);
-      this.options.say('removed', f.name);
+    for (const file of all) {
+      if (file.number >= oldest) continue;
+      await this.files.remove(file.name);
+      this.options.say('removed', file.name);
     }
-    // Older ones than the age allows, but never the newest.
+    // Removes kept bases that exceed the maximum age, except the newest base.
     for (const number of kept.slice(0, -1)) {
       const head = (await this.files.read(baseName(number))).subarray(13, 400).toString('latin1');
       const at = Number(/"at":(\d+)/.exec(head)?.[1] ?? this.options.now());
