--- a/packages/runtime/src/http-server.ts
+++ b/packages/runtime/src/http-server.ts
@@ -55,7 +55,10 @@
 export const retryLater = (reason: string, afterS = 1): Answer =>
   json(503, { error: reason }, { 'Retry-After': String(afterS) });
 
-/** Reads a request's body and passes it to `onBody`, or null if it is too large. Uses events, so that a fiber only gets whole requests. */
+/**
+ * Reads a request's body and passes it to `onBody`, or null if it is too large. Uses events rather than a fiber, so that a
+ * fiber only handles complete requests.
+ */
 const readBody = (
   incoming: http.IncomingMessage,
   maxBytes: number,
@@ -99,7 +102,7 @@
 interface ServerOptions {
   /** Maximum size of a request's body, in bytes. */
   readonly bodyLimit?: number;
-  /** Called first for each request; see the type. */
+  /** Handler that each request is passed to first. */
   readonly quick?: Quick;
   /** Takes over a request whose body is streamed. Returns false for requests whose body is to be read as a whole. */
   readonly stream?: (incoming: http.IncomingMessage, response: http.ServerResponse) => boolean;
--- a/packages/runtime/src/link.ts
+++ b/packages/runtime/src/link.ts
@@ -140,12 +140,12 @@
   }
 }
 
-/** Starts the server for other controllers' links. A request goes to `quick` first, and if that returns false to `handler`. */
+/** Starts the server for other controllers' links. A request goes to `fastPath` first, and if that returns false to `handler`. */
 export const serveLinks = (
   listen: { readonly host: string; readonly port: number },
   maxConnections: number,
   handler: Handler,
-  quick: Quick,
+  fastPath: Quick,
 ): Effect.Effect<http.Server, Error, Scope.Scope> =>
   Effect.gen(function* () {
     const fork = Runtime.runFork(yield* Effect.runtime<never>());
@@ -173,7 +173,7 @@
           reply(retryLater('internal'));
         };
         try {
-          if (quick(request, reply)) return true;
+          if (fastPath(request, reply)) return true;
         } catch (failure) {
           replyFailed(failure);
           return true;
