--- a/packages/controller/src/provisioning/autoscaler.ts
+++ b/packages/controller/src/provisioning/autoscaler.ts
@@ -35,17 +35,21 @@
  * its lag old, and older than the list before it.
  */
 const LIST_MARGIN = seconds(10);
-/** Minimum interval between two list requests, in microseconds. */
+/** Lower bound of the interval between two list requests, in microseconds. */
 const MIN_LIST_INTERVAL = 3e6;
 /** Fraction of the allowed request rate that list requests may use. */
 const LIST_RATE_FRACTION = 0.2;
-/** Maximum numbers of machines: returned per step, rented per step and type, and rented per request. */
+/** Maximum number of machines returned for one reason in one step. */
 const MAX_RETURNED_PER_STEP = 100;
+/** Maximum number of machines of one type rented in one step. */
 const MAX_RENTED_PER_TYPE = 40;
+/** Maximum number of machines in one rental request. */
 const MAX_PER_REQUEST = 50;
 /** Time within which a start that was decided before the machine was cordoned appears in the job state. */
 const START_IN_FLIGHT_MS = 400;
+/** Pause between two autoscaling steps. */
 const STEP_INTERVAL_MS = 800;
+/** Additional pause after a failure of the cloud. */
 const RETRY_DELAY_MS = 1500;
 
 /** Machines to return, grouped by reason. */
@@ -63,6 +67,7 @@
 class Autoscaler {
   /** When each refused offer may be requested again, by `offerKey`. */
   private readonly refusedUntil = new Map<string, Micros>();
+  /** Recently observed boot times. */
   private readonly boots = new BootTracker();
   /** Machines that became known in this term before their first heartbeat; the heartbeat then reveals the boot time. */
   private readonly unreported = new Set<string>();
@@ -70,17 +75,21 @@
   private readonly overdue = new Set<string>();
   /** Overdue machines that no demand relies on, with the time since when that is so. */
   private readonly unneededSince = new Map<string, Micros>();
-  /** Machines rented or removed by this leader, with the time, until the cloud's list is certain to show the change. */
+  /** Machines rented by this leader, with the time of the rental, until the cloud's list shows them. */
   private readonly rentedAt = new Map<string, Micros>();
+  /** Machines returned by this leader, with the time, until the cloud's list certainly no longer shows them. */
   private readonly removedAt = new Map<string, Micros>();
   private readonly requests: RentalRequests;
+  /** Number of rental requests named in this term; part of the next name. */
   private requestCount = 0;
   /** Machines that the latest rental plan assigns demand to. */
   private neededMachines: ReadonlySet<string> = new Set();
   /** Machine types that some waiting task could run on. */
   private usableTypes: ReadonlySet<string> = new Set();
+  /** Whether this leader has received the cloud's machine list. */
   private hasListed = false;
   private lastListedAt = Number.NEGATIVE_INFINITY;
+  /** Minimum interval between two list requests, in microseconds. */
   private readonly listInterval: number;
 
   constructor(
@@ -268,7 +277,8 @@
       yield* this.returnToCloud(found.silent, 'never reported');
       yield* this.returnToCloud(found.neverBooted, 'never booted');
       yield* this.returnToCloud(found.unneeded, 'overdue and not needed', true);
-      // Needs the demand of a recent scheduling cycle; `onlyEmpty` keeps machines whose start is still being committed.
+      // Idle machines that the demand of the latest cycle relies on were left out above. `onlyEmpty` also keeps machines for
+      // which a start is still being committed.
       const idle = planReturns(found.idle, ({ id }) => this.idleLimit(id));
       yield* this.returnToCloud(idle, 'idle', true);
     });
--- a/packages/controller/src/provisioning/cloud.ts
+++ b/packages/controller/src/provisioning/cloud.ts
@@ -136,7 +136,7 @@
 /** Text in the body of a 503 response when the cloud has no capacity for the offer. */
 const NO_CAPACITY = 'no capacity';
 
-/** Returns the failure that a response with a status other than 200 stands for. */
+/** Converts a response with a status other than 200 to a failure. */
 const failureOf = ({ status, body }: Reply): CloudRefused | OutOfCapacity => {
   const reason = body.toString('utf8', 0, REASON_BYTES);
   return status === 503 && reason.includes(NO_CAPACITY)
--- a/packages/controller/src/provisioning/rental-requests.ts
+++ b/packages/controller/src/provisioning/rental-requests.ts
@@ -7,6 +7,7 @@
 import type { RentalRequest } from './cloud.js';
 import { type ProvisioningNews, type Offer, offerKey } from './model.js';
 
+/** A request of this leader without a response. */
 interface OpenRequest {
   readonly request: RentalRequest;
   readonly sentAt: Micros;
--- a/packages/controller/src/snapshots/restore.ts
+++ b/packages/controller/src/snapshots/restore.ts
@@ -74,7 +74,10 @@
       .sort((a, b) => (a.key < b.key ? -1 : 1));
     const resumed = stored !== null;
     let remaining = entries.filter((entry) => entry.key > progress.to);
-    /** Writes one batch together with the progress; returns false if another process changed the store. */
+    /**
+     * Writes one batch together with the progress, which is null for the last batch. Returns false if another process
+     * changed the store.
+     */
     const commit = (writes: readonly Write[], next: Progress | null) =>
       Effect.gen(function* () {
         for (;;) {
