--- a/packages/controller/src/accounts/maintenance.ts
+++ b/packages/controller/src/accounts/maintenance.ts
@@ -37,7 +37,7 @@
 /** Runs a transaction on the condition that this leader's term is still current, and then refreshes the store watcher. */
 const transact = (context: CycleContext, when: readonly Condition[], then: readonly Write[]) =>
   context.store
-    .transact([{ key: TERM, stamp: context.leaderTerm.stamp }, ...when], then, Priority.Upkeep, 1500)
+    .transact([{ key: TERM, revision: context.leaderTerm.revision }, ...when], then, Priority.Upkeep, 1500)
     .pipe(Effect.zipLeft(Effect.ignore(context.watcher.refresh)));
 
 /** Writes the page of the oldest period that has none. Returns whether there was such a period. */
@@ -58,7 +58,7 @@
     const outcome = yield* transact(
       context,
       // The stored checkpoint must be the one from which this controller's accounts continue.
-      [{ key: ACCOUNTS, stamp: checkpoint.revision }],
+      [{ key: ACCOUNTS, revision: checkpoint.revision }],
       [...pageWrites(context, 'm', page), ...checkpointWrites(context, { ...accounts, pending })],
     );
     if (!outcome.ok) return true;
@@ -120,7 +120,7 @@
         (member) => periodEnd(due.up, member.page.to) === due.to,
       );
       if (joined.entry === null) {
-        const when = [{ key: pageKey(due.up, due.to), stamp: 0 }];
+        const when = [{ key: pageKey(due.up, due.to), revision: 0 }];
         const outcome = yield* transact(
           context,
           when,
--- a/packages/controller/src/api/cancellation.ts
+++ b/packages/controller/src/api/cancellation.ts
@@ -1,5 +1,5 @@
 /** Cancellation of a job. It is confirmed after it has been committed and read back. */
-import { type Answer, retryLater } from '@lilacvalve/runtime/http-server';
+import { type HttpResponse, retryLater } from '@lilacvalve/runtime/http-server';
 import { Effect, Either, Random } from 'effect';
 import { encodeFinalState, encodeJob } from '../jobs/codec.js';
 import { activeJobKey, finalStateKey, jobUnchanged } from '../jobs/keys.js';
@@ -32,7 +32,7 @@
   ) {}
 
   /** Never fails: errors are turned into responses. */
-  cancel(id: string): Effect.Effect<Answer> {
+  cancel(id: string): Effect.Effect<HttpResponse> {
     return Effect.gen(this, function* () {
       const { clock, lossDetector } = this.context;
       if (!this.lookup.isReadable()) return notReady(lossDetector);
@@ -61,8 +61,8 @@
       const final = encodeFinalState({ status: 'cancelled', tasks: found.orphan.tasks });
       return {
         conditions: [
-          { key: activeJobKey(id), stamp: 0 },
-          { key: finalStateKey(id), stamp: 0 },
+          { key: activeJobKey(id), revision: 0 },
+          { key: finalStateKey(id), revision: 0 },
         ],
         writes: [{ set: finalStateKey(id), value: final }, ...orphanRemoval(this.context.jobState, id)],
       };
@@ -77,7 +77,7 @@
   }
 
   /** Responds to a cancellation committed at `revision`, from a view that includes it. */
-  private confirm(id: string, revision: number): Effect.Effect<Answer, StateFailure> {
+  private confirm(id: string, revision: number): Effect.Effect<HttpResponse, StateFailure> {
     return Effect.flatMap(this.lookup.find(id), (current) => {
       if (current.kind !== 'active' || !current.job.cancelled)
         return this.confirmation.respondToChange(id, current);
--- a/packages/controller/src/api/confirmation.ts
+++ b/packages/controller/src/api/confirmation.ts
@@ -3,7 +3,7 @@
  * state service, so a change that the other controllers may not have read yet is replicated to them before the
  * response is sent.
  */
-import type { Answer } from '@lilacvalve/runtime/http-server';
+import type { HttpResponse } from '@lilacvalve/runtime/http-server';
 import { Effect } from 'effect';
 import { encodeJob } from '../jobs/codec.js';
 import { type FinalState, isComplete } from '../jobs/model.js';
@@ -21,8 +21,8 @@
     id: string,
     revision: number,
     value: JobEvidence['value'],
-    response: Answer,
-  ): Effect.Effect<Answer> {
+    response: HttpResponse,
+  ): Effect.Effect<HttpResponse> {
     const { lossDetector, evidenceStore } = this.context;
     const { incarnation } = lossDetector;
     if (incarnation === null) return Effect.succeed(response);
@@ -40,7 +40,7 @@
    * Responds to a poll. Only the leader can know a completion that the other controllers have not read yet; any
    * other controller has read it from the store.
    */
-  respond(id: string, found: JobLookupResult): Effect.Effect<Answer> {
+  respond(id: string, found: JobLookupResult): Effect.Effect<HttpResponse> {
     const { jobState, isLeader } = this.context;
     const completedAt = jobState.recentlyCompleted.get(id);
     const response = jobResponse(id, found);
@@ -57,7 +57,7 @@
    * replication costs nothing if the other controllers have read it. The value is replicated only if no log entry
    * mentions the job: a view that has lost such entries must not continue from it.
    */
-  respondToChange(id: string, found: JobLookupResult): Effect.Effect<Answer> {
+  respondToChange(id: string, found: JobLookupResult): Effect.Effect<HttpResponse> {
     if (found.kind !== 'active' || found.job.revision === 0 || found.job.lastSequence > 0)
       return this.respond(id, found);
     const stored = encodeJob(found.job, found.job.lastSequence);
--- a/packages/controller/src/api/handlers.ts
+++ b/packages/controller/src/api/handlers.ts
@@ -3,7 +3,7 @@
  * cancelled or done only after a committed compare-and-swap. Final states may be served from memory; any other
  * response requires a view at least as new as the request.
  */
-import type { Answer, Incoming } from '@lilacvalve/runtime/http-server';
+import type { HttpResponse, HttpRequest } from '@lilacvalve/runtime/http-server';
 import { Effect } from 'effect';
 import type { ApiContext } from './api-context.js';
 import { CancellationHandler } from './cancellation.js';
@@ -15,9 +15,9 @@
 
 /** The operations of users. Each responds to every request and never fails. */
 export interface UserHandlers {
-  readonly submit: (request: Incoming) => Effect.Effect<Answer>;
-  readonly poll: (id: string) => Effect.Effect<Answer>;
-  readonly cancel: (id: string) => Effect.Effect<Answer>;
+  readonly submit: (request: HttpRequest) => Effect.Effect<HttpResponse>;
+  readonly poll: (id: string) => Effect.Effect<HttpResponse>;
+  readonly cancel: (id: string) => Effect.Effect<HttpResponse>;
 }
 
 /** Creates the user handlers of one controller. */
@@ -27,7 +27,7 @@
   const submissions = new SubmissionHandler(context, lookup, confirmation);
   const cancellations = new CancellationHandler(context, lookup, confirmation);
 
-  const poll = (id: string): Effect.Effect<Answer> =>
+  const poll = (id: string): Effect.Effect<HttpResponse> =>
     lookup.isReadable() || (context.jobState.finalStates.has(id) && context.isDurable())
       ? lookup.find(id).pipe(
           Effect.flatMap((found) => confirmation.respond(id, found)),
--- a/packages/controller/src/api/job-lookup.ts
+++ b/packages/controller/src/api/job-lookup.ts
@@ -56,7 +56,7 @@
     return Effect.gen(this, function* () {
       const { jobState, store } = this.context;
       if (jobState.finalStates.complete) return null;
-      for (const part of jobState.finalStateParts) {
+      for (const part of jobState.finalStatePageSets) {
         const page = yield* store.page(`${FINAL_STATE_PAGES}${part}/`, finalStatePageAfter(part, id), 1);
         for (const entry of page.entries)
           for (const [finalId, final] of decodeFinalStates(entry.value)) if (finalId === id) return final;
--- a/packages/controller/src/api/responses.ts
+++ b/packages/controller/src/api/responses.ts
@@ -1,5 +1,5 @@
 /** Response bodies for users, with the protocol's field names. */
-import { type Answer, json, retryLater } from '@lilacvalve/runtime/http-server';
+import { type HttpResponse, json, retryLater } from '@lilacvalve/runtime/http-server';
 import { debug } from '@lilacvalve/runtime/log';
 import { Effect } from 'effect';
 import { STATUS_WORDS } from '../jobs/codec.js';
@@ -7,7 +7,7 @@
 import type { StateFailure } from '../state-store/client.js';
 import type { JobLookupResult } from './job-lookup.js';
 
-const finalResponse = (id: string, final: FinalState): Answer =>
+const finalResponse = (id: string, final: FinalState): HttpResponse =>
   json(200, {
     id,
     status: STATUS_WORDS[final.status],
@@ -15,9 +15,9 @@
     running: 0,
   });
 
-const activeResponse = (job: Job): Answer => {
+const activeResponse = (job: Job): HttpResponse => {
   const { id } = job.spec;
-  const counts = { done: job.done.size, running: job.placed.size };
+  const counts = { done: job.completed.size, running: job.placed.size };
   if (job.cancelled) return json(200, { id, status: STATUS_WORDS.cancelled, ...counts });
   // The last completion is in a committed log entry. Moving the job to its final key is only compaction.
   if (isComplete(job)) return finalResponse(id, { status: 'done', tasks: job.spec.tasks });
@@ -26,10 +26,10 @@
 };
 
 /** Response to the acceptance of a new job. */
-export const acceptedResponse = (id: string): Answer => json(201, { id, status: STATUS_WORDS.queued });
+export const acceptedResponse = (id: string): HttpResponse => json(201, { id, status: STATUS_WORDS.queued });
 
 /** Response with the state of a job that was looked up. */
-export const jobResponse = (id: string, found: JobLookupResult): Answer => {
+export const jobResponse = (id: string, found: JobLookupResult): HttpResponse => {
   switch (found.kind) {
     case 'unknown':
       return json(404, { error: 'no such job' });
@@ -43,7 +43,7 @@
 };
 
 /** Response when the state service did not serve this controller; the user should retry later. */
-export const stateUnavailable = (failure: StateFailure): Effect.Effect<Answer> =>
+export const stateUnavailable = (failure: StateFailure): Effect.Effect<HttpResponse> =>
   debug('store unavailable', {
     reason: failure._tag === 'Refused' ? `${failure.status}` : failure.reason,
   }).pipe(Effect.as(retryLater('state unavailable')));
--- a/packages/controller/src/api/router.ts
+++ b/packages/controller/src/api/router.ts
@@ -1,7 +1,7 @@
 /**
  * Routes requests to the address shared by users and workers. Heartbeats are handled before they reach the router.
  */
-import { type Answer, type Incoming, json, retryLater } from '@lilacvalve/runtime/http-server';
+import { type HttpResponse, type HttpRequest, json, retryLater } from '@lilacvalve/runtime/http-server';
 import { Effect } from 'effect';
 import { JOB_ID } from '../jobs/codec.js';
 import { countMetric } from '../metrics.js';
@@ -17,7 +17,7 @@
 const JOB_PATH = /^\/work\/([^/]+)(\/withdraw)?$/;
 
 /** The class that admission control assigns to a request; null if it is served at any load. */
-export const workClassOf = (request: Incoming): WorkClass | null => {
+export const workClassOf = (request: HttpRequest): WorkClass | null => {
   if (!request.path.startsWith(SUBMIT_PATH)) return null;
   // A cancellation writes like a submission, and stops tasks whose results are no longer needed.
   return request.method === 'POST' ? 'submission' : 'poll';
@@ -26,10 +26,10 @@
 const metricOf = (path: string) =>
   path === READY_PATH ? 'probes' : path === SUBMIT_PATH ? 'submissions' : 'polls';
 
-const methodNotAllowed = (allow: string): Effect.Effect<Answer> =>
+const methodNotAllowed = (allow: string): Effect.Effect<HttpResponse> =>
   Effect.succeed(json(405, { error: 'method not allowed' }, { Allow: allow }));
 
-const readiness = (unready: () => string | null): Answer => {
+const readiness = (unready: () => string | null): HttpResponse => {
   const reason = unready();
   return reason === null ? json(200, { ready: true }) : retryLater(reason);
 };
@@ -40,7 +40,7 @@
  */
 export const route =
   (users: UserHandlers, unready: () => string | null) =>
-  (request: Incoming): Effect.Effect<Answer> => {
+  (request: HttpRequest): Effect.Effect<HttpResponse> => {
     const { method, path } = request;
     countMetric(metricOf(path));
     if (path === HEARTBEAT_PATH) return methodNotAllowed('POST');
@@ -51,7 +51,7 @@
   };
 
 /** Routes the paths of a job: its state and its cancellation. */
-const routeJob = (users: UserHandlers, method: string, path: string): Effect.Effect<Answer> => {
+const routeJob = (users: UserHandlers, method: string, path: string): Effect.Effect<HttpResponse> => {
   const match = JOB_PATH.exec(path);
   if (!match?.[1]) return Effect.succeed(json(404, { error: 'no such path' }));
   const [, id, cancellation] = match;
--- a/packages/controller/src/api/submission.ts
+++ b/packages/controller/src/api/submission.ts
@@ -2,7 +2,7 @@
  * Submission of a job. The request is idempotent: it creates the job's key if neither that key nor a final state
  * exists.
  */
-import { type Answer, type Incoming, json, retryLater } from '@lilacvalve/runtime/http-server';
+import { type HttpResponse, type HttpRequest, json, retryLater } from '@lilacvalve/runtime/http-server';
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { Effect, Either, Random } from 'effect';
 import { bindToOccurrence } from '../calendar/cutoff-binding.js';
@@ -27,7 +27,7 @@
 }
 
 /** Parses the body and its job id; returns an error response if that fails. */
-const parseBody = (request: Incoming): Either.Either<SubmissionBody, Answer> => {
+const parseBody = (request: HttpRequest): Either.Either<SubmissionBody, HttpResponse> => {
   if (request.body === null) return Either.left(json(400, { error: 'body over 64 KiB' }));
   let body: unknown;
   try {
@@ -48,7 +48,7 @@
   spec,
   cancelled: false,
   attempt: 0,
-  done: new Set(),
+  completed: new Set(),
   placed: new Map(),
   failedOn: new Set(),
   loans: new Map(),
@@ -67,7 +67,7 @@
   ) {}
 
   /** Never fails: errors are turned into responses. */
-  submit(request: Incoming): Effect.Effect<Answer> {
+  submit(request: HttpRequest): Effect.Effect<HttpResponse> {
     return Effect.gen(this, function* () {
       const parsed = parseBody(request);
       if (Either.isLeft(parsed)) return parsed.left;
@@ -86,7 +86,7 @@
   }
 
   /** Returns the specification of the job to create, or the response if none is to be created. */
-  private check(id: string, body: object): Effect.Effect<Either.Either<JobSpec, Answer>, StateFailure> {
+  private check(id: string, body: object): Effect.Effect<Either.Either<JobSpec, HttpResponse>, StateFailure> {
     return Effect.gen(this, function* () {
       const { jobState, settings, lossDetector } = this.context;
       if (!this.lookup.isReadable()) return Either.left(notReady(lossDetector));
@@ -111,27 +111,27 @@
     });
   }
 
-  private respondAsKnown(id: string): Effect.Effect<Answer, StateFailure> {
+  private respondAsKnown(id: string): Effect.Effect<HttpResponse, StateFailure> {
     return Effect.flatMap(this.lookup.find(id), (found) => this.confirmation.respondToChange(id, found));
   }
 
   /** The compare-and-swap that creates the job does not detect final states that a rebuild wrote in pages. */
   private isFinishedByRebuild(id: string): Effect.Effect<boolean, StateFailure> {
-    const { finalStates, finalStateParts } = this.context.jobState;
+    const { finalStates, finalStatePageSets: finalStateParts } = this.context.jobState;
     if (finalStates.complete || finalStateParts.size === 0) return Effect.succeed(false);
     return Effect.map(this.lookup.rebuiltFinalState(id), (final) => final !== null);
   }
 
   /** Retries until the job is committed, found to exist, or the time is up. */
-  private create(id: string, value: unknown, startedAt: Micros): Effect.Effect<Answer, StateFailure> {
+  private create(id: string, value: unknown, startedAt: Micros): Effect.Effect<HttpResponse, StateFailure> {
     return Effect.gen(this, function* () {
       const { store, jobState, clock } = this.context;
       for (;;) {
         const result = yield* Effect.either(
           store.transact(
             [
-              { key: activeJobKey(id), stamp: 0 },
-              { key: finalStateKey(id), stamp: 0 },
+              { key: activeJobKey(id), revision: 0 },
+              { key: finalStateKey(id), revision: 0 },
             ],
             [{ set: activeJobKey(id), value }, ...orphanRemoval(jobState, id)],
             Priority.Commit,
--- a/packages/controller/src/api/write-policy.ts
+++ b/packages/controller/src/api/write-policy.ts
@@ -1,5 +1,5 @@
 /** Common rules for users' changes: how long they are retried, and which writes accompany them. */
-import { type Answer, retryLater } from '@lilacvalve/runtime/http-server';
+import { type HttpResponse, retryLater } from '@lilacvalve/runtime/http-server';
 import { seconds } from '@lilacvalve/runtime/micros';
 import { orphanedJobKey } from '../jobs/keys.js';
 import type { JobState } from '../jobs/job-state.js';
@@ -20,7 +20,7 @@
   failure._tag === 'Refused' && failure.status === 503;
 
 /** Response to a change while the store has not been read or a data loss is suspected. */
-export const notReady = (lossDetector: Pick<DataLossDetector, 'suspected'>): Answer =>
+export const notReady = (lossDetector: Pick<DataLossDetector, 'suspected'>): HttpResponse =>
   retryLater(lossDetector.suspected ? UNCERTAIN.reason : 'starting');
 
 /** Deletes the key of an orphaned job, whose running tasks then belong to the submitted or cancelled job. */
--- a/packages/controller/src/calendar/cutoff-tracking.ts
+++ b/packages/controller/src/calendar/cutoff-tracking.ts
@@ -31,7 +31,7 @@
 
 /** Returns the time of day, but never earlier than the latest log entry: a clock that is set back must not extend a cutoff. */
 export const monotonicDayTime = (context: Pick<CycleContext, 'dayTime' | 'jobState'>): Micros =>
-  Math.max(context.dayTime(), context.jobState.lastAt) as Micros;
+  Math.max(context.dayTime(), context.jobState.lastEntryAt) as Micros;
 
 /** Returns a function that computes the slack inputs on its first call only: on most days no job is bound to a cutoff. */
 export const slackInputsOf = (context: CycleContext): (() => SlackInputs) => {
@@ -72,7 +72,7 @@
   let lost = false;
   for (const logEntry of context.jobState.logTail.values()) {
     const change = logEntry.jobs.get(spec.id);
-    if ((change?.gone?.length ?? 0) > (change?.failed?.length ?? 0)) lost = true;
+    if ((change?.exited?.length ?? 0) > (change?.failed?.length ?? 0)) lost = true;
   }
   return {
     limited: exceeds(limit?.cpus, cpus, spec.cpus) || exceeds(limit?.gpus, gpus, spec.gpus),
@@ -90,7 +90,7 @@
     if (job.spec.cutoffBinding === null || job.cancelled || isComplete(job)) continue;
     // A job that the same log entry completes is not at risk, but it may have missed its cutoff.
     const exits = context.registry.exits.get(job.spec.id);
-    const completes = exits !== undefined && job.done.size + exits.done.size >= job.spec.tasks;
+    const completes = exits !== undefined && job.completed.size + exits.done.size >= job.spec.tasks;
     const risk = newCutoffRisk(job, calendars.current, day, slackInputs, () => delayCausesOf(context, job));
     if (risk === null || (completes && isRisk(risk))) continue;
     out.set(job.spec.id, risk);
@@ -133,12 +133,12 @@
   if ((context.jobState.calendars.current?.cutoffs.length ?? 0) === 0) return;
   for (const [id, change] of jobs) {
     const job = context.jobState.jobs.get(id);
-    if (job === undefined || !change.done?.length || job.spec.estimate <= 0) continue;
+    if (job === undefined || !change.completed?.length || job.spec.estimate <= 0) continue;
     const { ratios } = context.classSamples;
     let list = ratios.get(job.spec.jobClass);
     if (!list) ratios.set(job.spec.jobClass, (list = []));
     // The members of a gang complete together, so one sample represents all of them.
-    for (const task of change.done.slice(0, job.spec.shape === 'array' ? MAX_SAMPLES_PER_JOB : 1)) {
+    for (const task of change.completed.slice(0, job.spec.shape === 'array' ? MAX_SAMPLES_PER_JOB : 1)) {
       const since = job.placed.get(task)?.since ?? 0;
       if (since > 0 && list.length < 256) list.push((at - since) / job.spec.estimate);
     }
@@ -170,7 +170,7 @@
   for (const [id, counts] of added) {
     const stored = jobState.calendars.outcomeCounts.get(id);
     const key = OCCURRENCE + id;
-    when.push({ key, stamp: stored?.revision ?? 0 });
+    when.push({ key, revision: stored?.revision ?? 0 });
     then.push({
       set: key,
       value: encodeOutcomeCounts(
@@ -210,8 +210,8 @@
     yield* Effect.ignore(
       context.store.transact(
         [
-          { key: TERM, stamp: context.leaderTerm.stamp },
-          { key: CLASS_DURATIONS, stamp: calendars.classDurations?.revision ?? 0 },
+          { key: TERM, revision: context.leaderTerm.revision },
+          { key: CLASS_DURATIONS, revision: calendars.classDurations?.revision ?? 0 },
         ],
         [
           {
--- a/packages/controller/src/calendar/publish.ts
+++ b/packages/controller/src/calendar/publish.ts
@@ -53,15 +53,15 @@
     const { entry: rebuild } = yield* store.get(REBUILD);
     const phase = (rebuild?.value as { phase?: string } | undefined)?.phase;
     if (last === null || (rebuild !== null && phase !== 'wait')) return null;
-    return [{ key: last.key, stamp: last.stamp }];
+    return [{ key: last.key, revision: last.revision }];
   });
 
 /** Returns the stored head with its revision, or null if there is none. */
 export const readHead = (
   store: CalendarStore,
-): Effect.Effect<{ head: CalendarHead; stamp: number } | null, StateFailure> =>
+): Effect.Effect<{ head: CalendarHead; revision: number } | null, StateFailure> =>
   Effect.map(store.get(CALENDAR_HEAD), ({ entry }) =>
-    entry === null ? null : { head: decodeHead(entry.value), stamp: entry.stamp },
+    entry === null ? null : { head: decodeHead(entry.value), revision: entry.revision },
   );
 
 const sameJson = (a: unknown, b: unknown): boolean => JSON.stringify(a) === JSON.stringify(b);
@@ -83,14 +83,14 @@
   Effect.gen(function* () {
     const set = { set: page.key, value: page.value };
     const outcome = yield* store.transact(
-      [...base, { key: page.key, stamp: 0 }],
+      [...base, { key: page.key, revision: 0 }],
       [set],
       Priority.Commit,
       TIMEOUT_MS,
     );
     if (outcome.ok) return outcome.revision;
     const { entry } = yield* store.get(page.key);
-    return entry !== null && sameJson(entry.value, page.value) ? entry.stamp : null;
+    return entry !== null && sameJson(entry.value, page.value) ? entry.revision : null;
   });
 
 /**
@@ -136,10 +136,10 @@
         return refuse(
           `page ${page.key} is already stored with other content, or the state service lost data`,
         );
-      stamps.push({ key: page.key, stamp });
+      stamps.push({ key: page.key, revision: stamp });
     }
     const outcome = yield* store.transact(
-      [...base, { key: CALENDAR_HEAD, stamp: stored?.stamp ?? 0 }, ...stamps],
+      [...base, { key: CALENDAR_HEAD, revision: stored?.revision ?? 0 }, ...stamps],
       [{ set: CALENDAR_HEAD, value: head }],
       Priority.Commit,
       TIMEOUT_MS,
@@ -150,7 +150,7 @@
     if (now?.head.digest === head.digest)
       return { ok: true, version: head.version, pages: pages.length, already: true };
     return refuse(
-      now !== null && now.stamp !== stored?.stamp
+      now !== null && now.revision !== stored?.revision
         ? `another user applied version ${now.head.version} at the same time: theirs holds`
         : 'the store changed meanwhile: try again',
     );
@@ -176,7 +176,7 @@
   store: CalendarStore,
   limits: StoreLimits,
   base: readonly Condition[],
-  stored: { readonly head: CalendarHead; readonly stamp: number } | null,
+  stored: { readonly head: CalendarHead; readonly revision: number } | null,
   mine: ReadonlySet<string>,
 ): Effect.Effect<void, StateFailure> =>
   Effect.gen(function* () {
@@ -201,8 +201,8 @@
       // Refused if the head has changed meanwhile: the new head may name the pages that are to be deleted.
       const when = [
         ...base,
-        { key: CALENDAR_HEAD, stamp: stored?.stamp ?? 0 },
-        ...batch.map((entry) => ({ key: entry.key, stamp: entry.stamp })),
+        { key: CALENDAR_HEAD, revision: stored?.revision ?? 0 },
+        ...batch.map((entry) => ({ key: entry.key, revision: entry.revision })),
       ];
       const outcome = yield* store.transact(when, then, Priority.Upkeep, TIMEOUT_MS);
       if (!outcome.ok) return;
--- a/packages/controller/src/calendar/slack.ts
+++ b/packages/controller/src/calendar/slack.ts
@@ -65,7 +65,7 @@
     longest = Math.max(longest, left);
   }
   if (spec.shape !== 'array') return Math.round(job.placed.size === spec.tasks ? longest : perTask) as Micros;
-  const waiting = spec.tasks - job.done.size - job.placed.size;
+  const waiting = spec.tasks - job.completed.size - job.placed.size;
   const atOnce = Math.max(1, Math.min(slots, waiting + job.placed.size));
   return Math.round(
     Math.max(longest, waiting > 0 ? perTask : 0, (running + waiting * perTask) / atOnce),
@@ -177,7 +177,7 @@
   const left = conservativeTimeLeft(job, day, inputs);
   if (day + left <= occurrence.at) return null;
   const { spec } = job;
-  if (spec.tasks - job.done.size === job.placed.size) return CUTOFF_RISK.estimate;
+  if (spec.tasks - job.completed.size === job.placed.size) return CUTOFF_RISK.estimate;
   const { limited, lost } = delayCauses();
   if (limited) return CUTOFF_RISK.limit;
   if (lost) return CUTOFF_RISK.lost;
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -1,8 +1,8 @@
 /** One controller: connects its modules. All external effects are passed in as ports. */
 import { supervise } from '@lilacvalve/runtime/supervise';
-import type { Answer, Incoming, Quick } from '@lilacvalve/runtime/http-server';
+import type { HttpResponse, HttpRequest, FastPathHandler } from '@lilacvalve/runtime/http-server';
 import { type Micros, plus } from '@lilacvalve/runtime/micros';
-import { tick } from '@lilacvalve/runtime/tick';
+import { sleepUntilTick } from '@lilacvalve/runtime/tick';
 import type { Files } from '@lilacvalve/snapshot/files';
 import { Effect } from 'effect';
 import { DataLossDetector } from './recovery/data-loss-detector.js';
@@ -55,13 +55,13 @@
 
 /** One controller process. */
 export interface Controller {
-  readonly handle: (request: Incoming) => Effect.Effect<Answer>;
+  readonly handle: (request: HttpRequest) => Effect.Effect<HttpResponse>;
   /** Handles workers' heartbeats; called before `handle`. */
-  readonly quick: Quick;
+  readonly quick: FastPathHandler;
   /** Handles requests of other controllers. */
-  readonly handlePeer: (request: Incoming) => Effect.Effect<Answer>;
+  readonly handlePeer: (request: HttpRequest) => Effect.Effect<HttpResponse>;
   /** Handles peer heartbeats and relayed workers' heartbeats; called before `handlePeer`. */
-  readonly quickPeer: Quick;
+  readonly quickPeer: FastPathHandler;
   readonly run: Effect.Effect<never>;
   readonly leadership: Leadership;
   /** The reason why this controller cannot serve requests; null if it can. */
@@ -81,7 +81,7 @@
     lossDetector.incarnation === null
       ? []
       : peers
-          .behind(lossDetector.incarnation.id, revision)
+          .peersBehind(lossDetector.incarnation.id, revision)
           .sort(
             (a, b) =>
               Number(b.label === leadership.knownLeader()) - Number(a.label === leadership.knownLeader()),
@@ -175,7 +175,7 @@
         lossDetector.suspected ||
         (verified && compared)
       ) {
-        yield* verified ? tick(1500) : Effect.sleep(watcher.loaded ? 300 : 40);
+        yield* verified ? sleepUntilTick(1500) : Effect.sleep(watcher.loaded ? 300 : 40);
         return;
       }
       const verification = { lossDetector, store, watcher, jobState, port: ports.views };
@@ -190,7 +190,7 @@
       verified = watcher.loaded && !lossDetector.suspected;
       compared = verified && (outcomes.includes('compared') || !outcomes.includes('silent'));
       // A peer that did not respond may know more once it is reachable.
-      if (verified && !compared) yield* tick(1500);
+      if (verified && !compared) yield* sleepUntilTick(1500);
     }).pipe(Effect.forever),
   );
   /**
@@ -200,7 +200,7 @@
    * these tasks would be placed, and charged, a second time.
    */
   const isViewComplete = (): boolean =>
-    compared && lossDetector.suspicion?.proven !== true && jobState.missingRecord() === null;
+    compared && lossDetector.suspicion?.proven !== true && jobState.missingEntryKey() === null;
   /** Retires this controller's view when its store incarnation has ended. */
   const retireView = (): void => {
     if (lossDetector.incarnation !== null && (jobState.jobs.size > 0 || jobState.finalStates.size > 0))
@@ -233,7 +233,7 @@
   );
   let machineTypes: readonly MachineType[] | null = null;
   const knownMachineTypes = (): readonly MachineType[] | null =>
-    machineTypes ?? (jobState.types as readonly MachineType[] | null);
+    machineTypes ?? (jobState.machineTypes as readonly MachineType[] | null);
 
   /**
    * The reason why this controller cannot serve requests; null if it can. If the state service serves no
@@ -258,11 +258,11 @@
         const leaderTerm = leadership.currentTerm();
         const withoutSpotPrice = machineTypes.map((type) => ({ ...type, spotPrice: 0 }));
         const storedWithoutSpotPrice =
-          (jobState.types as MachineType[] | null)?.map((type) => ({ ...type, spotPrice: 0 })) ?? null;
+          (jobState.machineTypes as MachineType[] | null)?.map((type) => ({ ...type, spotPrice: 0 })) ?? null;
         if (leaderTerm && JSON.stringify(withoutSpotPrice) !== JSON.stringify(storedWithoutSpotPrice)) {
           yield* Effect.ignore(
             store.transact(
-              [{ key: TERM, stamp: leaderTerm.stamp }],
+              [{ key: TERM, revision: leaderTerm.revision }],
               [{ set: MACHINE_TYPES, value: machineTypes }],
               Priority.Commit,
               1500,
--- a/packages/controller/src/health-check.ts
+++ b/packages/controller/src/health-check.ts
@@ -5,7 +5,7 @@
 import { supervise } from '@lilacvalve/runtime/supervise';
 import { debug, info } from '@lilacvalve/runtime/log';
 import { type Micros, millis, toMillis } from '@lilacvalve/runtime/micros';
-import { tick, untilTick } from '@lilacvalve/runtime/tick';
+import { sleepUntilTick, msUntilTick } from '@lilacvalve/runtime/tick';
 import { Clock, Effect, FiberRef, LogLevel, Runtime } from 'effect';
 import type { StoreWatcher } from './jobs/store-watcher.js';
 import type { Admission } from './overload/admission.js';
@@ -43,7 +43,7 @@
     'probe',
     Effect.suspend(() =>
       clock() - store.lastServed > 1e6 ? Effect.ignore(watcher.refresh) : Effect.void,
-    ).pipe(Effect.zipRight(tick(500)), Effect.forever),
+    ).pipe(Effect.zipRight(sleepUntilTick(500)), Effect.forever),
   );
 
 /** Logs when the controller approaches its memory limit and refuses new jobs, and when it accepts them again. */
@@ -60,7 +60,7 @@
           : info(isShort ? 'memory short' : 'memory suffices', { part: usageRatio.toFixed(2) });
       memoryShort = isShort;
       return logged;
-    }).pipe(Effect.zipRight(tick(toMillis(CHECK_INTERVAL))), Effect.forever),
+    }).pipe(Effect.zipRight(sleepUntilTick(toMillis(CHECK_INTERVAL))), Effect.forever),
   );
 };
 
@@ -75,7 +75,7 @@
       // After a lag, the next check follows sooner, because the controller may have recovered immediately.
       const interval = admission.lag() > RECHECK_LAG ? LAG_RECHECK_INTERVAL : CHECK_INTERVAL;
       return Effect.flatMap(Clock.currentTimeMillis, (at) => {
-        const ms = untilTick(at, toMillis(interval));
+        const ms = msUntilTick(at, toMillis(interval));
         admission.timerArmed(millis(ms));
         return Effect.sleep(ms);
       }).pipe(
--- a/packages/controller/src/jobs/codec.ts
+++ b/packages/controller/src/jobs/codec.ts
@@ -211,7 +211,7 @@
     ...(job.cancelled && job.cancelledFirst ? { v: 1 as const } : {}),
     ...(compactedTo > 0 ? { f: compactedTo } : {}),
     ...(job.attempt > 0 ? { a: job.attempt } : {}),
-    ...(job.done.size > 0 ? { d: encodeRanges(job.done) } : {}),
+    ...(job.completed.size > 0 ? { d: encodeRanges(job.completed) } : {}),
     ...(groupsByMachine.size > 0 ? { p } : {}),
     ...(job.failedOn.size > 0 ? { x: [...job.failedOn] } : {}),
     ...(jobSpec.cutoffBinding === null ? {} : { k: jobSpec.cutoffBinding }),
@@ -260,7 +260,7 @@
     cancelled: stored.w === 1,
     ...(stored.v === 1 ? { cancelledFirst: true } : {}),
     attempt: stored.a ?? 0,
-    done: new Set(decodeRanges(stored.d ?? '')),
+    completed: new Set(decodeRanges(stored.d ?? '')),
     placed,
     failedOn: new Set(stored.x ?? []),
     loans: decodeLoans(stored.g, stored.t as Micros),
@@ -326,8 +326,8 @@
 };
 
 export const encodeChange = (change: JobChange): StoredChange => ({
-  ...(change.done?.length ? { d: encodeRanges(change.done) } : {}),
-  ...(change.gone?.length ? { g: encodeRanges(change.gone) } : {}),
+  ...(change.completed?.length ? { d: encodeRanges(change.completed) } : {}),
+  ...(change.exited?.length ? { g: encodeRanges(change.exited) } : {}),
   ...(change.failed?.length ? { x: encodeRanges(change.failed) } : {}),
   ...(change.start
     ? {
@@ -372,8 +372,8 @@
 const decodeChange = (stored: StoredChange): JobChange => {
   if (!isStoredChange(stored)) throw new Error('a log entry contains a damaged change of a job');
   return {
-    done: stored.d === undefined ? undefined : decodeRanges(stored.d),
-    gone: stored.g === undefined ? undefined : decodeRanges(stored.g),
+    completed: stored.d === undefined ? undefined : decodeRanges(stored.d),
+    exited: stored.g === undefined ? undefined : decodeRanges(stored.g),
     failed: stored.x === undefined ? undefined : decodeRanges(stored.x),
     start:
       stored.a === undefined
--- a/packages/controller/src/jobs/job-state.ts
+++ b/packages/controller/src/jobs/job-state.ts
@@ -32,7 +32,7 @@
   LARGEST_JOBS,
   LEADER,
   FINAL_STATE_PAGES,
-  FINAL_STATE_PARTS,
+  FINAL_STATE_PAGE_SETS,
   JOB_BUNDLES,
   REBUILD,
   LOG_ENTRIES,
@@ -50,7 +50,7 @@
 const MAX_RECENT_COMPLETIONS = 1000;
 /** Whether the job is still as it was accepted: not cancelled, and without any started task. */
 const isNew = (job: Job): boolean =>
-  job.compactedTo === 0 && job.attempt === 0 && job.done.size + job.placed.size === 0 && !job.cancelled;
+  job.compactedTo === 0 && job.attempt === 0 && job.completed.size + job.placed.size === 0 && !job.cancelled;
 
 /** The value of the leader key. Stored as it is. */
 export interface LeaderEntry {
@@ -94,7 +94,7 @@
   /** Sequence number of the latest log entry. */
   lastSequence = 0;
   /** Time of day of the latest log entry. */
-  lastAt = 0 as Micros;
+  lastEntryAt = 0 as Micros;
   /** The accounts as of the last access of `accounts` or the last checkpoint. */
   private accountsSoFar: Accounts = NO_ACCOUNTS;
   checkpoint: Checkpoint = { upTo: 0, revision: 0 };
@@ -107,9 +107,9 @@
   /** Incremented by each `load`, and when a job is added, cancelled or removed. */
   jobsVersion = 0;
   /** The machine types as last written by a leader: a controller that restarts during an outage of the cloud needs them. */
-  types: unknown = null;
+  machineTypes: unknown = null;
   /** The largest jobs of each class, as last written by a leader; src/scheduler decodes the value. */
-  largest: unknown = null;
+  largestJobs: unknown = null;
   /** Images of services by machine, as last written by a leader: a hint (src/lending). */
   weights: ReadonlyMap<string, readonly string[]> = new Map();
   /** Attempts up to this number belong to earlier generations: they may still run, and are never started again. */
@@ -127,11 +127,11 @@
   /** Bundles of rebuilt jobs by key. */
   readonly bundles = new Map<string, { readonly revision: number; readonly ids: readonly string[] }>();
   /** The key of the bundle that still lists a job, by job id. */
-  readonly bundleOf = new Map<string, string>();
+  readonly bundleByJob = new Map<string, string>();
   /** Jobs whose own key is older than their entry in a bundle; see `setJob`. */
   private readonly newerInBundle = new Set<string>();
   /** Names of the sets of final state pages; see `finalStatePageKey`. */
-  readonly finalStateParts = new Set<string>();
+  readonly finalStatePageSets = new Set<string>();
   /** Orphaned jobs by id; see `OrphanedJob`. */
   readonly orphanedJobs = new Map<string, OrphanedJob & { readonly revision: number }>();
   /** Keys whose values can't be decoded, with the values' revisions. */
@@ -163,14 +163,14 @@
       this.logTail,
       this.incarnations,
       this.bundles,
-      this.bundleOf,
+      this.bundleByJob,
       this.newerInBundle,
     ])
       collection.clear();
     this.placementIndex?.clear();
     this.calendars.clear();
     this.orphanedJobs.clear();
-    this.finalStateParts.clear();
+    this.finalStatePageSets.clear();
     this.damaged.clear();
     this.recentlyCompleted.clear();
     this.finalStates.complete = false;
@@ -183,7 +183,7 @@
     this.term = 0;
     this.termRevision = 0;
     this.lastSequence = 0;
-    this.lastAt = 0 as Micros;
+    this.lastEntryAt = 0 as Micros;
     this.accountsSoFar = NO_ACCOUNTS;
     this.checkpoint = { upTo: 0, revision: 0 };
     this.checkpointValues = [];
@@ -208,7 +208,7 @@
   isRestored(id: string): boolean {
     if (this.rebuild === null || this.rebuild.phase === 'wait') return true;
     const incarnationRevision = this.incarnation?.revision ?? 0;
-    const bundle = this.bundleOf.get(id);
+    const bundle = this.bundleByJob.get(id);
     const revision = Math.max(
       this.jobs.get(id)?.revision ?? 0,
       bundle === undefined ? 0 : this.bundles.get(bundle)!.revision,
@@ -221,7 +221,7 @@
    * view is incomplete. null: there is none. Keys from before the present incarnation don't count, since the rebuild that
    * began it has replaced them.
    */
-  missingRecord(): string | null {
+  missingEntryKey(): string | null {
     const incarnationRevision = this.incarnation?.revision ?? 0;
     for (const [key, revision] of this.damaged)
       if (revision > incarnationRevision && (key.startsWith(LOG_ENTRIES) || key === TERM)) return key;
@@ -254,7 +254,7 @@
 
   /** Applies the changes of a response to a watch request; skips those that have been applied already. */
   advance(changes: readonly Change[], revision: number): void {
-    for (const change of changes) if (change.stamp > this.revision) this.apply(change);
+    for (const change of changes) if (change.revision > this.revision) this.apply(change);
     if (revision > this.revision) this.revision = revision;
   }
 
@@ -265,12 +265,12 @@
       if (this.damaged.size > 0) this.damaged.delete(change.key);
     } catch {
       // The key's last readable value stays in the view.
-      this.damaged.set(change.key, change.stamp);
+      this.damaged.set(change.key, change.revision);
     }
   }
 
   /** Throws on a value that can't be decoded. */
-  private applyValue({ key, value, stamp: revision }: Change): void {
+  private applyValue({ key, value, revision: revision }: Change): void {
     if (key.startsWith(ACTIVE_JOBS)) this.applyJob(key.slice(ACTIVE_JOBS.length), value, revision);
     else if (key.startsWith(LOG_ENTRIES)) this.applyLogEntry(key, value, revision);
     else if (key === ACCOUNTS || key.startsWith(ACCOUNTS_PART)) this.setAccounts(key, value, revision);
@@ -308,8 +308,8 @@
       if (value === undefined) this.incarnations.delete(id);
       else this.incarnations.set(id, incarnationOf(id, value, revision));
       this.attemptFloor = generationFloor(this.incarnation?.generation ?? 0);
-    } else if (key.startsWith(FINAL_STATE_PARTS))
-      this.finalStateParts.add(key.slice(FINAL_STATE_PARTS.length));
+    } else if (key.startsWith(FINAL_STATE_PAGE_SETS))
+      this.finalStatePageSets.add(key.slice(FINAL_STATE_PAGE_SETS.length));
     else if (key.startsWith(ORPHANED_JOB)) {
       const id = key.slice(ORPHANED_JOB.length);
       if (value === undefined) this.orphanedJobs.delete(id);
@@ -326,8 +326,8 @@
       this.leader = value === undefined ? null : (value as LeaderEntry);
       this.leaderRevision = revision;
       if (this.leader === null) this.onLeaderKeyDeleted();
-    } else if (key === MACHINE_TYPES) this.types = value ?? null;
-    else if (key === LARGEST_JOBS) this.largest = value ?? null;
+    } else if (key === MACHINE_TYPES) this.machineTypes = value ?? null;
+    else if (key === LARGEST_JOBS) this.largestJobs = value ?? null;
     else if (key === IMAGE_WEIGHTS) this.weights = decodeImageWeights(value);
     else if (key === TERM && value !== undefined) {
       const { term, a } = value as { term: unknown; a?: unknown };
@@ -342,15 +342,15 @@
     const jobs = value === undefined ? [] : decodeBundle(value);
     const listed = new Set(jobs.map((job) => job.spec.id));
     for (const id of this.bundles.get(key)?.ids ?? []) {
-      if (listed.has(id) || this.bundleOf.get(id) !== key) continue;
-      this.bundleOf.delete(id);
+      if (listed.has(id) || this.bundleByJob.get(id) !== key) continue;
+      this.bundleByJob.delete(id);
       // A job that is taken out of its bundle and has no key of its own is finished.
       if (this.jobs.get(id)?.revision === 0) this.removeJob(id);
     }
     if (value === undefined) this.bundles.delete(key);
     else this.bundles.set(key, { revision, ids: [...listed] });
     for (const job of jobs) {
-      this.bundleOf.set(job.spec.id, key);
+      this.bundleByJob.set(job.spec.id, key);
       // A known job has a key of its own, which is newer than the bundle.
       if (!this.jobs.has(job.spec.id)) this.setJob(job.spec.id, job);
     }
@@ -361,9 +361,9 @@
     const when: Condition[] = [];
     const then: Write[] = [];
     const removed = new Set(ids);
-    for (const key of new Set(ids.flatMap((id) => this.bundleOf.get(id) ?? []))) {
+    for (const key of new Set(ids.flatMap((id) => this.bundleByJob.get(id) ?? []))) {
       const bundle = this.bundles.get(key)!;
-      when.push({ key, stamp: bundle.revision });
+      when.push({ key, revision: bundle.revision });
       const remaining = bundle.ids.flatMap((id) => {
         const job = this.jobs.get(id);
         return job && !removed.has(id) && (job.revision === 0 || this.newerInBundle.has(id)) ? [job] : [];
@@ -394,7 +394,7 @@
     this.lastSequence = Math.max(this.lastSequence, job.compactedTo);
     // After a loss the log entries that started these placements may be missing.
     for (const placement of job.placed.values())
-      this.lastAt = Math.max(this.lastAt, placement.since) as Micros;
+      this.lastEntryAt = Math.max(this.lastEntryAt, placement.since) as Micros;
     this.jobs.set(id, job);
     this.placementIndex?.addJob(job);
     if (!old || old.cancelled !== job.cancelled) this.jobsChanged();
@@ -437,7 +437,7 @@
     this.checkpoint = { ...this.checkpoint, upTo: stored.upTo };
     this.accountsSoFar = stored;
     this.lastSequence = Math.max(this.lastSequence, stored.upTo);
-    this.lastAt = Math.max(this.lastAt, stored.at) as Micros;
+    this.lastEntryAt = Math.max(this.lastEntryAt, stored.at) as Micros;
   }
 
   /** Adds a log entry and applies it to its jobs. A leader also calls this as soon as its own log entry is committed. */
@@ -445,12 +445,12 @@
     if (this.logTail.has(entry.sequence)) return;
     this.logTail.set(entry.sequence, entry);
     this.lastSequence = Math.max(this.lastSequence, entry.sequence);
-    this.lastAt = Math.max(this.lastAt, entry.head.at) as Micros;
+    this.lastEntryAt = Math.max(this.lastEntryAt, entry.head.at) as Micros;
     for (const [id, change] of entry.jobs) {
       const job = this.jobs.get(id);
       if (!job || job.compactedTo >= entry.sequence) continue;
-      this.placementIndex?.remove(job, change.done);
-      this.placementIndex?.remove(job, change.gone);
+      this.placementIndex?.remove(job, change.completed);
+      this.placementIndex?.remove(job, change.exited);
       this.applyToJob(job, change, entry);
       if (change.start && this.placementIndex !== null)
         for (const tasks of change.start.on.values())
@@ -460,7 +460,7 @@
 
   private applyToJob(job: Job, change: JobChange, entry: LogEntry): void {
     applyChange(job, change, entry.sequence, entry.head.at);
-    if (change.done !== undefined && isComplete(job)) this.noteCompletion(job.spec.id, entry.revision);
+    if (change.completed !== undefined && isComplete(job)) this.noteCompletion(job.spec.id, entry.revision);
     // The entry completed the job before the cancellation in the job's key was committed, and users may have received the
     // status `done` since: the cancellation has no effect.
     if (job.cancelled && !job.cancelledFirst && entry.revision < job.revision && isComplete(job))
--- a/packages/controller/src/jobs/keys.ts
+++ b/packages/controller/src/jobs/keys.ts
@@ -38,7 +38,7 @@
 /** Pages of rebuilt final states: several in one value, under a key named after the last job id of the page. */
 export const FINAL_STATE_PAGES = 's/y/';
 /** Names of sets of final state pages. One rebuild writes one set, and the pages of one set do not overlap. */
-export const FINAL_STATE_PARTS = 's/l/o/';
+export const FINAL_STATE_PAGE_SETS = 's/l/o/';
 
 export const accountsKey = (part: number): string => (part === 0 ? ACCOUNTS : ACCOUNTS_PART + part);
 /** Prefix of the calendar of cutoffs. */
@@ -70,8 +70,8 @@
  */
 export const jobUnchanged = (id: string, revision: number): Condition[] =>
   revision > 0
-    ? [{ key: activeJobKey(id), stamp: revision }]
+    ? [{ key: activeJobKey(id), revision: revision }]
     : [
-        { key: activeJobKey(id), stamp: 0 },
-        { key: finalStateKey(id), stamp: 0 },
+        { key: activeJobKey(id), revision: 0 },
+        { key: finalStateKey(id), revision: 0 },
       ];
--- a/packages/controller/src/jobs/model.ts
+++ b/packages/controller/src/jobs/model.ts
@@ -57,7 +57,7 @@
   cancelledFirst?: boolean;
   /** The highest attempt number used. Numbers only grow; all tasks of a job that one log entry starts share a number. */
   attempt: number;
-  readonly done: Set<number>;
+  readonly completed: Set<number>;
   readonly placed: Map<number, Placement>;
   /** Ids of machines on which tasks of the job failed, at most `FAILURES_KEPT`. */
   readonly failedOn: Set<string>;
@@ -78,9 +78,9 @@
 /** The changes that one log entry makes to one job. Exits are applied before starts. */
 export interface JobChange {
   /** Tasks that completed. The tasks of a gang complete together. */
-  readonly done?: readonly number[];
+  readonly completed?: readonly number[];
   /** Tasks that are known to have exited without completing. */
-  readonly gone?: readonly number[];
+  readonly exited?: readonly number[];
   /** Tasks that exited by a failure of their own; each is also listed as exited without completing. */
   readonly failed?: readonly number[];
   /** Started tasks: the attempt number, and the task numbers by machine. */
@@ -124,15 +124,15 @@
 
 /** Applies the change that log entry `sequence` makes to `job`. `at`: time of day of the log entry. */
 export const applyChange = (job: Job, change: JobChange, sequence: number, at: Micros): void => {
-  for (const task of change.done ?? []) {
-    job.done.add(task);
+  for (const task of change.completed ?? []) {
+    job.completed.add(task);
     job.placed.delete(task);
   }
   for (const task of change.failed ?? []) {
     const placement = job.placed.get(task);
     if (placement && job.failedOn.size < FAILURES_KEPT) job.failedOn.add(placement.machine);
   }
-  for (const task of change.gone ?? []) job.placed.delete(task);
+  for (const task of change.exited ?? []) job.placed.delete(task);
   if (change.start) {
     job.attempt = Math.max(job.attempt, change.start.attempt);
     for (const [machine, tasks] of change.start.on) {
@@ -148,7 +148,7 @@
 
 /** Whether every task has completed. A service runs until it is cancelled and is never complete. */
 export const isComplete = (job: Job): boolean =>
-  job.done.size === job.spec.tasks && job.spec.shape !== 'service';
+  job.completed.size === job.spec.tasks && job.spec.shape !== 'service';
 
 /** The job's final state; null: the job is unfinished, or one of its tasks may still be running. */
 export const finalState = (job: Job): FinalState | null => {
--- a/packages/controller/src/jobs/store-watcher.ts
+++ b/packages/controller/src/jobs/store-watcher.ts
@@ -6,7 +6,7 @@
 import { supervise } from '@lilacvalve/runtime/supervise';
 import { info } from '@lilacvalve/runtime/log';
 import { type Micros, millis, toMillis } from '@lilacvalve/runtime/micros';
-import { tick } from '@lilacvalve/runtime/tick';
+import { sleepUntilTick } from '@lilacvalve/runtime/tick';
 import type { DataLossDetector } from '../recovery/data-loss-detector.js';
 import { dataLossSuspected } from '../recovery/guarded-store.js';
 import { Priority } from '../state-store/budget.js';
@@ -172,7 +172,7 @@
     const requestedAt = this.clock();
     return this.store.get(INCARNATION + known.id).pipe(
       Effect.flatMap(({ entry }) => {
-        if (entry?.stamp === known.revision) this.lossDetector.noteIncarnationSeen(requestedAt);
+        if (entry?.revision === known.revision) this.lossDetector.noteIncarnationSeen(requestedAt);
         else
           this.lossDetector.suspect(
             'other incarnation',
@@ -197,7 +197,7 @@
           lossDetector.suspect('value damaged', key);
       // No controller writes such a value or gap: the store has damaged the data. A controller that has read the key before
       // knows its content; this view alone proves nothing.
-      const missingKey = fullRead || jobState.damaged.size > 0 ? jobState.missingRecord() : null;
+      const missingKey = fullRead || jobState.damaged.size > 0 ? jobState.missingEntryKey() : null;
       if (missingKey !== null) lossDetector.suspect('value damaged', missingKey, true);
       if (fullRead && jobState.calendarLost) lossDetector.suspect('key lost', CALENDAR_HEAD);
       if (lossDetector.suspected) return Effect.fail(dataLossSuspected);
@@ -287,7 +287,7 @@
     'final-states',
     Effect.suspend(() => {
       const { finalStates } = this.jobState;
-      if (!this.loaded || finalStates.complete) return tick(2000);
+      if (!this.loaded || finalStates.complete) return sleepUntilTick(2000);
       const readFrom = (prefix: string, after: string | null): Effect.Effect<void, StateFailure> =>
         this.store.page(prefix, after, PAGE_SIZE, Priority.Upkeep).pipe(
           Effect.flatMap((page) => {
--- a/packages/controller/src/leadership/campaign.ts
+++ b/packages/controller/src/leadership/campaign.ts
@@ -121,8 +121,8 @@
     const result = yield* Effect.either(
       store.transact(
         [
-          { key: LEADER, stamp: 0 },
-          { key: TERM, stamp: jobState.termRevision },
+          { key: LEADER, revision: 0 },
+          { key: TERM, revision: jobState.termRevision },
         ],
         [
           { set: LEADER, value: { node: settings.label, term, lease }, lease },
--- a/packages/controller/src/leadership/codec.ts
+++ b/packages/controller/src/leadership/codec.ts
@@ -3,7 +3,7 @@
  * Controllers of two versions exchange heartbeats during a rolling upgrade.
  */
 import { pack, unpack } from 'msgpackr';
-import type { ProvisioningNews } from '../provisioning/model.js';
+import type { ProvisioningUpdate } from '../provisioning/model.js';
 import type { PeerHeartbeat, StoreObservation } from './model.js';
 
 interface WireObservation {
@@ -43,7 +43,7 @@
   age: store.seenAgo,
 });
 
-const wireProvisioning = (news: ProvisioningNews): WireProvisioning => ({
+const wireProvisioning = (news: ProvisioningUpdate): WireProvisioning => ({
   rented: news.rented.map(({ id, type, zone, spot, age }) => ({ id, type, zone, spot, age })),
   removed: news.removed,
   ...(news.asked === undefined
@@ -112,7 +112,7 @@
   seenAgo: wire.age,
 });
 
-const readProvisioning = (wire: WireProvisioning): ProvisioningNews => ({
+const readProvisioning = (wire: WireProvisioning): ProvisioningUpdate => ({
   rented: wire.rented.map(({ id, type, zone, spot, age }) => ({ id, type, zone, spot, age })),
   removed: wire.removed,
   ...(wire.asked === undefined
--- a/packages/controller/src/leadership/contacts.ts
+++ b/packages/controller/src/leadership/contacts.ts
@@ -30,7 +30,7 @@
   readonly window: Micros;
 
   constructor(private readonly settings: Settings) {
-    this.window = Math.max(seconds(3), settings.workers.report * 1.5 + 1e6) as Micros;
+    this.window = Math.max(seconds(3), settings.workers.heartbeatInterval * 1.5 + 1e6) as Micros;
   }
 
   /** Notes that a worker's heartbeat has arrived. */
--- a/packages/controller/src/leadership/leader-lease.ts
+++ b/packages/controller/src/leadership/leader-lease.ts
@@ -1,5 +1,5 @@
 /** The lease that the leader key is attached to, as the controller that holds it sees it. */
-import { DRIFT, type Micros, millis, plus, seconds } from '@lilacvalve/runtime/micros';
+import { MAX_CLOCK_DRIFT, type Micros, millis, plus, seconds } from '@lilacvalve/runtime/micros';
 import type { Settings } from '../settings/settings.js';
 
 /** The lease counts as expired this much early, so that a request sent just before arrives while the lease is valid. */
@@ -20,7 +20,7 @@
 
   /** The earliest time, by this controller's clock, at which a lease expires that a request sent at `requestedAt` got. */
   expiryOf(requestedAt: Micros): Micros {
-    return plus(requestedAt, this.ttl * (1 - DRIFT) - SAFETY_MARGIN);
+    return plus(requestedAt, this.ttl * (1 - MAX_CLOCK_DRIFT) - SAFETY_MARGIN);
   }
 
   /** Notes that this controller holds the lease `id`, granted by a request sent at `requestedAt`. */
--- a/packages/controller/src/leadership/leader-session.ts
+++ b/packages/controller/src/leadership/leader-session.ts
@@ -3,13 +3,13 @@
 import { supervise } from '@lilacvalve/runtime/supervise';
 import { info } from '@lilacvalve/runtime/log';
 import { type Micros, millis, seconds, toMillis } from '@lilacvalve/runtime/micros';
-import { tick } from '@lilacvalve/runtime/tick';
+import { sleepUntilTick } from '@lilacvalve/runtime/tick';
 import { Effect, Queue } from 'effect';
 import { ClassSamples } from '../calendar/class-samples.js';
 import type { DataLossDetector } from '../recovery/data-loss-detector.js';
 import type { CloudPort } from '../provisioning/cloud.js';
 import { autoscaler } from '../provisioning/autoscaler.js';
-import type { ProvisioningNews, MachineType } from '../provisioning/model.js';
+import type { ProvisioningUpdate, MachineType } from '../provisioning/model.js';
 import type { JobState } from '../jobs/job-state.js';
 import type { StoreWatcher } from '../jobs/store-watcher.js';
 import { QUIESCENT, RECOVERED } from '../jobs/keys.js';
@@ -52,7 +52,7 @@
 const TERM_CHECK_MS = 250;
 const SUMMARY_EVERY_MS = 10_000;
 const RECOVERY_EVERY_MS = 1000;
-const NO_NEWS: ProvisioningNews = { rented: [], removed: [] };
+const NO_NEWS: ProvisioningUpdate = { rented: [], removed: [] };
 
 /**
  * The pause between two scheduling cycles, in milliseconds. `machines`: number of machines in the last cycle; `computeMs`:
@@ -93,7 +93,7 @@
   /** The present session's service for received heartbeats; null: no session is running. */
   heartbeatService: HeartbeatService | LeaseRenewalService | null = null;
   /** The provisioning state for peers, and whether the cloud's list of machines has been read in this term. */
-  readonly fleet: { news: ProvisioningNews; listed: boolean } = { news: NO_NEWS, listed: false };
+  readonly fleet: { news: ProvisioningUpdate; listed: boolean } = { news: NO_NEWS, listed: false };
   /** Whether a rebuild has gathered this job and may not have written it yet; null: this controller runs no rebuild. */
   private pendingRestore: ((id: string) => boolean) | null = null;
   private readonly wake = Effect.runSync(Queue.sliding<void>(1));
@@ -133,7 +133,7 @@
     const { jobState, leadership } = this.dependencies;
     const rebuildContext = this.rebuildContext(leaderTerm);
     const { isCurrentTerm } = rebuildContext;
-    const endOfTerm = tick(TERM_CHECK_MS).pipe(Effect.repeat({ while: isCurrentTerm }));
+    const endOfTerm = sleepUntilTick(TERM_CHECK_MS).pipe(Effect.repeat({ while: isCurrentTerm }));
     const gathered = new GatheredViews();
     return Effect.raceFirst(
       endOfTerm,
@@ -215,12 +215,15 @@
         },
       };
       const releaseOverdueHeartbeats = Effect.sync(() => gate.releaseOverdue(MAX_CYCLE_WAIT)).pipe(
-        Effect.zipRight(tick(TERM_CHECK_MS)),
+        Effect.zipRight(sleepUntilTick(TERM_CHECK_MS)),
         Effect.forever,
       );
       const maintenance = supervise(
         'maintenance',
-        runMaintenance(cycleContext).pipe(Effect.zipRight(tick(MAINTENANCE_GAP_MS)), Effect.forever),
+        runMaintenance(cycleContext).pipe(
+          Effect.zipRight(sleepUntilTick(MAINTENANCE_GAP_MS)),
+          Effect.forever,
+        ),
       );
       const weights = imageWeightsTask({ ...cycleContext, machines: () => registry.machines.values() });
       const fleet = autoscaler(cycleContext, state, dependencies.cloud);
@@ -276,7 +279,7 @@
       classSamples: new ClassSamples(),
       coLocatedDemand: new Map(),
       startWaits: new StartWaits(),
-      largestJobs: new LargestJobs(dependencies.jobState.largest),
+      largestJobs: new LargestJobs(dependencies.jobState.largestJobs),
     };
   }
 
@@ -309,7 +312,7 @@
       'recovery',
       Effect.suspend(() =>
         cycleContext.mayAct() ? this.finishRecovery(cycleContext, context, gathered) : Effect.void,
-      ).pipe(Effect.zipRight(tick(RECOVERY_EVERY_MS)), Effect.forever),
+      ).pipe(Effect.zipRight(sleepUntilTick(RECOVERY_EVERY_MS)), Effect.forever),
     );
   }
 
--- a/packages/controller/src/leadership/leadership.ts
+++ b/packages/controller/src/leadership/leadership.ts
@@ -7,7 +7,7 @@
 import { supervise } from '@lilacvalve/runtime/supervise';
 import { info } from '@lilacvalve/runtime/log';
 import { type Micros, plus, seconds, toMillis } from '@lilacvalve/runtime/micros';
-import { orTick } from '@lilacvalve/runtime/tick';
+import { runUntilTick } from '@lilacvalve/runtime/tick';
 import type { JobState } from '../jobs/job-state.js';
 import type { StoreWatcher } from '../jobs/store-watcher.js';
 import { type DataLossDetector } from '../recovery/data-loss-detector.js';
@@ -18,7 +18,7 @@
 import type { Contacts } from './contacts.js';
 import { LeaderLease } from './leader-lease.js';
 import type { Peers } from './peers.js';
-import { answerAuthority, maxViewAge, mayStart, readLeaseExpiry } from './read-lease.js';
+import { responseAuthority, maxViewAge, mayStart, readLeaseExpiry } from './read-lease.js';
 import { type FoundingDependencies, foundStore, refoundStore } from './store-founding.js';
 
 /** How long after its lease has expired a term may continue if the lease is extended again. */
@@ -30,7 +30,7 @@
 export interface LeadershipTerm {
   readonly number: number;
   /** Revision of the term key: a condition of every write that commits a decision. */
-  readonly stamp: number;
+  readonly revision: number;
   /** When the term began, by this controller's clock. */
   readonly began: Micros;
 }
@@ -51,7 +51,7 @@
   private provenIncarnationCount = 0;
   private readonly termBegan = Effect.runSync(Queue.sliding<void>(1));
   /** Completes when a term of this controller begins, and after a second even if none does. */
-  readonly awaitTerm = orTick(Queue.take(this.termBegan), 1000);
+  readonly awaitTerm = runUntilTick(Queue.take(this.termBegan), 1000);
   private readonly leaderKeyDeleted = Effect.runSync(Queue.sliding<void>(1));
 
   constructor(
@@ -96,13 +96,13 @@
    * outage of the state service or while a data loss is suspected. Under a read lease no task is placed: responses only
    * repeat durable decisions, so that workers keep their leases.
    */
-  answeringTerm(): LeadershipTerm | null {
+  respondingTerm(): LeadershipTerm | null {
     const { leaderTerm } = this;
     if (leaderTerm === null) return null;
     const may = (confirmedUntil: number, knownAsOf: number): boolean => {
       const leaderLeaseUntil = this.lossDetector.suspected ? Number.NEGATIVE_INFINITY : this.lease.expiresAt;
       const bounds = { leaderLeaseUntil, confirmedUntil, knownAsOf };
-      return answerAuthority(this.clock(), bounds, this.settings.workers, this.lease.ttl) !== null;
+      return responseAuthority(this.clock(), bounds, this.settings.workers, this.lease.ttl) !== null;
     };
     // Called twice for each heartbeat: the peers' heartbeats are evaluated only if the own lease and view don't suffice.
     if (may(Number.NEGATIVE_INFINITY, this.watcher.readAsOf)) return leaderTerm;
@@ -185,7 +185,7 @@
    * controller that may not respond to heartbeats, although another one may be able to read.
    */
   private readonly stepDownIfReadsFail = Effect.suspend(() =>
-    this.currentTerm() !== null && this.answeringTerm() === null && maxViewAge(this.settings.workers) > 0
+    this.currentTerm() !== null && this.respondingTerm() === null && maxViewAge(this.settings.workers) > 0
       ? this.stepDown('reads fail', READ_FAILURE_BACKOFF)
       : Effect.void,
   );
@@ -215,7 +215,7 @@
         }),
       );
       if (this.jobState.term !== term) return;
-      this.leaderTerm = { number: term, stamp: won.revision, began: this.clock() };
+      this.leaderTerm = { number: term, revision: won.revision, began: this.clock() };
       Queue.unsafeOffer(this.termBegan, undefined);
       yield* info('became leader', { term });
     });
@@ -288,7 +288,7 @@
         // While there is a leader, this controller waits for the deletion of the leader key, which the store watcher reads.
         yield* this.jobState.leader === null
           ? Effect.sleep(150 + 100 * (yield* Random.next))
-          : orTick(Queue.take(this.leaderKeyDeleted), 1000);
+          : runUntilTick(Queue.take(this.leaderKeyDeleted), 1000);
       }
     }).pipe(Effect.forever),
   );
--- a/packages/controller/src/leadership/model.ts
+++ b/packages/controller/src/leadership/model.ts
@@ -1,5 +1,5 @@
 /** The message that controllers exchange. */
-import type { ProvisioningNews } from '../provisioning/model.js';
+import type { ProvisioningUpdate } from '../provisioning/model.js';
 
 /** The peer heartbeat, which each controller sends to every other once a second; `codec.ts` has its wire form. */
 export interface PeerHeartbeat {
@@ -18,7 +18,7 @@
   /** Whether the sender keeps pre-loss views whose content may not be durable yet. */
   readonly hasPreLossViews: boolean;
   /** From a leader only: the machines being rented and returned, for a successor. */
-  readonly provisioning?: ProvisioningNews;
+  readonly provisioning?: ProvisioningUpdate;
 }
 
 /** A controller's observation of the data in the state service. */
--- a/packages/controller/src/leadership/peers.ts
+++ b/packages/controller/src/leadership/peers.ts
@@ -9,11 +9,11 @@
  */
 import { Effect } from 'effect';
 import { supervise } from '@lilacvalve/runtime/supervise';
-import type { NoAnswer } from '@lilacvalve/runtime/http-client';
-import { type Answer, json } from '@lilacvalve/runtime/http-server';
+import type { NoResponse } from '@lilacvalve/runtime/http-client';
+import { type HttpResponse, json } from '@lilacvalve/runtime/http-server';
 import { type Micros, plus, seconds } from '@lilacvalve/runtime/micros';
-import { tick } from '@lilacvalve/runtime/tick';
-import type { ProvisioningNews } from '../provisioning/model.js';
+import { sleepUntilTick } from '@lilacvalve/runtime/tick';
+import type { ProvisioningUpdate } from '../provisioning/model.js';
 import type { Peer, Settings } from '../settings/settings.js';
 import { decodePeerHeartbeat, encodePeerHeartbeat } from './codec.js';
 import type { PeerHeartbeat } from './model.js';
@@ -21,7 +21,7 @@
 
 /** Sends a heartbeat to a peer and returns the peer's heartbeat in response. */
 export interface PeerPort {
-  exchange(peer: Peer, heartbeat: PeerHeartbeat): Effect.Effect<PeerHeartbeat, NoAnswer>;
+  exchange(peer: Peer, heartbeat: PeerHeartbeat): Effect.Effect<PeerHeartbeat, NoResponse>;
 }
 
 const EXCHANGE_EVERY_MS = 1000;
@@ -53,7 +53,7 @@
   /** The highest term known from any controller. */
   private highest = 0;
   /** The provisioning state in the latest heartbeat of a leader. */
-  private provisioning: { readonly news: ProvisioningNews; readonly at: Micros } | null = null;
+  private provisioning: { readonly news: ProvisioningUpdate; readonly at: Micros } | null = null;
 
   constructor(
     private readonly settings: Settings,
@@ -88,7 +88,7 @@
   }
 
   /** Reachable peers that have not reported yet that their view is of `incarnation` and has reached `revision`. */
-  behind(incarnation: string, revision: number): Peer[] {
+  peersBehind(incarnation: string, revision: number): Peer[] {
     return this.settings.peers.filter((peer) => {
       if (!this.isReachable(peer.label)) return false;
       const store = this.responses.get(peer.label)?.heartbeat.store;
@@ -104,7 +104,7 @@
   }
 
   /** The provisioning state that a leader has sent last, and when it was received. */
-  lastProvisioning(): { readonly news: ProvisioningNews; readonly at: Micros } | null {
+  lastProvisioning(): { readonly news: ProvisioningUpdate; readonly at: Micros } | null {
     return this.provisioning;
   }
 
@@ -161,7 +161,7 @@
       )
       .map((response) => response.requestedAt)
       .sort((a, b) => b - a);
-    const othersNeeded = Math.floor(this.settings.nodes / 2);
+    const othersNeeded = Math.floor(this.settings.controllerCount / 2);
     if (othersNeeded === 0) return Number.POSITIVE_INFINITY as Micros;
     const oldest = requestTimes[othersNeeded - 1];
     return oldest === undefined ? (Number.NEGATIVE_INFINITY as Micros) : plus(oldest, CONFIRMATION_VALID);
@@ -169,7 +169,7 @@
 
   /** See `unchangedSince` in read-lease.ts. Without other controllers: the current time. */
   unchangedSince(incarnation: string, revision: number): number {
-    const { peers, nodes } = this.settings;
+    const { peers, controllerCount: nodes } = this.settings;
     if (peers.length < nodes - 1) return Number.NEGATIVE_INFINITY;
     const knowledge = peers.map((peer): PeerKnowledge | null => {
       const response = this.responses.get(peer.label);
@@ -185,7 +185,7 @@
   acknowledged(term: number): boolean {
     let acknowledging = 1;
     for (const response of this.responses.values()) if (response.heartbeat.term >= term) acknowledging++;
-    return acknowledging >= Math.ceil(this.settings.nodes / 2);
+    return acknowledging >= Math.ceil(this.settings.controllerCount / 2);
   }
 
   /** Exchanges heartbeats with one peer for ever. Runs once per peer, so that a silent peer does not delay the others. */
@@ -206,7 +206,7 @@
           Effect.ignore,
           Effect.ensuring(Effect.sync(() => this.requestedPeers.add(peer.label))),
         );
-      }).pipe(Effect.zipRight(tick(EXCHANGE_EVERY_MS)), Effect.forever),
+      }).pipe(Effect.zipRight(sleepUntilTick(EXCHANGE_EVERY_MS)), Effect.forever),
     );
   }
 
@@ -220,7 +220,7 @@
 }
 
 /** Handles a peer's heartbeat request; the response has this controller's heartbeat, or status 400 for an invalid body. */
-export const respondToHeartbeat = (peers: Pick<Peers, 'receive'>, body: Buffer | null): Answer => {
+export const respondToHeartbeat = (peers: Pick<Peers, 'receive'>, body: Buffer | null): HttpResponse => {
   const heartbeat = body === null ? null : decodePeerHeartbeat(body);
   if (heartbeat === null) return json(400, {});
   return {
--- a/packages/controller/src/leadership/read-lease.ts
+++ b/packages/controller/src/leadership/read-lease.ts
@@ -8,7 +8,7 @@
  * A leader whose own lease has expired may still respond under a read lease, if its view lacks no cancellation confirmed
  * before that limit, and a majority has confirmed that no other leader can exist. Under a read lease no task is placed.
  */
-import { DRIFT, type Micros, millis, plus, seconds } from '@lilacvalve/runtime/micros';
+import { MAX_CLOCK_DRIFT, type Micros, millis, plus, seconds } from '@lilacvalve/runtime/micros';
 import type { Settings } from '../settings/settings.js';
 
 /** Covers the granularity of timers on both sides; clock drift is accounted for separately. */
@@ -23,7 +23,9 @@
 export const maxViewAge = (workers: Workers): Micros => {
   const maxAge = plus(
     workers.cancel,
-    -(workers.cancel as number) * 2 * DRIFT - workers.lease * (1 + 2 * DRIFT) - SAFETY_MARGIN,
+    -(workers.cancel as number) * 2 * MAX_CLOCK_DRIFT -
+      workers.lease * (1 + 2 * MAX_CLOCK_DRIFT) -
+      SAFETY_MARGIN,
   );
   return maxAge < MIN_USEFUL_VIEW_AGE ? (0 as Micros) : maxAge;
 };
@@ -57,7 +59,7 @@
   );
 
 /** The times that decide whether a leader may respond to heartbeats. */
-export interface AnswerBounds {
+export interface ResponseBounds {
   /** When the leader lease expires. */
   readonly leaderLeaseUntil: number;
   /** Until when the confirmations of a majority allow a read lease. */
@@ -74,15 +76,17 @@
  * confirmed cancellation. Otherwise a read lease could start tasks of a job whose cancellation was already confirmed to its
  * user. They would be stopped in time, but must not start after the confirmation at all.
  */
-export const mayStart = (at: Micros, bounds: Pick<AnswerBounds, 'leaderLeaseUntil' | 'knownAsOf'>): boolean =>
-  at < bounds.leaderLeaseUntil || at < bounds.knownAsOf + MAX_VIEW_AGE_FOR_STARTS;
+export const mayStart = (
+  at: Micros,
+  bounds: Pick<ResponseBounds, 'leaderLeaseUntil' | 'knownAsOf'>,
+): boolean => at < bounds.leaderLeaseUntil || at < bounds.knownAsOf + MAX_VIEW_AGE_FOR_STARTS;
 
 /** Until when heartbeat responses by a view that is known as of `bounds.knownAsOf` are safe. */
-export const readLeaseExpiry = (bounds: Pick<AnswerBounds, 'knownAsOf'>, workers: Workers): number =>
+export const readLeaseExpiry = (bounds: Pick<ResponseBounds, 'knownAsOf'>, workers: Workers): number =>
   bounds.knownAsOf + maxViewAge(workers);
 
 /** The lease under which a leader responds to a heartbeat. */
-export type AnswerAuthority = 'leader lease' | 'read lease';
+export type ResponseAuthority = 'leader lease' | 'read lease';
 
 /**
  * The lease under which a leader may respond to a heartbeat at `at`; null: it may not respond. A valid leader lease is not
@@ -90,12 +94,12 @@
  * succeed while reads fail. If the settings make workers' leases outlive `cancel` even with a current view, only stop
  * orders can stop tasks in time; then the view may be as old as the duration of the leader lease (`ttl`).
  */
-export const answerAuthority = (
+export const responseAuthority = (
   at: Micros,
-  bounds: AnswerBounds,
+  bounds: ResponseBounds,
   workers: Workers,
   ttl: Micros,
-): AnswerAuthority | null => {
+): ResponseAuthority | null => {
   const maxAge = maxViewAge(workers);
   if (at < bounds.leaderLeaseUntil && at < bounds.knownAsOf + (maxAge > 0 ? maxAge : ttl))
     return 'leader lease';
--- a/packages/controller/src/leadership/store-founding.ts
+++ b/packages/controller/src/leadership/store-founding.ts
@@ -62,9 +62,9 @@
     const termFloor = jobState.term > 0 ? 0 : now;
     const outcome = yield* dependencies.unguardedStore.transact(
       [
-        { key: FOUNDED, stamp: 0 },
-        { key: TERM, stamp: jobState.termRevision },
-        { key: incarnationKey, stamp: 0 },
+        { key: FOUNDED, revision: 0 },
+        { key: TERM, revision: jobState.termRevision },
+        { key: incarnationKey, revision: 0 },
       ],
       [
         { set: FOUNDED, value: settings.label },
@@ -95,7 +95,7 @@
     ]);
     const olderKeys = status.entries.filter((entry) => entry.key.startsWith(INCARNATION));
     const known = dependencies.lossDetector.storeKnowledge();
-    const generations = olderKeys.map((old) => incarnationOf(old.key, old.value, old.stamp).generation);
+    const generations = olderKeys.map((old) => incarnationOf(old.key, old.value, old.revision).generation);
     // Another controller has begun a new incarnation already, which the next probe of the store will show.
     if (generations.some((stored) => stored > known.generation)) return null;
     const storedTerm = (storedTerms.entries[0]?.value as { term: number } | undefined)?.term ?? 0;
@@ -119,10 +119,10 @@
       .map((entry) => ({ delete: entry.key }));
     const outcome = yield* unguardedStore.transact(
       [
-        ...olderKeys.map((entry) => ({ key: entry.key, stamp: entry.stamp })),
-        { key: LEADER, stamp: leader.entries[0]?.stamp ?? 0 },
-        { key: TERM, stamp: storedTerms.entries[0]?.stamp ?? 0 },
-        { key: incarnationKey, stamp: 0 },
+        ...olderKeys.map((entry) => ({ key: entry.key, revision: entry.revision })),
+        { key: LEADER, revision: leader.entries[0]?.revision ?? 0 },
+        { key: TERM, revision: storedTerms.entries[0]?.revision ?? 0 },
+        { key: incarnationKey, revision: 0 },
       ],
       [
         ...deletions,
--- a/packages/controller/src/lending/image-weights-task.ts
+++ b/packages/controller/src/lending/image-weights-task.ts
@@ -13,7 +13,7 @@
 export interface ImageWeightsDependencies {
   readonly mayAct: () => boolean;
   readonly store: StatePort;
-  readonly leaderTerm: { readonly stamp: number };
+  readonly leaderTerm: { readonly revision: number };
   readonly settings: { readonly state: { readonly valueBytes: number } };
   readonly jobState: {
     readonly jobs: ReadonlyMap<string, Job>;
@@ -28,7 +28,7 @@
   for (const list of dependencies.jobState.weights.values()) for (const image of list) images.add(image);
   const write = hintWriter(
     dependencies.store,
-    { key: TERM, stamp: dependencies.leaderTerm.stamp },
+    { key: TERM, revision: dependencies.leaderTerm.revision },
     IMAGE_WEIGHTS,
   );
   const storeHint = Effect.suspend(() => {
--- a/packages/controller/src/lending/repayment.ts
+++ b/packages/controller/src/lending/repayment.ts
@@ -47,7 +47,7 @@
 }
 
 /** Returns the number of the job's tasks that neither run nor are completed. */
-const missingTasks = (job: Job): number => job.spec.tasks - job.done.size - job.placed.size;
+const missingTasks = (job: Job): number => job.spec.tasks - job.completed.size - job.placed.size;
 
 /**
  * Returns the repayments that need no start: of loans whose lender finished or was cancelled, and of the tasks that a lender
--- a/packages/controller/src/links.ts
+++ b/packages/controller/src/links.ts
@@ -2,7 +2,7 @@
  * Messages between controllers, over one link per peer: peer heartbeats, relayed workers' heartbeats, and pages of
  * views.
  */
-import { NoAnswer, type Reply } from '@lilacvalve/runtime/http-client';
+import { NoResponse, type ReceivedResponse } from '@lilacvalve/runtime/http-client';
 import { Link } from '@lilacvalve/runtime/link';
 import { Effect } from 'effect';
 import { decodePeerHeartbeat, encodePeerHeartbeat } from './leadership/codec.js';
@@ -26,19 +26,22 @@
     return link;
   }
 
-  relay(peer: Peer, batch: Buffer): Effect.Effect<Buffer, NoAnswer> {
-    return Effect.map(this.linkTo(peer).ask('/relay', batch, RELAY_TIMEOUT_MS), (response) => response.body);
+  relay(peer: Peer, batch: Buffer): Effect.Effect<Buffer, NoResponse> {
+    return Effect.map(
+      this.linkTo(peer).request('/relay', batch, RELAY_TIMEOUT_MS),
+      (response) => response.body,
+    );
   }
 
-  request(peer: Peer, path: string, body: Buffer): Effect.Effect<Buffer, NoAnswer> {
-    return Effect.flatMap(this.linkTo(peer).ask(path, body, VIEW_TIMEOUT_MS), (response) =>
+  request(peer: Peer, path: string, body: Buffer): Effect.Effect<Buffer, NoResponse> {
+    return Effect.flatMap(this.linkTo(peer).request(path, body, VIEW_TIMEOUT_MS), (response) =>
       response.status === 200 ? Effect.succeed(response.body) : invalidResponse(response, 'view page'),
     );
   }
 
-  exchange(peer: Peer, heartbeat: PeerHeartbeat): Effect.Effect<PeerHeartbeat, NoAnswer> {
+  exchange(peer: Peer, heartbeat: PeerHeartbeat): Effect.Effect<PeerHeartbeat, NoResponse> {
     return Effect.flatMap(
-      this.linkTo(peer).ask('/beat', encodePeerHeartbeat(heartbeat), HEARTBEAT_TIMEOUT_MS),
+      this.linkTo(peer).request('/beat', encodePeerHeartbeat(heartbeat), HEARTBEAT_TIMEOUT_MS),
       (response) => {
         const peerHeartbeat = decodePeerHeartbeat(response.body);
         return peerHeartbeat === null
@@ -49,5 +52,5 @@
   }
 }
 
-const invalidResponse = (response: Reply, expected: string): Effect.Effect<never, NoAnswer> =>
-  Effect.fail(new NoAnswer({ reason: `expected a ${expected}, got status ${response.status}` }));
+const invalidResponse = (response: ReceivedResponse, expected: string): Effect.Effect<never, NoResponse> =>
+  Effect.fail(new NoResponse({ reason: `expected a ${expected}, got status ${response.status}` }));
--- a/packages/controller/src/listeners.ts
+++ b/packages/controller/src/listeners.ts
@@ -1,5 +1,11 @@
 /** Request handlers of a controller's listeners: for users and workers, and for the other controllers. */
-import { type Answer, type Incoming, json, type Quick, retryLater } from '@lilacvalve/runtime/http-server';
+import {
+  type HttpResponse,
+  type HttpRequest,
+  json,
+  type FastPathHandler,
+  retryLater,
+} from '@lilacvalve/runtime/http-server';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { Effect } from 'effect';
 import type { ApiContext } from './api/api-context.js';
@@ -27,7 +33,7 @@
 /** Handles users' requests, as far as admission control admits them. */
 export const userListener = (context: ApiContext, admission: Admission, unready: () => string | null) => {
   const respond = route(userHandlers(context), unready);
-  return (request: Incoming): Effect.Effect<Answer> => {
+  return (request: HttpRequest): Effect.Effect<HttpResponse> => {
     const workClass = workClassOf(request);
     if (workClass === null) return respond(request);
     const job = workClass === 'poll' ? request.path.slice(POLL_PREFIX.length) : null;
@@ -59,7 +65,7 @@
  */
 export const workerListener = (
   dependencies: WorkerListenerDependencies,
-): { readonly quick: Quick; readonly run: Effect.Effect<never> } => {
+): { readonly quick: FastPathHandler; readonly run: Effect.Effect<never> } => {
   const { settings, peers, leadership, admission, clock } = dependencies;
   const routing = new HeartbeatRouting(
     settings.label,
@@ -78,7 +84,7 @@
   );
   const handleHeartbeat = heartbeatHandler(
     dependencies.receive,
-    () => dependencies.sessions.heartbeatService !== null && leadership.answeringTerm() !== null,
+    () => dependencies.sessions.heartbeatService !== null && leadership.respondingTerm() !== null,
     (heartbeat, reply) =>
       reachableLeader() === null ? reply(noLeaderResponse) : relay.forward(heartbeat, reply),
     (machine) => {
@@ -91,7 +97,7 @@
     (machine) => dependencies.contacts.recordContact(machine, clock()),
     new HeartbeatReader(),
   );
-  const quick: Quick = (request, reply) => {
+  const quick: FastPathHandler = (request, reply) => {
     if (request.path !== HEARTBEAT_PATH || request.method !== 'POST') return false;
     const refusal = admission.enter('report');
     if (refusal !== null) {
@@ -123,10 +129,10 @@
 export const peerListener = (
   peers: Peers,
   receive: ReceiveHeartbeats,
-  views: (request: Incoming) => Answer | null,
+  views: (request: HttpRequest) => HttpResponse | null,
 ) => {
   const handleRelayed = relayHandler(receive, new HeartbeatReader());
-  const respond = (request: Incoming): Answer => {
+  const respond = (request: HttpRequest): HttpResponse => {
     if (request.method !== 'POST') return json(405, {}, { Allow: 'POST' });
     if (request.path !== '/beat') return views(request) ?? json(404, {});
     countMetric('beats');
@@ -138,7 +144,7 @@
       if (request.path !== '/beat') return false;
       reply(respond(request));
       return true;
-    }) as Quick,
-    handle: (request: Incoming): Effect.Effect<Answer> => Effect.sync(() => respond(request)),
+    }) as FastPathHandler,
+    handle: (request: HttpRequest): Effect.Effect<HttpResponse> => Effect.sync(() => respond(request)),
   };
 };
--- a/packages/controller/src/main.ts
+++ b/packages/controller/src/main.ts
@@ -6,7 +6,7 @@
 import { serve } from '@lilacvalve/runtime/http-server';
 import { serveLinks } from '@lilacvalve/runtime/link';
 import { error, info, logLayer } from '@lilacvalve/runtime/log';
-import { micros, now, seconds } from '@lilacvalve/runtime/micros';
+import { micros, monotonicNow, seconds } from '@lilacvalve/runtime/micros';
 import { CloudClient } from './provisioning/cloud.js';
 import { Links } from './links.js';
 import { createController } from './controller.js';
@@ -28,7 +28,7 @@
         peers: links,
         views: links,
         relay: links,
-        clock: now,
+        clock: monotonicNow,
         dayTime: () => micros(Date.now() * 1000),
         memory: () => memoryUsageRatio(heapStatistics(), settings.limits.memoryMb),
         snapshots: snapshots === undefined ? null : new DiskFiles(snapshots),
@@ -36,7 +36,7 @@
       });
       const maxConnections = settings.limits.maxConnections;
       yield* serve(parseAddress(settings.listen), Math.floor(maxConnections * 0.8), controller.handle, {
-        quick: controller.quick,
+        fastPath: controller.quick,
       });
       const peerSockets = Math.max(16, Math.floor(maxConnections * 0.05));
       yield* serveLinks(
--- a/packages/controller/src/overload/admission.ts
+++ b/packages/controller/src/overload/admission.ts
@@ -1,5 +1,5 @@
 /** Maintains the counts and the event-loop lag that `admit` decides by. */
-import { type Answer, retryLater } from '@lilacvalve/runtime/http-server';
+import { type HttpResponse, retryLater } from '@lilacvalve/runtime/http-server';
 import { type Micros, plus } from '@lilacvalve/runtime/micros';
 import { countMetric } from '../metrics.js';
 import { admit } from './admit.js';
@@ -96,7 +96,7 @@
    * otherwise the response to send instead. `jobId` is the job that a poll asks for. `createsJob`: the request
    * submits a new job.
    */
-  enter(work: WorkClass, jobId: string | null = null, createsJob = false): Answer | null {
+  enter(work: WorkClass, jobId: string | null = null, createsJob = false): HttpResponse | null {
     if (work === 'poll') this.countPoll();
     const load = this.load();
     const crowded =
--- a/packages/controller/src/provisioning/autoscaler.ts
+++ b/packages/controller/src/provisioning/autoscaler.ts
@@ -370,7 +370,8 @@
     if (result === null || !this.hasListed) return null;
     const termAge = at - leaderTerm.began;
     // Running machines send a heartbeat within one or two heartbeat intervals of a new term.
-    if (jobState.placementsByMachine.size > 0 && termAge < settings.workers.report * 1.5 + 2e6) return null;
+    if (jobState.placementsByMachine.size > 0 && termAge < settings.workers.heartbeatInterval * 1.5 + 2e6)
+      return null;
     const typesByName = new Map(types().map((machineType) => [machineType.name, machineType]));
     const { bins, overdue, anyUnconfirmed } = capacityOf(registry, result.free, typesByName, at);
     if (anyUnconfirmed && termAge < MAX_HEARTBEAT_WAIT) return null;
--- a/packages/controller/src/provisioning/boot-tracker.ts
+++ b/packages/controller/src/provisioning/boot-tracker.ts
@@ -44,7 +44,7 @@
   Math.min(1, Math.max(0, (to - value) / (to - from)));
 
 /** Returns the fraction of a pending machine that counts as capacity: 1 while it is on time, 0 once it is considered lost. */
-export const expectedShare = (pending: PendingMachine): number => {
+export const expectedFraction = (pending: PendingMachine): number => {
   const byAge = linearDecrease(
     pending.age,
     pending.boot * NORMAL_BOOT_FACTOR,
@@ -59,11 +59,11 @@
 };
 
 /** Whether a pending machine takes longer to boot or report than usual. */
-export const isOverdue = (pending: PendingMachine): boolean => expectedShare(pending) < 1;
+export const isOverdue = (pending: PendingMachine): boolean => expectedFraction(pending) < 1;
 
 /** Returns how many of these pending machines, all of the same type and zone, count as capacity. */
 export const pendingCapacity = (pending: readonly PendingMachine[]): number => {
-  const sum = pending.reduce((total, machine) => total + expectedShare(machine), 0);
+  const sum = pending.reduce((total, machine) => total + expectedFraction(machine), 0);
   const minimum = pending.length > 1 ? Math.ceil(pending.length * (1 - MAX_REPLACED_FRACTION)) : 0;
   return Math.min(pending.length, Math.max(minimum, Math.round(sum)));
 };
--- a/packages/controller/src/provisioning/cloud.ts
+++ b/packages/controller/src/provisioning/cloud.ts
@@ -1,6 +1,11 @@
 /** Client of the cloud's HTTP interface. The protocol's field names occur only in this file. */
 import { Data, Effect, Schema } from 'effect';
-import { HttpClient, keptOpen, type NoAnswer, type Reply } from '@lilacvalve/runtime/http-client';
+import {
+  HttpClient,
+  keepAliveAgent,
+  type NoResponse,
+  type ReceivedResponse,
+} from '@lilacvalve/runtime/http-client';
 import { seconds } from '@lilacvalve/runtime/micros';
 import type { Settings } from '../settings/settings.js';
 import { Budget, Priority } from '../state-store/budget.js';
@@ -18,7 +23,7 @@
   readonly reason: string;
 }> {}
 /** Why a request to the cloud failed. */
-export type CloudFailure = CloudRefused | OutOfCapacity | MalformedCloudResponse | NoAnswer;
+export type CloudFailure = CloudRefused | OutOfCapacity | MalformedCloudResponse | NoResponse;
 
 /** A request to rent machines. The cloud carries out repeated requests with the same name only once. */
 export interface RentalRequest {
@@ -120,7 +125,7 @@
 
 /** Decodes a response body. A malformed body becomes a typed failure, so that it does not end a supervised task. */
 const decodeResponse = <A>(
-  reply: Reply,
+  reply: ReceivedResponse,
   decode: (value: unknown) => A,
 ): Effect.Effect<A, MalformedCloudResponse> =>
   Effect.try({
@@ -137,7 +142,7 @@
 const NO_CAPACITY = 'no capacity';
 
 /** Converts a response with a status other than 200 to a failure. */
-const failureOf = ({ status, body }: Reply): CloudRefused | OutOfCapacity => {
+const failureOf = ({ status, body }: ReceivedResponse): CloudRefused | OutOfCapacity => {
   const reason = body.toString('utf8', 0, REASON_BYTES);
   return status === 503 && reason.includes(NO_CAPACITY)
     ? new OutOfCapacity({ reason })
@@ -150,7 +155,7 @@
   private readonly budget: Budget;
 
   constructor(settings: Settings) {
-    this.client = new HttpClient(settings.cloudAddress, keptOpen(6));
+    this.client = new HttpClient(settings.cloudAddress, keepAliveAgent(6));
     // The leader makes nearly all calls; the other controllers only read the machine types occasionally.
     this.budget = new Budget(settings.cloud.rps * 0.8, Math.max(1, settings.cloud.rps));
   }
@@ -210,10 +215,10 @@
     body: string | null,
     priority: Priority,
     maySend: MaySend = ALWAYS,
-  ): Effect.Effect<Reply, CloudFailure> {
+  ): Effect.Effect<ReceivedResponse, CloudFailure> {
     return this.budget.take(priority, 1).pipe(
       Effect.zipRight(
-        Effect.suspend((): Effect.Effect<Reply, CloudFailure> =>
+        Effect.suspend((): Effect.Effect<ReceivedResponse, CloudFailure> =>
           maySend()
             ? this.client.request(method, path, body, 4000)
             : new CloudRefused({ status: 0, reason: 'not sent: the controller may no longer act' }),
--- a/packages/controller/src/provisioning/model.ts
+++ b/packages/controller/src/provisioning/model.ts
@@ -30,7 +30,7 @@
  * Rentals and deletions that a leader knows about and the cloud's list may not show yet. A new leader starts from the latest
  * one. It is sent unchanged in the peer heartbeats, so its field names are wire names.
  */
-export interface ProvisioningNews {
+export interface ProvisioningUpdate {
   readonly rented: readonly {
     readonly id: string;
     readonly type: string;
--- a/packages/controller/src/provisioning/rental-requests.ts
+++ b/packages/controller/src/provisioning/rental-requests.ts
@@ -5,7 +5,7 @@
  */
 import { type Micros, plus } from '@lilacvalve/runtime/micros';
 import type { RentalRequest } from './cloud.js';
-import { type ProvisioningNews, type Offer, offerKey } from './model.js';
+import { type ProvisioningUpdate, type Offer, offerKey } from './model.js';
 
 /** A request of this leader without a response. */
 interface OpenRequest {
@@ -30,7 +30,7 @@
    */
   constructor(
     private readonly listDelay: Micros,
-    news: ProvisioningNews,
+    news: ProvisioningUpdate,
     at: Micros,
   ) {
     this.inherited = (news.asked ?? []).map((request) => ({ ...request, sentAt: plus(at, -request.age) }));
@@ -53,7 +53,7 @@
   }
 
   /** Returns the requests without a response, for the next leader, which can't repeat them because it lacks their names. */
-  unresolved(at: Micros): NonNullable<ProvisioningNews['asked']> {
+  unresolved(at: Micros): NonNullable<ProvisioningUpdate['asked']> {
     return [...this.open.values()]
       .filter((open) => at - open.sentAt < this.listDelay)
       .map(({ request: { type, zone, spot, count }, sentAt: since }) => ({
--- a/packages/controller/src/provisioning/scaling-input.ts
+++ b/packages/controller/src/provisioning/scaling-input.ts
@@ -6,7 +6,13 @@
 import type { Resources } from '../scheduler/model.js';
 import type { Machine } from '../workers/machine.js';
 import type { WorkerRegistry } from '../workers/worker-registry.js';
-import { bootKey, expectedShare, isOverdue, pendingCapacity, type PendingMachine } from './boot-tracker.js';
+import {
+  bootKey,
+  expectedFraction,
+  isOverdue,
+  pendingCapacity,
+  type PendingMachine,
+} from './boot-tracker.js';
 import { pendingMachine } from './machine-health.js';
 import { type MachineType, offerKey } from './model.js';
 import type { Bin, Demand } from './scaling-plan.js';
@@ -69,7 +75,7 @@
 ): Map<string, number> => {
   const overdue = new Map<string, number>();
   for (const sameOffer of pending.values()) {
-    sameOffer.sort((left, right) => expectedShare(right.state) - expectedShare(left.state));
+    sameOffer.sort((left, right) => expectedFraction(right.state) - expectedFraction(left.state));
     const { type, zone, spot } = sameOffer[0]!.machine;
     const machineType = types.get(type)!;
     for (const { machine } of sameOffer.slice(0, pendingCapacity(sameOffer.map((entry) => entry.state))))
--- a/packages/controller/src/recovery/audit.ts
+++ b/packages/controller/src/recovery/audit.ts
@@ -66,7 +66,7 @@
   viewRevision: number,
 ): string | null => {
   if (viewRevision < page.revision) return null;
-  const listed = new Map(page.entries.map((entry) => [entry.key, entry.stamp]));
+  const listed = new Map(page.entries.map((entry) => [entry.key, entry.revision]));
   const last = page.more ? page.entries[page.entries.length - 1]?.key : undefined;
   for (const [key, revision] of expected) {
     if (after !== null && key <= after) continue;
--- a/packages/controller/src/recovery/calendar-recovery.ts
+++ b/packages/controller/src/recovery/calendar-recovery.ts
@@ -68,11 +68,11 @@
     const { head, pages } = paginateCalendar(calendar, valueBytes);
     for (const page of pages)
       steps.push({
-        when: [{ key: page.key, stamp: revisionOf(page.key, stored.pages.get(page.key)?.revision) }],
+        when: [{ key: page.key, revision: revisionOf(page.key, stored.pages.get(page.key)?.revision) }],
         then: [{ set: page.key, value: page.value }],
       });
     steps.push({
-      when: [{ key: CALENDAR_HEAD, stamp: revisionOf(CALENDAR_HEAD, stored.head?.revision) }],
+      when: [{ key: CALENDAR_HEAD, revision: revisionOf(CALENDAR_HEAD, stored.head?.revision) }],
       then: [{ set: CALENDAR_HEAD, value: head }],
     });
   }
@@ -83,7 +83,7 @@
     const key = OCCURRENCE + id;
     return [
       {
-        when: { key, stamp: revisionOf(key, storedCounts?.revision) },
+        when: { key, revision: revisionOf(key, storedCounts?.revision) },
         then: { set: key, value: encodeOutcomeCounts(merged) },
       },
     ];
@@ -94,7 +94,7 @@
   }
   if (stored.classDurations === null && remembered.classDurations.size > 0)
     steps.push({
-      when: [{ key: CLASS_DURATIONS, stamp: revisionOf(CLASS_DURATIONS, undefined) }],
+      when: [{ key: CLASS_DURATIONS, revision: revisionOf(CLASS_DURATIONS, undefined) }],
       then: [{ set: CLASS_DURATIONS, value: encodeClassDurations(remembered.classDurations) }],
     });
   return steps;
--- a/packages/controller/src/recovery/data-loss-detector.ts
+++ b/packages/controller/src/recovery/data-loss-detector.ts
@@ -3,7 +3,7 @@
  * was sent; a contradiction is evidence of a loss. From the first evidence on this controller commits, starts, rents and
  * returns nothing, and users get 503, until the store is seen to be intact or has been rebuilt (docs/rebuild.md).
  */
-import { DRIFT, type Micros, millis, seconds } from '@lilacvalve/runtime/micros';
+import { MAX_CLOCK_DRIFT, type Micros, millis, seconds } from '@lilacvalve/runtime/micros';
 import type { Condition } from '../state-store/client.js';
 import { INCARNATION } from '../jobs/keys.js';
 import type { Evidence, EvidenceKind, Incarnation, StoreKnowledge } from './model.js';
@@ -94,7 +94,7 @@
 
   /** Returns the maximum time since the incarnation was last seen, clock drift included, in microseconds. */
   timeSinceIncarnationSeen(): number {
-    return Math.min(1e12, (this.clock() - this.seenAt) * (1 + 2 * DRIFT));
+    return Math.min(1e12, (this.clock() - this.seenAt) * (1 + 2 * MAX_CLOCK_DRIFT));
   }
 
   /**
@@ -199,7 +199,7 @@
   fence(): Condition | null {
     return this.incarnation === null
       ? null
-      : { key: INCARNATION + this.incarnation.id, stamp: this.incarnation.revision };
+      : { key: INCARNATION + this.incarnation.id, revision: this.incarnation.revision };
   }
 
   /** Ends the suspicion: the store was seen to be intact. */
--- a/packages/controller/src/recovery/detection-task.ts
+++ b/packages/controller/src/recovery/detection-task.ts
@@ -65,7 +65,7 @@
     ([status, term]) => ({
       incarnations: status.entries
         .filter((entry) => entry.key.startsWith(INCARNATION))
-        .map((entry) => incarnationOf(entry.key.slice(INCARNATION.length), entry.value, entry.stamp)),
+        .map((entry) => incarnationOf(entry.key.slice(INCARNATION.length), entry.value, entry.revision)),
       revision: Math.min(status.revision, term.revision),
       term: (term.entries[0]?.value as { term?: number } | undefined)?.term ?? 0,
     }),
--- a/packages/controller/src/recovery/guarded-store.ts
+++ b/packages/controller/src/recovery/guarded-store.ts
@@ -3,7 +3,7 @@
  * response is compared with what was known when the request was sent, and while a data loss is suspected every request fails.
  * Requests for leases are exempt: a lease may be needed again if the store turns out to be intact, and keeping it is harmless.
  */
-import { NoAnswer } from '@lilacvalve/runtime/http-client';
+import { NoResponse } from '@lilacvalve/runtime/http-client';
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { Effect } from 'effect';
 import type { Priority } from '../state-store/budget.js';
@@ -53,7 +53,7 @@
       return this.unguardedStore.transact([...when, fence], then, priority, timeoutMs).pipe(
         Effect.flatMap((outcome): Effect.Effect<Outcome, StateFailure> => {
           if (this.lossDetector.incarnationCount !== incarnationCount)
-            return Effect.fail(new NoAnswer({ reason: dataLossSuspected.reason }));
+            return Effect.fail(new NoResponse({ reason: dataLossSuspected.reason }));
           const accepted = this.lossDetector.acceptRevision(
             outcome.revision,
             outcome.ok && then.some((write) => 'set' in write) ? floor + 1 : floor,
@@ -61,13 +61,13 @@
           if (!outcome.ok && outcome.failed.includes(fence.key))
             this.lossDetector.suspect(
               'other incarnation',
-              `${fence.key} does not have revision ${fence.stamp}`,
+              `${fence.key} does not have revision ${fence.revision}`,
             );
           // A refused transaction was certainly not carried out. A commit by a store that has lost data is uncertain.
           if (outcome.ok && accepted) this.lossDetector.noteIncarnationSeen(requestedAt);
           if (accepted && !this.lossDetector.suspected) return Effect.succeed(outcome);
           return outcome.ok
-            ? Effect.fail(new NoAnswer({ reason: dataLossSuspected.reason }))
+            ? Effect.fail(new NoResponse({ reason: dataLossSuspected.reason }))
             : Effect.fail(dataLossSuspected);
         }),
       );
--- a/packages/controller/src/recovery/merge.ts
+++ b/packages/controller/src/recovery/merge.ts
@@ -22,7 +22,7 @@
   [
     job.cancelled ? 'w' : isComplete(job) ? 'c' : 'o',
     job.attempt,
-    encodeRanges(job.done),
+    encodeRanges(job.completed),
     placements(job)
       .map((placement) => `${placement.task}:${placement.attempt}@${placement.machine}`)
       .join(),
@@ -51,7 +51,7 @@
     version.job.spec.submitted < best.job.spec.submitted ? version : best,
   ).job.spec;
   const done = new Set<number>();
-  for (const version of versions) for (const task of version.job.done) done.add(task);
+  for (const version of versions) for (const task of version.job.completed) done.add(task);
   const placed = new Map<number, Placement>();
   for (const placement of latest.job.placed.values())
     if (!done.has(placement.task)) placed.set(placement.task, placement);
@@ -78,7 +78,7 @@
     // user may have been told `done`.
     cancelled: !completed && versions.some((version) => version.job.cancelled),
     attempt: Math.max(...versions.map((version) => version.job.attempt)),
-    done,
+    completed: done,
     placed: new Map([...placed].sort((a, b) => a[0] - b[0])),
     failedOn: new Set([...failedOn].sort().slice(0, FAILURES_KEPT)),
     loans: new Map([...latest.job.loans].sort((a, b) => (a[0] < b[0] ? -1 : 1))),
--- a/packages/controller/src/recovery/model.ts
+++ b/packages/controller/src/recovery/model.ts
@@ -4,7 +4,7 @@
  * and attempts can be compared within one incarnation only. An incarnation's key contains its id, and every transaction is
  * conditional on that key, so that the conditions of a transaction from before a loss can never hold by accident afterwards.
  */
-import type { NoAnswer } from '@lilacvalve/runtime/http-client';
+import type { NoResponse } from '@lilacvalve/runtime/http-client';
 import type { Effect } from 'effect';
 import type { Peer } from '../settings/settings.js';
 
@@ -120,5 +120,5 @@
 
 /** Sends a request to a peer and returns the body of its response. */
 export interface ViewPort {
-  request(peer: Peer, path: string, body: Buffer): Effect.Effect<Buffer, NoAnswer>;
+  request(peer: Peer, path: string, body: Buffer): Effect.Effect<Buffer, NoResponse>;
 }
--- a/packages/controller/src/recovery/orphaned-jobs.ts
+++ b/packages/controller/src/recovery/orphaned-jobs.ts
@@ -24,11 +24,16 @@
       .filter(([id]) => !jobState.orphanedJobs.has(id) && !registry.abortedUnknownJobs.has(id))
       .slice(0, MAX_JOBS_PER_PASS);
     const write = (
-      when: { key: string; stamp: number }[],
+      when: { key: string; revision: number }[],
       then: { set: string; value: unknown } | { delete: string },
     ) =>
       context.store
-        .transact([{ key: TERM, stamp: context.leaderTerm.stamp }, ...when], [then], Priority.Commit, 1200)
+        .transact(
+          [{ key: TERM, revision: context.leaderTerm.revision }, ...when],
+          [then],
+          Priority.Commit,
+          1200,
+        )
         .pipe(
           Effect.map((outcome) => outcome.ok),
           Effect.orElseSucceed(() => false),
@@ -37,9 +42,9 @@
       const value: OrphanedJob = { since: context.dayTime(), tasks: tasks.size };
       const written = yield* write(
         [
-          { key: orphanedJobKey(id), stamp: 0 },
-          { key: activeJobKey(id), stamp: 0 },
-          { key: finalStateKey(id), stamp: 0 },
+          { key: orphanedJobKey(id), revision: 0 },
+          { key: activeJobKey(id), revision: 0 },
+          { key: finalStateKey(id), revision: 0 },
         ],
         { set: orphanedJobKey(id), value },
       );
@@ -53,7 +58,9 @@
       // Either the job was not submitted again in time, and its tasks are stopped, or no worker runs a task of it any more.
       if (expired) registry.abortedUnknownJobs.add(id);
       if (
-        yield* write([{ key: orphanedJobKey(id), stamp: orphaned.revision }], { delete: orphanedJobKey(id) })
+        yield* write([{ key: orphanedJobKey(id), revision: orphaned.revision }], {
+          delete: orphanedJobKey(id),
+        })
       )
         yield* info('orphaned job aborted', {
           term: context.leaderTerm.number,
--- a/packages/controller/src/recovery/rebuild.ts
+++ b/packages/controller/src/recovery/rebuild.ts
@@ -43,7 +43,7 @@
       ...additionalWrites,
     ];
     return Effect.zipLeft(
-      applyStep(context, { when: [{ key: REBUILD, stamp: stored.revision }], then }),
+      applyStep(context, { when: [{ key: REBUILD, revision: stored.revision }], then }),
       Effect.ignore(context.watcher.refresh),
     );
   });
--- a/packages/controller/src/recovery/view-exchange.ts
+++ b/packages/controller/src/recovery/view-exchange.ts
@@ -1,6 +1,6 @@
 /** Exchange of pre-loss views: the rebuilding leader's requests, and the other controllers' handler of these requests. */
-import { type Answer, type Incoming, json } from '@lilacvalve/runtime/http-server';
-import { NoAnswer } from '@lilacvalve/runtime/http-client';
+import { type HttpResponse, type HttpRequest, json } from '@lilacvalve/runtime/http-server';
+import { NoResponse } from '@lilacvalve/runtime/http-client';
 import { Effect } from 'effect';
 import type { JobState } from '../jobs/job-state.js';
 import type { FinalState, Job } from '../jobs/model.js';
@@ -87,12 +87,12 @@
   /** Responds to a comparison of views; see `respondToCheckRequest`. */
   handleCheckRequest: (body: Buffer) => Buffer | null,
 ) => {
-  const binaryResponse = (body: Buffer): Answer => ({
+  const binaryResponse = (body: Buffer): HttpResponse => ({
     status: 200,
     body,
     headers: { 'Content-Type': 'application/msgpack' },
   });
-  return (incoming: Incoming): Answer | null => {
+  return (incoming: HttpRequest): HttpResponse | null => {
     if (incoming.path === VIEW_PATH) {
       const request = incoming.body === null ? null : decodeViewRequest(incoming.body);
       if (request === null) return json(400, {});
@@ -134,17 +134,17 @@
   peer: Peer,
   incarnation: string,
   digest: Uint32Array,
-): Effect.Effect<ViewResponse, NoAnswer> => {
+): Effect.Effect<ViewResponse, NoResponse> => {
   const headers: ViewHeader[] = [];
   const versions: JobVersion[] = [];
   const finals: (readonly [string, FinalState])[] = [];
   let calendar: ViewResponse['calendar'] = null;
-  const fetchFrom = (range: number): Effect.Effect<ViewResponse, NoAnswer> =>
+  const fetchFrom = (range: number): Effect.Effect<ViewResponse, NoResponse> =>
     port.request(peer, VIEW_PATH, encodeViewRequest({ incarnation, digest, from: range })).pipe(
       Effect.flatMap((body) => {
         const response = decodeViewResponse(body);
         if (response === null)
-          return Effect.fail(new NoAnswer({ reason: 'the view response cannot be decoded' }));
+          return Effect.fail(new NoResponse({ reason: 'the view response cannot be decoded' }));
         headers.splice(0, headers.length, ...response.headers);
         versions.push(...response.versions);
         finals.push(...response.finals);
--- a/packages/controller/src/recovery/write-back.ts
+++ b/packages/controller/src/recovery/write-back.ts
@@ -18,7 +18,7 @@
 /** Applies one step and retries until the store responds. Returns false if a condition failed or the term has ended. */
 export const applyStep = (context: RebuildContext, step: WriteStep): Effect.Effect<boolean> =>
   Effect.gen(function* () {
-    const when = [{ key: TERM, stamp: context.leaderTerm.stamp }, ...step.when];
+    const when = [{ key: TERM, revision: context.leaderTerm.revision }, ...step.when];
     for (;;) {
       if (!context.isCurrentTerm()) return false;
       if (!context.mayAct()) {
@@ -89,7 +89,7 @@
         ),
         ...writeSteps(context.jobState, context.settings.state, plan, { id, sequence, exclusive }),
         ...undecodable.map(([key, revision]): WriteStep => ({
-          when: [{ key, stamp: revision }],
+          when: [{ key, revision: revision }],
           then: [{ delete: key }],
         })),
       ];
--- a/packages/controller/src/recovery/write-steps.ts
+++ b/packages/controller/src/recovery/write-steps.ts
@@ -6,7 +6,7 @@
   jobUnchanged,
   finalStateKey,
   orphanedJobKey,
-  FINAL_STATE_PARTS,
+  FINAL_STATE_PAGE_SETS,
   finalStatePageKey,
   JOB_BUNDLES,
 } from '../jobs/keys.js';
@@ -75,8 +75,8 @@
 
 /** Conditions under which the job has no key of its own in the store, neither as active nor as finished. */
 const isAbsent = (id: string): Condition[] => [
-  { key: activeJobKey(id), stamp: 0 },
-  { key: finalStateKey(id), stamp: 0 },
+  { key: activeJobKey(id), revision: 0 },
+  { key: finalStateKey(id), revision: 0 },
 ];
 
 /** Overwrites jobs that the store has in another state, each in a step of its own. */
@@ -113,7 +113,7 @@
   return groupBySize(jobs, maxJobs, maxBytes, (job) => encodeJob(job, pass.sequence)).map((bundle, index) => {
     const key = `${JOB_BUNDLES}${pass.id}-${String(index).padStart(6, '0')}`;
     return {
-      when: [{ key, stamp: 0 }, ...bundle.flatMap((job) => isAbsent(job.spec.id))],
+      when: [{ key, revision: 0 }, ...bundle.flatMap((job) => isAbsent(job.spec.id))],
       then: [{ set: key, value: encodeBundle(bundle) }],
     };
   });
@@ -124,7 +124,10 @@
   chunks(plan.close, maxJobs).map((finished) => {
     const bundles = jobState.removalFromBundles(finished.map((job) => job.id));
     return {
-      when: [...finished.map((job) => ({ key: activeJobKey(job.id), stamp: job.revision })), ...bundles.when],
+      when: [
+        ...finished.map((job) => ({ key: activeJobKey(job.id), revision: job.revision })),
+        ...bundles.when,
+      ],
       then: [
         ...finished.flatMap((job): Write[] => [
           { delete: activeJobKey(job.id) },
@@ -139,9 +142,9 @@
 const finalPageSteps = (plan: RebuildPlan, passId: string, maxBytes: number): WriteStep[] =>
   groupBySize(plan.finals, MAX_FINALS_PER_PAGE, maxBytes, ([id]) => id).map((page, index) => {
     const key = finalStatePageKey(passId, page[page.length - 1]![0]);
-    const registration: Write[] = index === 0 ? [{ set: FINAL_STATE_PARTS + passId, value: 1 }] : [];
+    const registration: Write[] = index === 0 ? [{ set: FINAL_STATE_PAGE_SETS + passId, value: 1 }] : [];
     return {
-      when: [{ key, stamp: 0 }],
+      when: [{ key, revision: 0 }],
       then: [...registration, { set: key, value: encodeFinalStates(page) }],
     };
   });
--- a/packages/controller/src/scheduler/commit.ts
+++ b/packages/controller/src/scheduler/commit.ts
@@ -19,7 +19,7 @@
  * then the store has lost the key.
  */
 const isUnchanged = (context: CycleContext, key: string, when: readonly Condition[]): boolean => {
-  const required = when.find((condition) => condition.key === key)?.stamp;
+  const required = when.find((condition) => condition.key === key)?.revision;
   if (required === undefined || required === 0) return false;
   if (key === ACCOUNTS) return context.jobState.checkpoint.revision === required;
   if (key.startsWith(ACTIVE_JOBS))
@@ -60,10 +60,10 @@
 const predecessorCondition = (context: CycleContext): Condition => {
   const predecessor = context.jobState.logTail.get(context.jobState.lastSequence);
   return predecessor
-    ? { key: logEntryKey(context.jobState.lastSequence), stamp: predecessor.revision }
+    ? { key: logEntryKey(context.jobState.lastSequence), revision: predecessor.revision }
     : // With an empty log the condition is on the checkpoint. The entry is not deleted before the checkpoint is written anew,
       // so a delayed copy of this transaction can't write a deleted entry again.
-      { key: ACCOUNTS, stamp: context.jobState.checkpoint.revision };
+      { key: ACCOUNTS, revision: context.jobState.checkpoint.revision };
 };
 
 /** Refreshes the view after a failed condition, and suspects a data loss if a required key has disappeared. */
@@ -94,7 +94,7 @@
           yield* Effect.ignore(context.watcher.refresh);
       let started = 0;
       for (const [id, change] of entry.jobs) {
-        context.registry.dropDurableExits(id, change.done ?? [], change.gone ?? []);
+        context.registry.dropDurableExits(id, change.completed ?? [], change.exited ?? []);
         for (const tasks of change.start?.on.values() ?? []) started += tasks.length;
       }
       yield* logCutoffRisks(context, entry.jobs, entry.head.at);
@@ -116,7 +116,7 @@
   Effect.gen(function* () {
     // Later than the preceding log entry, which another controller may have written: clocks differ, and the durations that
     // the accounts compute from these times must not be negative.
-    const entryTime = Math.max(context.dayTime(), context.jobState.lastAt + 1) as Micros;
+    const entryTime = Math.max(context.dayTime(), context.jobState.lastEntryAt + 1) as Micros;
     const booking = new LogEntryUsage(context, entryTime);
     const draft = draftOf(context, starts, preemptions, booking, cutoffRisksOf(context, entryTime));
     if (draft.entries.length === 0) return NOTHING_COMMITTED;
@@ -128,8 +128,8 @@
     const outcome = yield* transactUntilKnown(
       context,
       [
-        { key: TERM, stamp: context.leaderTerm.stamp },
-        ...keys.map((key) => ({ key, stamp: 0 })),
+        { key: TERM, revision: context.leaderTerm.revision },
+        ...keys.map((key) => ({ key, revision: 0 })),
         predecessor,
         ...draft.conditions,
       ],
--- a/packages/controller/src/scheduler/cycle-context.ts
+++ b/packages/controller/src/scheduler/cycle-context.ts
@@ -2,7 +2,7 @@
 import type { Ledger } from '../accounts/ledger.js';
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { ClassSamples } from '../calendar/class-samples.js';
-import type { ProvisioningNews, MachineType } from '../provisioning/model.js';
+import type { ProvisioningUpdate, MachineType } from '../provisioning/model.js';
 import type { DataLossDetector } from '../recovery/data-loss-detector.js';
 import type { JobState } from '../jobs/job-state.js';
 import type { StoreWatcher } from '../jobs/store-watcher.js';
@@ -36,7 +36,7 @@
   /** Whether this controller has memory for more running tasks. */
   readonly mayStart: () => boolean;
   /** Provisioning update for the followers, and whether the cloud's list of machines has been read in this term. */
-  readonly fleet: { news: ProvisioningNews; listed: boolean };
+  readonly fleet: { news: ProvisioningUpdate; listed: boolean };
   readonly clock: () => Micros;
   /** Time of day, to which jobs' submission times and deadlines refer. */
   readonly dayTime: () => Micros;
--- a/packages/controller/src/scheduler/cycle-input.ts
+++ b/packages/controller/src/scheduler/cycle-input.ts
@@ -160,11 +160,11 @@
   const gang = job.spec.shape === 'gang';
   const running =
     job.placed.size - (exits ? [...job.placed.keys()].filter((task) => hasExited(exits, task)).length : 0);
-  if (gang || suspect ? running > 0 : running + job.done.size >= job.spec.tasks) return tasks;
+  if (gang || suspect ? running > 0 : running + job.completed.size >= job.spec.tasks) return tasks;
   // One task of a suspect job shows as well as all tasks whether the job still fails.
   const count = gang ? job.spec.tasks : suspect ? 1 : maxPlaced - job.placed.size;
   for (let task = 0; task < job.spec.tasks && tasks.length < count; task++) {
-    if (job.done.has(task) || exits?.done.has(task) || (job.placed.has(task) && !exits?.gone.has(task)))
+    if (job.completed.has(task) || exits?.done.has(task) || (job.placed.has(task) && !exits?.gone.has(task)))
       continue;
     tasks.push(task);
   }
@@ -289,7 +289,7 @@
     },
     reachable: (id) => {
       const machine = registry.machines.get(id);
-      const maxAge = context.settings.workers.report * 1.5 + 1e6;
+      const maxAge = context.settings.workers.heartbeatInterval * 1.5 + 1e6;
       return (
         machine !== undefined &&
         machine.confirmed &&
@@ -357,7 +357,7 @@
   for (const job of context.jobState.jobs.values()) {
     const { spec } = job;
     if (spec.gpus === 0) continue;
-    if (!job.cancelled && job.done.size + job.placed.size < spec.tasks) waiting.add(spec.jobClass);
+    if (!job.cancelled && job.completed.size + job.placed.size < spec.tasks) waiting.add(spec.jobClass);
     const slack = spec.deadline === null ? 0 : Math.max(0, spec.deadline - spec.estimate);
     const known = context.coLocatedDemand.get(spec.jobClass);
     context.coLocatedDemand.set(spec.jobClass, {
--- a/packages/controller/src/scheduler/draft.ts
+++ b/packages/controller/src/scheduler/draft.ts
@@ -237,7 +237,10 @@
   /** Adds the exits of a job's tasks with their usage rows, if they fit. */
   addExits({ job, done, gone, failed }: JobExits): void {
     const rowBytes = this.usageRows.bytesToAdd(job, [...done, ...gone]);
-    if (!this.add(job.spec.id, (present) => ({ ...present, done, gone, failed }), rowBytes)) return;
+    if (
+      !this.add(job.spec.id, (present) => ({ ...present, completed: done, exited: gone, failed }), rowBytes)
+    )
+      return;
     this.usageRows.add(job, done, 'done');
     this.usageRows.add(job, gone, 'gone');
   }
--- a/packages/controller/src/scheduler/largest-jobs.ts
+++ b/packages/controller/src/scheduler/largest-jobs.ts
@@ -68,10 +68,10 @@
 export const largestJobsTask = (context: {
   readonly mayAct: () => boolean;
   readonly store: StatePort;
-  readonly leaderTerm: { readonly stamp: number };
+  readonly leaderTerm: { readonly revision: number };
   readonly largestJobs: LargestJobs;
 }) => {
-  const write = hintWriter(context.store, { key: TERM, stamp: context.leaderTerm.stamp }, LARGEST_JOBS);
+  const write = hintWriter(context.store, { key: TERM, revision: context.leaderTerm.revision }, LARGEST_JOBS);
   const writeHint = Effect.suspend(() =>
     context.mayAct() ? write(context.largestJobs.hint()) : Effect.void,
   );
--- a/packages/controller/src/scheduler/maintenance.ts
+++ b/packages/controller/src/scheduler/maintenance.ts
@@ -32,7 +32,7 @@
     for (const job of context.jobState.jobs.values()) {
       if (finalState(job) !== null && !context.registry.exits.has(job.spec.id)) finishedJobs.push(job);
       // Two changes per job, and a third if a bundle of rebuilt jobs holds the job.
-      const changesPerJob = context.jobState.bundleOf.size > 0 ? 3 : 2;
+      const changesPerJob = context.jobState.bundleByJob.size > 0 ? 3 : 2;
       // A job bound to a cutoff also changes the outcome counts of its occurrence.
       const countChanges = finishedJobs.reduce(
         (sum, finished) => sum + (finished.spec.cutoffBinding === null ? 0 : 1),
@@ -48,13 +48,13 @@
     const finals = finishedJobs.map((job) => ({
       job,
       id: job.spec.id,
-      stamp: job.revision,
+      revision: job.revision,
       final: finalState(job)!,
     }));
-    const when: Condition[] = [{ key: TERM, stamp: context.leaderTerm.stamp }];
+    const when: Condition[] = [{ key: TERM, revision: context.leaderTerm.revision }];
     const then: Write[] = [];
     for (const finished of finals) {
-      when.push({ key: activeJobKey(finished.id), stamp: finished.stamp });
+      when.push({ key: activeJobKey(finished.id), revision: finished.revision });
       then.push(
         { delete: activeJobKey(finished.id) },
         { set: finalStateKey(finished.id), value: encodeFinalState(finished.final) },
@@ -65,7 +65,8 @@
     when.push(...removals.when, ...counts.when);
     then.push(...removals.then, ...counts.then);
     const first = finals[0]!;
-    const probe = first.stamp > 0 ? activeJobKey(first.id) : (context.jobState.bundleOf.get(first.id) ?? '');
+    const probe =
+      first.revision > 0 ? activeJobKey(first.id) : (context.jobState.bundleByJob.get(first.id) ?? '');
     const outcome = yield* transactUntilKnown(context, when, then, probe, Priority.Upkeep);
     if (outcome === null) return true;
     // Whether or not the transaction was applied, the watcher's view determines the state of each job.
@@ -100,8 +101,8 @@
   const { checkpoint, accounts } = jobState;
   // An entry may be deleted only if the checkpoint of the accounts includes the entry's usage rows. A checkpoint is written only
   // when the last one does not cover the oldest entry, and then covers the following entries, too.
-  const checkpointCondition: Condition = { key: ACCOUNTS, stamp: checkpoint.revision };
-  const when: Condition[] = [{ key: TERM, stamp: context.leaderTerm.stamp }, checkpointCondition];
+  const checkpointCondition: Condition = { key: ACCOUNTS, revision: checkpoint.revision };
+  const when: Condition[] = [{ key: TERM, revision: context.leaderTerm.revision }, checkpointCondition];
   const then: Write[] = [];
   const writtenJobs = new Set<Job>();
   let bytes = 0;
@@ -150,7 +151,7 @@
  */
 const compactLog = (context: CycleContext) =>
   Effect.gen(function* () {
-    if (context.jobState.logTail.size <= (context.settings.state.tail ?? LOG_TAIL_KEPT)) return;
+    if (context.jobState.logTail.size <= (context.settings.state.maxLogEntries ?? LOG_TAIL_KEPT)) return;
     const { when, then, checkpointCondition } = draftCompaction(context);
     if (then.length === 0) return;
     const outcome = yield* transactUntilKnown(context, when, then, '', Priority.Upkeep);
@@ -160,7 +161,7 @@
       read &&
       !outcome.ok &&
       outcome.failed.includes(ACCOUNTS) &&
-      context.jobState.checkpoint.revision === checkpointCondition.stamp
+      context.jobState.checkpoint.revision === checkpointCondition.revision
     )
       context.lossDetector.suspect('key lost', `${ACCOUNTS} is not at its last revision`);
   });
--- a/packages/controller/src/scheduler/rank.ts
+++ b/packages/controller/src/scheduler/rank.ts
@@ -72,7 +72,7 @@
 ): Micros | null => {
   const { submitted } = job.spec;
   const need = tasksToBegin(job, limit);
-  if (day > submitted + START_WITHIN || need > maxPlaced || job.done.size + job.placed.size >= need)
+  if (day > submitted + START_WITHIN || need > maxPlaced || job.completed.size + job.placed.size >= need)
     return null;
   return (submitted + STARVATION_AGE) as Micros;
 };
@@ -94,7 +94,7 @@
   const multiples = job.spec.deadline === null ? [1] : objective.multiples;
   if (deadline === null) return rankAt(IN_TIME_LEVEL, submitted);
   if (starvingSince !== null && day >= starvingSince) return rankAt(0, starvingSince);
-  const unplacedTasks = tasks - job.done.size - job.placed.size;
+  const unplacedTasks = tasks - job.completed.size - job.placed.size;
   for (let i = 0; i < multiples.length; i++) {
     const due = submitted + deadline * multiples[i]!;
     if (day <= due) return rankAt(IN_TIME_LEVEL + i, i === 0 ? unplacedTasks * estimate : due);
--- a/packages/controller/src/scheduler/run-cycle.ts
+++ b/packages/controller/src/scheduler/run-cycle.ts
@@ -48,7 +48,7 @@
   for (const job of context.jobState.jobs.values()) {
     let counts = classes.get(job.spec.jobClass);
     if (!counts) classes.set(job.spec.jobClass, (counts = { placed: 0, waiting: 0, jobs: 0 }));
-    const waiting = job.cancelled ? 0 : job.spec.tasks - job.done.size - job.placed.size;
+    const waiting = job.cancelled ? 0 : job.spec.tasks - job.completed.size - job.placed.size;
     counts.placed += job.placed.size;
     counts.waiting += waiting;
     if (waiting > 0) counts.jobs++;
--- a/packages/controller/src/scheduler/transact-until-known.ts
+++ b/packages/controller/src/scheduler/transact-until-known.ts
@@ -45,7 +45,7 @@
         if (result.right.ok) context.watcher.noteOwnCommit(result.right.revision);
         return result.right;
       }
-      if (result.left._tag === 'NoAnswer') mayBeApplied = true;
+      if (result.left._tag === 'NoResponse') mayBeApplied = true;
       yield* Effect.sleep(60 + 80 * (yield* Random.next));
     }
   });
--- a/packages/controller/src/settings/settings.ts
+++ b/packages/controller/src/settings/settings.ts
@@ -100,7 +100,7 @@
   readonly cloudAddress: string;
   readonly stateAddress: string;
   /** Number of controllers in the cluster. */
-  readonly nodes: number;
+  readonly controllerCount: number;
   readonly zones: readonly string[];
   /** Maximum difference between the controllers' times of day. */
   readonly skew: Micros;
@@ -108,7 +108,7 @@
   readonly objectives: readonly Objective[];
   readonly workers: {
     /** Interval between two heartbeats of a worker. */
-    readonly report: Micros;
+    readonly heartbeatInterval: Micros;
     readonly lease: Micros;
     /** How long a gang's task waits for the rest of its gang before it exits. */
     readonly gangWait: Micros;
@@ -122,7 +122,7 @@
     readonly valueBytes: number;
     readonly txnOps: number;
     /** Number of log entries kept before compaction; absent: the scheduler's default. Not part of the settings file. */
-    readonly tail?: number;
+    readonly maxLogEntries?: number;
   };
   readonly cloud: { readonly rps: number; readonly listLag: Micros };
   readonly limits: { readonly cores: number; readonly memoryMb: number; readonly maxConnections: number };
@@ -144,7 +144,7 @@
     peers: file.others.map((peer) => ({ label: peer.label, zone: peer.zone, address: peer.peer_addr })),
     cloudAddress: file.services.cloud,
     stateAddress: file.services.state,
-    nodes: file.cluster.nodes,
+    controllerCount: file.cluster.nodes,
     zones: file.cluster.zones,
     skew: millis(file.cluster.skew_ms),
     teams: file.cluster.teams.map((team) => ({
@@ -160,7 +160,7 @@
       times: objective.times,
     })),
     workers: {
-      report: seconds(workers.report_s),
+      heartbeatInterval: seconds(workers.report_s),
       lease: seconds(workers.lease_s),
       gangWait: seconds(workers.gang_wait_s),
       gangPeer: seconds(workers.gang_peer_s),
--- a/packages/controller/src/snapshots/command.ts
+++ b/packages/controller/src/snapshots/command.ts
@@ -1,12 +1,12 @@
 /** The command line tool for snapshots: verifies, prints and compares a controller's snapshot, and restores it. */
 import { logLayer } from '@lilacvalve/runtime/log';
 import { DiskFiles } from '@lilacvalve/snapshot/files';
-import { checkFiles, type Content, compareContents, load } from '@lilacvalve/snapshot/read';
+import { checkFiles, type SnapshotContent, compareContents, loadSnapshot } from '@lilacvalve/snapshot/read';
 import { Command, InvalidArgumentError } from 'commander';
 import { Effect, Either } from 'effect';
 import { readSettings } from '../settings/settings.js';
 import { StateStore } from '../state-store/client.js';
-import { restore } from './restore.js';
+import { restoreSnapshot } from './restore.js';
 
 const cli = new Command()
   .name('lilacvalve-snapshot')
@@ -20,8 +20,8 @@
   return value;
 };
 /** Loads a snapshot; ends the command with status 1 if it has no usable base. */
-const loadContent = async (dir: string): Promise<Content> =>
-  (await load(new DiskFiles(dir))) ??
+const loadContent = async (dir: string): Promise<SnapshotContent> =>
+  (await loadSnapshot(new DiskFiles(dir))) ??
   cli.error(`${dir}: no complete and undamaged base file found`, { exitCode: 1 });
 
 cli
@@ -31,7 +31,7 @@
   .option('--output <form>', 'output format: text or json', 'text')
   .action(async (dir: string, options: { output: string }) => {
     const files = await checkFiles(new DiskFiles(dir));
-    const content = await load(new DiskFiles(dir));
+    const content = await loadSnapshot(new DiskFiles(dir));
     if (options.output === 'json') print(JSON.stringify({ files, revision: content?.revision ?? null }));
     else {
       for (const file of files)
@@ -61,7 +61,7 @@
     const keys = [...content.entries.keys()].filter((key) => key.startsWith(options.prefix)).sort();
     for (const key of keys.slice(0, options.most)) {
       const entry = content.entries.get(key)!;
-      print(`${key}\t${entry.stamp}\t${JSON.stringify(entry.value)}`);
+      print(`${key}\t${entry.revision}\t${JSON.stringify(entry.value)}`);
     }
     if (keys.length > options.most) print(`(${keys.length - options.most} more)`);
   });
@@ -91,11 +91,11 @@
     if (Either.isLeft(settings)) return cli.error(`settings: ${settings.left}`, { exitCode: 2 });
     const content = await loadContent(dir);
     // No controller is writing to the store, so this command may use the whole request rate.
-    const store = new StateStore({ ...settings.right, nodes: 1 });
+    const store = new StateStore({ ...settings.right, controllerCount: 1 });
     store.leading(true);
     let lastPrinted = 0;
     const result = await Effect.runPromise(
-      restore(content, store, settings.right.state, (written, total) => {
+      restoreSnapshot(content, store, settings.right.state, (written, total) => {
         if (process.stderr.isTTY) process.stderr.write(`\r${written} of ${total} keys`);
         else if (written - lastPrinted >= 1000)
           process.stderr.write(`${(lastPrinted = written)} of ${total} keys\n`);
--- a/packages/controller/src/snapshots/restore.ts
+++ b/packages/controller/src/snapshots/restore.ts
@@ -4,7 +4,7 @@
  * leader waits until no task from before the restore can be running.
  */
 import { Effect, Random } from 'effect';
-import type { Content } from '@lilacvalve/snapshot/read';
+import type { SnapshotContent } from '@lilacvalve/snapshot/read';
 import { generationFloor } from '../recovery/model.js';
 import { QUIESCENT, INCARNATION, LEADER, REBUILD, ROOT, RECOVERED, TERM } from '../jobs/keys.js';
 import { Priority } from '../state-store/budget.js';
@@ -20,7 +20,7 @@
   readonly valueBytes: number;
 }
 /** Outcome of a restore: the number of keys, and whether an interrupted restore was resumed; or why it failed. */
-export type Restored =
+export type RestoreResult =
   | { readonly ok: true; readonly written: number; readonly resumed: boolean }
   | { readonly ok: false; readonly reason: string };
 
@@ -47,12 +47,12 @@
  * Restores `content`. After an interruption, a repeated call continues after the last key restored. `onProgress` is called
  * after each transaction with the numbers of keys written and of all keys.
  */
-export const restore = (
-  content: Content,
+export const restoreSnapshot = (
+  content: SnapshotContent,
   store: StatePort,
   limits: RestoreLimits,
   onProgress: (written: number, total: number) => void,
-): Effect.Effect<Restored, StateFailure> =>
+): Effect.Effect<RestoreResult, StateFailure> =>
   Effect.gen(function* () {
     const snapshot = `${content.incarnation}@${content.revision}`;
     const firstPage = yield* store.page(ROOT, null, 1);
@@ -63,7 +63,7 @@
         reason: `the store is not empty: it contains the key ${firstPage.entries[0]!.key}`,
       } as const;
     let progress = (stored?.value as Progress | undefined) ?? { of: snapshot, to: '' };
-    let revision = stored?.stamp ?? 0;
+    let revision = stored?.revision ?? 0;
     if (progress.of !== snapshot)
       return {
         ok: false,
@@ -87,8 +87,8 @@
               // store from a delayed copy of the first transaction, which also expects no progress: applied after the restore,
               // it would overwrite what the controllers have written since.
               [
-                { key: RESTORE_PROGRESS, stamp: revision },
-                { key: TERM, stamp: 0 },
+                { key: RESTORE_PROGRESS, revision: revision },
+                { key: TERM, revision: 0 },
               ],
               [
                 ...writes,
@@ -106,10 +106,10 @@
           const current = (yield* store.get(RESTORE_PROGRESS)).entry;
           const applied = JSON.stringify(current?.value ?? null) === JSON.stringify(next);
           if (applied) {
-            revision = current?.stamp ?? 0;
+            revision = current?.revision ?? 0;
             return true;
           }
-          if (outcome._tag === 'Right' || current?.stamp !== (revision === 0 ? undefined : revision))
+          if (outcome._tag === 'Right' || current?.revision !== (revision === 0 ? undefined : revision))
             return false;
           yield* Effect.sleep(100 + 100 * (yield* Random.next));
         }
--- a/packages/controller/src/snapshots/snapshot-task.ts
+++ b/packages/controller/src/snapshots/snapshot-task.ts
@@ -6,7 +6,7 @@
 import { supervise } from '@lilacvalve/runtime/supervise';
 import { error, info } from '@lilacvalve/runtime/log';
 import type { Files } from '@lilacvalve/snapshot/files';
-import { type Content, load } from '@lilacvalve/snapshot/read';
+import { type SnapshotContent, loadSnapshot } from '@lilacvalve/snapshot/read';
 import { SnapshotWriter, type SourcePage, type WriterOptions } from '@lilacvalve/snapshot/writer';
 import { Effect, Runtime } from 'effect';
 import type { DataLossDetector } from '../recovery/data-loss-detector.js';
@@ -26,22 +26,22 @@
 const PAGE_GAP_MS = 100;
 
 /** Limits and retention of the snapshot's files. */
-export const WRITER_SETTINGS: Omit<WriterOptions, 'revision' | 'now' | 'sleep' | 'say'> = {
-  syncMs: SYNC_INTERVAL_MS,
-  journalBytes: 32 * 1024 * 1024,
-  queue: 20_000,
-  keep: 3,
+export const WRITER_SETTINGS: Omit<WriterOptions, 'revision' | 'now' | 'sleep' | 'onEvent'> = {
+  flushIntervalMs: SYNC_INTERVAL_MS,
+  maxJournalBytes: 32 * 1024 * 1024,
+  maxQueuedEntries: 20_000,
+  maxBases: 3,
   maxAgeMs: 24 * 3600 * 1000,
 };
 
 /** Returns the job state that a snapshot's content describes. */
-export const viewOf = (content: Content): JobState => {
+export const jobStateOf = (content: SnapshotContent): JobState => {
   const jobState = new JobState();
   jobState.load(
     [...content.entries.values()].map((entry) => ({
       key: entry.key,
       value: entry.value,
-      stamp: entry.stamp,
+      revision: entry.revision,
     })),
     content.revision,
   );
@@ -63,10 +63,10 @@
  * it is kept as a pre-loss view until the store is known to contain all of it.
  */
 const restoreFromSnapshot = (dependencies: SnapshotTaskDependencies): Effect.Effect<void> =>
-  Effect.promise(() => load(dependencies.files)).pipe(
+  Effect.promise(() => loadSnapshot(dependencies.files)).pipe(
     Effect.flatMap((content) => {
       if (content === null) return info('no snapshot');
-      const view = viewOf(content);
+      const view = jobStateOf(content);
       for (const [id, finalState] of view.finalStates.entries())
         dependencies.jobState.finalStates.remember(id, finalState);
       const snapshotView = dependencies.preLossViews.captureView(view, content.generation, null);
@@ -115,7 +115,7 @@
         revision: () => dependencies.jobState.revision,
         now: () => Date.now(),
         sleep,
-        say: (event, detail) => void fork(info(`snapshot ${event}`, { what: detail })),
+        onEvent: (event, detail) => void fork(info(`snapshot ${event}`, { what: detail })),
       });
       let incarnationId: string | null = null;
       dependencies.watcher.onChanges = (changes) => {
@@ -123,9 +123,9 @@
         if (incarnation === null) return;
         if (incarnation.id !== incarnationId) {
           incarnationId = incarnation.id;
-          writer.begin({ incarnation: incarnation.id, generation: incarnation.generation });
+          writer.beginIncarnation({ incarnation: incarnation.id, generation: incarnation.generation });
         }
-        writer.changes(changes);
+        writer.enqueue(changes);
       };
       const source = async function* (): AsyncGenerator<SourcePage> {
         for (let after: string | null = null, more = true; more;) {
--- a/packages/controller/src/state-store/budget.ts
+++ b/packages/controller/src/state-store/budget.ts
@@ -3,7 +3,7 @@
  * controller keeps to a fixed fraction of the limit; within it, leases precede commits, and commits precede reads.
  */
 import { Effect } from 'effect';
-import { type Micros, now } from '@lilacvalve/runtime/micros';
+import { type Micros, monotonicNow } from '@lilacvalve/runtime/micros';
 
 /** Priority of a request to the state service; a lower number is granted first. */
 export const enum Priority {
@@ -20,7 +20,7 @@
   /** Calls `callback` after `ms` milliseconds. */
   readonly after: (ms: number, callback: () => void) => void;
 }
-const REAL_TIME: Timing = { now, after: (ms, callback) => void setTimeout(callback, ms) };
+const REAL_TIME: Timing = { now: monotonicNow, after: (ms, callback) => void setTimeout(callback, ms) };
 
 interface WaitingRequest {
   readonly priority: Priority;
--- a/packages/controller/src/state-store/client.ts
+++ b/packages/controller/src/state-store/client.ts
@@ -5,8 +5,13 @@
  * `ledgerRev`, `tenancy`, ...) occur here only.
  */
 import { Data, Effect } from 'effect';
-import { HttpClient, keptOpen, type NoAnswer, type Reply } from '@lilacvalve/runtime/http-client';
-import { type Micros, now, toMillis } from '@lilacvalve/runtime/micros';
+import {
+  HttpClient,
+  keepAliveAgent,
+  type NoResponse,
+  type ReceivedResponse,
+} from '@lilacvalve/runtime/http-client';
+import { type Micros, monotonicNow, toMillis } from '@lilacvalve/runtime/micros';
 import { countMetric } from '../metrics.js';
 import type { Settings } from '../settings/settings.js';
 import { StoreBudgets, Priority } from './budget.js';
@@ -17,7 +22,7 @@
   readonly reason: string;
 }> {}
 /** Why a request to the state service failed. */
-export type StateFailure = Refused | NoAnswer;
+export type StateFailure = Refused | NoResponse;
 
 /**
  * A revision or a lease's number is missing or is not a safe integer. From 2^53 on, numbers can't be compared exactly, and
@@ -32,7 +37,7 @@
 /** A condition of a transaction: the key's revision is unchanged; 0: the key does not exist. */
 export interface Condition {
   readonly key: string;
-  readonly stamp: number;
+  readonly revision: number;
 }
 /** One write of a transaction. `lease`: the key is deleted when that lease expires. */
 export type Write =
@@ -45,7 +50,7 @@
 export interface Entry {
   readonly key: string;
   readonly value: unknown;
-  readonly stamp: number;
+  readonly revision: number;
 }
 /** Result of reading one key. */
 export interface Found {
@@ -65,7 +70,7 @@
   readonly key: string;
   /** undefined: the key was deleted. */
   readonly value: unknown;
-  readonly stamp: number;
+  readonly revision: number;
 }
 /** The response to a watch request. `tooOld`: the service no longer has the changes after the requested revision. */
 export type Changes =
@@ -104,11 +109,11 @@
   lastRefused = Number.NEGATIVE_INFINITY;
 
   constructor(
-    settings: Pick<Settings, 'stateAddress' | 'nodes' | 'state'>,
-    private readonly clock: () => Micros = now,
+    settings: Pick<Settings, 'stateAddress' | 'controllerCount' | 'state'>,
+    private readonly clock: () => Micros = monotonicNow,
   ) {
-    this.client = new HttpClient(settings.stateAddress, keptOpen(24));
-    this.budgets = new StoreBudgets(settings.nodes, settings.state);
+    this.client = new HttpClient(settings.stateAddress, keepAliveAgent(24));
+    this.budgets = new StoreBudgets(settings.controllerCount, settings.state);
   }
 
   /** Sets whether this controller leads: a leader gets a larger fraction of the rate limits. */
@@ -129,7 +134,7 @@
     timeoutMs: number,
   ): Effect.Effect<Outcome, StateFailure> {
     const body = JSON.stringify({
-      when: when.map((condition) => ({ k: condition.key, stamp: condition.stamp })),
+      when: when.map((condition) => ({ k: condition.key, stamp: condition.revision })),
       then: then.map((write) =>
         'set' in write
           ? { set: write.set, value: write.value, tenancy: write.lease }
@@ -165,7 +170,7 @@
           });
         if (reply.status !== 200) return this.refused(reply);
         return Effect.succeed({
-          entry: { key, value: body.value, stamp: safeCounter(body.stamp) },
+          entry: { key, value: body.value, revision: safeCounter(body.stamp) },
           revision: null,
         });
       }),
@@ -187,7 +192,7 @@
         const entries = (body.entries ?? []).map((entry) => ({
           key: entry.k,
           value: entry.value,
-          stamp: safeCounter(entry.stamp),
+          revision: safeCounter(entry.stamp),
         }));
         return Effect.succeed({ entries, more: body.more === true, revision: safeCounter(body.ledgerRev) });
       }),
@@ -208,7 +213,7 @@
           changes: (body.log ?? []).map((change) => ({
             key: (change.set ?? change.delete)!,
             value: change.set === undefined ? undefined : change.value,
-            stamp: safeCounter(change.stamp),
+            revision: safeCounter(change.stamp),
           })),
         });
       }),
@@ -239,7 +244,7 @@
     return this.call('DELETE', `/grants/${lease}`, null, Priority.Lease, 800).pipe(Effect.asVoid);
   }
 
-  private refused(reply: Reply): Effect.Effect<never, Refused> {
+  private refused(reply: ReceivedResponse): Effect.Effect<never, Refused> {
     if (reply.status === 429) {
       this.budgets.drain();
     }
@@ -252,7 +257,7 @@
     body: string | null,
     priority: Priority,
     timeoutMs: number,
-  ): Effect.Effect<Reply, NoAnswer> {
+  ): Effect.Effect<ReceivedResponse, NoResponse> {
     countMetric('store');
     return this.budgets.requests.take(priority, 1).pipe(
       Effect.zipRight(this.client.request(method, path, body, timeoutMs)),
@@ -272,7 +277,7 @@
 }
 
 /** Parses a response body. One that is not JSON counts as empty: a revision missing from it raises `CounterOutOfRange`. */
-const parse = (reply: Reply): WireBody => {
+const parse = (reply: ReceivedResponse): WireBody => {
   try {
     return (JSON.parse(reply.body.toString('utf8')) ?? {}) as WireBody;
   } catch {
--- a/packages/controller/src/workers/fault-attribution.ts
+++ b/packages/controller/src/workers/fault-attribution.ts
@@ -114,7 +114,7 @@
    */
   isSuspect(job: Job, ranFor: number): boolean {
     const { id } = job.spec;
-    if (job.done.size > 0 || this.completedJobs.has(id)) return false;
+    if (job.completed.size > 0 || this.completedJobs.has(id)) return false;
     const failures = this.jobs.get(id);
     if ((failures?.machines.size ?? job.failedOn.size) < SUSPECT_MACHINES) return false;
     return ranFor <= (failures?.longestRun ?? 0) * SOUND_RUN_FACTOR + SOUND_RUN_MARGIN;
--- a/packages/controller/src/workers/heartbeat-handler.ts
+++ b/packages/controller/src/workers/heartbeat-handler.ts
@@ -1,5 +1,5 @@
 /** Responds to workers' heartbeats. The leader processes them; a follower forwards them to the leader. */
-import { type Answer, json, type Quick } from '@lilacvalve/runtime/http-server';
+import { type HttpResponse, json, type FastPathHandler } from '@lilacvalve/runtime/http-server';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { recordAnomaly, countMetric } from '../metrics.js';
 import type { Contacts } from '../leadership/contacts.js';
@@ -101,7 +101,7 @@
 /** Processes heartbeats, whether they came directly or through another controller, and builds their responses. */
 export const heartbeatReceiver =
   (
-    leadership: Pick<Leadership, 'answeringTerm' | 'currentTerm' | 'mayStart' | 'depose'>,
+    leadership: Pick<Leadership, 'respondingTerm' | 'currentTerm' | 'mayStart' | 'depose'>,
     currentService: () => HeartbeatService | LeaseRenewalService | null,
     clock: () => Micros,
     contacts: Contacts,
@@ -115,7 +115,7 @@
       leadership.depose(heartbeat.fencingToken);
       lossDetector.noteToken(heartbeat.fencingToken, heartbeat.machine);
     }
-    const leaderTerm = leadership.answeringTerm();
+    const leaderTerm = leadership.respondingTerm();
     const service = currentService();
     if (leaderTerm === null || service === null) return sendResponses(null);
     const term = leaderTerm.number;
@@ -133,7 +133,7 @@
     }
     const machines = heartbeats.map((heartbeat) => applyHeartbeat(registry, heartbeat, at));
     const respondWithOrders = (): void => {
-      if (leadership.answeringTerm()?.number !== term) return sendResponses(null);
+      if (leadership.respondingTerm()?.number !== term) return sendResponses(null);
       const includeStarts = leadership.mayStart();
       const bodies = heartbeats.map((heartbeat, index) =>
         responseTo(registry, heartbeat, machines[index] ?? null, includeStarts),
@@ -158,11 +158,11 @@
   (
     receive: ReceiveHeartbeats,
     isLeader: () => boolean,
-    forward: (heartbeat: Buffer, reply: (response: Answer) => void) => void,
+    forward: (heartbeat: Buffer, reply: (response: HttpResponse) => void) => void,
     redirect: (machine: string) => string | null,
     noteContact: (machine: string) => void,
     reader: HeartbeatReader,
-  ): Quick =>
+  ): FastPathHandler =>
   (request, reply) => {
     if (request.method !== 'POST' || request.path !== HEARTBEAT_PATH) return false;
     countMetric('reports');
--- a/packages/controller/src/workers/heartbeat-relay.ts
+++ b/packages/controller/src/workers/heartbeat-relay.ts
@@ -11,8 +11,8 @@
 import { Effect, Queue } from 'effect';
 import { pack, unpack } from 'msgpackr';
 import { supervise } from '@lilacvalve/runtime/supervise';
-import { type Answer, json, type Quick, retryLater } from '@lilacvalve/runtime/http-server';
-import type { NoAnswer } from '@lilacvalve/runtime/http-client';
+import { type HttpResponse, json, type FastPathHandler, retryLater } from '@lilacvalve/runtime/http-server';
+import type { NoResponse } from '@lilacvalve/runtime/http-client';
 import { type Micros, millis } from '@lilacvalve/runtime/micros';
 import { recordAnomaly, countMetric } from '../metrics.js';
 import type { Peer } from '../settings/settings.js';
@@ -26,7 +26,7 @@
 
 /** Transport of heartbeat batches to the leader and of their responses back. */
 export interface RelayPort {
-  relay(peer: Peer, batch: Buffer): Effect.Effect<Buffer, NoAnswer>;
+  relay(peer: Peer, batch: Buffer): Effect.Effect<Buffer, NoResponse>;
 }
 
 /**
@@ -66,7 +66,7 @@
 interface PendingHeartbeat {
   readonly heartbeat: Buffer;
   readonly since: Micros;
-  readonly reply: (response: Answer) => void;
+  readonly reply: (response: HttpResponse) => void;
 }
 
 /** Forwards heartbeats from a follower to the leader. */
@@ -88,7 +88,7 @@
    * Forwards a heartbeat and replies with the leader's response, or immediately with status 503 if too many
    * heartbeats are waiting.
    */
-  forward(heartbeat: Buffer, reply: (response: Answer) => void): void {
+  forward(heartbeat: Buffer, reply: (response: HttpResponse) => void): void {
     if (this.pending.length >= MAX_PENDING) return reply(retryLater('too many reports'));
     this.pending.push({ heartbeat, since: this.clock(), reply });
     if (this.pending.length === 1) Queue.unsafeOffer(this.wake, undefined);
@@ -142,7 +142,7 @@
 }
 
 /** Builds the HTTP response to the heartbeat at `index`. `responses` is null if the leader did not respond. */
-export const responseAt = (responses: HeartbeatResponses | null, index: number): Answer => {
+export const responseAt = (responses: HeartbeatResponses | null, index: number): HttpResponse => {
   if (responses === null) return retryLater('leader not reached');
   const body = responses.bodies[index]!;
   if (body === null) return json(400, { error: 'malformed report' });
@@ -180,7 +180,7 @@
  * this controller does not lead.
  */
 export const relayHandler =
-  (receive: ReceiveHeartbeats, reader: HeartbeatReader): Quick =>
+  (receive: ReceiveHeartbeats, reader: HeartbeatReader): FastPathHandler =>
   (request, reply) => {
     const batch = request.body === null ? null : decodeBatch(request.body);
     if (batch === null) {
--- a/packages/controller/src/workers/orphaned-tasks.ts
+++ b/packages/controller/src/workers/orphaned-tasks.ts
@@ -45,7 +45,7 @@
       else this.unknownJobs.set(id, new Set([`${task}@${machine.id}`]));
       return;
     }
-    if (job.cancelled || job.done.has(task) || task >= job.spec.tasks) return;
+    if (job.cancelled || job.completed.has(task) || task >= job.spec.tasks) return;
     // The worker keeps the result of a completed task, so the task counts as completed whatever its attempt was.
     if (reported.status === 'exited') {
       if (reported.cause === 'done' && !this.exits.has(id, task)) this.exits.recordCompletion(job, task);
--- a/packages/controller/src/workers/worker-leases.ts
+++ b/packages/controller/src/workers/worker-leases.ts
@@ -2,7 +2,7 @@
  * Computes when a worker's lease has certainly expired. Until enough controllers have acknowledged this term, an
  * older leader that still responds to heartbeats may renew leases.
  */
-import { DRIFT, type Micros, plus, seconds } from '@lilacvalve/runtime/micros';
+import { MAX_CLOCK_DRIFT, type Micros, plus, seconds } from '@lilacvalve/runtime/micros';
 import { CONFIRMATION_VALID } from '../leadership/peers.js';
 import type { Settings } from '../settings/settings.js';
 import type { Machine } from './machine.js';
@@ -40,7 +40,7 @@
           machine?.lastResponseAt ?? this.termBegan,
           this.olderLeaderUntil ?? Number.POSITIVE_INFINITY,
         );
-    return plus(lastRenewal as Micros, this.settings.lease * (1 + 2 * DRIFT) + IN_FLIGHT_MARGIN);
+    return plus(lastRenewal as Micros, this.settings.lease * (1 + 2 * MAX_CLOCK_DRIFT) + IN_FLIGHT_MARGIN);
   }
 
   /**
--- a/packages/controller/src/workers/worker-registry.ts
+++ b/packages/controller/src/workers/worker-registry.ts
@@ -7,7 +7,7 @@
  * exits, worker leases, start confirmation, the order queue, orphaned tasks, quarantine and service readiness.
  */
 import { type Micros, plus } from '@lilacvalve/runtime/micros';
-import type { ProvisioningNews, ListedMachine, Offer } from '../provisioning/model.js';
+import type { ProvisioningUpdate, ListedMachine, Offer } from '../provisioning/model.js';
 import type { JobState } from '../jobs/job-state.js';
 import { type Job, type Placement, taskKey } from '../jobs/model.js';
 import type { Settings } from '../settings/settings.js';
@@ -107,7 +107,7 @@
   }
 
   /** Applies an earlier leader's update on machines that the cloud's list does not show yet or still shows. */
-  applyProvisioningUpdate(update: ProvisioningNews, at: Micros): void {
+  applyProvisioningUpdate(update: ProvisioningUpdate, at: Micros): void {
     for (const id of update.removed) this.removeMachine(id);
     for (const { id, age, type, zone, spot } of update.rented) {
       if (this.byId.has(id)) continue;
@@ -166,7 +166,7 @@
       !machine.hasUnknownTasks &&
       at >= machine.cooldownUntil &&
       at - machine.lastResponseAt <
-        this.settings.workers.report * MAX_MISSED_INTERVALS + MISSED_INTERVALS_MARGIN_US
+        this.settings.workers.heartbeatInterval * MAX_MISSED_INTERVALS + MISSED_INTERVALS_MARGIN_US
     );
   }
 
--- a/packages/controller/test/accounts.test.ts
+++ b/packages/controller/test/accounts.test.ts
@@ -313,22 +313,25 @@
         const all = [...keys.keys()]
           .filter((k) => k.startsWith(prefix) && (after === null || k > after))
           .sort();
-        const entries = all.slice(0, 40).map((key) => ({ key, value: keys.get(key), stamp: 1 }));
+        const entries = all.slice(0, 40).map((key) => ({ key, value: keys.get(key), revision: 1 }));
         return { entries, more: all.length > 40, revision: 1 };
       }),
     get: (key: string) =>
       Effect.sync(() => ({
-        entry: keys.has(key) ? { key, value: keys.get(key), stamp: 1 } : null,
+        entry: keys.has(key) ? { key, value: keys.get(key), revision: 1 } : null,
         revision: 1,
       })),
     transact: (
-      when: { key: string; stamp: number }[],
+      when: { key: string; revision: number }[],
       then: ({ set: string; value: unknown } | { delete: string })[],
     ) =>
       Effect.sync(() => {
         assert.ok(then.length <= 8);
         // Every third transaction is refused, as if the leader's term had ended.
-        if (++transactions % 3 === 0 || when.some((c) => c.key !== TERM && keys.has(c.key) !== c.stamp > 0))
+        if (
+          ++transactions % 3 === 0 ||
+          when.some((c) => c.key !== TERM && keys.has(c.key) !== c.revision > 0)
+        )
           return { ok: false, failed: [], revision: 1 };
         for (const w of then)
           if ('set' in w) keys.set(w.set, JSON.parse(JSON.stringify(w.value)));
@@ -336,7 +339,7 @@
         return { ok: true, revision: 1 };
       }),
   };
-  const context = { store, clock: () => us((clock += 1e12)), ledger: new Ledger(), jobState: { accounts: { closed, pending: [] } }, leaderTerm: { stamp: 1, number: 1 }, mayAct: () => true, watcher: { refresh: Effect.void }, settings: { state: { valueBytes: 16_384 } } } as unknown as CycleContext; // prettier-ignore
+  const context = { store, clock: () => us((clock += 1e12)), ledger: new Ledger(), jobState: { accounts: { closed, pending: [] } }, leaderTerm: { revision: 1, number: 1 }, mayAct: () => true, watcher: { refresh: Effect.void }, settings: { state: { valueBytes: 16_384 } } } as unknown as CycleContext; // prettier-ignore
   return { keys, context };
 };
 
--- a/packages/controller/test/answer-lost.test.ts
+++ b/packages/controller/test/answer-lost.test.ts
@@ -5,7 +5,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { NoAnswer } from '@lilacvalve/runtime/http-client';
+import { NoResponse } from '@lilacvalve/runtime/http-client';
 import { type Micros, micros } from '@lilacvalve/runtime/micros';
 import { Effect } from 'effect';
 import { encodeAccounts } from '../src/accounts/codec.js';
@@ -39,11 +39,11 @@
 import type { JobEvidence } from '../src/recovery/evidence-store.js';
 import { commit } from '../src/scheduler/commit.js';
 import { runMaintenance } from '../src/scheduler/maintenance.js';
-import { restore } from '../src/snapshots/restore.js';
+import { restoreSnapshot } from '../src/snapshots/restore.js';
 import type { StateFailure, Write } from '../src/state-store/client.js';
 import { hintWriter } from '../src/state-store/hint.js';
 import type { StatePort } from '../src/state-store/port.js';
-import { body, faultFreeController, newController, newJob, HEAD, storedJob, S, Service, SETTINGS, VirtualTime } from './support/late-store.js'; // prettier-ignore
+import { submissionBody, faultFreeController, newController, newJob, INITIAL_WRITES, storedJob, SECOND, FakeStateService, SETTINGS, VirtualTime } from './support/late-store.js'; // prettier-ignore
 import { RandomSource } from './support/random-source.js';
 
 /** The only controller of a run, which leads, with its store and its virtual time. */
@@ -74,7 +74,7 @@
   readonly commits?: number;
 }
 const JOB = 'job-1';
-const submission = { method: 'POST', path: '/work', headers: {}, body: body(JOB, 1) } as never;
+const submission = { method: 'POST', path: '/work', headers: {}, body: submissionBody(JOB, 1) } as never;
 /** Whether a response to a user reports success, and the job status in it. */
 const outcomeOf = (response: Effect.Effect<{ status: number; body: string | Buffer }>) =>
   Effect.map(response, ({ status, body: responseBody }) => [
@@ -131,7 +131,7 @@
 const snapshot = {
   ...{ incarnation: 'x', generation: 0, revision: 9 },
   entries: new Map(
-    ['s/a/now', 's/j/a/job-1', 's/types'].map((name) => [name, { key: name, value: 1, stamp: 1 }]),
+    ['s/a/now', 's/j/a/job-1', 's/types'].map((name) => [name, { key: name, value: 1, revision: 1 }]),
   ),
 } as never;
 
@@ -217,8 +217,8 @@
         for (let i = 0; i < 5; i++) yield* i % 2 === 0 ? startTask(single) : exitTask(single, 'gone');
         yield* repeat(4, runMaintenance(single.turn));
         return [
-          single.node.jobState.missingRecord(),
-          single.service.view().missingRecord(),
+          single.node.jobState.missingEntryKey(),
+          single.service.view().missingEntryKey(),
           single.service.view().logTail.size,
         ];
       }),
@@ -279,7 +279,7 @@
       commits: 2,
     },
     act: (single) => {
-      const write = hintWriter(single.turn.store, { key: TERM, stamp: 1 }, LARGEST_JOBS);
+      const write = hintWriter(single.turn.store, { key: TERM, revision: 1 }, LARGEST_JOBS);
       return repeat(3, write({ x: [[JOB, 3]] }));
     },
   },
@@ -351,7 +351,7 @@
 test('a restore with a write that is committed without a response continues and completes', () => {
   const restores = [0, 1, 2].map((lostRequest) => {
     const time = new VirtualTime(1);
-    const service = new Service(time, new RandomSource(1));
+    const service = new FakeStateService(time, new RandomSource(1));
     service.isFaulty = false;
     let sent = 0;
     service.losesAnswerTo = () => ++sent === lostRequest;
@@ -359,11 +359,11 @@
     const limits = { txnOps: 3, valueBytes: 9000 };
     time.fork(
       Effect.map(
-        restore(snapshot, service.port(), limits, () => undefined),
+        restoreSnapshot(snapshot, service.port(), limits, () => undefined),
         (value) => (result = value),
       ),
     );
-    time.run(time.now + 30 * S);
+    time.run(time.now + 30 * SECOND);
     return { result, store: service.entries('s/').map((entry) => entry.key) };
   });
   assert.deepEqual(restores[0]!.result, { ok: true, written: 3, resumed: false });
@@ -373,7 +373,7 @@
 /** Controllers that campaign for leadership, over a state service with leases. */
 const makeElection = (initialWrites: readonly Write[], labels: readonly string[], seed = 3) => {
   const time = new VirtualTime(seed);
-  const service = new Service(time, new RandomSource(seed));
+  const service = new FakeStateService(time, new RandomSource(seed));
   service.isFaulty = false;
   service.transact([], initialWrites);
   /** By lease: cancels the lease's expiry. */
@@ -399,7 +399,7 @@
   const respond = <A>(request: keyof typeof lostResponses, response: A): Effect.Effect<A, StateFailure> => {
     if (lostResponses[request] === 0) return Effect.as(Effect.sleep(5), response);
     lostResponses[request]--;
-    return Effect.zipRight(Effect.sleep(900), Effect.fail(new NoAnswer({ reason: 'timeout' })));
+    return Effect.zipRight(Effect.sleep(900), Effect.fail(new NoResponse({ reason: 'timeout' })));
   };
   const controllers = labels.map((label, index) => {
     const { jobState, lossDetector, store, watcher } = newController(time, service, index);
@@ -443,7 +443,7 @@
   for (const { watcher } of controllers) time.fork(watcher.run);
   let until = time.now;
   const run = (seconds: number): void => {
-    time.run((until += seconds * S));
+    time.run((until += seconds * SECOND));
     assert.deepEqual(time.faults, []);
   };
   return { time, service, controllers, lostResponses, run };
@@ -452,7 +452,7 @@
 test('a controller whose campaign is committed without a response takes up the leadership that it has won', () => {
   // With these seeds the controller reads its own campaign before the lease has expired.
   for (const seed of [3, 5, 7]) {
-    const { time, service, controllers, run } = makeElection(HEAD, ['n0', 'n1'], seed);
+    const { time, service, controllers, run } = makeElection(INITIAL_WRITES, ['n0', 'n1'], seed);
     const [first, second] = controllers as [(typeof controllers)[0], (typeof controllers)[0]];
     let lost = 0;
     service.losesAnswerTo = (then) => lost === 0 && setsKeyBelow(LEADER)(then) && ++lost === 1;
@@ -475,7 +475,7 @@
 
 test('a leader whose lease extension gets no response, once or twice in a row, keeps the leadership', () => {
   for (const lostExtensions of [1, 2]) {
-    const { time, service, controllers, lostResponses, run } = makeElection(HEAD, ['n0', 'n1']);
+    const { time, service, controllers, lostResponses, run } = makeElection(INITIAL_WRITES, ['n0', 'n1']);
     for (const { leadership } of controllers) time.fork(leadership.run);
     run(5);
     const leader = controllers.find((controller) => controller.leadership.currentTermNumber() === 2)!;
@@ -496,7 +496,7 @@
 });
 
 test('a lease release without a response and a lease grant without a response leave exactly one leader', () => {
-  const { time, service, controllers, lostResponses, run } = makeElection(HEAD, ['n0', 'n1']);
+  const { time, service, controllers, lostResponses, run } = makeElection(INITIAL_WRITES, ['n0', 'n1']);
   for (const { leadership } of controllers) time.fork(leadership.run);
   run(5);
   const leader = controllers.find((controller) => controller.leadership.currentTermNumber() !== null)!;
@@ -523,7 +523,7 @@
   assert.equal(lost, 1);
   assert.equal(first.service.entries(INCARNATION).length, 1);
 
-  const rebuilt = makeElection(HEAD, ['n0', 'n1']);
+  const rebuilt = makeElection(INITIAL_WRITES, ['n0', 'n1']);
   const [controller] = rebuilt.controllers;
   rebuilt.run(5);
   lost = 0;
@@ -540,7 +540,7 @@
   );
   rebuilt.run(5);
   // The second attempt finds the incarnation of the first one and does not begin another.
-  assert.deepEqual(outcomes, ['NoAnswer', 'false']);
+  assert.deepEqual(outcomes, ['NoResponse', 'false']);
   const incarnations = rebuilt.service.entries(INCARNATION);
   assert.equal(incarnations.length, 1);
   assert.equal((incarnations[0]!.value as { g: number }).g, 1);
@@ -561,7 +561,7 @@
       assert.deepEqual(outcome, [true, 'aborted']),
     ),
   );
-  const revision = single.service.keys.get(ACTIVE_JOBS + JOB)!.stamp;
+  const revision = single.service.keys.get(ACTIVE_JOBS + JOB)!.revision;
   assert.deepEqual(
     replicated.map((evidence) => [evidence.id, evidence.revision]),
     [
--- a/packages/controller/test/answers.test.ts
+++ b/packages/controller/test/answers.test.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type Micros, now } from '@lilacvalve/runtime/micros';
+import { type Micros, monotonicNow } from '@lilacvalve/runtime/micros';
 import { Effect, Fiber, Logger } from 'effect';
 import { userHandlers } from '../src/api/handlers.js';
 import { DataLossDetector } from '../src/recovery/data-loss-detector.js';
@@ -27,13 +27,13 @@
  */
 const startLeader = async () => {
   const jobState = new JobState();
-  const lossDetector = new DataLossDetector(now, () => null);
+  const lossDetector = new DataLossDetector(monotonicNow, () => null);
   const pendingReads: ((changes: Changes) => void)[] = [];
-  const storedValue = (key: string, value: unknown) => ({ key, value: toWire(value), stamp: 1 });
+  const storedValue = (key: string, value: unknown) => ({ key, value: toWire(value), revision: 1 });
   const entries = [
     storedValue(`${INCARNATION}x`, { g: 0, t: 0, s: 0 }),
     storedValue(RECOVERED, 'x'),
-    { ...storedValue(activeJobKey(JOB_ID), encodeJob(job(JOB_ID), 0)), stamp: 5 },
+    { ...storedValue(activeJobKey(JOB_ID), encodeJob(job(JOB_ID), 0)), revision: 5 },
   ];
   const store = {
     page: (prefix: string) =>
@@ -47,9 +47,17 @@
     follow: () =>
       Effect.async<Changes>((resume) => void pendingReads.push((changes) => resume(Effect.succeed(changes)))),
   } as unknown as StatePort;
-  const watcher = new StoreWatcher(jobState, store, now, () => true, lossDetector, 0 as Micros);
+  const watcher = new StoreWatcher(jobState, store, monotonicNow, () => true, lossDetector, 0 as Micros);
   const users = userHandlers({
-    ...{ settings: worldSettings('n0'), store, watcher, jobState, lossDetector, clock: now, dayTime: now },
+    ...{
+      settings: worldSettings('n0'),
+      store,
+      watcher,
+      jobState,
+      lossDetector,
+      clock: monotonicNow,
+      dayTime: monotonicNow,
+    },
     ...{ mayBeNew: () => true, isDurable: () => true, isLeader: () => true, isVerified: () => true },
     evidenceStore: { replicate: () => Effect.void } as never,
     types: () => TYPES,
@@ -75,11 +83,16 @@
 /**
  * The job's completion in a log entry of this controller, and the job's key as an earlier cancellation left it.
  */
-const COMPLETION = { sequence: 1, revision: 11, head: NO_HEADER, jobs: new Map([[JOB_ID, { done: [0] }]]) };
+const COMPLETION = {
+  sequence: 1,
+  revision: 11,
+  head: NO_HEADER,
+  jobs: new Map([[JOB_ID, { completed: [0] }]]),
+};
 const CANCELLATION: Change = {
   key: activeJobKey(JOB_ID),
   value: toWire(encodeJob({ ...job(JOB_ID), cancelled: true }, 0)),
-  stamp: 10,
+  revision: 10,
 };
 
 for (const [operation, send] of [
--- a/packages/controller/test/compound-faults.test.ts
+++ b/packages/controller/test/compound-faults.test.ts
@@ -68,9 +68,9 @@
   ) {
     this.catchUp();
     this.registry = new WorkerRegistry(settings, this.jobState, term, began);
-    const leaderTerm = { number: term, stamp: 0, began };
+    const leaderTerm = { number: term, revision: 0, began };
     const leadership = {
-      answeringTerm: () => (this.ended ? null : leaderTerm),
+      respondingTerm: () => (this.ended ? null : leaderTerm),
       mayStart: () => true,
       currentTerm: () => (this.mayAct() ? leaderTerm : null),
       depose: (token: number) => void (token > term && (this.ended = true)),
@@ -114,7 +114,7 @@
         this.jobState.apply({
           key: activeJobKey(change.job.spec.id),
           value: encodeJob(change.job, 0),
-          stamp: this.readCount + 1,
+          revision: this.readCount + 1,
         });
     }
   }
@@ -154,8 +154,8 @@
     const changes = new Map<string, JobChange>();
     for (const [id, exits] of registry.exits)
       changes.set(id, {
-        done: [...exits.done],
-        gone: [...exits.gone].filter((task) => !exits.done.has(task)),
+        completed: [...exits.done],
+        exited: [...exits.gone].filter((task) => !exits.done.has(task)),
       });
     const placedTasks = placedTasksOf({ registry, jobState } as unknown as CycleContext, at);
     const tasksPerMachine = new Map<string, number>();
@@ -171,7 +171,7 @@
         (machine) => registry.isSchedulable(machine, at) && (tasksPerMachine.get(machine.id) ?? 0) < 4,
       );
       const tasks = Array.from({ length: job.spec.tasks }, (_, task) => task).filter(
-        (task) => !job.done.has(task) && !exits?.done.has(task) && !remaining.includes(task),
+        (task) => !job.completed.has(task) && !exits?.done.has(task) && !remaining.includes(task),
       );
       if (
         tasks.length === 0 ||
@@ -205,7 +205,7 @@
       if (!this.mayAct()) return;
       this.catchUp();
       for (const [id, change] of jobs)
-        this.registry.dropDurableExits(id, change.done ?? [], change.gone ?? []);
+        this.registry.dropDurableExits(id, change.completed ?? [], change.exited ?? []);
       this.releaseResponses();
     };
     // A late commit response: the next leader may be the first to act on the entry.
@@ -264,7 +264,7 @@
       if (random.chance(0.1))
         time.after(random.between(FAULTY_UNTIL * 0.8, FAULTY_UNTIL), () => {
           this.cancelledAt.set(job.spec.id, time.now);
-          this.log.push({ job: { ...job, placed: new Map(), done: new Set(), cancelled: true } });
+          this.log.push({ job: { ...job, placed: new Map(), completed: new Set(), cancelled: true } });
         });
     }
     for (let index = 0; index < MACHINE_COUNT + 2; index++) this.boot(`vm-${index}`);
@@ -336,7 +336,7 @@
     const logEntry = { sequence: ++this.lastSequence, revision: this.log.length + 1, head: NO_HEADER, jobs };
     this.log.push({ logEntry });
     for (const [id, change] of jobs)
-      for (const task of [...(change.done ?? []), ...(change.gone ?? [])]) {
+      for (const task of [...(change.completed ?? []), ...(change.exited ?? [])]) {
         const key = taskKey(id, task);
         if ((this.firstObservedBy.get(key) ?? leader.term) < leader.term)
           noteFault(this, 'exit observed by one leader, recorded by another');
@@ -422,7 +422,7 @@
     for (const job of jobState.jobs.values()) {
       if (job.cancelled ? job.placed.size > 0 : !isComplete(job))
         this.violations.push(`${job.spec.id} has not finished`);
-      for (const task of job.done)
+      for (const task of job.completed)
         if (!this.finished.has(taskKey(job.spec.id, task)))
           this.violations.push(`${job.spec.id}/${task} is recorded as completed but did not complete`);
     }
--- a/packages/controller/test/contacts.test.ts
+++ b/packages/controller/test/contacts.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { Effect, Fiber } from 'effect';
 import { pack } from 'msgpackr';
-import { NoAnswer } from '@lilacvalve/runtime/http-client';
+import { NoResponse } from '@lilacvalve/runtime/http-client';
 import { type Micros, plus, seconds } from '@lilacvalve/runtime/micros';
 import { Contacts } from '../src/leadership/contacts.js';
 import { decodePeerHeartbeat } from '../src/leadership/codec.js';
@@ -96,7 +96,7 @@
     ...{ store: null, hasPreLossViews: false },
   };
   const port = {
-    exchange: () => (silent ? Effect.fail(new NoAnswer({ reason: 'timeout' })) : Effect.succeed(heartbeat)),
+    exchange: () => (silent ? Effect.fail(new NoResponse({ reason: 'timeout' })) : Effect.succeed(heartbeat)),
   };
   const peersOf = (settings: Settings): Peers =>
     new Peers(
--- a/packages/controller/test/data-loss-detector.test.ts
+++ b/packages/controller/test/data-loss-detector.test.ts
@@ -168,12 +168,16 @@
     [2, 6],
     [3, 40],
   ] as const)
-    jobState.apply({ key: activeJobKey(`job-${i}`), value: asStored(encodeJob(job(`job-${i}`), 0)), stamp });
-  jobState.apply({ key: logEntryKey(1), value: {}, stamp: 7 });
+    jobState.apply({
+      key: activeJobKey(`job-${i}`),
+      value: asStored(encodeJob(job(`job-${i}`), 0)),
+      revision: stamp,
+    });
+  jobState.apply({ key: logEntryKey(1), value: {}, revision: 7 });
   jobState.apply({
     key: `${JOB_BUNDLES}a`,
     value: asStored(encodeBundle([job('job-9', { tasks: 2 })])),
-    stamp: 8,
+    revision: 8,
   });
   assert.deepEqual(expectedKeys(jobState, LOG_ENTRIES), [[logEntryKey(1), 7]]);
   assert.deepEqual(expectedKeys(jobState, JOB_BUNDLES), [[`${JOB_BUNDLES}a`, 8]]);
@@ -183,7 +187,11 @@
     [activeJobKey('job-1'), activeJobKey('job-2'), activeJobKey('job-3')],
     'a job that only a bundle lists has no key of its own',
   );
-  const entry = (i: number, stamp: number) => ({ key: activeJobKey(`job-${i}`), value: null, stamp });
+  const entry = (i: number, stamp: number) => ({
+    key: activeJobKey(`job-${i}`),
+    value: null,
+    revision: stamp,
+  });
   const page = (entries: ReturnType<typeof entry>[], more = false) => ({ entries, more, revision: 30 });
   assert.equal(
     findLostKey(page([entry(1, 5), entry(2, 6)]), expected, null, 45),
@@ -203,15 +211,15 @@
 test('the view keeps the last decodable value of a key whose new value cannot be decoded', () => {
   const jobState = new JobState();
   const key = activeJobKey('job-1');
-  jobState.apply({ key, value: asStored(encodeJob(job('job-1', { tasks: 4 }), 0)), stamp: 5 });
+  jobState.apply({ key, value: asStored(encodeJob(job('job-1', { tasks: 4 }), 0)), revision: 5 });
   for (const undecodable of [null, 'x', 7, { c: 7 }, { c: 'x', o: 'y' }]) {
-    jobState.apply({ key, value: undecodable, stamp: 6 });
+    jobState.apply({ key, value: undecodable, revision: 6 });
     assert.equal(jobState.jobs.get('job-1')!.spec.tasks, 4);
     assert.equal(jobState.damaged.get(key), 6);
   }
-  jobState.apply({ key, value: asStored(encodeJob(job('job-1', { tasks: 4 }), 0)), stamp: 7 });
+  jobState.apply({ key, value: asStored(encodeJob(job('job-1', { tasks: 4 }), 0)), revision: 7 });
   assert.equal(jobState.damaged.size, 0);
-  jobState.apply({ key: `${INCARNATION}x`, value: { g: 2, by: 'n0' }, stamp: 9 });
+  jobState.apply({ key: `${INCARNATION}x`, value: { g: 2, by: 'n0' }, revision: 9 });
   assert.equal(jobState.attemptFloor, generationFloor(2));
 });
 
--- a/packages/controller/test/draft.test.ts
+++ b/packages/controller/test/draft.test.ts
@@ -56,7 +56,7 @@
 const startOf = (job: Job, random: RandomSource): Start => {
   const on = new Map<string, number[]>();
   for (let task = 0; task < job.spec.tasks; task++) {
-    if (job.placed.has(task) || job.done.has(task)) continue;
+    if (job.placed.has(task) || job.completed.has(task)) continue;
     const machine = `vm-${String(random.int(MACHINES)).padStart(6, '0')}`;
     on.set(machine, [...(on.get(machine) ?? []), task]);
   }
@@ -88,7 +88,7 @@
   const valueSizes = then.map((write) => JSON.stringify('set' in write ? write.value : '').length);
   for (const size of valueSizes)
     assert.ok(size <= valueBytes, `a value of ${size} bytes exceeds the limit of ${valueBytes}`);
-  const body = JSON.stringify({ when: when.map(({ key, stamp }) => ({ k: key, stamp })), then });
+  const body = JSON.stringify({ when: when.map(({ key, revision: stamp }) => ({ k: key, stamp })), then });
   assert.ok(
     body.length <= TRANSACTION_BYTES,
     `a transaction of ${body.length} bytes exceeds the limit of ${TRANSACTION_BYTES}`,
@@ -132,19 +132,20 @@
     }
     for (let cycle = 0; cycle < 80; cycle++) {
       const starts = [...jobState.jobs.values()]
-        .filter((job) => (job.spec.shape === 'gang' ? job.placed.size + job.done.size === 0 : true))
+        .filter((job) => (job.spec.shape === 'gang' ? job.placed.size + job.completed.size === 0 : true))
         .map((job) => startOf(job, random))
         .filter((start) => start.tasksByMachine.size > 0);
       if (starts.length === 0 && leader.context.registry.exits.size === 0) break;
       const startedBefore = new Map(
-        [...jobState.jobs].map(([id, job]) => [id, job.placed.size + job.done.size]),
+        [...jobState.jobs].map(([id, job]) => [id, job.placed.size + job.completed.size]),
       );
       const { hasBacklog } = leader.commitStarts(starts);
       checkLimits(leader.sent.at(-1)!, state);
       seen.severalEntries += leader.sent.at(-1)!.then.length > 1 ? 1 : 0;
       seen.backlogs += hasBacklog ? 1 : 0;
       for (const start of starts) {
-        const started = start.job.placed.size + start.job.done.size - startedBefore.get(start.job.spec.id)!;
+        const started =
+          start.job.placed.size + start.job.completed.size - startedBefore.get(start.job.spec.id)!;
         if (start.job.spec.shape === 'gang')
           assert.ok(started === 0 || started === start.job.spec.tasks, 'a gang is started partially');
         else if (started > 0 && started < taskCount(start)) {
@@ -154,13 +155,16 @@
       }
     }
     for (const [id, completed] of completedTasks)
-      assert.ok(jobState.jobs.get(id)!.done.size >= completed, `completed tasks of ${id} were not recorded`);
+      assert.ok(
+        jobState.jobs.get(id)!.completed.size >= completed,
+        `completed tasks of ${id} were not recorded`,
+      );
     assert.equal(leader.context.registry.exits.size, 0);
     // A controller that reads the store from the beginning has the same view.
     const view = leader.service.view();
     for (const [id, job] of jobState.jobs) {
       assert.deepEqual([...view.jobs.get(id)!.placed].sort(), [...job.placed].sort(), id);
-      assert.deepEqual([...view.jobs.get(id)!.done].sort(), [...job.done].sort(), id);
+      assert.deepEqual([...view.jobs.get(id)!.completed].sort(), [...job.completed].sort(), id);
     }
     assert.deepEqual(view.accounts, jobState.accounts);
     const sequences = leader.service
@@ -237,7 +241,7 @@
   const sent = leader.sent.at(-1)!;
   checkLimits(sent, state);
   assert.ok(sent.then.length > 1);
-  assert.equal(leader.node.jobState.jobs.get('job-1')!.done.size, 4500);
+  assert.equal(leader.node.jobState.jobs.get('job-1')!.completed.size, 4500);
 });
 
 test('the next cycle after one with a backlog comes without the gap for many machines, but after the gap for its computing time', () => {
--- a/packages/controller/test/fault-attribution.test.ts
+++ b/packages/controller/test/fault-attribution.test.ts
@@ -119,7 +119,7 @@
   assert.ok(attribution.retryNotBefore(suspectJob) > seconds(110));
   // A task that keeps running for long enough shows that the job is not broken.
   assert.equal(attribution.isSuspect(suspectJob, seconds(30)), false);
-  suspectJob.done.add(0);
+  suspectJob.completed.add(0);
   assert.equal(attribution.isSuspect(suspectJob, 0), false);
 });
 
--- a/packages/controller/test/heartbeat-codec.test.ts
+++ b/packages/controller/test/heartbeat-codec.test.ts
@@ -76,13 +76,13 @@
   const runningJob = job('job-1', { spot: false });
   runningJob.placed.set(0, { task: 0, attempt: 2, machine: 'vm-1', since: 0 as Micros });
   const jobState = new JobState();
-  jobState.apply({ key: activeJobKey('job-1'), value: encodeJob(runningJob, 0), stamp: 1 });
+  jobState.apply({ key: activeJobKey('job-1'), value: encodeJob(runningJob, 0), revision: 1 });
   const settings = worldSettings('n0');
   const registry = new WorkerRegistry(settings, jobState, 3, 0 as Micros);
   registry.removeMachine('vm-2');
-  const leaderTerm = { number: 3, stamp: 1, began: 0 as Micros };
+  const leaderTerm = { number: 3, revision: 1, began: 0 as Micros };
   const leadership = {
-    answeringTerm: () => leaderTerm,
+    respondingTerm: () => leaderTerm,
     currentTerm: () => null,
     depose: () => undefined,
     mayStart: () => true,
--- a/packages/controller/test/job-state.test.ts
+++ b/packages/controller/test/job-state.test.ts
@@ -19,13 +19,13 @@
   started.placed.set(0, { task: 0, attempt: 1, machine: 'm', since: 0 as Micros });
   const completion = (stamp: number) => ({
     key: logEntryKey(1),
-    value: stored(encodeLogEntry(new Map([['job-1', { done: [0] }]]), NO_HEADER)),
-    stamp,
+    value: stored(encodeLogEntry(new Map([['job-1', { completed: [0] }]]), NO_HEADER)),
+    revision: stamp,
   });
   const cancellation = (stamp: number) => ({
     key: activeJobKey('job-1'),
     value: stored(encodeJob({ ...started, cancelled: true }, 0)),
-    stamp,
+    revision: stamp,
   });
   for (const [first, expected] of [
     ['completion', 'done'],
@@ -34,13 +34,13 @@
     const changes =
       first === 'completion' ? [completion(5), cancellation(6)] : [cancellation(5), completion(6)];
     const watched = new JobState();
-    watched.apply({ key: activeJobKey('job-1'), value: stored(encodeJob(started, 0)), stamp: 4 });
+    watched.apply({ key: activeJobKey('job-1'), value: stored(encodeJob(started, 0)), revision: 4 });
     for (const change of changes) watched.apply(change);
     const listed = new JobState();
     listed.load(changes, 6);
     // A leader applies its own log entry before the watch returns the changes committed earlier.
     const reversed = new JobState();
-    reversed.apply({ key: activeJobKey('job-1'), value: stored(encodeJob(started, 0)), stamp: 4 });
+    reversed.apply({ key: activeJobKey('job-1'), value: stored(encodeJob(started, 0)), revision: 4 });
     for (const change of [...changes].reverse()) reversed.apply(change);
     for (const jobState of [watched, listed, reversed])
       assert.equal(finalState(jobState.jobs.get('job-1')!)?.status, expected);
@@ -50,15 +50,15 @@
 test('a damaged or missing log entry is reported as missing, unless it is older than the incarnation', () => {
   const intact = (sequence: number) => ({
     key: logEntryKey(sequence),
-    value: stored(encodeLogEntry(new Map([['job-1', { gone: [0] }]]), NO_HEADER)),
-    stamp: 10 + sequence,
+    value: stored(encodeLogEntry(new Map([['job-1', { exited: [0] }]]), NO_HEADER)),
+    revision: 10 + sequence,
   });
   const damaged = (sequence: number, value: unknown) => ({ ...intact(sequence), value });
-  const incarnation = (stamp: number) => ({ key: `${INCARNATION}x`, value: { g: 0 }, stamp });
-  const missingKey = (...entries: { key: string; value: unknown; stamp: number }[]): string | null => {
+  const incarnation = (stamp: number) => ({ key: `${INCARNATION}x`, value: { g: 0 }, revision: stamp });
+  const missingKey = (...entries: { key: string; value: unknown; revision: number }[]): string | null => {
     const jobState = new JobState();
     jobState.load(entries, 50);
-    return jobState.missingRecord();
+    return jobState.missingEntryKey();
   };
   assert.equal(missingKey(incarnation(1), intact(4), intact(5), intact(6)), null);
   for (const value of [{ c: 7 }, { 'job-1': { d: 3 } }, { 'job-1': { a: 'x', p: {} } }, { 'job-1': null }])
@@ -68,7 +68,7 @@
       JSON.stringify(value),
     );
   assert.equal(missingKey(incarnation(1), intact(4), intact(6)), logEntryKey(5));
-  assert.equal(missingKey(incarnation(1), { key: TERM, value: { c: 7 }, stamp: 3 }), TERM);
+  assert.equal(missingKey(incarnation(1), { key: TERM, value: { c: 7 }, revision: 3 }), TERM);
   assert.equal(missingKey(incarnation(15), intact(4), damaged(5, { c: 7 }), intact(6), intact(7)), null);
 });
 
@@ -84,7 +84,7 @@
     let stamp = 0;
     const apply = (key: string, value: unknown): void => {
       for (const jobState of [updated, rebuilt])
-        jobState.apply({ key, value: value && stored(value), stamp });
+        jobState.apply({ key, value: value && stored(value), revision: stamp });
     };
     for (let step = 0; step < 120; step++) {
       stamp++;
@@ -109,7 +109,7 @@
         };
         apply(
           logEntryKey(updated.lastSequence + 1),
-          encodeLogEntry(new Map([[id, { gone, start }]]), NO_HEADER),
+          encodeLogEntry(new Map([[id, { exited: gone, start }]]), NO_HEADER),
         );
       }
       if (random.chance(0.1)) rebuilt.dropPlacementIndex();
--- a/packages/controller/test/late-answers.test.ts
+++ b/packages/controller/test/late-answers.test.ts
@@ -6,7 +6,7 @@
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { Effect } from 'effect';
 import { DataLossDetector } from '../src/recovery/data-loss-detector.js';
-import { expectedShare } from '../src/provisioning/boot-tracker.js';
+import { expectedFraction } from '../src/provisioning/boot-tracker.js';
 import { pendingMachine } from '../src/provisioning/machine-health.js';
 import { JobState } from '../src/jobs/job-state.js';
 import { encodeJob } from '../src/jobs/codec.js';
@@ -31,7 +31,7 @@
   jobState.apply({
     key: activeJobKey('job-1'),
     value: JSON.parse(JSON.stringify(encodeJob(placedJob, 0))),
-    stamp,
+    revision: stamp,
   });
 };
 /** The leader's registry: `job-1/0` is to be started on `m`. */
@@ -61,9 +61,9 @@
   const deposedBy: number[] = [];
   const state = { term: TERM as number | null, at: 10 };
   const leaderTerm = () =>
-    state.term === null ? null : { number: state.term, stamp: 1, began: 0 as Micros };
+    state.term === null ? null : { number: state.term, revision: 1, began: 0 as Micros };
   const leadership = {
-    answeringTerm: leaderTerm,
+    respondingTerm: leaderTerm,
     currentTerm: leaderTerm,
     mayStart: () => true,
     depose: (token: number) => void deposedBy.push(token),
@@ -209,7 +209,7 @@
   for (let at = 10; at <= 80; at += 2) {
     const machine = registry.applyHeartbeat(heartbeat(1, at, TERM - 1), seconds(at))!;
     registry.expireLeases(seconds(at), true);
-    fractions.push(expectedShare(pendingMachine(machine, boot, seconds(at))));
+    fractions.push(expectedFraction(pendingMachine(machine, boot, seconds(at))));
   }
   assert.equal(fractions[0], 1);
   assert.ok(
--- a/packages/controller/test/late-writes.test.ts
+++ b/packages/controller/test/late-writes.test.ts
@@ -4,7 +4,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type Micros, micros } from '@lilacvalve/runtime/micros';
-import { NoAnswer } from '@lilacvalve/runtime/http-client';
+import { NoResponse } from '@lilacvalve/runtime/http-client';
 import { Effect } from 'effect';
 import { encodeAccounts } from '../src/accounts/codec.js';
 import { MINUTE, NO_ACCOUNTS } from '../src/accounts/model.js';
@@ -32,20 +32,20 @@
 import { runMaintenance } from '../src/scheduler/maintenance.js';
 import type { Start } from '../src/scheduler/model.js';
 import type { CycleContext } from '../src/scheduler/cycle-context.js';
-import { restore } from '../src/snapshots/restore.js';
+import { restoreSnapshot } from '../src/snapshots/restore.js';
 import type { StatePort } from '../src/state-store/port.js';
 import { job } from './support/job.js';
 import { RandomSource } from './support/random-source.js';
 import {
-  body,
+  submissionBody,
   faultFreeController,
   newController,
   newJob,
-  HEAD,
+  INITIAL_WRITES,
   storedJob,
   rebuilding,
-  S,
-  Service,
+  SECOND,
+  FakeStateService,
   SETTINGS,
   VirtualTime,
   wire,
@@ -58,9 +58,9 @@
 const simulate = (seed: number) => {
   const time = new VirtualTime(seed);
   const random = new RandomSource(seed);
-  const service = new Service(time, random);
+  const service = new FakeStateService(time, random);
   const check = (holds: boolean, violation: string): void => {
-    if (!holds) time.faults.push(`seed ${seed}, ${((time.now - 1e12) / S).toFixed(1)} s: ${violation}`);
+    if (!holds) time.faults.push(`seed ${seed}, ${((time.now - 1e12) / SECOND).toFixed(1)} s: ${violation}`);
   };
   const sameNumbers = (a: Iterable<number>, b: Iterable<number>): boolean =>
     [...a].sort().join() === [...b].sort().join();
@@ -83,13 +83,13 @@
   let lastCompacted = 0;
   const checkView = (): void => {
     const view = service.view();
-    check(view.missingRecord() === null, 'a log entry is missing');
+    check(view.missingEntryKey() === null, 'a log entry is missing');
     check(view.checkpoint.upTo >= lastCompacted, `the accounts lack log entry ${lastCompacted}`);
     for (const id of view.jobs.keys()) check(!finalStates.has(id), `${id} is stored as unfinished again`);
     for (const [id, expectedJob] of expected) {
       const viewed = view.jobs.get(id);
       if (viewed === undefined) continue;
-      check(sameNumbers(viewed.done, expectedJob.done), `${id}: wrong completed tasks`);
+      check(sameNumbers(viewed.completed, expectedJob.done), `${id}: wrong completed tasks`);
       check(sameNumbers(viewed.placed.keys(), expectedJob.placed), `${id}: wrong placed tasks`);
     }
   };
@@ -127,8 +127,8 @@
       used.add(key);
       for (const [id, change] of decodeLogEntry(Number(key.slice(LOG_ENTRIES.length)), value, 1).jobs) {
         const expectedJob = expectedOf(id);
-        for (const task of change.done ?? []) expectedJob.done.add(task);
-        for (const task of [...(change.done ?? []), ...(change.gone ?? [])])
+        for (const task of change.completed ?? []) expectedJob.done.add(task);
+        for (const task of [...(change.completed ?? []), ...(change.exited ?? [])])
           check(expectedJob.placed.delete(task), `${key}: ${id}/${task} exits without being placed`);
         for (const task of [...(change.start?.on.values() ?? [])].flat()) {
           const attempt = `${id}/${task}#${change.start!.attempt}`;
@@ -148,11 +148,11 @@
   // The store as a rebuild leaves it: some jobs in a bundle, their last log entries compacted and deleted.
   const bundledJobs = [1, 2, 3, 4, 5].map((number) => ({
     ...job(`job-9${number}`, { tasks: 3, submitted: time.clock() }),
-    ...{ attempt: 4, done: new Set([0]), lastSequence: 7 },
+    ...{ attempt: 4, completed: new Set([0]), lastSequence: 7 },
   }));
   for (const bundled of bundledJobs)
     expected.set(bundled.spec.id, { tasks: 3, done: new Set([0]), placed: new Set() });
-  service.transact([], [...HEAD, { set: 's/p/1-000000', value: wire(encodeBundle(bundledJobs)) }]);
+  service.transact([], [...INITIAL_WRITES, { set: 's/p/1-000000', value: wire(encodeBundle(bundledJobs)) }]);
 
   const controllers = [newController(time, service, 0), newController(time, service, 1)];
   const anyController = () => controllers[random.int(2)]!;
@@ -185,12 +185,17 @@
           if (!isFinal(receivedStatus.get(id))) receivedStatus.set(id, status);
           return status;
         });
-      const request = { method: 'POST', path: '/work', headers: {}, body: body(id, tasks) } as never;
+      const request = {
+        method: 'POST',
+        path: '/work',
+        headers: {},
+        body: submissionBody(id, tasks),
+      } as never;
       yield* sleepBetween(0, 40);
       while ((yield* send(anyController().users.submit(request) as never)) === null)
         yield* sleepBetween(0.1, 1);
-      const cancelAt = random.chance(0.7) ? time.now + random.between(0, 15 * S) : Infinity;
-      for (const end = time.now + 80 * S; time.now < end;) {
+      const cancelAt = random.chance(0.7) ? time.now + random.between(0, 15 * SECOND) : Infinity;
+      for (const end = time.now + 80 * SECOND; time.now < end;) {
         yield* sleepBetween(0.2, 3);
         const controller = anyController();
         if (time.now > cancelAt) cancelRequested.add(id);
@@ -221,7 +226,7 @@
           if (exits.done.size + exits.gone.size > 0 && !context.registry.exits.has(active.spec.id))
             context.registry.exits.set(active.spec.id, exits);
           const startable = Array.from({ length: active.spec.tasks }, (_, task) => task).filter(
-            (task) => !active.done.has(task) && !active.placed.has(task) && random.chance(0.7),
+            (task) => !active.completed.has(task) && !active.placed.has(task) && random.chance(0.7),
           );
           if (!active.cancelled && startable.length > 0)
             starts.push({
@@ -242,7 +247,7 @@
       const [term, stamp] = [controller.jobState.term + 1, controller.jobState.termRevision];
       const value = { term, a: controller.jobState.attemptBase + 256 };
       const result = yield* Effect.either(
-        controller.store.transact([{ key: TERM, stamp }], [{ set: TERM, value }], 0 as never, 1200),
+        controller.store.transact([{ key: TERM, revision: stamp }], [{ set: TERM, value }], 0 as never, 1200),
       );
       if (result._tag === 'Left' || !result.right.ok) continue;
       while ((yield* Effect.isFailure(controller.watcher.refresh)) || controller.jobState.term < term)
@@ -267,13 +272,13 @@
   }
   for (const bundled of bundledJobs) time.fork(user(bundled.spec.id, 3));
   // The state service refuses one controller, then both for longer than a cancellation may take.
-  time.after(30 * S, () => service.refused.add(0));
-  time.after(36 * S, () => service.refused.add(1));
-  time.after(36 * S + SETTINGS.workers.cancel + 9 * S, () => service.refused.clear());
-  time.run(1e12 + 110 * S);
+  time.after(30 * SECOND, () => service.refused.add(0));
+  time.after(36 * SECOND, () => service.refused.add(1));
+  time.after(36 * SECOND + SETTINGS.workers.cancel + 9 * SECOND, () => service.refused.clear());
+  time.run(1e12 + 110 * SECOND);
   check(responsesInOutage > 0, 'no user got a response in the outage');
   service.isFaulty = false;
-  time.run(1e12 + 170 * S);
+  time.run(1e12 + 170 * SECOND);
   checkView();
   for (const controller of controllers) check(!controller.lossDetector.suspected, 'a data loss is suspected');
   for (const id of expected.keys()) {
@@ -328,7 +333,7 @@
     then.some((write) => 'set' in write && write.set === ACCOUNTS),
   )!;
   for (const [when, then] of [service.sent[0]!, compaction]) service.transact(when, then);
-  assert.equal(service.view().missingRecord(), null);
+  assert.equal(service.view().missingEntryKey(), null);
   assert.ok(service.view().checkpoint.upTo >= 8);
 });
 
@@ -361,16 +366,16 @@
     ...port(),
     transact: (...args) => Effect.zipRight(Effect.sleep(1000), port().transact(...args)),
   };
-  const revisionBefore = service.keys.get(activeJobKey('job-1'))!.stamp;
+  const revisionBefore = service.keys.get(activeJobKey('job-1'))!.revision;
   recordExits('job-1', [1, 2], []);
   go(Effect.all([runMaintenance({ ...turn, store: slowStore }), commit(turn, [])], { concurrency: 2 }), 3);
   assert.ok(
-    service.keys.get(activeJobKey('job-1'))!.stamp > revisionBefore,
+    service.keys.get(activeJobKey('job-1'))!.revision > revisionBefore,
     'the compaction must have written the key of job-1',
   );
   for (const view of [node.jobState, service.view()]) {
     const viewed = view.jobs.get('job-1')!;
-    assert.deepEqual([viewed.done.size, viewed.cancelled], [3, true]);
+    assert.deepEqual([viewed.completed.size, viewed.cancelled], [3, true]);
   }
   go(runMaintenance(turn));
   assert.deepEqual(decodeFinalState(service.keys.get('s/j/z/job-1')!.value).status, 'cancelled');
@@ -394,8 +399,8 @@
 test('a view never goes back to an earlier revision, however long its reads take', () => {
   for (let seed = 1; seed <= 20; seed++) {
     const time = new VirtualTime(seed);
-    const service = new Service(time, new RandomSource(seed));
-    service.transact([], HEAD);
+    const service = new FakeStateService(time, new RandomSource(seed));
+    service.transact([], INITIAL_WRITES);
     const { jobState, watcher, lossDetector } = newController(time, service);
     let writes = 0;
     let lastRevision = -1;
@@ -405,7 +410,10 @@
       if (writes === 210) {
         // Another incarnation begins and the controller resets its view, while a read of the old incarnation is under way.
         service.keys.clear();
-        service.transact([], [{ set: `${INCARNATION}y`, value: { g: 1, t: 0, s: 0 } }, ...HEAD.slice(1)]);
+        service.transact(
+          [],
+          [{ set: `${INCARNATION}y`, value: { g: 1, t: 0, s: 0 } }, ...INITIAL_WRITES.slice(1)],
+        );
         jobState.clear();
         watcher.loaded = false;
         lossDetector.leaveIncarnation();
@@ -414,12 +422,12 @@
       if (jobState.revision < lastRevision)
         time.faults.push(`seed ${seed}: revision ${jobState.revision} after ${lastRevision}`);
       lastRevision = jobState.revision;
-      if (writes < 400) time.after(0.05 * S, write);
+      if (writes < 400) time.after(0.05 * SECOND, write);
     };
     write();
     time.fork(watcher.run);
     time.fork(Effect.forever(Effect.ignore(watcher.refresh)));
-    time.run(time.now + 40 * S);
+    time.run(time.now + 40 * SECOND);
     assert.deepEqual(time.faults, []);
     assert.equal(jobState.jobs.size, service.entries(ACTIVE_JOBS).length, `seed ${seed}`);
   }
@@ -428,7 +436,7 @@
 // During a rebuild, a job that no controller has reported so far may be submitted again before the only controller that
 // remembers it responds.
 test('an acceptance that is executed after a rebuild has found the job does not change the job', () => {
-  const state = { attempt: 4, done: new Set([0]), lastSequence: 7 };
+  const state = { attempt: 4, completed: new Set([0]), lastSequence: 7 };
   const known = newJob('job-1', state);
   const { service, node, go, turn } = faultFreeController([
     { set: 's/p/1-0', value: encodeBundle([known, newJob('job-2', { ...state, cancelled: true })]) },
@@ -444,8 +452,8 @@
   for (const view of [node.jobState, service.view()]) {
     const viewed = view.jobs.get('job-1')!;
     assert.deepEqual(
-      [[...viewed.done], viewed.attempt, viewed.revision],
-      [[0], 4, service.keys.get(activeJobKey('job-1'))!.stamp],
+      [[...viewed.completed], viewed.attempt, viewed.revision],
+      [[0], 4, service.keys.get(activeJobKey('job-1'))!.revision],
     );
   }
 });
@@ -460,7 +468,7 @@
     transact: (when, then, ...rest) =>
       Effect.flatMap(port().transact(when, then, ...rest), (outcome) =>
         then.some((write) => 'delete' in write && write.delete === REBUILD) && lostResponses++ === 0
-          ? Effect.fail(new NoAnswer({ reason: 'timeout' }))
+          ? Effect.fail(new NoResponse({ reason: 'timeout' }))
           : Effect.succeed(outcome),
       ),
   };
@@ -477,7 +485,7 @@
     { set: orphanedJobKey('job-1'), value: { since: 0, tasks: 3 } },
   ]);
   const gathered = new GatheredViews();
-  const job = newJob('job-1', { attempt: 4, done: new Set([0]), lastSequence: 7 });
+  const job = newJob('job-1', { attempt: 4, completed: new Set([0]), lastSequence: 7 });
   gathered.add('n1', {
     headers: [],
     finals: [],
@@ -500,7 +508,7 @@
   const { service, node, go, turn } = faultFreeController([{ set: 's/a/now', value }]);
   const shares = joinShares([['red', 'x', 7, 1, 0, 1]]);
   for (const period of pending) turn.ledger.closing.set(period.to, { open: new Map(), shares });
-  const noResponse = Effect.fail(new NoAnswer({ reason: 'timeout' }));
+  const noResponse = Effect.fail(new NoResponse({ reason: 'timeout' }));
   const losingStore = { ...service.port(), transact: (...args: Parameters<StatePort['transact']>) => Effect.zipRight(service.port().transact(...args), noResponse) } as StatePort; // prettier-ignore
   go(writePage({ ...turn, store: losingStore }).pipe(Effect.ignore, Effect.zipRight(node.watcher.refresh)));
   go(writePage(turn));
@@ -510,14 +518,14 @@
 
 test('late copies of the transactions of a completed restore have no effect', () => {
   const time = new VirtualTime(1);
-  const service = new Service(time, new RandomSource(1));
+  const service = new FakeStateService(time, new RandomSource(1));
   service.isFaulty = false;
   const entries = new Map(
-    ['s/a/now', 's/j/a/job-1', 's/types'].map((key) => [key, { key, value: 1, stamp: 1 }]),
+    ['s/a/now', 's/j/a/job-1', 's/types'].map((key) => [key, { key, value: 1, revision: 1 }]),
   );
   const content = { incarnation: 'x', generation: 0, revision: 9, entries } as never;
-  time.fork(restore(content, service.port(), { txnOps: 3, valueBytes: 9000 }, () => undefined));
-  time.run(time.now + 10 * S);
+  time.fork(restoreSnapshot(content, service.port(), { txnOps: 3, valueBytes: 9000 }, () => undefined));
+  time.run(time.now + 10 * SECOND);
   assert.equal(service.entries(INCARNATION).length, 1);
   service.transact([], [{ set: 's/a/now', value: 2 }]);
   const contentBefore = JSON.stringify(service.entries('s/').map((entry) => [entry.key, entry.value]));
--- a/packages/controller/test/leader-session.test.ts
+++ b/packages/controller/test/leader-session.test.ts
@@ -12,7 +12,7 @@
   const stepDownReasons: string[] = [];
   let leaderTerm: LeadershipTerm | null = {
     number: 3,
-    stamp: 1,
+    revision: 1,
     began: 0 as Micros,
   };
   const leadership = {
--- a/packages/controller/test/link.test.ts
+++ b/packages/controller/test/link.test.ts
@@ -4,13 +4,13 @@
 import { test } from 'node:test';
 import { Effect, Exit, Scope } from 'effect';
 import { Link, serveLinks } from '@lilacvalve/runtime/link';
-import { type Answer, json } from '@lilacvalve/runtime/http-server';
+import { type HttpResponse, json } from '@lilacvalve/runtime/http-server';
 import { RandomSource } from './support/random-source.js';
 
 /** The receiving side of a link, with the requests to `/held` that the test responds to itself. */
 interface Peer {
   readonly port: number;
-  readonly held: { body: string; reply: (answer: Answer) => void }[];
+  readonly held: { body: string; reply: (answer: HttpResponse) => void }[];
   readonly close: () => Promise<void>;
 }
 const startPeer = async (port: number): Promise<Peer> => {
@@ -34,7 +34,7 @@
 };
 /** Sends a request; returns the response's status and body, or the reason of the failure. */
 const send = async (link: Link, path: string, body: string, timeoutMs = 2000): Promise<string> => {
-  const outcome = await Effect.runPromise(Effect.either(link.ask(path, Buffer.from(body), timeoutMs)));
+  const outcome = await Effect.runPromise(Effect.either(link.request(path, Buffer.from(body), timeoutMs)));
   return outcome._tag === 'Left'
     ? outcome.left.reason
     : `${outcome.right.status} ${String(outcome.right.body)}`;
--- a/packages/controller/test/program.test.ts
+++ b/packages/controller/test/program.test.ts
@@ -107,7 +107,7 @@
     spec,
     cancelled: true,
     attempt: 4,
-    done: new Set([0, 1]),
+    completed: new Set([0, 1]),
     placed: new Map([
       [2, { task: 2, attempt: 3, machine: 'm', since: 0 as Micros }],
       [5, { task: 5, attempt: 4, machine: 'n', since: 1_000_008 as Micros }],
@@ -128,8 +128,8 @@
     [
       'job-1',
       {
-        done: [1, 2],
-        gone: [5],
+        completed: [1, 2],
+        exited: [5],
         failed: [5],
         start: { attempt: 7, on: new Map([['m', [3, 4]]]) },
         lend: [{ lender: 'job-2', gpus: 2500, tasks: 5 }],
--- a/packages/controller/test/provisioning.test.ts
+++ b/packages/controller/test/provisioning.test.ts
@@ -6,7 +6,7 @@
 import {
   type PendingMachine,
   BootTracker,
-  expectedShare,
+  expectedFraction,
   isOverdue,
   pendingCapacity,
 } from '../src/provisioning/boot-tracker.js';
@@ -177,12 +177,12 @@
 // Work that relied on a pending machine once waited for it until it was given up after 150 s.
 test('a smaller fraction of a machine counts the longer it is overdue, and at most half of the overdue ones are replaced', () => {
   assert.deepEqual(
-    [pendingFor(0), pendingFor(45), pendingFor(75), pendingFor(105), pendingFor(400)].map(expectedShare),
+    [pendingFor(0), pendingFor(45), pendingFor(75), pendingFor(105), pendingFor(400)].map(expectedFraction),
     [1, 1, 0.5, 0, 0],
   );
   // The cloud lists the machine as running and its worker sends no heartbeat; measured from the first such list of the term.
   assert.deepEqual(
-    [pendingFor(200, 5), pendingFor(200, 25), pendingFor(200, 60)].map(expectedShare),
+    [pendingFor(200, 5), pendingFor(200, 25), pendingFor(200, 60)].map(expectedFraction),
     [1, 0.5, 0],
   );
   assert.deepEqual([pendingFor(45), pendingFor(46)].map(isOverdue), [false, true]);
