--- a/packages/controller/test/read-lease.test.ts
+++ b/packages/controller/test/read-lease.test.ts
@@ -4,13 +4,13 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { DRIFT, type Micros, seconds } from '@lilacvalve/runtime/micros';
+import { MAX_CLOCK_DRIFT, type Micros, seconds } from '@lilacvalve/runtime/micros';
 import type { DataLossDetector } from '../src/recovery/data-loss-detector.js';
 import { JobState } from '../src/jobs/job-state.js';
 import { StoreWatcher } from '../src/jobs/store-watcher.js';
 import {
   readLeaseExpiry,
-  answerAuthority,
+  responseAuthority,
   maxViewAge,
   mayStart,
   unchangedSince,
@@ -44,7 +44,7 @@
 ): number => {
   const count = (kind: string) => occurrences.set(kind, (occurrences.get(kind) ?? 0) + 1);
   const controllers = 3 + 2 * random.int(2);
-  const rate = 1 + random.between(-DRIFT / 2, DRIFT / 2);
+  const rate = 1 + random.between(-MAX_CLOCK_DRIFT / 2, MAX_CLOCK_DRIFT / 2);
   const offset = random.between(0, 1e9);
   const clock = (trueTime: number): number => offset + trueTime * rate;
   const outageAt = random.between(10e6, 60e6);
@@ -118,7 +118,7 @@
       confirmedUntil: Infinity,
       knownAsOf: Math.max(readAsOf, provenAsOf),
     };
-    const authority = answerAuthority(clock(now) as Micros, bounds, workers, TTL);
+    const authority = responseAuthority(clock(now) as Micros, bounds, workers, TTL);
     if (authority === null) continue;
     count(authority);
     if (maxViewAge(workers) === 0) {
@@ -131,7 +131,7 @@
     const runsUntil =
       now -
       random.between(0, 4e6) * (random.chance(0.3) ? 0 : 1) +
-      workers.lease * (1 + DRIFT / 2) +
+      workers.lease * (1 + MAX_CLOCK_DRIFT / 2) +
       STOP_DELAY;
     changes.forEach((change, i) => {
       if (change.confirmedAt === null || change.confirmedAt > runsUntil || i < viewRevision) return;
--- a/packages/controller/test/rebuild.test.ts
+++ b/packages/controller/test/rebuild.test.ts
@@ -47,7 +47,7 @@
     for (const step of steps) {
       const next: Job = {
         ...current,
-        done: new Set(current.done),
+        completed: new Set(current.completed),
         placed: new Map(current.placed),
         failedOn: new Set(current.failedOn),
         loans: new Map(current.loans),
@@ -57,7 +57,7 @@
       if (
         step.event === 'start' &&
         !finished &&
-        !current.done.has(step.task) &&
+        !current.completed.has(step.task) &&
         !current.placed.has(step.task)
       ) {
         next.attempt = current.attempt + 1;
@@ -67,7 +67,7 @@
           machine: step.machine,
           since: 0 as Micros,
         });
-      } else if (step.event === 'complete' && next.placed.delete(step.task)) next.done.add(step.task);
+      } else if (step.event === 'complete' && next.placed.delete(step.task)) next.completed.add(step.task);
       else if (step.event === 'fail' && next.placed.delete(step.task)) next.failedOn.add(step.machine);
       else if (step.event === 'cancel' && !isComplete(current)) next.cancelled = true;
       states.push((current = next));
@@ -114,7 +114,7 @@
 test('a start of a higher attempt than in the latest view counts as running, one that the latest view saw exit does not', () => {
   const latest = job('job-1', { tasks: 3 });
   latest.attempt = 4;
-  latest.done.add(0);
+  latest.completed.add(0);
   const older = job('job-1', { tasks: 3 });
   older.attempt = 5;
   older.placed.set(0, { task: 0, attempt: 3, machine: 'm1', since: 0 as Micros });
@@ -126,14 +126,14 @@
   ]);
   assert.deepEqual([...merged.placed.keys()], [2]);
   assert.equal(merged.attempt, 5);
-  assert.deepEqual([...merged.done], [0]);
+  assert.deepEqual([...merged.completed], [0]);
 });
 
 test('a merge keeps a completion, and keeps a cancellation unless the job was completed', () => {
   const active = job('job-1', { tasks: 1 });
   const cancelledJob = { ...job('job-1', { tasks: 1 }), cancelled: true };
   const completed = job('job-1', { tasks: 1 });
-  completed.done.add(0);
+  completed.completed.add(0);
   const version = (state: Job, revision: number): JobVersion => ({ generation: 0, revision, job: state });
   assert.equal(mergeVersions([version(cancelledJob, 1), version(active, 2)]).cancelled, true);
   const both = mergeVersions([version(completed, 1), version(cancelledJob, 2)]);
@@ -159,14 +159,14 @@
 test('the plan writes missing and differing jobs, closes finished jobs, and does not touch equal jobs', () => {
   const equal = job('job-1');
   const changed = job('job-2', { tasks: 2 });
-  changed.done.add(1);
+  changed.completed.add(1);
   const missing = job('job-3', { urgency: 1 });
   const urgent = job('job-4', { urgency: 3 });
   const cancelled = { ...job('job-5'), cancelled: true };
   cancelled.placed.set(0, { task: 0, attempt: 1, machine: 'm', since: 0 as Micros });
   const damaged = job('job-6');
   const finished = job('job-7');
-  finished.done.add(0);
+  finished.completed.add(0);
   const store = storeWith({
     jobs: new Map(
       ['job-1', 'job-2', 'job-8'].map((id, index) => [
@@ -237,14 +237,18 @@
   for (let i = 0; i < 3000; i++) {
     const shared = job(`job-${i}`);
     for (const jobState of [leaderState, peerState])
-      jobState.apply({ key: activeJobKey(`job-${i}`), value: asStored(encodeJob(shared, 0)), stamp: i + 1 });
+      jobState.apply({
+        key: activeJobKey(`job-${i}`),
+        value: asStored(encodeJob(shared, 0)),
+        revision: i + 1,
+      });
   }
   const extra = job('job-77777', { tasks: 2 });
-  peerState.apply({ key: activeJobKey('job-77777'), value: asStored(encodeJob(extra, 0)), stamp: 4000 });
+  peerState.apply({ key: activeJobKey('job-77777'), value: asStored(encodeJob(extra, 0)), revision: 4000 });
   peerState.apply({
     key: finalStateKey('job-88888'),
     value: encodeFinalState({ status: 'done', tasks: 4 }),
-    stamp: 4001,
+    revision: 4001,
   });
   const peerViews = new PreLossViews('n1');
   peerViews.add(peerViews.captureView(peerState, 0, null));
@@ -286,8 +290,8 @@
   const bundle = encodeBundle([job('job-1', { tasks: 3 }), job('job-2')]);
   const updated = { ...job('job-1', { tasks: 3 }), attempt: 8 };
   const changes = [
-    { key: `${JOB_BUNDLES}1`, value: asStored(bundle), stamp: 10 },
-    { key: activeJobKey('job-1'), value: asStored(encodeJob(updated, 0)), stamp: 20 },
+    { key: `${JOB_BUNDLES}1`, value: asStored(bundle), revision: 10 },
+    { key: activeJobKey('job-1'), value: asStored(encodeJob(updated, 0)), revision: 20 },
   ];
   const watched = new JobState();
   for (const change of changes) watched.apply(change);
@@ -297,16 +301,16 @@
     assert.equal(jobState.jobs.get('job-1')!.attempt, 8);
     assert.equal(jobState.jobs.get('job-2')!.revision, 0);
     const removal = jobState.removalFromBundles(['job-2']);
-    assert.deepEqual(removal.when, [{ key: `${JOB_BUNDLES}1`, stamp: 10 }]);
+    assert.deepEqual(removal.when, [{ key: `${JOB_BUNDLES}1`, revision: 10 }]);
     assert.deepEqual(
       removal.then,
       [{ delete: `${JOB_BUNDLES}1` }],
       'job-1 has a key of its own, so the bundle would be empty',
     );
-    jobState.apply({ key: `${JOB_BUNDLES}1`, value: undefined, stamp: 30 });
+    jobState.apply({ key: `${JOB_BUNDLES}1`, value: undefined, revision: 30 });
     assert.ok(!jobState.jobs.has('job-2'), 'a job that is removed from its bundle has finished');
     assert.ok(jobState.jobs.has('job-1'));
-    assert.equal(jobState.bundleOf.size, 0);
+    assert.equal(jobState.bundleByJob.size, 0);
   }
 });
 
@@ -324,7 +328,7 @@
   );
   const jobState = new JobState();
   const page = encodeFinalStates([['job-5', { status: 'done', tasks: 100_000 }]]);
-  jobState.apply({ key: `${FINAL_STATE_PAGES}1/job-5~`, value: asStored(page), stamp: 1 });
+  jobState.apply({ key: `${FINAL_STATE_PAGES}1/job-5~`, value: asStored(page), revision: 1 });
   assert.deepEqual(jobState.finalStates.get('job-5'), { status: 'done', tasks: 100_000 });
 });
 
--- a/packages/controller/test/server.test.ts
+++ b/packages/controller/test/server.test.ts
@@ -5,7 +5,7 @@
 import { test } from 'node:test';
 import { Effect, Exit, Scope } from 'effect';
 import { json, serve } from '@lilacvalve/runtime/http-server';
-import { untilTick } from '@lilacvalve/runtime/tick';
+import { msUntilTick } from '@lilacvalve/runtime/tick';
 import { CycleGate } from '../src/workers/cycle-gate.js';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { RandomSource } from './support/random-source.js';
@@ -26,7 +26,7 @@
   const scope = Effect.runSync(Scope.make());
   const server = await Effect.runPromise(
     serve({ host: '127.0.0.1', port: 0 }, 10, () => Effect.succeed(json(200, { by: 'handler' })), {
-      quick: (incoming, reply) => {
+      fastPath: (incoming, reply) => {
         if (incoming.path === '/broken') throw new Error('broken on purpose');
         if (incoming.path === '/quick') reply(json(202, {}));
         return incoming.path === '/quick';
@@ -78,11 +78,11 @@
   for (let i = 0; i < 2000; i++) {
     const periodMs = [250, 500, 1000, 1500, 2000][random.int(5)]!;
     const startMs = random.int(1e9);
-    const remaining = untilTick(startMs, periodMs);
+    const remaining = msUntilTick(startMs, periodMs);
     assert.ok(remaining >= periodMs / 10 && remaining < periodMs * 1.1);
     const firedEarlyAt = startMs + remaining - random.int(periodMs / 10);
     assert.equal((startMs + remaining) % periodMs, 0);
-    assert.ok(untilTick(firedEarlyAt, periodMs) >= periodMs / 10);
-    assert.ok(firedEarlyAt + untilTick(firedEarlyAt, periodMs) > startMs + remaining);
+    assert.ok(msUntilTick(firedEarlyAt, periodMs) >= periodMs / 10);
+    assert.ok(firedEarlyAt + msUntilTick(firedEarlyAt, periodMs) > startMs + remaining);
   }
 });
--- a/packages/controller/test/support/job.ts
+++ b/packages/controller/test/support/job.ts
@@ -32,7 +32,7 @@
   },
   cancelled: false,
   attempt: 0,
-  done: new Set(),
+  completed: new Set(),
   placed: new Map(),
   failedOn: new Set(),
   loans: new Map(),
--- a/packages/controller/test/support/late-store.ts
+++ b/packages/controller/test/support/late-store.ts
@@ -1,7 +1,7 @@
 /** Test support: a simulated state service whose responses are lost or late, controllers that use it, and virtual time. */
 import assert from 'node:assert/strict';
 import { type Micros, micros } from '@lilacvalve/runtime/micros';
-import { NoAnswer } from '@lilacvalve/runtime/http-client';
+import { NoResponse } from '@lilacvalve/runtime/http-client';
 import { Cause, Clock, Duration, Effect, Logger, Random, Scheduler } from 'effect';
 import { Ledger } from '../../src/accounts/ledger.js';
 import { userHandlers } from '../../src/api/handlers.js';
@@ -26,8 +26,8 @@
 import { TYPES, worldSettings } from './settings.js';
 
 /** One second in microseconds. */
-export const S = 1e6;
-export const silent = Logger.remove(Logger.defaultLogger);
+export const SECOND = 1e6;
+export const withoutLogging = Logger.remove(Logger.defaultLogger);
 
 /** Virtual time: runs fibers and timers in the order of their due times, one at a time. */
 export class VirtualTime {
@@ -83,7 +83,7 @@
       this.watched(effect).pipe(
         Effect.withRandom(Random.make(`${this.seed}/${this.order}`)),
         Effect.withClock(clock),
-        Effect.provide(silent),
+        Effect.provide(withoutLogging),
       ),
       { scheduler: this.scheduler },
     );
@@ -94,10 +94,10 @@
  * A simulated state service. While `isFaulty` is set, some requests get no response, and transactions among them are
  * executed late.
  */
-export class Service {
+export class FakeStateService {
   revision = 0;
-  readonly keys = new Map<string, { value: unknown; stamp: number }>();
-  private readonly log: { key: string; value: unknown; stamp: number }[] = [];
+  readonly keys = new Map<string, { value: unknown; revision: number }>();
+  private readonly log: { key: string; value: unknown; revision: number }[] = [];
   /** Numbers of late transactions by kind: those whose conditions held, and those whose conditions did not. */
   readonly lateOutcomes = new Map<string, [number, number]>();
   isFaulty = true;
@@ -127,7 +127,7 @@
   /** Executes a transaction at once. `term`: the term that its sender acts for; `Infinity`: none. */
   transact(when: readonly Condition[], then: readonly Write[], term = Infinity) {
     const failed = when
-      .filter((condition) => (this.keys.get(condition.key)?.stamp ?? 0) !== condition.stamp)
+      .filter((condition) => (this.keys.get(condition.key)?.revision ?? 0) !== condition.revision)
       .map((condition) => condition.key);
     if (failed.length > 0) return { ok: false as const, failed, revision: this.revision };
     this.revision++;
@@ -135,8 +135,8 @@
       const key = 'set' in write ? write.set : write.delete;
       const value: unknown = 'set' in write ? write.value : undefined;
       if (value === undefined && !this.keys.delete(key)) continue;
-      if (value !== undefined) this.keys.set(key, { value, stamp: this.revision });
-      this.log.push({ key, value, stamp: this.revision });
+      if (value !== undefined) this.keys.set(key, { value, revision: this.revision });
+      this.log.push({ key, value, revision: this.revision });
     }
     for (const write of then)
       this.onCommit(
@@ -159,20 +159,20 @@
   ) =>
     Effect.async<A, StateFailure>((resume) => {
       const { random, time } = this;
-      const noResponse = new NoAnswer({ reason: 'timeout' });
+      const noResponse = new NoResponse({ reason: 'timeout' });
       if (this.refused.has(controller))
         time.after(2e3, () => resume(Effect.fail(new Refused({ status: 503, reason: 'trouble' }))));
       else if (faultProbability < 0.2 && this.ignoresReads) resume(Effect.fail(noResponse));
       else if (!this.isFaulty || !random.chance(faultProbability))
-        time.after(random.between(1e3, random.chance(0.1) ? 0.9 * S : 8e3), () =>
+        time.after(random.between(1e3, random.chance(0.1) ? 0.9 * SECOND : 8e3), () =>
           resume(Effect.sync(execute)),
         );
       else if (random.chance(0.15)) resume(Effect.fail(new Refused({ status: 503, reason: 'trouble' })));
       else {
-        time.after(1.2 * S, () => resume(Effect.fail(noResponse)));
+        time.after(1.2 * SECOND, () => resume(Effect.fail(noResponse)));
         if (executeLate)
           time.after(
-            random.chance(0.3) ? random.between(1e3, S) : random.between(2 * S, 12 * S),
+            random.chance(0.3) ? random.between(1e3, SECOND) : random.between(2 * SECOND, 12 * SECOND),
             executeLate,
           );
       }
@@ -193,7 +193,7 @@
       this.sent.push([when, then]);
       if (this.losesAnswerTo(then)) {
         this.transact(when, then, term);
-        const noResponse = Effect.fail(new NoAnswer({ reason: 'timeout' }));
+        const noResponse = Effect.fail(new NoResponse({ reason: 'timeout' }));
         return Effect.zipRight(Effect.sleep(timeoutMs), noResponse);
       }
       const keyOf = (write: Write): string => ('set' in write ? write.set : write.delete);
@@ -208,7 +208,10 @@
         controller,
         () => {
           if (hasLateCopy)
-            this.time.after(this.random.between(2 * S, 12 * S), () => void this.transact(when, then, term));
+            this.time.after(
+              this.random.between(2 * SECOND, 12 * SECOND),
+              () => void this.transact(when, then, term),
+            );
           return this.transact(when, then, term);
         },
         0.3,
@@ -246,7 +249,9 @@
             : {
                 tooOld: false as const,
                 revision: this.revision,
-                changes: this.log.filter((change) => change.stamp > after && change.key.startsWith(prefix)),
+                changes: this.log.filter(
+                  (change) => change.revision > after && change.key.startsWith(prefix),
+                ),
               },
         0.1,
       ),
@@ -266,16 +271,16 @@
 }
 
 /** The writes that begin the store's first incarnation. */
-export const HEAD: Write[] = [
+export const INITIAL_WRITES: Write[] = [
   { set: `${INCARNATION}x`, value: { g: 0, t: 0, s: 0 } },
   { set: RECOVERED, value: 'x' },
   { set: TERM, value: { term: 1, a: 0 } },
 ];
 /** A value as it is after being sent or stored as JSON. */
 export const wire = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
-export const SETTINGS = worldSettings('n0', { state: { rps: 1e6, writeRps: 1e6, valueBytes: 16384, txnOps: 8, tail: 3 } }); // prettier-ignore
+export const SETTINGS = worldSettings('n0', { state: { rps: 1e6, writeRps: 1e6, valueBytes: 16384, txnOps: 8, maxLogEntries: 3 } }); // prettier-ignore
 /** The body of a request that submits a job. */
-export const body = (id: string, tasks: number): Buffer =>
+export const submissionBody = (id: string, tasks: number): Buffer =>
   Buffer.from(
     JSON.stringify({
       ...{ id, jobClass: 'x', owner: 'red', shape: 'array', urgency: 'low', pieces: tasks, vcpus: 1 },
@@ -287,7 +292,7 @@
 /** One controller: its view of the store, its handlers of users' requests, and the contexts of its terms as leader. */
 export const newController = (
   time: VirtualTime,
-  service: Service,
+  service: FakeStateService,
   index = 0,
   replicate: (evidence: JobEvidence) => Effect.Effect<void> = () => Effect.void,
 ) => {
@@ -308,7 +313,7 @@
       store: new GuardedStore(service.port(index, term), lossDetector, time.clock),
       registry: new WorkerRegistry(SETTINGS, jobState, term, time.clock()),
       ledger: new Ledger(),
-      leaderTerm: { number: term, stamp, began: time.clock() },
+      leaderTerm: { number: term, revision: stamp, began: time.clock() },
       mayAct: isCurrentTerm,
       isCurrentTerm,
       acknowledged: () => true,
@@ -330,14 +335,14 @@
   replicate?: (evidence: JobEvidence) => Effect.Effect<void>,
 ) => {
   const time = new VirtualTime(1);
-  const service = new Service(time, new RandomSource(1));
+  const service = new FakeStateService(time, new RandomSource(1));
   service.isFaulty = false;
-  service.transact([], wire([...HEAD, ...writes]) as Write[]);
+  service.transact([], wire([...INITIAL_WRITES, ...writes]) as Write[]);
   const node = newController(time, service, 0, replicate);
   /** Runs an effect for some seconds of virtual time, and fails if any rule is violated or any fiber fails. */
   const go = (effect: Effect.Effect<unknown, unknown>, durationS = 10): void => {
     time.fork(effect);
-    time.run(time.now + durationS * S);
+    time.run(time.now + durationS * SECOND);
     assert.deepEqual(time.faults, []);
   };
   go(node.watcher.refresh);
--- a/packages/controller/test/support/machines.ts
+++ b/packages/controller/test/support/machines.ts
@@ -7,7 +7,7 @@
 import type { RandomSource } from './random-source.js';
 import { worldSettings } from './settings.js';
 
-const { report, lease, gangWait, gangPeer } = worldSettings('n0').workers;
+const { heartbeatInterval: report, lease, gangWait, gangPeer } = worldSettings('n0').workers;
 const RESPONSE_TIMEOUT = seconds(4);
 
 /** A simulated clock that runs queued callbacks in the order of their times. */
--- a/packages/controller/test/support/settings.ts
+++ b/packages/controller/test/support/settings.ts
@@ -43,7 +43,7 @@
     .map((peer) => ({ label: peer, zone: 'a', address: '' })),
   cloudAddress: '127.0.0.1:3',
   stateAddress: '127.0.0.1:4',
-  nodes: 3,
+  controllerCount: 3,
   zones: ZONES,
   skew: micros(5000),
   teams: [
@@ -53,7 +53,7 @@
   ],
   objectives: [],
   workers: {
-    report: seconds(2),
+    heartbeatInterval: seconds(2),
     lease: seconds(12),
     gangWait: seconds(20),
     gangPeer: seconds(4),
--- a/packages/controller/test/wire-format.test.ts
+++ b/packages/controller/test/wire-format.test.ts
@@ -69,7 +69,7 @@
   const requests = await withServer(responses, async (address) => {
     const store = new StateStore(worldSettings('n0', { stateAddress: address }));
     const writes = [{ set: 'a/b', value: { x: 1 }, lease: 7 }, { set: 'a/c', value: 2 }, { delete: 'c/d' }];
-    const conditions = [{ key: 'a/b', stamp: 0 }];
+    const conditions = [{ key: 'a/b', revision: 0 }];
     const results: unknown[] = [
       await run(store.transact(conditions, writes, Priority.Commit, 1000)),
       await run(store.transact(conditions, [], Priority.Commit, 1000)),
@@ -267,7 +267,7 @@
   };
   const stored = (overrides: object = {}): unknown => {
     const spec = Either.getOrThrow(readSubmission({ ...body, ...overrides }, 7 as Micros));
-    const none = { cancelled: false, attempt: 0, done: new Set<number>(), placed: new Map(), failedOn: new Set<string>() }; // prettier-ignore
+    const none = { cancelled: false, attempt: 0, completed: new Set<number>(), placed: new Map(), failedOn: new Set<string>() }; // prettier-ignore
     return encodeJob(
       {
         ...none,
--- a/packages/controller/test/worker-registry.test.ts
+++ b/packages/controller/test/worker-registry.test.ts
@@ -24,7 +24,7 @@
   jobState.apply({
     key: activeJobKey('job-1'),
     value: JSON.parse(JSON.stringify(encodeJob(placedJob, 0))),
-    stamp: 1,
+    revision: 1,
   });
   const registry = new WorkerRegistry(worldSettings('n0'), jobState, 2, zero);
   assert.deepEqual(registry.expireLeases(seconds(100), false), []);
@@ -43,7 +43,7 @@
   placedJob.placed.set(0, { task: 0, attempt: 1, machine: 'm', since: 0 as Micros });
   const jobState = new JobState();
   const value: unknown = JSON.parse(JSON.stringify(encodeJob(placedJob, 0)));
-  jobState.apply({ key: activeJobKey('job-1'), value, stamp: 1 });
+  jobState.apply({ key: activeJobKey('job-1'), value, revision: 1 });
   return new WorkerRegistry(worldSettings('n0'), jobState, term, seconds(beganS));
 };
 const heartbeatOf = (
@@ -121,10 +121,10 @@
   let registry = registryWithPlacement(5);
   let at = 0;
   let suspected = true;
-  const leaderTerm = { number: 5, stamp: 1, began: 0 as Micros };
+  const leaderTerm = { number: 5, revision: 1, began: 0 as Micros };
   let mayStart = true;
   const leadership = {
-    answeringTerm: () => leaderTerm,
+    respondingTerm: () => leaderTerm,
     currentTerm: () => null,
     depose: () => undefined,
     mayStart: () => mayStart,
@@ -215,7 +215,7 @@
   const gang = job('job-1', { spot: false, shape: 'gang', tasks: 2 });
   gang.placed.set(0, { task: 0, attempt: 1, machine: 'm', since: 0 as Micros });
   gang.placed.set(1, { task: 1, attempt: 1, machine: 'removed', since: 0 as Micros });
-  jobState.apply({ key: activeJobKey('job-1'), value: encodeJob(gang, 0), stamp: 1 });
+  jobState.apply({ key: activeJobKey('job-1'), value: encodeJob(gang, 0), revision: 1 });
   const registry = new WorkerRegistry(worldSettings('n0'), jobState, 5, 0 as Micros);
   registry.removeMachine('removed');
   registry.applyHeartbeat(heartbeatOf(5, 1, 1, { status: 'exited', cause: 'done' }), seconds(1));
--- a/packages/operator-cli/src/accounts/read.ts
+++ b/packages/operator-cli/src/accounts/read.ts
@@ -1,6 +1,6 @@
 /** The accounts as the shared state or a snapshot has them, with the pages and what is placed now. */
 import { DiskFiles } from '@lilacvalve/snapshot/files';
-import { load } from '@lilacvalve/snapshot/read';
+import { loadSnapshot } from '@lilacvalve/snapshot/read';
 import { openPlacementsAt } from '@lilacvalve/controller/accounts/ledger';
 import { joinRows, subtractRows } from '@lilacvalve/controller/accounts/aggregate';
 import type { Accounts, AmountsByGroup } from '@lilacvalve/controller/accounts/model';
@@ -36,7 +36,7 @@
 interface StateEntry {
   readonly key: string;
   readonly value: unknown;
-  readonly stamp: number;
+  readonly revision: number;
 }
 
 /** Pages that lie within no other one; of equal ones the first. */
@@ -98,7 +98,7 @@
 export const readSnapshot = (dir: string): Effect.Effect<AccountsView, InvalidInput> =>
   Effect.gen(function* () {
     const content = yield* Effect.tryPromise({
-      try: () => load(new DiskFiles(dir)),
+      try: () => loadSnapshot(new DiskFiles(dir)),
       catch: (error) => new InvalidInput({ message: `--snapshot: ${(error as Error).message}` }),
     });
     if (content === null)
--- a/packages/operator-cli/src/io.ts
+++ b/packages/operator-cli/src/io.ts
@@ -89,7 +89,7 @@
     const rate = settings === null ? 1 : RATE_SHARE;
     const store = new StateStore({
       stateAddress: address,
-      nodes: 1,
+      controllerCount: 1,
       state: {
         ...limits,
         rps: Math.max(LEAST_RPS, limits.rps * rate),
@@ -110,7 +110,7 @@
       return { line: failure.message, status: EXIT.refused };
     case 'Refused':
       return { line: `state service: refused (${failure.status}): ${failure.reason}`, status: EXIT.noAnswer };
-    case 'NoAnswer':
+    case 'NoResponse':
       return { line: `state service: no answer: ${failure.reason}`, status: EXIT.noAnswer };
   }
 };
--- a/packages/operator-cli/test/accounts.test.ts
+++ b/packages/operator-cli/test/accounts.test.ts
@@ -26,7 +26,7 @@
 interface Entry {
   readonly key: string;
   readonly value: unknown;
-  readonly stamp: number;
+  readonly revision: number;
 }
 const MINUTE = 60e6;
 
@@ -81,17 +81,18 @@
       accounts = { ...accounts, pending: [] };
     }
     const changes = new Map([
-      [chosen.spec.id, { gone, start: { attempt: seq, on: new Map([['m', tasks]]) } }],
+      [chosen.spec.id, { exited: gone, start: { attempt: seq, on: new Map([['m', tasks]]) } }],
     ]);
-    if (seq > 50) entries.push({ key: logEntryKey(seq), value: encodeLogEntry(changes, head), stamp: seq });
+    if (seq > 50)
+      entries.push({ key: logEntryKey(seq), value: encodeLogEntry(changes, head), revision: seq });
     if (seq === 55)
       encodeAccounts(accounts, 14_000).forEach((value, part) =>
-        entries.push({ key: accountsKey(part), value, stamp: seq }),
+        entries.push({ key: accountsKey(part), value, revision: seq }),
       );
   }
   // Pages of after the checkpoint are not written yet.
   for (const placed of jobs) {
-    entries.push({ key: activeJobKey(placed.spec.id), value: encodeJob(placed, 60), stamp: 61 });
+    entries.push({ key: activeJobKey(placed.spec.id), value: encodeJob(placed, 60), revision: 61 });
     for (const placement of placed.placed.values()) {
       const cpu = BigInt(at - placement.since) * BigInt(placed.spec.cpus * 1000);
       truth.set(placed.spec.team, (truth.get(placed.spec.team) ?? 0n) + cpu);
@@ -102,7 +103,7 @@
 
 const stored = (pages: readonly Page[], level: 'm' | 'h' = 'm'): Entry[] =>
   pages.flatMap((page) =>
-    encodePage(page, 16_384).map((value, n) => ({ key: pageKey(level, page.to, n), value, stamp: 62 })),
+    encodePage(page, 16_384).map((value, n) => ({ key: pageKey(level, page.to, n), value, revision: 62 })),
   );
 const reading = (entries: readonly Entry[]) => {
   const wire = JSON.parse(JSON.stringify(entries)) as Entry[];
--- a/packages/operator-cli/test/io.test.ts
+++ b/packages/operator-cli/test/io.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Effect } from 'effect';
-import { NoAnswer } from '@lilacvalve/runtime/http-client';
+import { NoResponse } from '@lilacvalve/runtime/http-client';
 import { Refused } from '@lilacvalve/controller/state-store/client';
 import { checkFile, printNext } from '../src/calendar/file-commands.js';
 import { applyFile, retireCalendar } from '../src/calendar/state-commands.js';
@@ -32,7 +32,7 @@
 test('each kind of failure has its exit code', () => {
   assert.equal(failureEnd(new InvalidInput({ message: 'x' })).status, 2);
   assert.equal(failureEnd(new CommandRefused({ message: 'x' })).status, 1);
-  assert.deepEqual(failureEnd(new NoAnswer({ reason: 'timeout' })), {
+  assert.deepEqual(failureEnd(new NoResponse({ reason: 'timeout' })), {
     line: 'state service: no answer: timeout',
     status: 3,
   });
--- a/packages/operator-cli/test/loans.test.ts
+++ b/packages/operator-cli/test/loans.test.ts
@@ -22,11 +22,11 @@
   'job-2': { preemptedForServices: 4 },
 };
 const entries = [
-  ...[taker, lender].map((j) => ({ key: activeJobKey(j.spec.id), value: encodeJob(j, 0), stamp: 1 })),
+  ...[taker, lender].map((j) => ({ key: activeJobKey(j.spec.id), value: encodeJob(j, 0), revision: 1 })),
   {
     key: logEntryKey(1),
     value: encodeLogEntry(new Map(Object.entries(change)), { ...NO_HEADER, at: (at + 5e6) as never }),
-    stamp: 2,
+    revision: 2,
   },
 ];
 
--- a/packages/runtime/src/http-client.ts
+++ b/packages/runtime/src/http-client.ts
@@ -6,10 +6,10 @@
 import { Data, Effect } from 'effect';
 
 /** No response was received. The server may have carried out the request, or may still do so. */
-export class NoAnswer extends Data.TaggedError('NoAnswer')<{ readonly reason: string }> {}
+export class NoResponse extends Data.TaggedError('NoResponse')<{ readonly reason: string }> {}
 
 /** A response with its whole body. */
-export interface Reply {
+export interface ReceivedResponse {
   readonly status: number;
   readonly body: Buffer;
 }
@@ -21,7 +21,7 @@
 };
 
 /** Returns an agent that keeps up to `maxSockets` connections to a server open between requests. */
-export const keptOpen = (maxSockets: number): http.Agent =>
+export const keepAliveAgent = (maxSockets: number): http.Agent =>
   new http.Agent({ keepAlive: true, maxSockets, scheduling: 'fifo' });
 
 /** Sends requests to one server. */
@@ -42,8 +42,8 @@
     path: string,
     body: string | Buffer | null,
     timeoutMs: number,
-  ): Effect.Effect<Reply, NoAnswer> {
-    return Effect.async<Reply, NoAnswer>((resume) => {
+  ): Effect.Effect<ReceivedResponse, NoResponse> {
+    return Effect.async<ReceivedResponse, NoResponse>((resume) => {
       let finished = false;
       const data = body === null ? null : Buffer.from(body);
       const clientRequest = http.request({
@@ -54,14 +54,14 @@
         agent: this.agent,
         headers: data === null ? {} : { 'Content-Type': this.contentType, 'Content-Length': data.length },
       });
-      const finish = (outcome: Effect.Effect<Reply, NoAnswer>) => {
+      const finish = (outcome: Effect.Effect<ReceivedResponse, NoResponse>) => {
         if (finished) return;
         finished = true;
         clearTimeout(timer);
         resume(outcome);
       };
       const fail = (reason: string) => {
-        finish(Effect.fail(new NoAnswer({ reason })));
+        finish(Effect.fail(new NoResponse({ reason })));
         clientRequest.destroy();
       };
       const timer = setTimeout(() => fail('timeout'), timeoutMs);
--- a/packages/runtime/src/http-server.ts
+++ b/packages/runtime/src/http-server.ts
@@ -8,26 +8,26 @@
 import { error } from './log.js';
 
 /** A request with its whole body. */
-export interface Incoming {
+export interface HttpRequest {
   readonly method: string;
   readonly path: string;
   /** null if the body exceeds the maximum size. */
   readonly body: Buffer | null;
 }
 /** A response; its content type is JSON unless `headers` says otherwise. */
-export interface Answer {
+export interface HttpResponse {
   readonly status: number;
   readonly body: Buffer | string;
   readonly headers?: Record<string, string>;
 }
 /** Handles a request in a fiber. */
-export type Handler = (request: Incoming) => Effect.Effect<Answer>;
+export type Handler = (request: HttpRequest) => Effect.Effect<HttpResponse>;
 /**
  * Handles a request without a fiber, and calls `reply` exactly once, immediately or later. Returns false to leave the request
  * to the handler. Meant for requests that arrive hundreds of times a second: starting and ending a fiber costs several times
  * as much as handling such a request.
  */
-export type Quick = (request: Incoming, reply: (answer: Answer) => void) => boolean;
+export type FastPathHandler = (request: HttpRequest, reply: (answer: HttpResponse) => void) => boolean;
 
 /** A request that waits for the fiber of its connection. */
 interface QueuedRequest {
@@ -46,13 +46,13 @@
 const MAX_BODY_BYTES = 64 * 1024;
 
 /** Returns a response with a JSON body. */
-export const json = (status: number, value: unknown, headers?: Record<string, string>): Answer => ({
+export const json = (status: number, value: unknown, headers?: Record<string, string>): HttpResponse => ({
   status,
   body: JSON.stringify(value),
   headers,
 });
 /** Returns a 503 response that asks the client to retry after `afterS` seconds. */
-export const retryLater = (reason: string, afterS = 1): Answer =>
+export const retryLater = (reason: string, afterS = 1): HttpResponse =>
   json(503, { error: reason }, { 'Retry-After': String(afterS) });
 
 /**
@@ -76,7 +76,7 @@
 };
 
 /** Writes a response. */
-const writeResponse = (target: http.ServerResponse, answer: Answer): void => {
+const writeResponse = (target: http.ServerResponse, answer: HttpResponse): void => {
   const { body } = answer;
   // Node does not validate headers given as raw pairs, and sends a string body in one write with the headers.
   const rawHeaders = ['Content-Type', 'application/json', 'Content-Length', String(Buffer.byteLength(body))];
@@ -92,7 +92,7 @@
 };
 
 /** Returns the request as handlers see it: without the query string. */
-const toRequest = (incoming: http.IncomingMessage, body: Buffer | null): Incoming => {
+const toRequest = (incoming: http.IncomingMessage, body: Buffer | null): HttpRequest => {
   const url = incoming.url ?? '/';
   const queryStart = url.indexOf('?');
   return { method: incoming.method ?? 'GET', path: queryStart < 0 ? url : url.slice(0, queryStart), body };
@@ -103,7 +103,7 @@
   /** Maximum size of a request's body, in bytes. */
   readonly bodyLimit?: number;
   /** Handler that each request is passed to first. */
-  readonly quick?: Quick;
+  readonly fastPath?: FastPathHandler;
   /** Takes over a request whose body is streamed. Returns false for requests whose body is to be read as a whole. */
   readonly stream?: (incoming: http.IncomingMessage, response: http.ServerResponse) => boolean;
 }
@@ -113,7 +113,7 @@
   listen: { readonly host: string; readonly port: number },
   maxConnections: number,
   handler: Handler,
-  { bodyLimit = MAX_BODY_BYTES, quick, stream }: ServerOptions = {},
+  { bodyLimit = MAX_BODY_BYTES, fastPath, stream }: ServerOptions = {},
 ): Effect.Effect<http.Server, Error, Scope.Scope> =>
   Effect.gen(function* () {
     const runtime = yield* Effect.runtime<never>();
@@ -169,7 +169,8 @@
       readBody(incoming, bodyLimit, (body) => {
         let handled = false;
         try {
-          handled = quick?.(toRequest(incoming, body), (answer) => writeResponse(response, answer)) ?? false;
+          handled =
+            fastPath?.(toRequest(incoming, body), (answer) => writeResponse(response, answer)) ?? false;
         } catch (failure) {
           // Outside a fiber, an uncaught exception would end the whole process because of one request.
           handled = true;
--- a/packages/runtime/src/link.ts
+++ b/packages/runtime/src/link.ts
@@ -8,10 +8,10 @@
 import type { Readable } from 'node:stream';
 import { Effect, Runtime, Scope } from 'effect';
 import { pack, UnpackrStream } from 'msgpackr';
-import { parseAddress, NoAnswer, type Reply } from './http-client.js';
-import { type Answer, type Handler, type Quick, retryLater, serve } from './http-server.js';
+import { parseAddress, NoResponse, type ReceivedResponse } from './http-client.js';
+import { type HttpResponse, type Handler, type FastPathHandler, retryLater, serve } from './http-server.js';
 import { error } from './log.js';
-import { now, seconds } from './micros.js';
+import { monotonicNow, seconds } from './micros.js';
 
 /** A request on the wire; the id identifies its response. */
 type WireRequest = readonly [id: number, path: string, body: Buffer];
@@ -60,11 +60,11 @@
   private exchange: http.ClientRequest | null = null;
   private lastId = 0;
   /** When the current exchange was opened or last received a response. */
-  private lastReceivedAt = now();
+  private lastReceivedAt = monotonicNow();
   /** Whether the current exchange has received the HTTP response headers. */
   private responseStarted = false;
   /** Called with the outcome of each request without a response yet, by request id. */
-  private readonly pending = new Map<number, (outcome: Reply | NoAnswer) => void>();
+  private readonly pending = new Map<number, (outcome: ReceivedResponse | NoResponse) => void>();
   private readonly target: { host: string; port: number };
 
   constructor(address: string) {
@@ -72,26 +72,26 @@
   }
 
   /** Sends a request; fails if no response is received within `timeoutMs` or the exchange is closed. */
-  ask(path: string, body: Buffer, timeoutMs: number): Effect.Effect<Reply, NoAnswer> {
-    return Effect.async<Reply, NoAnswer>((resume) => {
+  request(path: string, body: Buffer, timeoutMs: number): Effect.Effect<ReceivedResponse, NoResponse> {
+    return Effect.async<ReceivedResponse, NoResponse>((resume) => {
       const exchange = this.openExchange();
       const id = ++this.lastId;
       const timer = setTimeout(() => {
         const finish = this.pending.get(id);
         if (
           this.exchange === exchange &&
-          (!this.responseStarted || now() - this.lastReceivedAt >= SILENCE_TIMEOUT)
+          (!this.responseStarted || monotonicNow() - this.lastReceivedAt >= SILENCE_TIMEOUT)
         )
           this.closeExchange('silent');
-        finish?.(new NoAnswer({ reason: 'timeout' }));
+        finish?.(new NoResponse({ reason: 'timeout' }));
       }, timeoutMs);
       this.pending.set(id, (outcome) => {
         this.pending.delete(id);
         clearTimeout(timer);
-        resume(outcome instanceof NoAnswer ? Effect.fail(outcome) : Effect.succeed(outcome));
+        resume(outcome instanceof NoResponse ? Effect.fail(outcome) : Effect.succeed(outcome));
       });
       if (exchange.writableLength > MAX_BYTES)
-        this.pending.get(id)!(new NoAnswer({ reason: 'link buffer full' }));
+        this.pending.get(id)!(new NoResponse({ reason: 'link buffer full' }));
       else exchange.write(pack([id, path, body] satisfies WireRequest));
       return Effect.sync(() => {
         this.pending.delete(id);
@@ -107,7 +107,7 @@
     const headers = { 'Content-Type': 'application/msgpack', 'Transfer-Encoding': 'chunked' };
     const exchange = http.request({ ...this.target, method: 'POST', path: LINK_PATH, agent: false, headers });
     this.exchange = exchange;
-    this.lastReceivedAt = now();
+    this.lastReceivedAt = monotonicNow();
     this.responseStarted = false;
     const onEnd = (reason: string) => () => {
       if (this.exchange === exchange) this.closeExchange(reason);
@@ -123,7 +123,7 @@
         if (!isMessage(message, 'number')) return false;
         if (this.exchange !== exchange) return true;
         const [id, status, body] = message as WireResponse;
-        this.lastReceivedAt = now();
+        this.lastReceivedAt = monotonicNow();
         this.pending.get(id)?.({ status, body });
         return true;
       };
@@ -136,7 +136,7 @@
   private closeExchange(reason: string): void {
     this.exchange?.destroy();
     this.exchange = null;
-    for (const finish of [...this.pending.values()]) finish(new NoAnswer({ reason }));
+    for (const finish of [...this.pending.values()]) finish(new NoResponse({ reason }));
   }
 }
 
@@ -145,7 +145,7 @@
   listen: { readonly host: string; readonly port: number },
   maxConnections: number,
   handler: Handler,
-  fastPath: Quick,
+  fastPath: FastPathHandler,
 ): Effect.Effect<http.Server, Error, Scope.Scope> =>
   Effect.gen(function* () {
     const fork = Runtime.runFork(yield* Effect.runtime<never>());
@@ -160,7 +160,7 @@
       const onMessage = (message: unknown): boolean => {
         if (!isMessage(message, 'string')) return false;
         const [id, path, body] = message as WireRequest;
-        const reply = (answer: Answer): void => {
+        const reply = (answer: HttpResponse): void => {
           if (response.destroyed) return;
           // The other controller sends requests without reading the responses, which would fill this controller's memory.
           if (response.writableLength > MAX_BYTES) return closeConnection();
--- a/packages/runtime/src/micros.ts
+++ b/packages/runtime/src/micros.ts
@@ -15,7 +15,7 @@
 export const toSeconds = (value: number): number => value / 1e6;
 
 /** Reads the monotonic clock. Only I/O code calls it; code that makes decisions gets the time as an argument. */
-export const now = (): Micros => Math.round(performance.now() * 1000) as Micros;
+export const monotonicNow = (): Micros => Math.round(performance.now() * 1000) as Micros;
 
 /** Maximum drift between the monotonic clocks of two machines, as a fraction of the elapsed time. */
-export const DRIFT = 0.0005;
+export const MAX_CLOCK_DRIFT = 0.0005;
--- a/packages/runtime/src/tick.ts
+++ b/packages/runtime/src/tick.ts
@@ -8,17 +8,17 @@
  * Returns the milliseconds from the time `nowMs` to the next multiple of `periodMs`. The result is at least a tenth of the
  * period, so that a timer that fires slightly early does not fire twice for one tick.
  */
-export const untilTick = (nowMs: number, periodMs: number): number => {
+export const msUntilTick = (nowMs: number, periodMs: number): number => {
   const remaining = periodMs - (nowMs % periodMs);
   return remaining < periodMs / 10 ? remaining + periodMs : remaining;
 };
 
 /** Sleeps until the next multiple of `periodMs`. */
-export const tick = (periodMs: number): Effect.Effect<void> =>
-  Effect.flatMap(Clock.currentTimeMillis, (nowMs) => Effect.sleep(untilTick(nowMs, periodMs)));
+export const sleepUntilTick = (periodMs: number): Effect.Effect<void> =>
+  Effect.flatMap(Clock.currentTimeMillis, (nowMs) => Effect.sleep(msUntilTick(nowMs, periodMs)));
 
 /** Runs an effect, and interrupts it at the next multiple of `periodMs`. */
-export const orTick = <A>(effect: Effect.Effect<A>, periodMs: number): Effect.Effect<void> =>
+export const runUntilTick = <A>(effect: Effect.Effect<A>, periodMs: number): Effect.Effect<void> =>
   Effect.flatMap(Clock.currentTimeMillis, (nowMs) =>
-    Effect.asVoid(Effect.timeoutOption(effect, untilTick(nowMs, periodMs))),
+    Effect.asVoid(Effect.timeoutOption(effect, msUntilTick(nowMs, periodMs))),
   );
--- a/packages/scale-test/src/capacity/capacity.ts
+++ b/packages/scale-test/src/capacity/capacity.ts
@@ -3,12 +3,12 @@
  * `npm run capacity`. Exit status 2 where a file can't be read or is wrong.
  */
 import { readFileSync, writeFileSync } from 'node:fs';
-import { endOnClosedPipe } from '@lilacvalve/runtime/closed-pipe';
+import { exitOnClosedPipe } from '@lilacvalve/runtime/closed-pipe';
 import { Command } from 'commander';
 import { readCapacityInput } from './model.js';
 import { capacityTables, withTables } from './table.js';
 
-endOnClosedPipe();
+exitOnClosedPipe();
 const cli = new Command()
   .name('capacity')
   .description('What each role has to carry at the size to come, from measured slopes')
--- a/packages/simulation/src/turns.ts
+++ b/packages/simulation/src/turns.ts
@@ -7,8 +7,8 @@
  * fleet whose tasks last for seconds: the turn has to place as many tasks as have ended.
  */
 import { Command } from 'commander';
-import { endOnClosedPipe } from '@lilacvalve/runtime/closed-pipe';
-import { share, wholeNumber } from '@lilacvalve/runtime/flag-values';
+import { exitOnClosedPipe } from '@lilacvalve/runtime/closed-pipe';
+import { parseFraction, parsePositiveInteger } from '@lilacvalve/runtime/flag-values';
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { makeCalendar } from '@lilacvalve/controller/calendar/model';
 import { cutoffRank, newCutoffRisk } from '@lilacvalve/controller/calendar/slack';
@@ -119,16 +119,16 @@
   process.stdout.write(timeCutoffs(jobs, rounds));
 };
 
-endOnClosedPipe();
+exitOnClosedPipe();
 new Command()
   .name('turns')
   .description('Times the pure scheduling cycle on a fleet of a given size')
-  .argument('[machines]', 'machines', wholeNumber, 600)
-  .argument('[waiting]', 'tasks that wait', wholeNumber, 5000)
-  .argument('[rounds]', 'cycles that are timed', wholeNumber, 200)
-  .option('--held <n>', 'tasks that each machine has room for: a fleet of short tasks', wholeNumber)
-  .option('--free <share>', 'with --held: the part of that room that is free', share, 0.05)
-  .option('--teams <n>', 'with --held: teams', wholeNumber, 4)
+  .argument('[machines]', 'machines', parsePositiveInteger, 600)
+  .argument('[waiting]', 'tasks that wait', parsePositiveInteger, 5000)
+  .argument('[rounds]', 'cycles that are timed', parsePositiveInteger, 200)
+  .option('--held <n>', 'tasks that each machine has room for: a fleet of short tasks', parsePositiveInteger)
+  .option('--free <share>', 'with --held: the part of that room that is free', parseFraction, 0.05)
+  .option('--teams <n>', 'with --held: teams', parsePositiveInteger, 4)
   .option('--json', 'one line of JSON')
   .action(run)
   .parse();
--- a/packages/simulation/src/world/cloud.ts
+++ b/packages/simulation/src/world/cloud.ts
@@ -1,6 +1,6 @@
 /** Stand-in for the cloud: machines are rented, boot, run a worker and are given back, with faults on the way. */
 import { Effect } from 'effect';
-import { NoAnswer } from '@lilacvalve/runtime/http-client';
+import { NoResponse } from '@lilacvalve/runtime/http-client';
 import { micros } from '@lilacvalve/runtime/micros';
 import { type CloudPort, CloudRefused } from '@lilacvalve/controller/provisioning/cloud';
 import type { ListedMachine, MachineType } from '@lilacvalve/controller/provisioning/model';
@@ -152,10 +152,10 @@
       still() ? go() : new CloudRefused({ status: 0, reason: 'no longer entitled' });
     if (way === null) return this.call(() => entitled(rent));
     // It is sent, and its outcome is told late or never: the client gives up before.
-    return Effect.async<readonly string[] | null, CloudRefused | NoAnswer>((resume) => {
+    return Effect.async<readonly string[] | null, CloudRefused | NoResponse>((resume) => {
       const refusal = entitled(() => null);
       if (refusal !== null) return resume(Effect.fail(refusal));
-      time.after(CLIENT_TIMEOUT, () => resume(Effect.fail(new NoAnswer({ reason: 'timeout' }))));
+      time.after(CLIENT_TIMEOUT, () => resume(Effect.fail(new NoResponse({ reason: 'timeout' }))));
       time.after(random.between(50_000, 200_000) + way.late, () => {
         const ids = rent();
         if (way.answer !== null) time.after(way.answer, () => resume(Effect.succeed(ids)));
--- a/packages/simulation/src/world/controllers.ts
+++ b/packages/simulation/src/world/controllers.ts
@@ -1,7 +1,7 @@
 /** The controllers of a simulated deployment: the real nodes as processes that start, crash and talk over the links. */
 import { Effect, Exit, Fiber } from 'effect';
-import { NoAnswer } from '@lilacvalve/runtime/http-client';
-import type { Answer, Incoming, Quick } from '@lilacvalve/runtime/http-server';
+import { NoResponse } from '@lilacvalve/runtime/http-client';
+import type { HttpResponse, HttpRequest, FastPathHandler } from '@lilacvalve/runtime/http-server';
 import { type Micros, micros } from '@lilacvalve/runtime/micros';
 import type { CloudPort } from '@lilacvalve/controller/provisioning/cloud';
 import { createController, type Controller } from '@lilacvalve/controller/controller';
@@ -56,19 +56,19 @@
 
 /** As the server does: outside any fiber if the quick handler takes the request, else by the handler. */
 const handled = (
-  quick: Quick,
-  handle: (request: Incoming) => Effect.Effect<Answer>,
-  request: Incoming,
-): Effect.Effect<Answer> =>
+  quick: FastPathHandler,
+  handle: (request: HttpRequest) => Effect.Effect<HttpResponse>,
+  request: HttpRequest,
+): Effect.Effect<HttpResponse> =>
   Effect.suspend(() => {
-    let resume: ((effect: Effect.Effect<Answer>) => void) | null = null;
-    let early: Answer | null = null;
+    let resume: ((effect: Effect.Effect<HttpResponse>) => void) | null = null;
+    let early: HttpResponse | null = null;
     const taken = quick(request, (answer) => {
       if (resume === null) early = answer;
       else resume(Effect.succeed(answer));
     });
     if (!taken) return handle(request);
-    return Effect.async<Answer>((go) => {
+    return Effect.async<HttpResponse>((go) => {
       if (early !== null) go(Effect.succeed(early));
       else resume = go;
     });
@@ -176,7 +176,7 @@
   }
 
   /** A request to a controller's listener; null: it is down. It waits unread while the controller stands still. */
-  handle(label: string, request: Incoming): Effect.Effect<Answer> | null {
+  handle(label: string, request: HttpRequest): Effect.Effect<HttpResponse> | null {
     const process = this.running.get(label);
     if (!process) return null;
     if (request.path === '/agent/beat') this.options.onHeartbeat(label);
@@ -253,7 +253,7 @@
             Effect.flatMap((answer) =>
               answer.status === 200
                 ? Effect.succeed(Buffer.from(answer.body))
-                : Effect.fail(new NoAnswer({ reason: `status ${answer.status}` })),
+                : Effect.fail(new NoResponse({ reason: `status ${answer.status}` })),
             ),
           ),
       },
@@ -280,15 +280,15 @@
     to: string,
     timeout: number,
     answer: (there: ControllerProcess) => Effect.Effect<A>,
-  ): Effect.Effect<A, NoAnswer> {
+  ): Effect.Effect<A, NoResponse> {
     const { duplicates, links, random, time } = this.options;
     duplicates.sending(from, () => {
       const there = this.running.get(to);
       if (there) time.fork(answer(there), there.host);
     });
     return host.gate(
-      Effect.async<A, NoAnswer>((resume) => {
-        const fail = (reason: string) => () => resume(Effect.fail(new NoAnswer({ reason })));
+      Effect.async<A, NoResponse>((resume) => {
+        const fail = (reason: string) => () => resume(Effect.fail(new NoResponse({ reason })));
         time.after(timeout, fail('timeout'));
         const arrive = (): void => {
           const there = this.running.get(to);
--- a/packages/simulation/src/world/lending.ts
+++ b/packages/simulation/src/world/lending.ts
@@ -131,7 +131,7 @@
   committed(key: string, value: unknown, stamp: number): void {
     if (key.startsWith(LOG_ENTRIES) && value !== undefined)
       this.record(Number(key.slice(LOG_ENTRIES.length)), value, stamp);
-    this.view.apply({ key, value, stamp });
+    this.view.apply({ key, value, revision: stamp });
   }
 
   private record(seq: number, value: unknown, stamp: number): void {
@@ -145,7 +145,7 @@
     };
     for (const job of this.view.jobs.values()) {
       const c = jobs.get(job.spec.id);
-      const ended = [...(c?.done ?? []), ...(c?.gone ?? [])].filter((t) => job.placed.has(t));
+      const ended = [...(c?.completed ?? []), ...(c?.exited ?? [])].filter((t) => job.placed.has(t));
       put(job, job.placed.size - new Set(ended).size);
     }
     const before = new Map([...held].map(([t, a]) => [t, [...a] as Amount]));
@@ -213,7 +213,7 @@
   end(): void {
     for (const l of loansOf(this.view.jobs.values())) {
       const lender = this.view.jobs.get(l.lender);
-      const lacks = lender ? lender.spec.tasks - lender.done.size - lender.placed.size : 0;
+      const lacks = lender ? lender.spec.tasks - lender.completed.size - lender.placed.size : 0;
       if (!lender || lender.cancelled || lacks === 0) this.fault(`loan_open: ${l.taker} from ${l.lender}`);
     }
   }
--- a/packages/simulation/src/world/scenario-host.ts
+++ b/packages/simulation/src/world/scenario-host.ts
@@ -65,7 +65,7 @@
     leader: () => controllers.leader(),
     term: () => controllers.leading()?.node.leadership.currentTermNumber() ?? null,
     process: (label) => controllers.process(label),
-    answering: (label) => (controllers.process(label)?.node.leadership.answeringTerm() ?? null) !== null,
+    answering: (label) => (controllers.process(label)?.node.leadership.respondingTerm() ?? null) !== null,
     heardFrom: (machine) => controllers.leading()?.node.registry()?.machines.get(machine)?.reported === true,
     countedAgainstLimit: (team) => countedAgainstLimit(controllers, team),
     hasPlaced: (label, job) =>
--- a/packages/simulation/src/world/scenarios/at-limit.ts
+++ b/packages/simulation/src/world/scenarios/at-limit.ts
@@ -1,4 +1,4 @@
-import { DRIFT } from '@lilacvalve/runtime/micros';
+import { MAX_CLOCK_DRIFT } from '@lilacvalve/runtime/micros';
 import { activeJobKey } from '@lilacvalve/controller/jobs/keys';
 import type { TeamSettings } from '@lilacvalve/controller/settings/settings';
 import type { JobTruth } from '../job-truth.js';
@@ -122,7 +122,7 @@
   /** From when on it is sure, how, and how soon it must be known then. */
   const due = (v: Victim): { readonly from: number; readonly how: string; readonly within: number } => {
     if (v.word !== null) return { from: v.word.at, how: 'by word', within: BY_WORD };
-    const lease = world.lease * (1 + 2 * DRIFT);
+    const lease = world.lease * (1 + 2 * MAX_CLOCK_DRIFT);
     const { machine } = v;
     const last = Math.max(v.sent, machine.answeredFrom);
     if (machine.token === leaderTerm.term && world.heardFrom(machine.place.id))
--- a/packages/simulation/src/world/scenarios/cancel-at-completion.ts
+++ b/packages/simulation/src/world/scenarios/cancel-at-completion.ts
@@ -151,7 +151,7 @@
         const { jobs } = decodeLogEntry(Number(key.slice(LOG_ENTRIES.length)), JSON.parse(value), 1);
         for (const [id, c] of jobs) {
           const e = endings.get(id);
-          if (e?.durable === null && c.done?.includes(e.task)) recorded(id, e);
+          if (e?.durable === null && c.completed?.includes(e.task)) recorded(id, e);
         }
       }
     },
--- a/packages/simulation/src/world/scenarios/lost-responses.ts
+++ b/packages/simulation/src/world/scenarios/lost-responses.ts
@@ -25,7 +25,7 @@
   if (drops(LOG_ENTRIES)) return 'folding';
   if (sets(PAGES)) return 'page of the accounts';
   if (sets(ACTIVE_JOBS))
-    return when.some((c) => c.key.startsWith(ACTIVE_JOBS) && c.stamp > 0) ? 'withdrawal' : 'submission';
+    return when.some((c) => c.key.startsWith(ACTIVE_JOBS) && c.revision > 0) ? 'withdrawal' : 'submission';
   if (sets(CLASS_DURATIONS)) return 'what classes have shown';
   if (sets(CALENDAR)) return 'calendar';
   if (sets(MACHINE_TYPES)) return 'hint';
--- a/packages/simulation/src/world/scenarios/scenario-kit.ts
+++ b/packages/simulation/src/world/scenarios/scenario-kit.ts
@@ -1,5 +1,5 @@
 /** What the scenarios of compound faults see of the simulation, and what several of them do. */
-import type { Answer } from '@lilacvalve/runtime/http-server';
+import type { HttpResponse } from '@lilacvalve/runtime/http-server';
 import type { RandomSource } from '@lilacvalve/controller/support/random-source';
 import type { Arrival } from '../load-burst.js';
 import type { Answered, Ask, Asked } from '../history.js';
@@ -79,7 +79,7 @@
     method: string,
     path: string,
     body: string | null,
-    then: (a: Answer | null, got: Observation | undefined) => void,
+    then: (a: HttpResponse | null, got: Observation | undefined) => void,
   ): void;
   cancel(id: string, via: () => string, confirmed: (by: string) => void): void;
 }
--- a/packages/simulation/src/world/scenarios/staggered-completions.ts
+++ b/packages/simulation/src/world/scenarios/staggered-completions.ts
@@ -14,12 +14,12 @@
     const { keys } = kit.world.state;
     const kept = keys.get(activeJobKey(id));
     if (kept === undefined) return true;
-    const job = decodeJob(id, JSON.parse(kept.value), kept.stamp);
-    if (job.cancelled || job.done.has(task)) return true;
-    for (const [key, { value, stamp }] of keys)
+    const job = decodeJob(id, JSON.parse(kept.value), kept.revision);
+    if (job.cancelled || job.completed.has(task)) return true;
+    for (const [key, { value, revision: stamp }] of keys)
       if (key.startsWith(LOG_ENTRIES) && value.includes(id)) {
         const record = decodeLogEntry(Number(key.slice(LOG_ENTRIES.length)), JSON.parse(value), stamp);
-        if (record.jobs.get(id)?.done?.includes(task)) return true;
+        if (record.jobs.get(id)?.completed?.includes(task)) return true;
       }
     return false;
   };
--- a/packages/simulation/src/world/state-service/connection.ts
+++ b/packages/simulation/src/world/state-service/connection.ts
@@ -1,6 +1,6 @@
 /** One controller's connection to the state service: what happens to each request and its answer on the way. */
 import { Effect } from 'effect';
-import { NoAnswer } from '@lilacvalve/runtime/http-client';
+import { NoResponse } from '@lilacvalve/runtime/http-client';
 import { micros } from '@lilacvalve/runtime/micros';
 import {
   Refused,
@@ -38,7 +38,9 @@
 
 /** A request's outcome as its caller gets it. */
 const answerOf = <A>(outcome: A | StateFailure): Effect.Effect<A, StateFailure> =>
-  outcome instanceof Refused || outcome instanceof NoAnswer ? Effect.fail(outcome) : Effect.succeed(outcome);
+  outcome instanceof Refused || outcome instanceof NoResponse
+    ? Effect.fail(outcome)
+    : Effect.succeed(outcome);
 
 const isCommitted = (outcome: Outcome | StateFailure): outcome is Outcome => 'ok' in outcome && outcome.ok;
 
@@ -82,7 +84,10 @@
       const copy = this.service.readable();
       const stored = copy.keys.get(key);
       return stored
-        ? { entry: { key, value: JSON.parse(stored.value) as unknown, stamp: stored.stamp }, revision: null }
+        ? {
+            entry: { key, value: JSON.parse(stored.value) as unknown, revision: stored.revision },
+            revision: null,
+          }
         : { entry: null, revision: copy.revision };
     }, GET_MS);
 
@@ -93,8 +98,8 @@
         .filter((key) => key.startsWith(prefix) && (after === null || key > after))
         .sort();
       const entries = keys.slice(0, Math.min(limit, PAGE)).map((key) => {
-        const { stamp, value } = copy.keys.get(key)!;
-        return { key, value: JSON.parse(value) as unknown, stamp };
+        const { revision: stamp, value } = copy.keys.get(key)!;
+        return { key, value: JSON.parse(value) as unknown, revision: stamp };
       });
       return { entries, more: keys.length > entries.length, revision: copy.revision };
     }, PAGE_MS);
@@ -196,7 +201,7 @@
   ): () => void {
     return () => {
       this.lastRefused = this.time.now;
-      resume(Effect.fail(new NoAnswer({ reason })));
+      resume(Effect.fail(new NoResponse({ reason })));
     };
   }
 
--- a/packages/simulation/src/world/state-service/state-service.ts
+++ b/packages/simulation/src/world/state-service/state-service.ts
@@ -45,7 +45,7 @@
   /** A transaction was carried out of which its sender hears nothing. */
   onUnanswered: (
     by: string,
-    when: readonly { readonly key: string; readonly stamp: number }[],
+    when: readonly { readonly key: string; readonly revision: number }[],
     then: readonly Write[],
     revision: number,
   ) => void = () => undefined;
--- a/packages/simulation/src/world/state-service/store.ts
+++ b/packages/simulation/src/world/state-service/store.ts
@@ -24,7 +24,7 @@
 /** A value as it is stored, the revision that wrote it, and the lease that it is bound to. */
 export interface StoredValue {
   readonly value: string;
-  readonly stamp: number;
+  readonly revision: number;
   readonly lease: number | null;
 }
 
@@ -38,7 +38,7 @@
 interface LogEntry {
   readonly key: string;
   readonly value: string | undefined;
-  readonly stamp: number;
+  readonly revision: number;
   readonly lease: number | null;
   readonly at: number;
 }
@@ -65,11 +65,11 @@
 
   /** A transaction: all writes if every condition holds, which makes one new revision, else none. */
   transact(
-    when: readonly { readonly key: string; readonly stamp: number }[],
+    when: readonly { readonly key: string; readonly revision: number }[],
     then: readonly SentWrite[],
   ): Outcome {
     const failed = when
-      .filter((condition) => (this.keys.get(condition.key)?.stamp ?? 0) !== condition.stamp)
+      .filter((condition) => (this.keys.get(condition.key)?.revision ?? 0) !== condition.revision)
       .map((condition) => condition.key);
     if (failed.length > 0) return { ok: false, failed, revision: this.revision };
     if (then.length === 0) return { ok: true, revision: this.revision };
@@ -93,12 +93,13 @@
   /** What a watch from `after` on is answered with now. */
   changesAfter(prefix: string, after: number): Changes {
     const { log } = this;
-    if (log.length > 0 && after < log[Math.max(0, log.length - LOG_KEPT)]!.stamp - 1) return { tooOld: true };
+    if (log.length > 0 && after < log[Math.max(0, log.length - LOG_KEPT)]!.revision - 1)
+      return { tooOld: true };
     const changes = [];
-    for (let i = log.length - 1; i >= 0 && log[i]!.stamp > after; i--) {
-      const { key, stamp, value } = log[i]!;
+    for (let i = log.length - 1; i >= 0 && log[i]!.revision > after; i--) {
+      const { key, revision: stamp, value } = log[i]!;
       if (key.startsWith(prefix))
-        changes.unshift({ key, value: value === undefined ? undefined : JSON.parse(value), stamp });
+        changes.unshift({ key, value: value === undefined ? undefined : JSON.parse(value), revision: stamp });
     }
     return { tooOld: false, revision: this.revision, changes };
   }
@@ -107,7 +108,7 @@
   *entriesAt(revision: number): Generator<{ readonly key: string; readonly value: unknown }> {
     const keys = new Map<string, string>();
     for (const entry of this.log) {
-      if (entry.stamp > revision) break;
+      if (entry.revision > revision) break;
       if (entry.value === undefined) keys.delete(entry.key);
       else keys.set(entry.key, entry.value);
     }
@@ -148,16 +149,16 @@
   revert(key: string): void {
     const now = this.keys.get(key)!;
     const before = this.log
-      .filter((entry) => entry.key === key && entry.value !== undefined && entry.stamp < now.stamp)
+      .filter((entry) => entry.key === key && entry.value !== undefined && entry.revision < now.revision)
       .pop();
-    if (before) this.keys.set(key, { value: before.value!, stamp: before.stamp, lease: now.lease });
+    if (before) this.keys.set(key, { value: before.value!, revision: before.revision, lease: now.lease });
   }
 
   private put(key: string, value: string | undefined, lease: number | null): void {
     const stamp = this.revision;
     if (value === undefined) this.keys.delete(key);
-    else this.keys.set(key, { value, stamp, lease });
-    this.log.push({ key, value, stamp, lease, at: this.now() });
+    else this.keys.set(key, { value, revision: stamp, lease });
+    this.log.push({ key, value, revision: stamp, lease, at: this.now() });
     this.onPut(key, value);
   }
 
@@ -168,12 +169,12 @@
     const keys = new Map<string, StoredValue>();
     let revision = 0;
     let changes = 0;
-    for (const { at, key, lease, stamp, value } of this.log) {
+    for (const { at, key, lease, revision: stamp, value } of this.log) {
       if (at > this.now() - since) break;
       changes++;
       revision = stamp;
       if (value === undefined) keys.delete(key);
-      else keys.set(key, { value, stamp, lease });
+      else keys.set(key, { value, revision: stamp, lease });
     }
     return { copy: { keys, revision }, changes };
   }
--- a/packages/simulation/src/world/users.ts
+++ b/packages/simulation/src/world/users.ts
@@ -1,6 +1,6 @@
 /** Users of a simulated deployment: they submit jobs, poll them, cancel some, and every answer is held against the rules. */
 import { Exit } from 'effect';
-import type { Answer } from '@lilacvalve/runtime/http-server';
+import type { HttpResponse } from '@lilacvalve/runtime/http-server';
 import type { RandomSource } from '@lilacvalve/controller/support/random-source';
 import type { StartLatencyCheck } from './start-latency-check.js';
 import type { Controllers } from './controllers.js';
@@ -38,17 +38,17 @@
   readonly status: string;
   readonly done?: number;
 }
-const statusOf = (answer: Answer): JobStatus => JSON.parse(answer.body.toString()) as JobStatus;
+const statusOf = (answer: HttpResponse): JobStatus => JSON.parse(answer.body.toString()) as JobStatus;
 const isAccepted = (status: number): boolean => status === 200 || status === 201;
 
-const answeredOf = (answer: Answer): Answered => {
+const answeredOf = (answer: HttpResponse): Answered => {
   if (!isAccepted(answer.status)) return { status: answer.status };
   const { status, done } = statusOf(answer);
   return { status: answer.status, state: status, done };
 };
 
 /** An answer to a user, null if there was none, and who took part in it. */
-export type Received = (answer: Answer | null, got: Observation | undefined) => void;
+export type Received = (answer: HttpResponse | null, got: Observation | undefined) => void;
 
 /** What a job is to be like; everything else is drawn. */
 export interface Submission {
@@ -104,7 +104,7 @@
     const [ask, id] = askedOf(method, path, body);
     const asked = history?.begins(ask, id, node, time.now);
     const known = rules.asOf(id);
-    const finish = (answer: Answer | null, got?: Observation): void => {
+    const finish = (answer: HttpResponse | null, got?: Observation): void => {
       if (over) return;
       over = true;
       if (asked) this.compare(asked, answer);
@@ -294,7 +294,7 @@
   }
 
   /** An answer, or none, has come to its user: it is compared with all others. */
-  private compare(asked: Open, answer: Answer | null): void {
+  private compare(asked: Open, answer: HttpResponse | null): void {
     const { history, rules, scenarios, time } = this.options;
     const said = answer === null ? null : answeredOf(answer);
     if (said !== null && history) rules.broken.push(...history.ends(asked, said, time.now));
--- a/packages/simulation/src/world/worker/worker.ts
+++ b/packages/simulation/src/world/worker/worker.ts
@@ -1,6 +1,6 @@
 /** Stand-in for one machine and its worker, by the protocol: incarnations, tokens, leases, heartbeats and orders. */
 import { type Effect, Exit } from 'effect';
-import type { Answer, Incoming } from '@lilacvalve/runtime/http-server';
+import type { HttpResponse, HttpRequest } from '@lilacvalve/runtime/http-server';
 import type { RandomSource } from '@lilacvalve/controller/support/random-source';
 import type { Links } from '../links.js';
 import type { Place, Rules } from '../rules.js';
@@ -25,7 +25,7 @@
   /** The controllers' labels. */
   readonly nodes: readonly string[];
   /** A request to a controller; null: it is down. */
-  handle(node: string, request: Incoming): Effect.Effect<Answer> | null;
+  handle(node: string, request: HttpRequest): Effect.Effect<HttpResponse> | null;
   /** A copy of a request that has been sent may arrive later, once more. */
   echo(from: string, again: () => void): void;
   /** A heartbeat has been sent to a controller. */
@@ -42,7 +42,7 @@
 
 /** Times by which a worker goes, microseconds. */
 export interface Timing extends GangTiming {
-  readonly report: number;
+  readonly heartbeatInterval: number;
   readonly lease: number;
 }
 
@@ -186,7 +186,7 @@
   }
 
   /** A heartbeat reaches a controller. `then`: its answer; null: the controller is down. */
-  deliver(node: string, body: Buffer, then: (answer: Answer | null) => void): void {
+  deliver(node: string, body: Buffer, then: (answer: HttpResponse | null) => void): void {
     const effect = this.options.net.handle(node, { method: 'POST', path: '/agent/beat', body });
     if (effect === null) {
       then(null);
@@ -263,7 +263,7 @@
     const { incarnation, lives, reportsTo } = this;
     const body = Buffer.from(this.body());
     let over = false;
-    const finish = (answer: Answer | null): void => {
+    const finish = (answer: HttpResponse | null): void => {
       if (over || lives !== this.lives) return;
       over = true;
       this.awaiting = false;
@@ -276,10 +276,10 @@
     this.sendOverLinks(reportsTo, body, finish);
   }
 
-  private sendOverLinks(node: string, body: Buffer, finish: (answer: Answer | null) => void): void {
+  private sendOverLinks(node: string, body: Buffer, finish: (answer: HttpResponse | null) => void): void {
     const { links } = this.options.net;
     const zone = `zone:${this.place.zone}`;
-    const back = (answer: Answer | null): void =>
+    const back = (answer: HttpResponse | null): void =>
       links.answer(
         zone,
         node,
@@ -296,9 +296,9 @@
   }
 
   /** Acts on an answer to the heartbeat that was sent then. The time to the next heartbeat. */
-  private takeAnswer(answer: Answer | null, sent: number, incarnation: number): number {
+  private takeAnswer(answer: HttpResponse | null, sent: number, incarnation: number): number {
     const { random, timing } = this.options;
-    const usual = timing.report * random.between(0.75, 1.25);
+    const usual = timing.heartbeatInterval * random.between(0.75, 1.25);
     if (answer === null || (answer.status !== 200 && answer.status !== 421)) return this.tryNextNode();
     const { leader, orders, token } = decodeHeartbeatAnswer(answer.body.toString());
     if (answer.status === 421) return this.redirect(leader);
--- a/packages/simulation/src/world/world.ts
+++ b/packages/simulation/src/world/world.ts
@@ -3,7 +3,7 @@
  * protocol's rules checked after every step. This module joins the parts; each part's job is said in its own module.
  */
 import type { Effect } from 'effect';
-import type { Answer, Incoming } from '@lilacvalve/runtime/http-server';
+import type { HttpResponse, HttpRequest } from '@lilacvalve/runtime/http-server';
 import type { MachineType } from '@lilacvalve/controller/provisioning/model';
 import { LOG_ENTRIES } from '@lilacvalve/controller/jobs/keys';
 import type { Controller } from '@lilacvalve/controller/controller';
@@ -221,7 +221,7 @@
   }
 
   /** A request to a controller's listener; null: it is down. */
-  handle(label: string, request: Incoming): Effect.Effect<Answer> | null {
+  handle(label: string, request: HttpRequest): Effect.Effect<HttpResponse> | null {
     return this.controllers.handle(label, request);
   }
 
@@ -415,8 +415,8 @@
   const { state, workers } = worldSettings('n0');
   return (label) =>
     worldSettings(label, {
-      state: seed % 2 === 0 ? { ...state, tail: 12 } : state,
-      nodes: size.nodes.length,
+      state: seed % 2 === 0 ? { ...state, maxLogEntries: 12 } : state,
+      controllerCount: size.nodes.length,
       peers: size.nodes
         .filter((other) => other !== label)
         .map((other) => ({ label: other, zone: 'a', address: '' })),
--- a/packages/simulation/test/api.test.ts
+++ b/packages/simulation/test/api.test.ts
@@ -171,7 +171,7 @@
   };
   const withdrawal = [jobUnchanged('job-7', 0), [{ set: activeJobKey('job-7'), value: { w: 1 } }]] as const;
   assert.ok(write(...withdrawal));
-  const stamp = w.state.keys.get(activeJobKey('job-7'))!.stamp;
+  const stamp = w.state.keys.get(activeJobKey('job-7'))!.revision;
   assert.ok(
     write(jobUnchanged('job-7', stamp), [
       { delete: activeJobKey('job-7') },
--- a/packages/simulation/test/calendar.test.ts
+++ b/packages/simulation/test/calendar.test.ts
@@ -48,7 +48,7 @@
   const luck = new RandomSource(seed);
   const state = new StateService(time, luck, new Links(time, luck));
   const s = { time, state };
-  state.keys.set(`${INCARNATION}one`, { value: '{"g":1,"by":"n0"}', stamp: 1, lease: null });
+  state.keys.set(`${INCARNATION}one`, { value: '{"g":1,"by":"n0"}', revision: 1, lease: null });
   state.revision = 1;
   return s;
 };
@@ -65,7 +65,11 @@
 const view = (s: Stage): JobState => {
   const jobState = new JobState();
   jobState.load(
-    [...s.state.keys].map(([key, v]) => ({ key, value: JSON.parse(v.value) as unknown, stamp: v.stamp })),
+    [...s.state.keys].map(([key, v]) => ({
+      key,
+      value: JSON.parse(v.value) as unknown,
+      revision: v.revision,
+    })),
     s.state.revision,
   );
   return jobState;
--- a/packages/simulation/test/leadership.test.ts
+++ b/packages/simulation/test/leadership.test.ts
@@ -1,7 +1,7 @@
 /** Who leads after an outage, on the real nodes over the stand-in state service. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { NoAnswer } from '@lilacvalve/runtime/http-client';
+import { NoResponse } from '@lilacvalve/runtime/http-client';
 import { LEADER } from '@lilacvalve/controller/jobs/keys';
 import { worldSettings } from '@lilacvalve/controller/support/settings';
 import { Effect } from 'effect';
@@ -66,7 +66,7 @@
           if (typeof own !== 'function') return own;
           return (...args: unknown[]): unknown =>
             blind === node && reads.includes(k as string)
-              ? Effect.zipRight(Effect.sleep(200), Effect.fail(new NoAnswer({ reason: 'timeout' })))
+              ? Effect.zipRight(Effect.sleep(200), Effect.fail(new NoResponse({ reason: 'timeout' })))
               : (own as (...a: unknown[]) => unknown).apply(t, args);
         },
       });
@@ -84,7 +84,7 @@
     const { leadership } = w.up().find((u) => u.name === leader)!.node;
     const { workers } = worldSettings('n0');
     const since = w.time.now;
-    while (leadership.answeringTerm() !== null && w.time.now < since + 60e6) w.time.run(w.time.now + 50_000);
+    while (leadership.respondingTerm() !== null && w.time.now < since + 60e6) w.time.run(w.time.now + 50_000);
     const silent = w.time.now;
     assert.ok(silent - since > 10e6 && silent - since < workers.cancel, `seed ${seed}: its view is too old`);
     while ([undefined, leader].includes(w.leader()) && w.time.now < silent + 60e6)
--- a/packages/simulation/test/restore.test.ts
+++ b/packages/simulation/test/restore.test.ts
@@ -12,19 +12,23 @@
   REBUILD,
   TERM,
 } from '@lilacvalve/controller/jobs/keys';
-import { RESTORE_PROGRESS, restore, type Restored } from '@lilacvalve/controller/snapshots/restore';
+import {
+  RESTORE_PROGRESS,
+  restoreSnapshot,
+  type RestoreResult,
+} from '@lilacvalve/controller/snapshots/restore';
 import { job } from '@lilacvalve/controller/support/job';
 import { RandomSource } from '@lilacvalve/controller/support/random-source';
 import type { Entry } from '@lilacvalve/snapshot/format';
-import type { Content } from '@lilacvalve/snapshot/read';
+import type { SnapshotContent } from '@lilacvalve/snapshot/read';
 import { Links } from '../src/world/links.js';
 import { StateService } from '../src/world/state-service/state-service.js';
 import { Time } from '../src/world/time.js';
 
-const content = (jobs: number): Content => {
+const content = (jobs: number): SnapshotContent => {
   const entries = new Map<string, Entry>();
   const put = (key: string, value: unknown): void =>
-    void entries.set(key, { key, value: JSON.parse(JSON.stringify(value)), stamp: entries.size + 1 });
+    void entries.set(key, { key, value: JSON.parse(JSON.stringify(value)), revision: entries.size + 1 });
   put(`${INCARNATION}old`, { g: 2, by: 'n0' });
   put(LEADER, { node: 'n0', term: 7, lease: 3 });
   put(TERM, { term: 7 });
@@ -42,9 +46,13 @@
   return { time, state: new StateService(time, luck, new Links(time, luck)) };
 };
 /** Plays it until it ends, or for so long. */
-const play = (w: { time: Time; state: StateService }, c: Content, lasts: number): Restored | null => {
-  let result: Restored | null = null;
-  const fiber = w.time.fork(restore(c, w.state.port('restore'), limits, () => undefined));
+const play = (
+  w: { time: Time; state: StateService },
+  c: SnapshotContent,
+  lasts: number,
+): RestoreResult | null => {
+  let result: RestoreResult | null = null;
+  const fiber = w.time.fork(restoreSnapshot(c, w.state.port('restore'), limits, () => undefined));
   fiber.addObserver((e) => {
     if (Exit.isSuccess(e)) result = e.value;
   });
@@ -55,7 +63,7 @@
 const isThere = (state: StateService, jobs: number): void => {
   const view = new JobState();
   view.load(
-    [...state.keys].map(([key, v]) => ({ key, value: JSON.parse(v.value) as unknown, stamp: v.stamp })),
+    [...state.keys].map(([key, v]) => ({ key, value: JSON.parse(v.value) as unknown, revision: v.revision })),
     state.revision,
   );
   assert.equal(view.jobs.size, jobs);
--- a/packages/simulation/test/stored-data.test.ts
+++ b/packages/simulation/test/stored-data.test.ts
@@ -48,7 +48,7 @@
 import { LargestJobs } from '@lilacvalve/controller/scheduler/largest-jobs';
 import { HeartbeatReader } from '@lilacvalve/controller/workers/codec';
 import { relayHandler } from '@lilacvalve/controller/workers/heartbeat-relay';
-import type { Answer, Incoming } from '@lilacvalve/runtime/http-server';
+import type { HttpResponse, HttpRequest } from '@lilacvalve/runtime/http-server';
 import { serveLinks } from '@lilacvalve/runtime/link';
 import {
   checks,
@@ -159,7 +159,7 @@
   const named = view.orphanedJobs.get(pairs[3]![0].slice('s/l/w/'.length))!;
   assert.deepEqual([named.since, named.tasks], [ward!.since, ward!.tasks]);
   assert.deepEqual([view.rebuild!.phase, view.rebuild!.heard], [rebuild!.phase, rebuild!.heard]);
-  assert.deepEqual(view.types, types);
+  assert.deepEqual(view.machineTypes, types);
   assert.equal(settled, pairs[6]![1].slice(1, -1));
   assert.equal(calm, pairs[5]![1].slice(1, -1));
   assert.equal(view.damaged.size, 0);
@@ -237,7 +237,7 @@
   const asked: string[] = [];
   const all = Effect.gen(function* () {
     const here = { host: '127.0.0.1', port: 0 };
-    const answered = (r: Incoming): Effect.Effect<Answer> => {
+    const answered = (r: HttpRequest): Effect.Effect<HttpResponse> => {
       asked.push(`${r.path} ${r.body!.toString('base64')}`);
       return Effect.succeed({ status: 200, body: bytes(list[asked.length - 1]![1]) });
     };
--- a/packages/simulation/test/submissions.test.ts
+++ b/packages/simulation/test/submissions.test.ts
@@ -188,7 +188,7 @@
   new Map(
     [...w.state.keys]
       .filter(([k]) => /^s\/(j|p|y|r|l)\//.test(k))
-      .map(([k, e]) => [k, `${e.stamp} ${e.value}`]),
+      .map(([k, e]) => [k, `${e.revision} ${e.value}`]),
   );
 const world = (): World => {
   const w = new World(5, {});
--- a/packages/simulation/test/support/ask.ts
+++ b/packages/simulation/test/support/ask.ts
@@ -1,7 +1,7 @@
 /** One question of a user, or of a worker, to a node of a world that is not being played. */
 import assert from 'node:assert/strict';
 import { Exit } from 'effect';
-import type { Answer } from '@lilacvalve/runtime/http-server';
+import type { HttpResponse } from '@lilacvalve/runtime/http-server';
 import type { World } from '../../src/world/world.js';
 
 /** The answer, once it is there: users wait no longer than 6 s. A body that is no text is written as JSON. */
@@ -12,7 +12,7 @@
   body: unknown = null,
   node = 'n0',
   wait = 6e6,
-): Answer => {
+): HttpResponse => {
   const raw = typeof body === 'string' ? body : body === null ? '' : JSON.stringify(body);
   const effect = w.handle(node, {
     method,
@@ -20,7 +20,7 @@
     // As the server does with what is longer than a request may be.
     body: Buffer.byteLength(raw) > 65536 ? null : Buffer.from(raw),
   })!;
-  let answer: Answer | null = null;
+  let answer: HttpResponse | null = null;
   w.time.fork(effect).addObserver((e) => {
     if (Exit.isSuccess(e)) answer = e.value;
   });
@@ -28,7 +28,7 @@
   assert.ok(answer, 'no answer');
   return answer;
 };
-export const said = (a: Answer): Record<string, unknown> =>
+export const said = (a: HttpResponse): Record<string, unknown> =>
   JSON.parse(a.body.toString()) as Record<string, unknown>;
 
 /** A submission that every node takes. */
--- a/packages/simulation/test/support/fixed-forms.ts
+++ b/packages/simulation/test/support/fixed-forms.ts
@@ -2,15 +2,15 @@
 import { Effect, Random } from 'effect';
 import { JobState } from '@lilacvalve/controller/jobs/job-state';
 import { respondToCheckRequest, encodeCheckRequest } from '@lilacvalve/controller/recovery/view-verification';
-import { restore } from '@lilacvalve/controller/snapshots/restore';
+import { restoreSnapshot } from '@lilacvalve/controller/snapshots/restore';
 import type { StatePort } from '@lilacvalve/controller/state-store/port';
 import type { Files } from '@lilacvalve/snapshot/files';
-import { load } from '@lilacvalve/snapshot/read';
+import { loadSnapshot } from '@lilacvalve/snapshot/read';
 import { SnapshotWriter } from '@lilacvalve/snapshot/writer';
 
 export type Pairs = readonly (readonly [key: string, json: string])[];
 const entriesOf = (pairs: Pairs) =>
-  pairs.map(([key, json], i) => ({ key, value: JSON.parse(json) as unknown, stamp: i + 1 }));
+  pairs.map(([key, json], i) => ({ key, value: JSON.parse(json) as unknown, revision: i + 1 }));
 
 /** A view of these values, at revisions 1, 2, 3 and so on. */
 export const viewOf = (pairs: Pairs): JobState => {
@@ -50,37 +50,37 @@
   const all = entriesOf(pairs);
   let revision = all.length - 2;
   const writer = new SnapshotWriter(memoryFiles(there), {
-    syncMs: 1,
-    journalBytes: 1e6,
-    queue: 100,
-    keep: 3,
+    flushIntervalMs: 1,
+    maxJournalBytes: 1e6,
+    maxQueuedEntries: 100,
+    maxBases: 3,
     maxAgeMs: 1e9,
     revision: () => revision,
     now: () => 1_700_000_000_000,
     sleep: () => Promise.resolve(),
-    say: () => undefined,
+    onEvent: () => undefined,
   });
-  writer.begin({ incarnation: 'i-1', generation: 4 });
-  await writer.base(async function* () {
+  writer.beginIncarnation({ incarnation: 'i-1', generation: 4 });
+  await writer.writeBase(async function* () {
     yield { entries: all.slice(0, -2), revision };
   });
   revision = all.length;
-  writer.changes([all[all.length - 2]!, { key: all[0]!.key, value: undefined, stamp: all.length }]);
+  writer.enqueue([all[all.length - 2]!, { key: all[0]!.key, value: undefined, revision: all.length }]);
   await writer.flush();
   return there;
 };
 
 /** What is read of a snapshot's files: where it stands, and each key with its revision and value. */
 export const readSnapshot = async (files: Map<string, Buffer>): Promise<unknown> => {
-  const content = await load(memoryFiles(files));
+  const content = await loadSnapshot(memoryFiles(files));
   if (content === null) return null;
-  const entries = [...content.entries.values()].map((e) => [e.key, e.stamp, e.value]);
+  const entries = [...content.entries.values()].map((e) => [e.key, e.revision, e.value]);
   return [content.incarnation, content.generation, content.revision, entries];
 };
 
 /** Each transaction in which a snapshot with these files is restored, as its writes' keys and values. */
 export const restoreWrites = async (files: Map<string, Buffer>): Promise<unknown[]> => {
-  const content = await load(memoryFiles(files));
+  const content = await loadSnapshot(memoryFiles(files));
   const said: unknown[] = [];
   const store: Partial<StatePort> = {
     page: () => Effect.succeed({ entries: [], more: false, revision: 0 }),
@@ -95,7 +95,9 @@
   };
   const limits = { txnOps: 5, valueBytes: 16_384 };
   await Effect.runPromise(
-    restore(content!, store as StatePort, limits, () => undefined).pipe(Effect.withRandom(Random.make(1))),
+    restoreSnapshot(content!, store as StatePort, limits, () => undefined).pipe(
+      Effect.withRandom(Random.make(1)),
+    ),
   );
   return said;
 };
--- a/packages/snapshot/src/format.ts
+++ b/packages/snapshot/src/format.ts
@@ -27,7 +27,7 @@
   /** undefined if the key was deleted. */
   readonly value: unknown;
   /** The revision of the store that set or deleted the key. */
-  readonly stamp: number;
+  readonly revision: number;
 }
 
 /** The first block of a file. It is written as JSON of this object, so the field names are part of the format. */
@@ -67,7 +67,7 @@
 export const entriesBlock = (number: number, entries: readonly Entry[]): Buffer => {
   const raw = pack(
     entries.map((entry) =>
-      entry.value === undefined ? [entry.key, entry.stamp] : [entry.key, entry.stamp, entry.value],
+      entry.value === undefined ? [entry.key, entry.revision] : [entry.key, entry.revision, entry.value],
     ),
   );
   return raw.length < MIN_DEFLATE_BYTES
@@ -122,7 +122,11 @@
   ][];
   return {
     kind: 'entries',
-    entries: rows.map((row) => ({ key: row[0], stamp: row[1], value: row.length > 2 ? row[2] : undefined })),
+    entries: rows.map((row) => ({
+      key: row[0],
+      revision: row[1],
+      value: row.length > 2 ? row[2] : undefined,
+    })),
   };
 };
 
--- a/packages/snapshot/src/read.ts
+++ b/packages/snapshot/src/read.ts
@@ -18,7 +18,7 @@
 }
 
 /** The store's content as of the snapshot. */
-export interface Content {
+export interface SnapshotContent {
   readonly incarnation: string;
   readonly generation: number;
   /** The revision that the content is as of. */
@@ -44,7 +44,7 @@
     } else
       for (const entry of block.entries) {
         entries++;
-        last = Math.max(last, entry.stamp);
+        last = Math.max(last, entry.revision);
         onEntry(entry);
       }
   }
@@ -67,7 +67,7 @@
  * Loads the newest content that is known to be consistent; null if there is none. A base is used only if it is complete and
  * undamaged. Nothing after a flaw in a journal is used, nor any later journal that has no complete base of its own.
  */
-export const load = async (files: Files): Promise<Content | null> => {
+export const loadSnapshot = async (files: Files): Promise<SnapshotContent | null> => {
   const all = parseNames(await files.list());
   const bases = all.filter((file) => file.kind === 'base').reverse();
   for (const base of bases) {
@@ -90,13 +90,13 @@
       // Changes were dropped before this journal, so it does not continue the content read so far.
       if (journal.number > base.number && !checked.head.continues) break;
       for (const change of changes) {
-        revision = Math.max(revision, change.stamp);
+        revision = Math.max(revision, change.revision);
         if (change.key === REACHED_KEY) continue;
-        const known = Math.max(entries.get(change.key)?.stamp ?? 0, deletedAt.get(change.key) ?? 0);
-        if (change.stamp < known) continue;
+        const known = Math.max(entries.get(change.key)?.revision ?? 0, deletedAt.get(change.key) ?? 0);
+        if (change.revision < known) continue;
         if (change.value === undefined) {
           entries.delete(change.key);
-          deletedAt.set(change.key, change.stamp);
+          deletedAt.set(change.key, change.revision);
         } else entries.set(change.key, change);
       }
       if (checked.flaw !== null) break;
@@ -122,7 +122,10 @@
   readonly right: Entry | null;
 }
 /** Returns the keys whose values differ between two contents, in key order. */
-export const compareContents = (leftContent: Content, rightContent: Content): Difference[] => {
+export const compareContents = (
+  leftContent: SnapshotContent,
+  rightContent: SnapshotContent,
+): Difference[] => {
   const keys = [...new Set([...leftContent.entries.keys(), ...rightContent.entries.keys()])].sort();
   return keys.flatMap((key) => {
     const left = leftContent.entries.get(key) ?? null;
--- a/packages/snapshot/src/writer.ts
+++ b/packages/snapshot/src/writer.ts
@@ -17,13 +17,13 @@
 /** Limits, retention and environment of a writer. */
 export interface WriterOptions {
   /** Interval between two flushes of the queued changes to disk, in milliseconds. */
-  readonly syncMs: number;
+  readonly flushIntervalMs: number;
   /** Journal size in bytes above which a new base is written. */
-  readonly journalBytes: number;
+  readonly maxJournalBytes: number;
   /** Maximum number of entries waiting to be written. */
-  readonly queue: number;
+  readonly maxQueuedEntries: number;
   /** Number of bases to keep. */
-  readonly keep: number;
+  readonly maxBases: number;
   /** Maximum age of a kept base, in milliseconds; the newest base is kept whatever its age. */
   readonly maxAgeMs: number;
   /** Returns the revision up to which all changes have been handed over. */
@@ -32,7 +32,7 @@
   readonly now: () => number;
   readonly sleep: (ms: number) => Promise<void>;
   /** Reports an event for operators; not called for every change. */
-  readonly say: (event: 'behind' | 'failed' | 'base' | 'removed', detail: string) => void;
+  readonly onEvent: (event: 'behind' | 'failed' | 'base' | 'removed', detail: string) => void;
 }
 
 /** A page of the store's content, as of a revision. */
@@ -70,7 +70,7 @@
   /** Whether changes may be missing from the journal; nothing more is written to it until the next base begins a new one. */
   private hasGap = true;
   /** Revision up to which all changes handed over are on the disk. */
-  synced = -1;
+  syncedRevision = -1;
   private writtenRevision = -1;
   /** Completes with the latest operation on the journal; see `serialize`. */
   private lastJournalWrite: Promise<unknown> = Promise.resolve();
@@ -81,11 +81,11 @@
   ) {}
 
   /** Queues changes to be written, and returns at once. */
-  changes(entries: readonly Entry[]): void {
+  enqueue(entries: readonly Entry[]): void {
     if (this.closed || entries.length === 0) return;
-    if (this.queue.length + entries.length > this.options.queue) {
+    if (this.queue.length + entries.length > this.options.maxQueuedEntries) {
       if (!this.hasGap)
-        this.options.say(
+        this.options.onEvent(
           'behind',
           `${this.queue.length} changes waiting for the disk, dropped for a new base`,
         );
@@ -98,7 +98,7 @@
   }
 
   /** Begins another incarnation of the store. Files of the previous one are kept until a base of the new one is complete. */
-  begin(incarnation: StoreIncarnation): void {
+  beginIncarnation(incarnation: StoreIncarnation): void {
     this.incarnation = incarnation;
     this.queue = [];
     this.hasGap = true;
@@ -111,7 +111,7 @@
   }
 
   /** Writes a base. A new journal is begun before the source is first read, so that it has all changes made meanwhile. */
-  async base(source: Source): Promise<void> {
+  async writeBase(source: Source): Promise<void> {
     const { incarnation } = this;
     if (incarnation === null || this.writingBase) return;
     this.writingBase = true;
@@ -158,13 +158,13 @@
       // The base contains some of the changes made while it was read, so it is consistent only once the journal has all
       // changes up to the base's highest revision.
       for (let waits = 0; waits < MAX_CATCH_UP_WAITS && this.options.revision() < revision; waits++)
-        await this.options.sleep(this.options.syncMs);
+        await this.options.sleep(this.options.flushIntervalMs);
       const reachedRevision = this.options.revision();
       await this.flush();
       await this.serialize(async () => {
         if (this.hasGap || reachedRevision < revision) return;
         await journal.append(
-          entriesBlock(this.blockCount++, [{ key: REACHED_KEY, value: null, stamp: reachedRevision }]),
+          entriesBlock(this.blockCount++, [{ key: REACHED_KEY, value: null, revision: reachedRevision }]),
         );
         await journal.sync();
       });
@@ -174,11 +174,11 @@
         return;
       }
       await this.files.rename(partialName, baseName(number));
-      this.options.say('base', `${baseName(number)}: ${count} entries`);
+      this.options.onEvent('base', `${baseName(number)}: ${count} entries`);
       await this.removeOldFiles();
     } catch (failure) {
       this.baseWanted = true;
-      this.options.say('failed', (failure as Error).message);
+      this.options.onEvent('failed', (failure as Error).message);
     } finally {
       this.writingBase = false;
     }
@@ -212,14 +212,14 @@
       if (this.journal !== journal) return;
       this.blockCount++;
       this.journalSize += block.length;
-      this.writtenRevision = Math.max(this.writtenRevision, ...batch.map((entry) => entry.stamp));
-      this.synced = this.writtenRevision;
-      if (this.journalSize > this.options.journalBytes) this.baseWanted = true;
+      this.writtenRevision = Math.max(this.writtenRevision, ...batch.map((entry) => entry.revision));
+      this.syncedRevision = this.writtenRevision;
+      if (this.journalSize > this.options.maxJournalBytes) this.baseWanted = true;
     } catch (failure) {
       // The journal may now end with an incomplete block; nothing may be written after it.
       this.hasGap = true;
       this.baseWanted = true;
-      this.options.say('failed', (failure as Error).message);
+      this.options.onEvent('failed', (failure as Error).message);
     }
   }
 
@@ -231,14 +231,14 @@
     while (!this.closed) {
       await this.flush();
       if (base === null && this.needsBase() && this.options.now() >= retryAt) {
-        base = this.base(source).then(() => {
+        base = this.writeBase(source).then(() => {
           base = null;
           // A failure such as a full disk usually persists, so the delay before the next attempt doubles.
           retryDelay = this.baseWanted ? Math.min(60_000, retryDelay * 2) : 1000;
           retryAt = this.baseWanted ? this.options.now() + retryDelay : 0;
         });
       }
-      await this.options.sleep(this.options.syncMs);
+      await this.options.sleep(this.options.flushIntervalMs);
     }
     await base;
     await this.flush();
@@ -262,12 +262,12 @@
   private async removeOldFiles(): Promise<void> {
     const all = parseNames(await this.files.list());
     const bases = all.filter((file) => file.kind === 'base').map((file) => file.number);
-    const kept = bases.slice(-this.options.keep);
+    const kept = bases.slice(-this.options.maxBases);
     const oldest = kept[0] ?? 0;
     for (const file of all) {
       if (file.number >= oldest) continue;
       await this.files.remove(file.name);
-      this.options.say('removed', file.name);
+      this.options.onEvent('removed', file.name);
     }
     // Removes kept bases that exceed the maximum age, except the newest base.
     for (const number of kept.slice(0, -1)) {
@@ -275,7 +275,7 @@
       const at = Number(/"at":(\d+)/.exec(head)?.[1] ?? this.options.now());
       if (this.options.now() - at <= this.options.maxAgeMs) continue;
       for (const name of [baseName(number), journalName(number)]) await this.files.remove(name);
-      this.options.say('removed', baseName(number));
+      this.options.onEvent('removed', baseName(number));
     }
   }
 }
--- a/packages/snapshot/test/snapshot.test.ts
+++ b/packages/snapshot/test/snapshot.test.ts
@@ -10,7 +10,7 @@
 import { DiskFiles, type Files, type OpenFile } from '../src/files.js';
 import { type Entry, entriesBlock, headBlock, isFlaw, readBlocks, VERSION } from '../src/format.js';
 import { baseName, journalName } from '../src/names.js';
-import { checkFiles, compareContents, load } from '../src/read.js';
+import { checkFiles, compareContents, loadSnapshot } from '../src/read.js';
 import { SnapshotWriter, type SourcePage, type WriterOptions } from '../src/writer.js';
 
 /** A seeded xorshift random source. */
@@ -90,15 +90,15 @@
 }
 
 const options = (overrides: Partial<WriterOptions> = {}): WriterOptions => ({
-  syncMs: 1,
-  journalBytes: 600,
-  queue: 1000,
-  keep: 2,
+  flushIntervalMs: 1,
+  maxJournalBytes: 600,
+  maxQueuedEntries: 1000,
+  maxBases: 2,
   maxAgeMs: 1e9,
   revision: () => 0,
   now: () => 1000,
   sleep: async () => undefined,
-  say: () => undefined,
+  onEvent: () => undefined,
   ...overrides,
 });
 const incarnation = { incarnation: 'one', generation: 0 };
@@ -115,7 +115,7 @@
   const states: Map<string, unknown>[] = [new Map()];
   const revisions = new Map<string, number>();
   const writer = new SnapshotWriter(disk, options({ revision: () => states.length - 1 }));
-  writer.begin(incarnation);
+  writer.beginIncarnation(incarnation);
   let synced = -1;
   // A base is read in pages while the store changes: each page shows the content at the time when it is read.
   const source = async function* (): AsyncGenerator<SourcePage> {
@@ -125,7 +125,7 @@
       const entries = keys
         .slice(i, i + 3)
         .flatMap((key) =>
-          current.has(key) ? [{ key, value: current.get(key), stamp: revisions.get(key)! }] : [],
+          current.has(key) ? [{ key, value: current.get(key), revision: revisions.get(key)! }] : [],
         );
       yield { entries, revision: states.length - 1 };
       if (random() < 0.5) change();
@@ -143,15 +143,15 @@
     else next.set(key, value);
     revisions.set(key, revision);
     states.push(next);
-    writer.changes([{ key, value, stamp: revision }]);
+    writer.enqueue([{ key, value, revision: revision }]);
   };
   try {
     for (let step = 0; step < steps; step++) {
       change();
       if (random() < 0.5) await writer.flush();
-      if (writer.needsBase() && random() < 0.6) await writer.base(source);
+      if (writer.needsBase() && random() < 0.6) await writer.writeBase(source);
       // Once there is a complete base, the changes up to this revision must survive a crash.
-      if (!writer.needsBase()) synced = Math.max(synced, writer.synced);
+      if (!writer.needsBase()) synced = Math.max(synced, writer.syncedRevision);
     }
   } catch (failure) {
     if (!(failure instanceof WriterKilled)) throw failure;
@@ -169,7 +169,7 @@
     const { states, synced } = await runWriter(disk, random, 40);
     disk.remainingOperations = Number.POSITIVE_INFINITY;
     disk.losePower(random);
-    const content = await load(disk);
+    const content = await loadSnapshot(disk);
     if ((await checkFiles(disk)).some((file) => file.flaw !== null)) flawed++;
     if (content === null) continue;
     restored++;
@@ -189,7 +189,7 @@
 
 test('a flipped bit at any offset is detected in its block, and nothing after it is read', () => {
   const entries = (revision: number): Entry[] => [
-    { key: `k${revision}`, value: 'v'.repeat(700), stamp: revision },
+    { key: `k${revision}`, value: 'v'.repeat(700), revision: revision },
   ];
   const head = headBlock({
     version: VERSION,
@@ -232,50 +232,56 @@
 test('a full disk is reported, does not throw at the caller, and a later base contains the missed changes', async () => {
   const disk = new SimulatedDisk();
   const events: string[] = [];
-  const writer = new SnapshotWriter(disk, options({ revision: () => 2, say: (event) => events.push(event) }));
-  writer.begin(incarnation);
-  const entries: Entry[] = [{ key: 'a', value: 1, stamp: 1 }];
+  const writer = new SnapshotWriter(
+    disk,
+    options({ revision: () => 2, onEvent: (event) => events.push(event) }),
+  );
+  writer.beginIncarnation(incarnation);
+  const entries: Entry[] = [{ key: 'a', value: 1, revision: 1 }];
   const source = async function* (): AsyncGenerator<SourcePage> {
     yield { entries, revision: 2 };
   };
-  await writer.base(source);
+  await writer.writeBase(source);
   disk.full = true;
   disk.remainingOperations = 0;
-  writer.changes([{ key: 'b', value: 2, stamp: 2 }]);
+  writer.enqueue([{ key: 'b', value: 2, revision: 2 }]);
   await writer.flush();
   assert.ok(writer.needsBase() && events.includes('failed'));
-  await writer.base(source);
+  await writer.writeBase(source);
   disk.remainingOperations = Number.POSITIVE_INFINITY;
-  entries.push({ key: 'b', value: 2, stamp: 2 });
-  await writer.base(source);
-  const content = (await load(disk))!;
+  entries.push({ key: 'b', value: 2, revision: 2 });
+  await writer.writeBase(source);
+  const content = (await loadSnapshot(disk))!;
   assert.deepEqual([...content.entries.keys()], ['a', 'b']);
 });
 
 test('if the disk is too slow, changes are dropped for a new base, and later journals are not applied across the gap', async () => {
   const disk = new SimulatedDisk();
   const events: string[] = [];
-  const writer = new SnapshotWriter(disk, options({ queue: 4, say: (event) => events.push(event) }));
-  writer.begin(incarnation);
+  const writer = new SnapshotWriter(
+    disk,
+    options({ maxQueuedEntries: 4, onEvent: (event) => events.push(event) }),
+  );
+  writer.beginIncarnation(incarnation);
   const emptySource = async function* (): AsyncGenerator<SourcePage> {};
-  await writer.base(emptySource);
+  await writer.writeBase(emptySource);
   for (let revision = 1; revision <= 6; revision++)
-    writer.changes([{ key: `k${revision}`, value: revision, stamp: revision }]);
+    writer.enqueue([{ key: `k${revision}`, value: revision, revision: revision }]);
   assert.deepEqual(
     events.filter((event) => event === 'behind'),
     ['behind'],
   );
   await writer.flush();
-  assert.equal(writer.synced, -1);
+  assert.equal(writer.syncedRevision, -1);
   // The next base is begun but fails; its journal must not be applied to the previous base.
   const failingSource = async function* (): AsyncGenerator<SourcePage> {
-    yield { entries: [{ key: 'k1', value: 1, stamp: 1 }], revision: 1 };
-    writer.changes([{ key: 'k7', value: 7, stamp: 7 }]);
+    yield { entries: [{ key: 'k1', value: 1, revision: 1 }], revision: 1 };
+    writer.enqueue([{ key: 'k7', value: 7, revision: 7 }]);
     await writer.flush();
     throw new Error('no response from the store');
   };
-  await writer.base(failingSource);
-  const content = (await load(disk))!;
+  await writer.writeBase(failingSource);
+  const content = (await loadSnapshot(disk))!;
   assert.deepEqual([content.files[0]!.name, content.entries.size, content.revision], [baseName(1), 0, 0]);
 });
 
@@ -284,14 +290,14 @@
   let now = 1000;
   const writer = new SnapshotWriter(
     disk,
-    options({ keep: 3, revision: () => 1, maxAgeMs: 5000, now: () => now }),
+    options({ maxBases: 3, revision: () => 1, maxAgeMs: 5000, now: () => now }),
   );
-  writer.begin(incarnation);
+  writer.beginIncarnation(incarnation);
   const source = async function* (): AsyncGenerator<SourcePage> {
-    yield { entries: [{ key: 'a', value: 1, stamp: 1 }], revision: 1 };
+    yield { entries: [{ key: 'a', value: 1, revision: 1 }], revision: 1 };
   };
   for (let i = 0; i < 5; i++) {
-    await writer.base(source);
+    await writer.writeBase(source);
     now += 1000;
   }
   assert.deepEqual(
@@ -299,7 +305,7 @@
     [3, 4, 5].flatMap((number) => [baseName(number), journalName(number)]),
   );
   now += 100_000;
-  await writer.base(source);
+  await writer.writeBase(source);
   assert.deepEqual([...disk.files.keys()].sort(), [baseName(6), journalName(6)]);
 });
 
@@ -307,29 +313,30 @@
   const directory = mkdtempSync(join(tmpdir(), 'snapshot-'));
   try {
     const files = new DiskFiles(join(directory, 'new'));
-    assert.equal(await load(files), null);
+    assert.equal(await loadSnapshot(files), null);
     const writer = new SnapshotWriter(
       files,
       options({
-        syncMs: 2,
+        flushIntervalMs: 2,
         sleep: (durationMs) => new Promise((resolve) => setTimeout(resolve, durationMs)),
         now: () => Date.now(),
       }),
     );
-    writer.begin(incarnation);
+    writer.beginIncarnation(incarnation);
     let sourceReads = 0;
     const finished = writer.run(async function* () {
       sourceReads++;
-      yield { entries: [{ key: 'a', value: { deep: [1, 'ü', null] }, stamp: 3 }], revision: 0 };
+      yield { entries: [{ key: 'a', value: { deep: [1, 'ü', null] }, revision: 3 }], revision: 0 };
     });
-    writer.changes([{ key: 'b', value: 'after', stamp: 4 }]);
-    while (writer.synced < 4) {
+    writer.enqueue([{ key: 'b', value: 'after', revision: 4 }]);
+    while (writer.syncedRevision < 4) {
       await new Promise((resolve) => setTimeout(resolve, 5));
-      if (sourceReads > 0 && writer.synced < 4) writer.changes([{ key: 'b', value: 'after', stamp: 4 }]);
+      if (sourceReads > 0 && writer.syncedRevision < 4)
+        writer.enqueue([{ key: 'b', value: 'after', revision: 4 }]);
     }
     writer.close();
     await finished;
-    const content = (await load(files))!;
+    const content = (await loadSnapshot(files))!;
     assert.deepEqual(content.entries.get('a')!.value, { deep: [1, 'ü', null] });
     assert.equal(content.revision, 4);
     assert.deepEqual(
