--- a/eslint.config.js
+++ b/eslint.config.js
@@ -4,7 +4,7 @@
 import { importCycles } from './tools/eslint/import-cycles.mjs';
 import { shortNames } from './tools/eslint/short-names.mjs';
 
-/** Folders (or files) that are whole: every rule below holds there. The list only grows. */
+/** Folders and files in which all rules below apply. Entries are added to the list and never removed. */
 export const WHOLE = [
   'tools',
   'packages/scale-test',
@@ -16,7 +16,7 @@
   'packages/controller/src/state-store',
 ];
 
-/** Imports between packages go down this table only; a product package never depends on the simulation. */
+/** The packages that each package may import. Packages of the product never import the simulation. */
 const MAY_IMPORT = {
   runtime: [],
   snapshot: ['runtime'],
@@ -25,7 +25,7 @@
   'operator-cli': ['runtime', 'snapshot', 'controller'],
   'scale-test': ['runtime', 'controller'],
 };
-const downOnly = Object.entries(MAY_IMPORT).map(([name, allowed]) => ({
+const packageImports = Object.entries(MAY_IMPORT).map(([name, allowed]) => ({
   files: [`packages/${name}/**/*.ts`],
   rules: {
     'no-restricted-imports': [
@@ -36,26 +36,29 @@
             regex: `^@lilacvalve/(?!(${allowed.join('|') || '-'})/)`,
             message: `packages/${name} may import: ${allowed.join(', ') || 'libraries only'}`,
           },
-          { regex: '^(\\.\\./)+packages/', message: 'other packages are imported by name' },
+          {
+            regex: '^(\\.\\./)+packages/',
+            message: 'import other packages by their name, not by a relative path',
+          },
         ],
       },
     ],
   },
 }));
 
-/** Rules of the presets that some folders still break: on where a folder is whole, and one day everywhere. */
+/** Rules of the presets that some folders do not follow yet. They are enabled in the folders and files of `WHOLE`. */
 const ONLY_WHERE_WHOLE = [
-  // An assertion that a later type made needless.
+  // Type assertions that are redundant since a type was made more precise.
   '@typescript-eslint/no-unnecessary-type-assertion',
   '@typescript-eslint/non-nullable-type-assertion-style',
   '@typescript-eslint/no-confusing-non-null-assertion',
-  // Parsed JSON, TOML and msgpack that is read without a type.
+  // Untyped access to parsed JSON, TOML and msgpack.
   '@typescript-eslint/no-unsafe-argument',
   '@typescript-eslint/no-unsafe-assignment',
   '@typescript-eslint/no-unsafe-member-access',
   '@typescript-eslint/no-unsafe-return',
   '@typescript-eslint/no-unsafe-unary-minus',
-  // Style, mended together with the names of its folder.
+  // Style rules that a folder follows once its names have been revised.
   '@typescript-eslint/consistent-type-definitions',
   '@typescript-eslint/dot-notation',
   '@typescript-eslint/no-empty-function',
@@ -63,12 +66,15 @@
   '@typescript-eslint/prefer-includes',
   '@typescript-eslint/prefer-nullish-coalescing',
   '@typescript-eslint/prefer-optional-chain',
-  // Stand-ins whose interface is asynchronous.
+  // Fakes in tests that implement an asynchronous interface.
   '@typescript-eslint/require-await',
 ];
 
-/** Patterns of what is whole among the files with an extension; with `folder`, only below a folder of that name. */
-const whole = (extension, folder = '') =>
+/**
+ * Returns glob patterns of the files in `WHOLE` that have the extension. With `folder` (such as `/src`), returns only those below a
+ * folder of that name.
+ */
+const filesOfWhole = (extension, folder = '') =>
   WHOLE.flatMap((path) => {
     if (!path.endsWith('.ts') && !path.endsWith('.mjs')) return [`${path}${folder}/**/*${extension}`];
     return path.endsWith(extension) && path.includes(`${folder}/`) ? [path] : [];
@@ -78,13 +84,13 @@
   { ignores: ['target/', 'node_modules/'] },
   js.configs.recommended,
   ...ts.configs.recommended,
-  ...downOnly,
+  ...packageImports,
   {
     files: ['packages/**/*.ts'],
     extends: [...ts.configs.recommendedTypeChecked, ...ts.configs.stylisticTypeChecked],
     languageOptions: { parserOptions: { project: './tsconfig.json', tsconfigRootDir: import.meta.dirname } },
     rules: {
-      // The runner waits for its tests itself.
+      // The test runner awaits the promises of its tests.
       '@typescript-eslint/no-floating-promises': [
         'error',
         {
@@ -97,7 +103,7 @@
     },
   },
   {
-    files: [...whole('.ts'), ...whole('.mjs')],
+    files: [...filesOfWhole('.ts'), ...filesOfWhole('.mjs')],
     plugins: {
       local: {
         rules: { 'exported-docs': exportedDocs, 'import-cycles': importCycles, 'short-names': shortNames },
@@ -112,24 +118,24 @@
     },
   },
   {
-    files: whole('.ts'),
+    files: filesOfWhole('.ts'),
     rules: Object.fromEntries(ONLY_WHERE_WHOLE.map((rule) => [rule, 'error'])),
   },
   {
-    files: whole('.ts', '/src'),
+    files: filesOfWhole('.ts', '/src'),
     rules: {
       'no-restricted-syntax': [
         'error',
         {
           selector: 'NewExpression[callee.name="Error"]',
           message:
-            'Raise a tagged error that says what went wrong; a bare Error is for programming faults only.',
+            'Raise a tagged error that describes the failure. A plain Error is for programming errors only.',
         },
       ],
     },
   },
   {
-    // A test file is read from top to bottom: its runner's callbacks are no functions to cut.
+    // Callbacks of the test runner may be long: splitting a test into functions would make it harder to read.
     files: ['packages/*/test/**/*.ts'],
     rules: { 'max-lines-per-function': 'off', 'local/exported-docs': 'off' },
   },
--- a/tools/build.mjs
+++ b/tools/build.mjs
@@ -1,18 +1,18 @@
 /**
- * Bundles the service (with --tests the tests, with --tool FILE one tool) into target/. One file starts faster than a
- * tree of modules, and start-up is charged against a fraction of a core.
+ * Bundles the service into target/: with --tests the tests instead, with --tool FILE one command-line program instead. A
+ * bundle starts faster than separate modules, and the service starts with only a fraction of a core.
  */
 import { build } from 'esbuild';
 import { readdirSync, readFileSync, rmSync } from 'node:fs';
 import { basename } from 'node:path';
 
-const common = {
+const commonOptions = {
   bundle: true,
   platform: 'node',
   target: 'node20',
   format: 'cjs',
   external: ['msgpackr-extract'],
-  // By path, so that a build needs no links between workspaces in node_modules.
+  // Packages are resolved by path, so that a build needs no workspace links in node_modules.
   alias: {
     '@lilacvalve/controller/support': './packages/controller/test/support',
     ...Object.fromEntries(
@@ -24,15 +24,15 @@
   },
   logLevel: 'warning',
 };
-/** All test files, one bundle each. */
+/** Builds a bundle for each test file. */
 const buildTests = () => {
   const directories = readdirSync('packages')
     .filter((name) => readdirSync(`packages/${name}`).includes('test'))
     .map((name) => `packages/${name}/test`);
-  // A test that was moved or removed must not go on running from an older build.
+  // Deletes the previous build: the bundle of a moved or deleted test must not be run again.
   rmSync('target/test', { recursive: true, force: true });
   return build({
-    ...common,
+    ...commonOptions,
     entryPoints: directories.flatMap((directory) =>
       readdirSync(directory)
         .filter((file) => file.endsWith('.test.ts'))
@@ -45,19 +45,20 @@
   });
 };
 
-/** One program, named for its file. */
+/** Builds a command-line program into a bundle with the name of its source file. */
 const buildTool = (file) =>
-  build({ ...common, entryPoints: [file], outfile: `target/${basename(file, '.ts')}.cjs` });
+  build({ ...commonOptions, entryPoints: [file], outfile: `target/${basename(file, '.ts')}.cjs` });
 
+/** Builds the controller. */
 const buildService = () =>
   build({
-    ...common,
+    ...commonOptions,
     entryPoints: ['packages/controller/src/main.ts'],
     outfile: 'target/main.cjs',
     minifySyntax: true,
   });
 
-const tool = process.argv.indexOf('--tool');
+const toolFlag = process.argv.indexOf('--tool');
 if (process.argv.includes('--tests')) await buildTests();
-else if (tool > 0) await buildTool(process.argv[tool + 1]);
+else if (toolFlag > 0) await buildTool(process.argv[toolFlag + 1]);
 else await buildService();
--- a/tools/eslint/exported-docs.mjs
+++ b/tools/eslint/exported-docs.mjs
@@ -1,23 +1,24 @@
-/** ESLint rule: a module begins with a comment, and each exported declaration has a doc comment directly above it. */
+/** ESLint rule: each module begins with a comment, and each exported declaration has a doc comment directly above it. */
 
 const EXPORTS = new Set(['ExportNamedDeclaration', 'ExportDefaultDeclaration']);
 
-/** Exports that declare something here; lists and re-exports are documented where the item is declared. */
+/** Whether an export declares its item. Items of export lists and re-exports are documented where they are declared. */
 const declares = (statement) =>
   EXPORTS.has(statement.type) && statement.declaration !== null && statement.declaration !== undefined;
 
+/** Returns the name of the exported item for the message. */
 const nameOf = ({ declaration }) =>
   declaration.id?.name ?? declaration.declarations?.[0]?.id.name ?? 'the default export';
 
 const isDoc = (comment) => comment?.type === 'Block' && comment.value.startsWith('*');
 
-/** The rule. Reports the module or the declaration that lacks its comment. */
+/** The ESLint rule. Reports modules and exported declarations without a comment. */
 export const exportedDocs = {
   meta: {
     type: 'suggestion',
     messages: {
-      module: 'A module begins with a comment that says what it does.',
-      item: '{{name}} is exported without a doc comment.',
+      module: 'Begin the module with a comment that describes what it does.',
+      item: 'Exported item {{name}} has no doc comment.',
     },
     schema: [],
   },
@@ -31,7 +32,7 @@
       const documented = new Set();
       for (const statement of program.body.filter(declares)) {
         const name = nameOf(statement);
-        // Of overloads, the first one carries the comment.
+        // Only the first overload of a function needs the comment.
         if (isDoc(sourceCode.getCommentsBefore(statement).at(-1))) documented.add(name);
         else if (!documented.has(name))
           context.report({ node: statement, messageId: 'item', data: { name } });
--- a/tools/eslint/short-names.mjs
+++ b/tools/eslint/short-names.mjs
@@ -1,23 +1,24 @@
 /**
- * ESLint rule: names of one letter stand only in scopes of one line. Indices and coordinates may be short anywhere; type
- * parameters and the sides of a comparison too.
+ * ESLint rule: names of one letter are allowed only in scopes of one line. Exceptions are indices, coordinates, type
+ * parameters and the parameters of comparison functions.
  */
 
-const SHORT_ANYWHERE = new Set(['i', 'j', 'k', 'x', 'y', 'z', '_']);
+/** Names of one letter that are allowed in every scope. */
+const ALLOWED_NAMES = new Set(['i', 'j', 'k', 'x', 'y', 'z', '_']);
 
 const isOneLine = ({ loc }) => loc.start.line === loc.end.line;
 
-/** `a` and `b` of a function of just these two: the sides of a comparison. */
+/** Whether the scope is that of a comparison function: its parameters are exactly `a` and `b`. */
 const isComparison = ({ block }) =>
   block.params?.length === 2 && block.params[0].name === 'a' && block.params[1].name === 'b';
 
 const isTypeParameter = ({ defs }) => defs.some(({ node }) => node.type === 'TSTypeParameter');
 
-/** The rule. Reports the declaration of the name. */
+/** The ESLint rule. Reports the declaration of a name that is too short. */
 export const shortNames = {
   meta: {
     type: 'suggestion',
-    messages: { short: '"{{name}}" is used over more than one line: it needs a whole name.' },
+    messages: { short: '"{{name}}" is used in a scope of several lines: use a descriptive name.' },
     schema: [],
   },
   create: (context) => ({
@@ -27,7 +28,7 @@
         for (const variable of scope.variables) {
           const [definition] = variable.defs;
           if (definition === undefined || variable.name.length > 1) continue;
-          if (SHORT_ANYWHERE.has(variable.name) || isTypeParameter(variable)) continue;
+          if (ALLOWED_NAMES.has(variable.name) || isTypeParameter(variable)) continue;
           context.report({ node: definition.name, messageId: 'short', data: { name: variable.name } });
         }
       }
--- a/tools/known-red.mjs
+++ b/tools/known-red.mjs
@@ -1,8 +1,8 @@
 /**
- * Runs the test files under a directory as `node --test --test-reporter=spec` does, and knows the tests that fail for a
- * fault not mended yet. KNOWN-RED.txt in the working directory lists them, one entry a line:
+ * Runs the test files under a directory as `node --test --test-reporter=spec` does, and accepts known failures: tests that
+ * fail because of a fault that is not fixed yet. KNOWN-RED.txt in the working directory lists them, one entry per line:
  *   test name | command and seed | what was seen | issue
- * The failure of a listed test is passed over, and nothing else is: its counts stay in node's own closing lines.
+ * Only the failure of a listed test is accepted. Node's summary still counts it as failed.
  *   node tools/known-red.mjs target/test
  */
 import { existsSync, readdirSync, readFileSync } from 'node:fs';
@@ -10,22 +10,22 @@
 import { run } from 'node:test';
 import { spec } from 'node:test/reporters';
 
-const LIST = 'KNOWN-RED.txt';
+const LIST_FILE = 'KNOWN-RED.txt';
 
-/** What fails the run beside failing tests. */
-const faults = [];
+/** Errors that fail the run in addition to failing tests. */
+const errors = [];
 
-/** The entries by test name. A line that is not an entry, or repeats one, is a fault. */
+/** Returns the entries of the list by test name. An invalid line and a duplicate entry are errors. */
 const readList = () => {
   const entries = new Map();
-  const lines = existsSync(LIST) ? readFileSync(LIST, 'utf8').split('\n') : [];
+  const lines = existsSync(LIST_FILE) ? readFileSync(LIST_FILE, 'utf8').split('\n') : [];
   if (lines.at(-1) === '') lines.pop();
   for (const line of lines) {
-    const [name, command, seen, issue, ...rest] = line.split('|').map((part) => part.trim());
-    if (!name || !command || !seen || !/^#?\d+$/.test(issue ?? '') || rest.length > 0)
-      faults.push(`"${line}" is not: test name | command and seed | what was seen | issue`);
-    else if (entries.has(name)) faults.push(`"${name}" is listed twice`);
-    else entries.set(name, { command, seen, issue: issue.replace('#', ''), runs: 0, failed: false });
+    const [name, command, observed, issue, ...extraFields] = line.split('|').map((field) => field.trim());
+    if (!name || !command || !observed || !/^#?\d+$/.test(issue ?? '') || extraFields.length > 0)
+      errors.push(`"${line}" is not: test name | command and seed | what was seen | issue`);
+    else if (entries.has(name)) errors.push(`"${name}" is listed twice`);
+    else entries.set(name, { command, observed, issue: issue.replace('#', ''), runs: 0, failed: false });
   }
   return entries;
 };
@@ -35,62 +35,75 @@
   .filter((entry) => entry.isFile() && /\.[cm]?js$/.test(entry.name))
   .map((entry) => resolve(entry.path, entry.name))
   .sort();
-if (files.length === 0) faults.push(`no test file under ${process.argv[2]}`);
+if (files.length === 0) errors.push(`no test file under ${process.argv[2]}`);
 
-/** By file: failures of listed tests and others, tests without a result yet, and how the file itself ended. */
-const state = new Map(files.map((file) => [file, { red: 0, others: 0, open: 0, error: undefined }]));
-/** Takes the result of a test, or of its file as a whole where `own` says so. */
-const judgeResult = (file, { type, data }, own) => {
-  const known = own ? undefined : listed.get(data.name);
+/**
+ * By file: number of failures of listed tests and of other tests, number of tests without a result yet, and the error with
+ * which the file itself ended.
+ */
+const results = new Map(
+  files.map((file) => [file, { listedFailures: 0, otherFailures: 0, pending: 0, error: undefined }]),
+);
+/** Records the result of a test in the result of its file. `isFile`: the result is that of the file as a whole. */
+const recordResult = (fileResult, { type, data }, isFile) => {
+  const entry = isFile ? undefined : listed.get(data.name);
   const failure = type === 'test:fail' && data.todo === undefined ? data.details.error.failureType : null;
-  if (!own) file.open--;
-  if (known) known.runs++;
-  // Only what the test itself throws: one that is cancelled or cut short has not shown its fault.
-  if (known && failure === 'testCodeFailure') {
-    known.failed = true;
-    file.red++;
-  } else if (failure !== null && failure !== 'subtestsFailed') file.others++; // Subtests are judged one by one.
+  if (!isFile) fileResult.pending--;
+  if (entry) entry.runs++;
+  // Only an error that the test itself throws is the known failure: a test that was cancelled or timed out did not show it.
+  if (entry && failure === 'testCodeFailure') {
+    entry.failed = true;
+    fileResult.listedFailures++;
+  } else if (failure !== null && failure !== 'subtestsFailed') fileResult.otherFailures++; // Subtests have results of their own.
 };
 
-/** Takes one event of the runner. */
-const judge = (event) => {
+/** Handles an event of the test runner. */
+const handleEvent = (event) => {
   const { type, data } = event;
-  // What happens after a test ended names no file: it must not hide behind a file that fails by a listed test.
+  // An error that is thrown after a test ended is reported without its file. It must fail the run, although the file that
+  // threw it may fail because of a listed test only.
   if (
     type === 'test:diagnostic' &&
     listed.size > 0 &&
     /uncaughtException|unhandledRejection/.test(data.message)
   )
-    faults.push(data.message);
-  const file = state.get(data.file);
-  if (file === undefined) return;
-  const own = data.name === data.file;
-  if (type === 'test:complete' && own) file.error = data.details.error;
-  else if (type === 'test:enqueue' && !own) file.open++;
-  else if (type === 'test:pass' || type === 'test:fail') judgeResult(file, event, own);
+    errors.push(data.message);
+  const fileResult = results.get(data.file);
+  if (fileResult === undefined) return;
+  const isFile = data.name === data.file;
+  if (type === 'test:complete' && isFile) fileResult.error = data.details.error;
+  else if (type === 'test:enqueue' && !isFile) fileResult.pending++;
+  else if (type === 'test:pass' || type === 'test:fail') recordResult(fileResult, event, isFile);
 };
-const judged = async function* (events) {
+/** Passes the events on unchanged after handling them. */
+const observeEvents = async function* (events) {
   for await (const event of events) {
-    judge(event);
+    handleEvent(event);
     yield event;
   }
 };
-const report = run({ files, concurrency: true }).compose(judged).compose(new spec());
+const report = run({ files, concurrency: true }).compose(observeEvents).compose(new spec());
 for await (const text of report) process.stdout.write(text);
 
-for (const [name, { command, seen, issue, runs, failed }] of listed) {
-  const note = `"${name}" (${command}: ${seen}; issue ${issue})`;
-  if (runs === 1 && failed) console.log(`known red: ${note}`);
-  else if (runs === 1) faults.push(`${note} does not fail by itself any more: its entry goes`);
-  else faults.push(`${note} was found ${runs} times`);
+for (const [name, { command, observed, issue, runs, failed }] of listed) {
+  const description = `"${name}" (${command}: ${observed}; issue ${issue})`;
+  if (runs === 1 && failed) console.log(`known red: ${description}`);
+  else if (runs === 1) errors.push(`${description} does not fail by itself any more: remove its entry`);
+  else errors.push(`${description} must run once, but ran ${runs} times`);
 }
-// A file that holds a listed failure ends with 1; any other end, or a test without a result, is a crash of its own.
-const failed = [...state].filter(
-  ([, { red, others, open, error }]) =>
-    others > 0 ||
+// A file with a listed failure exits with 1. Any other exit code, or a test without a result, means that the file crashed.
+const failedFiles = [...results].filter(
+  ([, { listedFailures, otherFailures, pending, error }]) =>
+    otherFailures > 0 ||
     (error !== undefined &&
-      !(red > 0 && open === 0 && error.failureType === 'subtestsFailed' && error.exitCode === 1)),
+      !(
+        listedFailures > 0 &&
+        pending === 0 &&
+        error.failureType === 'subtestsFailed' &&
+        error.exitCode === 1
+      )),
 );
-for (const [file] of failed) if (listed.size > 0) console.log(`failed beyond what ${LIST} lists: ${file}`);
-for (const fault of faults) console.log(`${LIST}: ${fault}`);
-process.exitCode = failed.length + faults.length > 0 ? 1 : 0;
+for (const [file] of failedFiles)
+  if (listed.size > 0) console.log(`failed beyond what ${LIST_FILE} lists: ${file}`);
+for (const message of errors) console.log(`${LIST_FILE}: ${message}`);
+process.exitCode = failedFiles.length + errors.length > 0 ? 1 : 0;
--- a/tools/served.mjs
+++ b/tools/served.mjs
@@ -1,28 +1,32 @@
 /**
- * What a day served of each class of jobs: the part that started, the part that ended, and the part that began within
- * four minutes. The operators call a large day failed when less than half of any one class or team is served, or less
- * than half of a class's largest jobs begins in time.
+ * Computes how well a day of the regression served each class of jobs: the fraction of its jobs that started, that completed,
+ * and that started within four minutes. A large day fails if less than half of a class or team is served, or if less than
+ * half of the largest jobs of a class start in time.
  */
 
-/** Less is a failed day; less than `WARN` is worth finding out why. */
-export const FAIL = 0.5;
-/** See `FAIL`. */
-export const WARN = 0.75;
+/** A day fails if the served fraction of a class or team is below this. */
+export const FAILED_BELOW = 0.5;
+/** A served fraction below this is marked as low. */
+export const LOW_BELOW = 0.75;
 
-/** Seconds from the first attempt to submit. */
-export const BEGIN_BY = 240;
-/** Of the jobs that began, the part that had by `BEGIN_BY`: by straight lines between the percentiles of their waits. */
-const inTime = (waits = {}) => {
-  let [part, wait] = [0, 0];
-  for (const [name, to] of Object.entries(waits)) {
-    const next = name === 'max' ? 1 : Number(name.slice(1)) / 100;
-    if (to > BEGIN_BY) return part + ((next - part) * (BEGIN_BY - wait)) / (to - wait);
-    [part, wait] = [next, to];
+/** Deadline for the start of a job, in seconds after the first attempt to submit it. */
+export const START_DEADLINE_S = 240;
+/**
+ * Returns the fraction of the started jobs that had started by `START_DEADLINE_S`, by linear interpolation between the percentiles
+ * of their waits.
+ */
+const fractionStartedInTime = (waits = {}) => {
+  let [fraction, wait] = [0, 0];
+  for (const [percentile, nextWait] of Object.entries(waits)) {
+    const nextFraction = percentile === 'max' ? 1 : Number(percentile.slice(1)) / 100;
+    if (nextWait > START_DEADLINE_S)
+      return fraction + ((nextFraction - fraction) * (START_DEADLINE_S - wait)) / (nextWait - wait);
+    [fraction, wait] = [nextFraction, nextWait];
   }
-  return part;
+  return fraction;
 };
 
-/** From a run's report: teams, with the part of their jobs that started. */
+/** Returns the teams of a run's report with the fraction of their jobs that started. */
 export const teamsOfReport = (report) =>
   Object.entries(report.teams ?? {}).map(([name, { jobs, started }]) => ({
     name,
@@ -31,52 +35,57 @@
   }));
 
 /**
- * Which jobs waited longest, the report does not say. Of five largest, three began in time if no more than two jobs of
- * the class began late; otherwise the largest may be the late ones.
+ * Whether the largest jobs of a class may have started late. The report does not say which jobs waited longest. If at most two
+ * jobs of the class started late, at least three of its five largest jobs started in time; otherwise this is unknown.
  */
-export const lateLargest = ({ jobs, begun }) => jobs * (1 - begun) > 2.5;
+export const largestMayBeLate = ({ jobs, startedInTime }) => jobs * (1 - startedInTime) > 2.5;
 
-/** From a run's report: exact counts, those that their users cancelled left out of what should end. */
+/** Returns the classes of a run's report with exact fractions. Cancelled jobs are not expected to complete. */
 export const servedOfReport = (report) =>
   Object.entries(report.classes ?? {}).map(
     ([name, { accepted, started, cancelled, done, wait_s: waits }]) => {
-      const startedPart = accepted > 0 ? Math.min(1, started / accepted) : 1;
+      const startedFraction = accepted > 0 ? Math.min(1, started / accepted) : 1;
       return {
         name,
         jobs: accepted,
-        started: startedPart,
-        ended: accepted > cancelled ? Math.min(1, done / (accepted - cancelled)) : 1,
-        begun: accepted > 0 ? inTime(waits) * startedPart : 1,
-        longest: waits?.max ?? 0,
+        started: startedFraction,
+        completed: accepted > cancelled ? Math.min(1, done / (accepted - cancelled)) : 1,
+        startedInTime: accepted > 0 ? fractionStartedInTime(waits) * startedFraction : 1,
+        longestWaitS: waits?.max ?? 0,
       };
     },
   );
 
+/** Text of an aim in a journal entry of the bench. */
 const AIM = /^(wait|finished|deadline) (\S+) [^:]*: ([\d.]+) \(aim/;
 /**
- * From a score's journal, which has the aims only: the largest part named for a class. What came later than the last aim
- * is not in it, so these are lower bounds.
+ * Returns the classes of a journal entry of the bench, which has only the results of aims: for each class, the largest fraction
+ * that any of its aims names. The fractions are lower bounds, because the journal does not count jobs that were later than the
+ * last aim.
  */
 export const servedOfAims = (aims) => {
   const classes = new Map();
   for (const [text] of aims ?? []) {
     const match = AIM.exec(text);
     if (!match) continue;
-    const [, kind, name, part] = match;
-    const served = classes.get(name) ?? { name, jobs: null, started: null, ended: null };
-    const field = kind === 'wait' ? 'started' : 'ended';
-    served[field] = Math.max(served[field] ?? 0, Number(part));
+    const [, kind, name, fraction] = match;
+    const served = classes.get(name) ?? { name, jobs: null, started: null, completed: null };
+    const field = kind === 'wait' ? 'started' : 'completed';
+    served[field] = Math.max(served[field] ?? 0, Number(fraction));
     classes.set(name, served);
   }
-  // Who ended had started.
+  // A completed job had started.
   return [...classes.values()].map((served) => ({
     ...served,
-    started: Math.max(served.started ?? 0, served.ended ?? 0),
+    started: Math.max(served.started ?? 0, served.completed ?? 0),
   }));
 };
 
-/** The least served class of a day; null: the day says nothing of classes. */
+/** Returns the class of a day with the smallest served fraction; null: the day has no figures of classes. */
 export const leastServed = (classes) =>
   classes
-    .map((c) => ({ name: c.name, part: Math.min(c.started, c.ended ?? c.started) }))
-    .sort((a, b) => a.part - b.part)[0] ?? null;
+    .map((served) => ({
+      name: served.name,
+      fraction: Math.min(served.started, served.completed ?? served.started),
+    }))
+    .sort((a, b) => a.fraction - b.fraction)[0] ?? null;
