--- a/packages/scale-test/src/worker-group.ts
+++ b/packages/scale-test/src/worker-group.ts
@@ -1,4 +1,4 @@
-/** Hollow workers that share a process: carries out the run's commands and gathers what they count. */
+/** The hollow workers of one process: executes the commands of the run and collects their figures. */
 import type { Histogram } from 'hdr-histogram-js';
 import { HollowWorker } from './hollow-worker.js';
 import {
@@ -11,47 +11,47 @@
   type WorkerEvent,
 } from './model.js';
 import type { Random } from './random.js';
-import { emptyCounters, newHistogram, packHistogram, type WorkerFigures } from './worker-figures.js';
+import { emptyCounters, newHistogram, encodeHistogram, type WorkerFigures } from './worker-figures.js';
 import type { WorkerHost } from './worker-host.js';
 
-/** What a group is made of, and whom it tells. */
-export interface WorkerGroupParts {
+/** Configuration and callbacks of a group of hollow workers. */
+export interface WorkerGroupDependencies {
   readonly kinds: readonly MachineKind[];
   readonly controllers: readonly ControllerAddress[];
   readonly timing: Timing;
   readonly random: Random;
   readonly emit: (event: WorkerEvent) => void;
   readonly keepResult: (job: string, task: number) => void;
-  /** A job as a worker fetches it; by default as its user described it. */
-  readonly jobOf?: (id: string) => JobDescription | undefined;
+  /** Returns the job that a worker looks up; by default the job as its user submitted it. */
+  readonly findJob?: (id: string) => JobDescription | undefined;
 }
 
-/** Workers by machine, in the order in which their machines came up. */
+/** Hollow workers by machine, in the order in which their machines booted. */
 export class WorkerGroup {
   private readonly workers = new Map<string, HollowWorker>();
   private readonly jobs = new Map<string, JobDescription>();
   private readonly progress = new Map<string, number>();
   private readonly finished = new Set<string>();
   private readonly host: WorkerHost;
-  private answerMs: Histogram = newHistogram();
+  private responseTimes: Histogram = newHistogram();
 
-  constructor(private readonly parts: WorkerGroupParts) {
+  constructor(private readonly dependencies: WorkerGroupDependencies) {
     this.host = {
-      kinds: new Map(parts.kinds.map((k) => [k.label, k])),
-      controllers: parts.controllers,
-      timing: parts.timing,
-      random: parts.random,
+      kinds: new Map(dependencies.kinds.map((kind) => [kind.label, kind])),
+      controllers: dependencies.controllers,
+      timing: dependencies.timing,
+      random: dependencies.random,
       counters: emptyCounters(),
-      answered: (ms) => this.answerMs.recordValue(Math.max(0, Math.round(ms))),
-      emit: parts.emit,
-      job: parts.jobOf ?? ((id) => this.jobs.get(id)),
+      recordResponseTime: (ms) => this.responseTimes.recordValue(Math.max(0, Math.round(ms))),
+      emit: dependencies.emit,
+      job: dependencies.findJob ?? ((id) => this.jobs.get(id)),
       progressMs: (job, task) => this.progress.get(taskName(job, task)) ?? 0,
       isFinished: (job, task) => this.finished.has(taskName(job, task)),
-      keepResult: parts.keepResult,
+      keepResult: dependencies.keepResult,
     };
   }
 
-  /** Carries out a command of the run. */
+  /** Executes a command of the run. */
   apply(command: WorkerCommand): void {
     switch (command.kind) {
       case 'job':
@@ -66,7 +66,7 @@
         return;
       case 'restart-share':
         for (const worker of this.workers.values())
-          if (this.parts.random.chance(command.share)) worker.restart();
+          if (this.dependencies.random.chance(command.share)) worker.restart();
         return;
       case 'gang-runs':
         for (const worker of this.workers.values()) worker.gangRuns(command.job, command.attempt);
@@ -84,22 +84,25 @@
     }
   }
 
-  /** The machines that hold a task which has not ended, one whose image is still fetched included. */
+  /**
+   * Returns the machines that hold an attempt of the task that has not exited, including those still fetching the
+   * image.
+   */
   machinesWith(task: string): string[] {
     return [...this.workers].filter(([, worker]) => worker.holds(task)).map(([id]) => id);
   }
 
-  /** A measurement begins. */
+  /** Resets the counters at the beginning of a measurement. */
   resetFigures(): void {
     Object.assign(this.host.counters, emptyCounters());
-    this.answerMs = newHistogram();
+    this.responseTimes = newHistogram();
     for (const { bytes } of this.workers.values()) {
       bytes.sent = 0;
       bytes.received = 0;
     }
   }
 
-  /** What the group has counted since the measurement began. */
+  /** Returns the figures of the group since the measurement began. */
   figures(): WorkerFigures {
     const bytes = newHistogram();
     let tasksHeld = 0;
@@ -111,12 +114,12 @@
       counters: { ...this.host.counters },
       workers: this.workers.size,
       tasksHeld,
-      answerMs: packHistogram(this.answerMs),
-      workerBytes: packHistogram(bytes),
+      answerMs: encodeHistogram(this.responseTimes),
+      workerBytes: encodeHistogram(bytes),
     };
   }
 
-  /** All machines are gone. */
+  /** Stops all workers. */
   end(): void {
     for (const worker of this.workers.values()) worker.end();
     this.workers.clear();
--- a/packages/scale-test/src/worker-tasks.ts
+++ b/packages/scale-test/src/worker-tasks.ts
@@ -1,6 +1,6 @@
 /**
- * The tasks of one hollow worker: orders, image fetches, room, gangs, checkpoints and exits as the protocol has them. The
- * tasks only wait for their time to pass.
+ * The tasks of one hollow worker: orders, image fetches, free resources, gangs, checkpoints and exits, as the protocol
+ * defines them. Instead of doing work, a task waits for its run time to pass.
  */
 import { nowMs } from './clock.js';
 import { ImageCache } from './image-cache.js';
@@ -18,21 +18,21 @@
 
 interface HeldTask extends TaskAttempt {
   readonly name: string;
-  /** undefined: nobody submitted its job. */
+  /** Description of the task's job; undefined if no user submitted it. */
   readonly description: JobDescription | undefined;
   status: TaskStatus;
   cause: string | null;
-  /** Its progress was saved before it stopped. */
+  /** Whether its progress was saved before it stopped. */
   stored: boolean;
-  /** Since when it has run; 0: it has not. */
+  /** When the task began to run; 0 if it has not run. */
   runningSince: number;
   progressMs: number;
-  /** It has its image and has not left. */
+  /** Whether its image is fetched and it has not left the machine. */
   present: boolean;
   timer: NodeJS.Timeout | null;
 }
 
-/** An order of a controller, in its wire form. */
+/** An order of a controller, as it is sent. */
 export interface WireOrder {
   readonly orderKind: 'run' | 'stop' | 'reap';
   readonly piece: string;
@@ -40,19 +40,21 @@
   readonly windDownS?: number;
 }
 
-/** Slack for sums of fractions of CPUs and gigabytes. */
+/** Tolerance for rounding errors in sums of CPUs and gigabytes. */
 const EPSILON = 1e-6;
 
 const attemptKey = (name: string, attempt: number): string => `${name}#${attempt}`;
 
-/** Tasks by attempt, in the order in which they were ordered; an ended one stays until its controllers know. */
+/**
+ * Task attempts in the order in which they were ordered. An exited one is kept until a `reap` order acknowledges it.
+ */
 export class WorkerTasks {
-  /** By task and attempt: a refused attempt is reported beside the one that is there. */
+  /** By task and attempt, since a rejected attempt is reported along with the attempt that occupies the machine. */
   private readonly tasks = new Map<string, HeldTask>();
   private readonly images = new ImageCache();
   private readonly kind: MachineKind;
 
-  /** `onChange`: what a heartbeat says of the tasks has changed. */
+  /** `onChange` is called when the tasks in the next heartbeat have changed. */
   constructor(
     private readonly host: WorkerHost,
     private readonly machine: MachineDescription,
@@ -65,13 +67,13 @@
     return this.tasks.size;
   }
 
-  /** There is an attempt of the task that has not ended. */
+  /** Whether an attempt of the task has not exited. */
   holds(task: string): boolean {
     for (const held of this.tasks.values()) if (held.name === task && held.status !== 'ended') return true;
     return false;
   }
 
-  /** The tasks as a heartbeat has them, in their wire form. */
+  /** Returns the tasks in the format of a heartbeat. */
   toWire(): object[] {
     return [...this.tasks.values()].map(({ name, attempt, status, cause, stored }) => ({
       piece: name,
@@ -82,7 +84,7 @@
     }));
   }
 
-  /** The session is over: all tasks are gone, but what lies outside the machine stays. */
+  /** Ends the session: all tasks are dropped, but checkpoints and kept results outside the machine remain. */
   drop(): void {
     for (const task of this.tasks.values()) {
       this.saveAutomatically(task);
@@ -92,7 +94,7 @@
     this.tasks.clear();
   }
 
-  /** All members of a gang's attempt have their images. */
+  /** Handles that all members of a gang's attempt have fetched their images. */
   gangRuns(job: string, attempt: number): void {
     for (const task of this.membersOf(job, attempt)) {
       if (task.status !== 'gathering') continue;
@@ -101,25 +103,25 @@
     }
   }
 
-  /** A gang's attempt is over on all its machines. */
+  /** Handles that a gang's attempt ends on all its machines. */
   gangEnds(job: string, attempt: number, cause: GangEnd): void {
     for (const task of this.membersOf(job, attempt)) {
       if (task.status === 'ended' || task.status === 'fetching') continue;
-      // A member that waits for a replacement goes on waiting.
+      // A member that waits for the replacement of a lost member continues to wait.
       if (cause === 'peers' && task.status === 'gathering') continue;
       task.stored = cause === 'stopped';
       this.exit(task, cause);
     }
   }
 
-  /** Carries out orders; one that is repeated has no further effect. */
+  /** Executes orders. A repeated order has no further effect. */
   execute(orders: readonly WireOrder[]): void {
     for (const { orderKind, piece, try: attempt, windDownS = 0 } of orders) {
       const key = attemptKey(piece, attempt);
       const held = this.tasks.get(key);
       if (orderKind === 'run') {
-        // Repeated: no effect, whatever has become of it.
-        if (held === undefined) this.begin(key, piece, attempt);
+        // A repeated run order has no effect, even if the attempt has exited.
+        if (held === undefined) this.beginAttempt(key, piece, attempt);
       } else if (held === undefined) continue;
       else if (orderKind === 'stop') this.stop(held, windDownS * 1000);
       else if (held.status === 'ended') this.tasks.delete(key);
@@ -130,10 +132,10 @@
     for (const task of this.tasks.values()) if (task.job === job && task.attempt === attempt) yield task;
   }
 
-  private begin(key: string, name: string, attempt: number): void {
+  private beginAttempt(key: string, name: string, attempt: number): void {
     const { job, task } = parseTaskName(name);
     const description = this.host.job(job);
-    const fresh: HeldTask = {
+    const newTask: HeldTask = {
       name,
       job,
       task,
@@ -148,32 +150,35 @@
       present: false,
       timer: null,
     };
-    const inUse = [...this.tasks.values()].some((task) => task.name === name && task.status !== 'ended');
-    this.tasks.set(key, fresh);
-    this.emit(fresh, { kind: 'ordered' });
+    const isTaskHeld = [...this.tasks.values()].some((task) => task.name === name && task.status !== 'ended');
+    this.tasks.set(key, newTask);
+    this.emit(newTask, { kind: 'ordered' });
     this.onChange();
-    if (inUse) return this.exit(fresh, 'in_use');
-    if (description === undefined) return this.exit(fresh, 'unknown');
-    if (!this.hasRoom(description, fresh)) return this.exit(fresh, 'full');
-    fresh.timer = setTimeout(() => this.arrive(fresh, description), this.images.fetchMs(description));
+    if (isTaskHeld) return this.exit(newTask, 'in_use');
+    if (description === undefined) return this.exit(newTask, 'unknown');
+    if (!this.hasFreeResources(description, newTask)) return this.exit(newTask, 'full');
+    newTask.timer = setTimeout(
+      () => this.handleImageFetched(newTask, description),
+      this.images.fetchMs(description),
+    );
   }
 
-  private hasRoom(wanted: JobDescription, but: HeldTask): boolean {
+  private hasFreeResources(required: JobDescription, excluded: HeldTask): boolean {
     let { vcpus, accelerators, memGb } = this.kind;
     for (const task of this.tasks.values()) {
-      if (task === but || task.status === 'ended' || task.description === undefined) continue;
+      if (task === excluded || task.status === 'ended' || task.description === undefined) continue;
       vcpus -= task.description.vcpus;
       accelerators -= task.description.accelerators;
       memGb -= task.description.memGb;
     }
     return (
-      wanted.vcpus <= vcpus + EPSILON &&
-      wanted.accelerators <= accelerators + EPSILON &&
-      wanted.memGb <= memGb + EPSILON
+      required.vcpus <= vcpus + EPSILON &&
+      required.accelerators <= accelerators + EPSILON &&
+      required.memGb <= memGb + EPSILON
     );
   }
 
-  private arrive(task: HeldTask, description: JobDescription): void {
+  private handleImageFetched(task: HeldTask, description: JobDescription): void {
     task.present = true;
     this.emit(task, { kind: 'started' });
     this.host.counters.started++;
@@ -183,8 +188,8 @@
       task.timer = setTimeout(() => this.exit(task, 'alone'), this.host.timing.gangWaitMs);
     } else {
       this.run(task);
-      const left = Math.max(1, description.runMs - task.progressMs);
-      task.timer = setTimeout(() => this.complete(task), left);
+      const remainingMs = Math.max(1, description.runMs - task.progressMs);
+      task.timer = setTimeout(() => this.complete(task), remainingMs);
     }
     this.onChange();
   }
@@ -225,11 +230,13 @@
     return task.runningSince === 0 ? task.progressMs : task.progressMs + (nowMs() - task.runningSince);
   }
 
-  /** What a running task of an array has saved by itself is not lost with its machine. */
+  /**
+   * Emits the progress that a running array task has checkpointed periodically, which survives the loss of its machine.
+   */
   private saveAutomatically(task: HeldTask): void {
-    const every = task.description?.saveEveryMs ?? 0;
-    if (task.status !== 'running' || every === 0 || task.description?.shape === 'ensemble') return;
-    const progressMs = Math.floor(this.progressOf(task) / every) * every;
+    const intervalMs = task.description?.saveEveryMs ?? 0;
+    if (task.status !== 'running' || intervalMs === 0 || task.description?.shape === 'ensemble') return;
+    const progressMs = Math.floor(this.progressOf(task) / intervalMs) * intervalMs;
     if (progressMs > 0) this.emit(task, { kind: 'saved', progressMs });
   }
 
@@ -252,11 +259,11 @@
 
   private emit(
     { job, task, attempt, machine }: TaskAttempt,
-    what:
+    details:
       | { readonly kind: 'ordered' | 'started' | 'told-to-save' }
       | { readonly kind: 'left'; readonly completed: boolean }
       | { readonly kind: 'saved'; readonly progressMs: number },
   ): void {
-    this.host.emit({ job, task, attempt, machine, at: nowMs(), ...what });
+    this.host.emit({ job, task, attempt, machine, at: nowMs(), ...details });
   }
 }
--- a/packages/scale-test/src/workload.ts
+++ b/packages/scale-test/src/workload.ts
@@ -1,28 +1,28 @@
-/** The jobs that a run's users submit, and the machines that it can have: drawn from the options and a seed. */
-import type { LimitedTeamOfSettings, ObjectiveOfSettings } from './controllers.js';
+/** Generates the jobs that users submit, and the machine types and teams of a run, from the options and a seed. */
+import type { LimitedTeamSettings, ObjectiveSettings } from './controllers.js';
 import type { JobDescription, MachineKind } from './model.js';
 import type { Random } from './random.js';
 
-/** The size of the cluster and what its users ask for. */
+/** Size of the cluster and its load. */
 export interface WorkloadOptions {
   readonly machines: number;
-  /** Tasks of one CPU that a machine has room for. */
+  /** Number of tasks with one CPU that fit on a machine. */
   readonly slots: number;
   readonly zones: readonly string[];
   readonly teams: number;
-  /** Task starts a second that users ask for. */
+  /** Task starts per second that users request. */
   readonly starts: number;
-  /** Seconds that a task runs. */
+  /** Average run time of a task, in seconds. */
   readonly runS: number;
-  /** Tasks of an array. */
+  /** Number of tasks per array. */
   readonly tasks: number;
-  /** Parts of the starts, 0 to 1. */
+  /** Fractions of the task starts, 0 to 1. */
   readonly gangs: number;
   readonly urgent: number;
   readonly accelerated: number;
-  /** Part of the jobs that their users cancel. */
+  /** Fraction of the jobs that users cancel, 0 to 1. */
   readonly cancelled: number;
-  /** What a team may use of all room, 0 to 1. */
+  /** Fraction of the total capacity that one team may use, 0 to 1. */
   readonly teamLimit: number;
 }
 
@@ -30,13 +30,15 @@
 const URGENT_TASKS = 8;
 const MEM_GB_PER_SLOT = 4;
 const TASK_MEM_GB = 3;
-/** Of the size to come: 13,000 accelerators on 7,900 machines, two on each that has any. */
-const ACCELERATED_MACHINES = 0.82;
-const ACCELERATORS = 2;
+/**
+ * Fraction of machines with accelerators: the planned size has 13,000 accelerators on 7,900 machines, two per machine.
+ */
+const ACCELERATED_MACHINE_FRACTION = 0.82;
+const ACCELERATORS_PER_MACHINE = 2;
 const IMAGE_GB = 1;
-const RUN_SPREAD = { least: 0.5, most: 1.5 };
+const RUN_TIME_FACTOR = { min: 0.5, max: 1.5 };
 
-/** Job classes of a run. */
+/** Job class of large arrays; one of the four job classes of a run. */
 export const BULK = 'bulk';
 /** See `BULK`. */
 export const GANG = 'gang';
@@ -46,9 +48,9 @@
 export const ACCELERATED = 'accelerated';
 type JobClass = typeof BULK | typeof GANG | typeof URGENT | typeof ACCELERATED;
 
-/** The machines that can be rented: with a share of accelerated starts, two kinds. */
+/** Returns the machine types that can be rented: two if some starts need accelerators, else one. */
 export const machineKinds = (options: WorkloadOptions): MachineKind[] => {
-  const accelerated = Math.round(options.machines * ACCELERATED_MACHINES);
+  const accelerated = Math.round(options.machines * ACCELERATED_MACHINE_FRACTION);
   const kind = (label: string, accelerators: number, count: number, hourly: number): MachineKind => ({
     label,
     vcpus: options.slots,
@@ -60,14 +62,22 @@
   });
   return options.accelerated === 0
     ? [kind('box', 0, options.machines, 0.8)]
-    : [kind('box', 0, options.machines - accelerated, 0.8), kind('gpu', ACCELERATORS, accelerated, 1.6)];
+    : [
+        kind('box', 0, options.machines - accelerated, 0.8),
+        kind('gpu', ACCELERATORS_PER_MACHINE, accelerated, 1.6),
+      ];
 };
 
-/** Each team is guaranteed its part of a half of the room, and may use up to its limit. */
-export const teamSettings = (options: WorkloadOptions): LimitedTeamOfSettings[] => {
+/**
+ * Returns the teams: half of the capacity is guaranteed to the teams in equal amounts, and each may use up to its
+ * limit.
+ */
+export const teamSettings = (options: WorkloadOptions): LimitedTeamSettings[] => {
   const cpus = options.machines * options.slots;
   const gpus =
-    options.accelerated === 0 ? 0 : Math.round(options.machines * ACCELERATED_MACHINES) * ACCELERATORS;
+    options.accelerated === 0
+      ? 0
+      : Math.round(options.machines * ACCELERATED_MACHINE_FRACTION) * ACCELERATORS_PER_MACHINE;
   return Array.from({ length: options.teams }, (_, i) => ({
     name: `team-${i}`,
     cpus: Math.floor(cpus / options.teams / 2),
@@ -77,62 +87,64 @@
   }));
 };
 
-/** One service-level objective for each job class. */
-export const objectives = (): ObjectiveOfSettings[] => [
+/** Returns one service-level objective per job class. */
+export const objectives = (): ObjectiveSettings[] => [
   { kind: 'wait', class: URGENT, within_s: 7.2, share: 0.99 },
   { kind: 'wait', class: GANG, within_s: 60, share: 0.95 },
   { kind: 'finished', class: BULK, within_s: 350, share: 0.99 },
   { kind: 'finished', class: ACCELERATED, within_s: 350, share: 0.99 },
 ];
 
-/** A job that a user will submit. */
+/** A job to submit, and whether its user cancels it. */
 export interface PlannedJob {
   readonly job: JobDescription;
   readonly cancels: boolean;
 }
 
-/** Draws one job after the other so that each class has its part of the starts. */
+/** Draws jobs such that each class gets its fraction of the task starts. */
 export class Workload {
   private count = 0;
-  /** Starts that each class has had so far, over its part. */
-  private readonly had = new Map<JobClass, number>();
-  private readonly parts: readonly (readonly [JobClass, number])[];
+  /** Number of task starts drawn so far, by class. */
+  private readonly startsByClass = new Map<JobClass, number>();
+  private readonly fractions: readonly (readonly [JobClass, number])[];
 
   constructor(
     private readonly options: WorkloadOptions,
     private readonly random: Random,
   ) {
     const { gangs, urgent, accelerated } = options;
-    const all: (readonly [JobClass, number])[] = [
+    const classes: (readonly [JobClass, number])[] = [
       [BULK, Math.max(0, 1 - gangs - urgent - accelerated)],
       [GANG, gangs],
       [URGENT, urgent],
       [ACCELERATED, accelerated],
     ];
-    this.parts = all.filter(([, part]) => part > 0);
+    this.fractions = classes.filter(([, fraction]) => fraction > 0);
   }
 
-  /** The next job: of the class that is furthest behind its part. */
+  /** Draws the next job, from the class whose starts are lowest relative to its fraction. */
   next(): PlannedJob {
-    const [jobClass] = this.parts.reduce((a, b) => (this.behind(b) < this.behind(a) ? b : a));
+    const [jobClass] = this.fractions.reduce((lowest, candidate) =>
+      this.relativeStarts(candidate) < this.relativeStarts(lowest) ? candidate : lowest,
+    );
     const job = this.draw(jobClass);
-    this.had.set(jobClass, (this.had.get(jobClass) ?? 0) + job.tasks);
+    this.startsByClass.set(jobClass, (this.startsByClass.get(jobClass) ?? 0) + job.tasks);
     return { job, cancels: this.random.chance(this.options.cancelled) };
   }
 
-  private behind([jobClass, part]: readonly [JobClass, number]): number {
-    return (this.had.get(jobClass) ?? 0) / part;
+  private relativeStarts([jobClass, fraction]: readonly [JobClass, number]): number {
+    return (this.startsByClass.get(jobClass) ?? 0) / fraction;
   }
 
   private draw(jobClass: JobClass): JobDescription {
     const { options, random } = this;
     const id = `job-${String(++this.count).padStart(6, '0')}`;
-    const gang = jobClass === GANG;
+    const isGang = jobClass === GANG;
     return {
       id,
       team: `team-${random.below(options.teams)}`,
       jobClass,
-      shape: gang ? 'ensemble' : 'array',
+      shape: isGang ? 'ensemble' : 'array',
       urgency: jobClass === URGENT ? 'high' : 'normal',
       tasks: this.tasksOf(jobClass),
       vcpus: 1,
@@ -142,18 +154,18 @@
       imageGb: IMAGE_GB,
       kinds: null,
       zone: null,
-      samePlace: gang,
+      samePlace: isGang,
       scatter: false,
-      runMs: options.runS * 1000 * random.between(RUN_SPREAD.least, RUN_SPREAD.most),
-      saveEveryMs: gang ? 15_000 : 0,
-      saveTakesMs: gang ? 1000 : 0,
+      runMs: options.runS * 1000 * random.between(RUN_TIME_FACTOR.min, RUN_TIME_FACTOR.max),
+      saveEveryMs: isGang ? 15_000 : 0,
+      saveTakesMs: isGang ? 1000 : 0,
     };
   }
 
   private tasksOf(jobClass: JobClass): number {
     if (jobClass === GANG) {
-      const roomy = GANG_SIZES.filter((n) => n <= this.options.machines);
-      return roomy[this.random.below(roomy.length)] ?? 1;
+      const allowedSizes = GANG_SIZES.filter((size) => size <= this.options.machines);
+      return allowedSizes[this.random.below(allowedSizes.length)] ?? 1;
     }
     return jobClass === URGENT ? Math.min(URGENT_TASKS, this.options.tasks) : this.options.tasks;
   }
--- a/packages/scale-test/test/rule-checker.test.ts
+++ b/packages/scale-test/test/rule-checker.test.ts
@@ -1,4 +1,4 @@
-/** Every rule that a scale run checks is seen to be broken when it is. */
+/** Tests that the rule checker of the scale test detects a violation of each rule and accepts a correct history. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { EventOrder } from '../src/event-order.js';
@@ -12,7 +12,7 @@
   { id: 'm2', kind: 'box', zone: 'b' },
   { id: 'm3', kind: 'gpu', zone: 'a' },
 ];
-const job = (over: Partial<JobDescription> = {}): JobDescription => ({
+const job = (overrides: Partial<JobDescription> = {}): JobDescription => ({
   id: 'job-1',
   team: 'red',
   jobClass: 'bulk',
@@ -31,7 +31,7 @@
   runMs: 1000,
   saveEveryMs: 0,
   saveTakesMs: 0,
-  ...over,
+  ...overrides,
 });
 
 class History {
@@ -42,7 +42,7 @@
     this.checker = new RuleChecker({
       limits: new Map([['red', { vcpus: 4, accelerators: 0 }]]),
       cancelMs: CANCEL_MS,
-      machine: (id) => MACHINES.find((m) => m.id === id),
+      machine: (id) => MACHINES.find((machine) => machine.id === id),
     });
     this.checker.jobSubmitted(description);
   }
@@ -65,33 +65,33 @@
     return this;
   }
 
-  accepted(status = 201): this {
-    this.checker.submissionAnswered('job-1', status);
+  submissionResponse(status = 201): this {
+    this.checker.handleSubmissionResponse('job-1', status);
     return this;
   }
 
-  told(status: number, state?: ReportedState, id = 'job-1'): this {
-    this.checker.jobReported(id, status, state, this.at);
+  jobResponse(status: number, state?: ReportedState, id = 'job-1'): this {
+    this.checker.handleJobResponse(id, status, state, this.at);
     return this;
   }
 
-  cancels(): this {
+  cancelRequest(): this {
     this.checker.cancelRequested('job-1');
     return this;
   }
 
-  passes(ms: number): this {
+  advance(ms: number): this {
     this.at += ms;
     this.checker.checkCancelled(this.at);
     return this;
   }
 
-  get broken(): RuleName[] {
-    return this.checker.violations.map((v) => v.rule);
+  get violatedRules(): RuleName[] {
+    return this.checker.violations.map((violation) => violation.rule);
   }
 }
 
-const BREAKS: readonly (readonly [
+const VIOLATIONS: readonly (readonly [
   RuleName,
   string,
   Partial<JobDescription>,
@@ -99,98 +99,141 @@
 ])[] = [
   [
     'ran_twice',
-    'on two machines',
+    'a task started on two machines',
     {},
     (history) => history.event('started', 0, 'm1').event('started', 0, 'm2'),
   ],
   [
     'attempt_reused',
-    'elsewhere',
+    'an attempt ordered on two machines',
     {},
     (history) => history.event('ordered', 0, 'm1').event('ordered', 0, 'm2'),
   ],
   [
     'quota',
-    'CPUs over the limit',
+    'more CPUs than the limit',
     { vcpus: 3 },
     (history) => history.event('started', 0, 'm1').event('started', 1, 'm1'),
   ],
-  ['wrong_place', 'another type', { kinds: ['gpu'] }, (history) => history.event('started', 0, 'm1')],
-  ['wrong_place', 'another zone', { zone: 'b' }, (history) => history.event('started', 0, 'm1')],
   [
     'wrong_place',
-    'two zones',
+    'a machine type that the job does not allow',
+    { kinds: ['gpu'] },
+    (history) => history.event('started', 0, 'm1'),
+  ],
+  [
+    'wrong_place',
+    'a zone that the job does not allow',
+    { zone: 'b' },
+    (history) => history.event('started', 0, 'm1'),
+  ],
+  [
+    'wrong_place',
+    'two zones for a job that must share one',
     { samePlace: true },
     (history) => history.event('started', 0, 'm1').event('started', 1, 'm2'),
   ],
   [
     'wrong_place',
-    'too many in one zone',
+    'more than half of a scattered job in one zone',
     { scatter: true },
     (history) => history.event('started', 0, 'm1').event('started', 1, 'm1').event('started', 2, 'm3'),
   ],
   [
     'ran_cancelled',
-    'still there',
+    'a task on its machine too long after the cancellation',
     {},
     (history) =>
       history
         .event('started', 0, 'm1')
-        .cancels()
-        .told(200, 'aborted')
-        .passes(CANCEL_MS + 1),
+        .cancelRequest()
+        .jobResponse(200, 'aborted')
+        .advance(CANCEL_MS + 1),
   ],
   [
     'ran_cancelled',
-    'started too late',
+    'a task started too long after the cancellation',
     {},
     (history) =>
       history
-        .cancels()
-        .told(200, 'aborted')
-        .passes(CANCEL_MS + 1)
+        .cancelRequest()
+        .jobResponse(200, 'aborted')
+        .advance(CANCEL_MS + 1)
         .event('started', 0, 'm1'),
   ],
-  ['forgotten', 'not known', {}, (history) => history.accepted().told(404)],
-  ['forgotten', 'refused', {}, (history) => history.accepted().accepted(422)],
-  ['invented', 'known', {}, (history) => history.told(200, 'pending', 'job-9')],
+  [
+    'forgotten',
+    'status 404 for an accepted job',
+    {},
+    (history) => history.submissionResponse().jobResponse(404),
+  ],
+  [
+    'forgotten',
+    'an accepted job rejected at its next submission',
+    {},
+    (history) => history.submissionResponse().submissionResponse(422),
+  ],
+  [
+    'invented',
+    'status 200 for a job never submitted',
+    {},
+    (history) => history.jobResponse(200, 'pending', 'job-9'),
+  ],
   [
     'not_done',
-    'done too soon',
+    'reported done before all tasks completed',
+    {},
+    (history) => history.event('started', 0, 'm1').left(0, 'm1').jobResponse(200, 'done'),
+  ],
+  [
+    'went_back',
+    'reported aborted without a cancellation request',
     {},
-    (history) => history.event('started', 0, 'm1').left(0, 'm1').told(200, 'done'),
+    (history) => history.jobResponse(200, 'aborted'),
   ],
-  ['went_back', 'cancelled by nobody', {}, (history) => history.told(200, 'aborted')],
   [
     'went_back',
-    'from cancelled',
+    'reported running after aborted',
     {},
-    (history) => history.cancels().told(200, 'aborted').told(200, 'running'),
+    (history) => history.cancelRequest().jobResponse(200, 'aborted').jobResponse(200, 'running'),
   ],
 ];
 
-test('each broken rule is seen, and only that', () => {
-  for (const [rule, what, over, play] of BREAKS)
-    assert.deepEqual(play(new History(job(over))).broken, [rule], `${rule}: ${what}`);
+test('each violation is reported under its own rule only', () => {
+  for (const [rule, what, overrides, applyTo] of VIOLATIONS)
+    assert.deepEqual(applyTo(new History(job(overrides))).violatedRules, [rule], `${rule}: ${what}`);
 });
 
-test('a history that keeps the rules breaks none', () => {
-  const history = new History(job({ scatter: true })).accepted();
-  history.event('ordered', 0, 'm1').event('started', 0, 'm1').event('started', 1, 'm2').told(200, 'running');
+test('a history that follows all rules has no violations', () => {
+  const history = new History(job({ scatter: true })).submissionResponse();
+  history
+    .event('ordered', 0, 'm1')
+    .event('started', 0, 'm1')
+    .event('started', 1, 'm2')
+    .jobResponse(200, 'running');
   history.left(0, 'm1', false).event('ordered', 0, 'm2', 2).event('started', 0, 'm2', 2).left(0, 'm2');
-  history.left(1, 'm2').event('started', 2, 'm3').left(2, 'm3').told(200, 'done').told(200, 'done');
-  assert.deepEqual(history.broken, []);
-  const cancelled = new History(job()).accepted().event('started', 0, 'm1').cancels().told(200, 'aborted');
+  history
+    .left(1, 'm2')
+    .event('started', 2, 'm3')
+    .left(2, 'm3')
+    .jobResponse(200, 'done')
+    .jobResponse(200, 'done');
+  assert.deepEqual(history.violatedRules, []);
+  const cancelled = new History(job())
+    .submissionResponse()
+    .event('started', 0, 'm1')
+    .cancelRequest()
+    .jobResponse(200, 'aborted');
   cancelled
-    .passes(CANCEL_MS - 1)
+    .advance(CANCEL_MS - 1)
     .left(0, 'm1', false)
-    .passes(CANCEL_MS);
-  assert.deepEqual(cancelled.broken, []);
+    .advance(CANCEL_MS);
+  assert.deepEqual(cancelled.violatedRules, []);
 });
 
-test('events are handed on by their times, once none earlier can come', () => {
-  const taken: number[] = [];
-  const order = new EventOrder((e) => taken.push(e.at));
+test('events are delivered in the order of their times, after the delivery delay', () => {
+  const deliveredAt: number[] = [];
+  const order = new EventOrder((event) => deliveredAt.push(event.at));
   const at = (ms: number): WorkerEvent => ({
     kind: 'ordered',
     job: 'j',
@@ -202,8 +245,8 @@
   order.add([at(1000), at(1300)]);
   order.add([at(900)]);
   order.flush(1450);
-  assert.deepEqual(taken, [900, 1000]);
+  assert.deepEqual(deliveredAt, [900, 1000]);
   order.flush(0, true);
-  assert.deepEqual(taken, [900, 1000, 1300]);
+  assert.deepEqual(deliveredAt, [900, 1000, 1300]);
   assert.deepEqual(parseTaskName(taskName('job-1', 7)), { job: 'job-1', task: 7 });
 });
--- a/packages/scale-test/test/scale.test.ts
+++ b/packages/scale-test/test/scale.test.ts
@@ -1,16 +1,16 @@
-/** A tiny scale run against the built program, and what its command refuses. */
+/** Tests a small scale run with the built controller, and the validation of the flags. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { serveParent } from '../src/child.js';
 import { deployedFlags } from '../src/controllers.js';
 import { CHILD_ENVIRONMENT_KEY } from '../src/messages.js';
-import { flagsFault } from '../src/refusal.js';
+import { validateFlags } from '../src/flag-validation.js';
 import { asJson, asTable } from '../src/report.js';
-import { exceeded } from '../src/resource-guard.js';
+import { describeExceededLimit } from '../src/resource-guard.js';
 import type { RunOptions } from '../src/run-model.js';
 import { ScaleRun } from '../src/scale-run.js';
 
-const TINY: RunOptions = {
+const SMALL_RUN: RunOptions = {
   machines: 10,
   slots: 4,
   zones: ['zone-0', 'zone-1'],
@@ -45,14 +45,14 @@
   resourceLimits: { memoryMb: 4000, processes: 20 },
 };
 
-const tests = (): void => {
-  test('a tiny run goes on when its leader is killed, and breaks no rule', async () => {
-    const result = await new ScaleRun(TINY, __filename, () => undefined).play();
+const defineTests = (): void => {
+  test('a small run continues after its leader is killed and violates no rule', async () => {
+    const result = await new ScaleRun(SMALL_RUN, __filename, () => undefined).play();
     assert.deepEqual(result.violations, []);
     assert.deepEqual(result.unexpectedEnds, []);
     assert.equal(result.stopped, null);
     assert.ok(result.startsPerS > 1, `${result.startsPerS} starts a second`);
-    assert.ok(result.users.done > 0, 'jobs come to their end');
+    assert.ok(result.users.done > 0, 'at least one job is done');
     assert.ok(result.workers.counters.renewed > 0);
     assert.ok(result.workerBytesPerS.median > 50);
     assert.equal(result.roles.length, 5);
@@ -60,24 +60,27 @@
     assert.equal((JSON.parse(asJson(result)) as { machines: number }).machines, result.machines);
   });
 
-  test('flags that make no run, too few sockets and too many processes are refused with a reason', () => {
-    assert.equal(flagsFault(TINY, 20_000), null);
-    assert.match(flagsFault({ ...TINY, gangs: 0.9, urgent: 0.2 }, 20_000)!, /over 1 together/);
+  test('invalid flags, too few sockets and too many processes are rejected with a reason', () => {
+    assert.equal(validateFlags(SMALL_RUN, 20_000), null);
     assert.match(
-      flagsFault({ ...TINY, machines: 5000, workersPerProcess: 5000 }, 1024)!,
+      validateFlags({ ...SMALL_RUN, gangs: 0.9, urgent: 0.2 }, 20_000)!,
+      /the sum of --gangs, --urgent and --accelerated is more than 1/,
+    );
+    assert.match(
+      validateFlags({ ...SMALL_RUN, machines: 5000, workersPerProcess: 5000 }, 1024)!,
       /need 10100 sockets/,
     );
     assert.match(
-      flagsFault({ ...TINY, machines: 5000, workersPerProcess: 10 }, 20_000)!,
-      /processes, at most 300/,
+      validateFlags({ ...SMALL_RUN, machines: 5000, workersPerProcess: 10 }, 20_000)!,
+      /processes, at most 300 are allowed/,
     );
     const limits = { memoryMb: 100, processes: 3 };
-    assert.equal(exceeded({ memoryMb: 100, processes: 3 }, limits), null);
-    assert.match(exceeded({ memoryMb: 101, processes: 3 }, limits)!, /101 MB/);
-    assert.match(exceeded({ memoryMb: 1, processes: 4 }, limits)!, /4 processes/);
+    assert.equal(describeExceededLimit({ memoryMb: 100, processes: 3 }, limits), null);
+    assert.match(describeExceededLimit({ memoryMb: 101, processes: 3 }, limits)!, /101 MB/);
+    assert.match(describeExceededLimit({ memoryMb: 1, processes: 4 }, limits)!, /4 processes/);
   });
 };
 
-// Hollow workers and the state service run in children of this very file.
-if (process.env[CHILD_ENVIRONMENT_KEY] === undefined) tests();
+// Child processes with the hollow workers and the state service run this same file.
+if (process.env[CHILD_ENVIRONMENT_KEY] === undefined) defineTests();
 else serveParent();
