--- a/packages/scale-test/src/cloud.ts
+++ b/packages/scale-test/src/cloud.ts
@@ -26,8 +26,8 @@
   readonly kinds: readonly MachineKind[];
   readonly bootMs: number;
   readonly random: Random;
-  readonly up: (machine: MachineDescription) => void;
-  readonly down: (id: string) => void;
+  readonly onMachineUp: (machine: MachineDescription) => void;
+  readonly onMachineDown: (id: string) => void;
 }
 
 /** A cloud that keeps its machines by id, in the order in which they were rented. */
@@ -102,7 +102,7 @@
     machine.timer = setTimeout(
       () => {
         machine.up = true;
-        this.dependencies.up({ id, kind: hostKind, zone: room });
+        this.dependencies.onMachineUp({ id, kind: hostKind, zone: room });
       },
       bootMs * random.between(BOOT_TIME_FACTOR.min, BOOT_TIME_FACTOR.max),
     );
@@ -116,7 +116,7 @@
     clearTimeout(machine.timer ?? undefined);
     this.machines.delete(id);
     this.available.set(machine.kind, (this.available.get(machine.kind) ?? 0) + 1);
-    if (machine.up) this.dependencies.down(id);
+    if (machine.up) this.dependencies.onMachineDown(id);
   }
 
   private page(after: string): unknown {
--- a/packages/scale-test/src/gang-coordinator.ts
+++ b/packages/scale-test/src/gang-coordinator.ts
@@ -28,12 +28,12 @@
 
   constructor(
     private readonly gangPeerMs: number,
-    private readonly jobOf: (id: string) => JobDescription | undefined,
+    private readonly findJob: (id: string) => JobDescription | undefined,
     private readonly broadcast: (command: WorkerCommand) => void,
   ) {}
 
   handleEvent(event: WorkerEvent): void {
-    const job = this.jobOf(event.job);
+    const job = this.findJob(event.job);
     if (job?.shape !== 'ensemble') return;
     if (event.kind === 'started') this.handleMemberStarted(this.attemptOf(job, event.attempt), event.task);
     else if (event.kind === 'told-to-save')
--- a/packages/scale-test/src/losses/loss-run.ts
+++ b/packages/scale-test/src/losses/loss-run.ts
@@ -138,8 +138,8 @@
       kinds,
       bootMs: BOOT_MS,
       random,
-      up: (machine) => workers.apply({ kind: 'machine-up', machine }),
-      down: (id) => workers.apply({ kind: 'machine-down', id }),
+      onMachineUp: (machine) => workers.apply({ kind: 'machine-up', machine }),
+      onMachineDown: (id) => workers.apply({ kind: 'machine-down', id }),
     });
     const stateServer = await serveJson((request, respond) => store.handle(request, respond));
     const cloudServer = await serveJson((request, respond) => cloud.handle(request, respond));
--- a/packages/scale-test/src/resource-guard.ts
+++ b/packages/scale-test/src/resource-guard.ts
@@ -31,8 +31,9 @@
 
 /** Describes the exceeded limit; null if none is exceeded. */
 export const describeExceededLimit = (use: ResourceUse, limits: ResourceLimits): string | null => {
-  if (use.processes > limits.processes) return `${use.processes} processes, at most ${limits.processes}`;
+  if (use.processes > limits.processes)
+    return `the run uses ${use.processes} processes, more than the maximum of ${limits.processes}`;
   if (use.memoryMb > limits.memoryMb)
-    return `${Math.round(use.memoryMb)} MB of memory, at most ${limits.memoryMb}`;
+    return `the run uses ${Math.round(use.memoryMb)} MB of memory, more than the maximum of ${limits.memoryMb}`;
   return null;
 };
--- a/packages/scale-test/src/test-cluster.ts
+++ b/packages/scale-test/src/test-cluster.ts
@@ -37,7 +37,7 @@
   private readonly kinds: readonly MachineKind[];
   private readonly cloud: Cloud;
   private readonly machines = new Map<string, MachineDescription>();
-  private readonly processOf = new Map<string, ChildHandle>();
+  private readonly processByMachine = new Map<string, ChildHandle>();
   private readonly state: ChildHandle;
   private readonly workers: readonly ChildHandle[];
   private controllers: readonly ControllerProcess[] = [];
@@ -53,8 +53,9 @@
       kinds: this.kinds,
       bootMs: BOOT_MS,
       random,
-      up: (machine) => this.machineUp(machine),
-      down: (id) => this.processOf.get(id)?.send({ kind: 'command', command: { kind: 'machine-down', id } }),
+      onMachineUp: (machine) => this.handleMachineUp(machine),
+      onMachineDown: (id) =>
+        this.processByMachine.get(id)?.send({ kind: 'command', command: { kind: 'machine-down', id } }),
     });
     this.state = new ChildHandle(childProgram);
     const groups = Math.ceil(options.machines / options.workersPerProcess);
@@ -213,10 +214,10 @@
     }, CONTROLLER_RESTART_DELAY_MS);
   }
 
-  private machineUp(machine: MachineDescription): void {
+  private handleMachineUp(machine: MachineDescription): void {
     this.machines.set(machine.id, machine);
     const child = this.workers[this.machines.size % this.workers.length]!;
-    this.processOf.set(machine.id, child);
+    this.processByMachine.set(machine.id, child);
     child.send({ kind: 'command', command: { kind: 'machine-up', machine } });
   }
 }
--- a/packages/scale-test/src/worker-tasks.ts
+++ b/packages/scale-test/src/worker-tasks.ts
@@ -52,7 +52,7 @@
   /** By task and attempt, since a rejected attempt is reported along with the attempt that occupies the machine. */
   private readonly tasks = new Map<string, HeldTask>();
   private readonly images = new ImageCache();
-  private readonly kind: MachineKind;
+  private readonly machineType: MachineKind;
 
   /** `onChange` is called when the tasks in the next heartbeat have changed. */
   constructor(
@@ -60,7 +60,7 @@
     private readonly machine: MachineDescription,
     private readonly onChange: () => void,
   ) {
-    this.kind = host.kinds.get(machine.kind)!;
+    this.machineType = host.kinds.get(machine.kind)!;
   }
 
   get size(): number {
@@ -87,7 +87,7 @@
   /** Ends the session: all tasks are dropped, but checkpoints and kept results outside the machine remain. */
   drop(): void {
     for (const task of this.tasks.values()) {
-      this.saveAutomatically(task);
+      this.emitLastCheckpoint(task);
       if (task.status === 'ended' && task.cause === 'done') this.host.keepResult(task.job, task.task);
       this.leave(task, false);
     }
@@ -164,7 +164,7 @@
   }
 
   private hasFreeResources(required: JobDescription, excluded: HeldTask): boolean {
-    let { vcpus, accelerators, memGb } = this.kind;
+    let { vcpus, accelerators, memGb } = this.machineType;
     for (const task of this.tasks.values()) {
       if (task === excluded || task.status === 'ended' || task.description === undefined) continue;
       vcpus -= task.description.vcpus;
@@ -208,9 +208,9 @@
   private stop(task: HeldTask, graceMs: number): void {
     if (task.status === 'ended') return;
     const description = task.description!;
-    const saves = description.saveEveryMs > 0 && graceMs >= description.saveTakesMs;
+    const canCheckpoint = description.saveEveryMs > 0 && graceMs >= description.saveTakesMs;
     if (task.status === 'flushing' && graceMs > 0) return;
-    if (task.status !== 'running' || !saves) return this.exit(task, 'stopped');
+    if (task.status !== 'running' || !canCheckpoint) return this.exit(task, 'stopped');
     task.status = 'flushing';
     this.onChange();
     if (description.shape === 'ensemble') {
@@ -233,7 +233,7 @@
   /**
    * Emits the progress that a running array task has checkpointed periodically, which survives the loss of its machine.
    */
-  private saveAutomatically(task: HeldTask): void {
+  private emitLastCheckpoint(task: HeldTask): void {
     const intervalMs = task.description?.saveEveryMs ?? 0;
     if (task.status !== 'running' || intervalMs === 0 || task.description?.shape === 'ensemble') return;
     const progressMs = Math.floor(this.progressOf(task) / intervalMs) * intervalMs;
