--- a/packages/simulation/src/world/worker/worker.ts
+++ b/packages/simulation/src/world/worker/worker.ts
@@ -1,4 +1,4 @@
-/** Stand-in for one machine and its worker, by the protocol: incarnations, tokens, leases, heartbeats and orders. */
+/** Stand-in for one machine with its worker: incarnations, fencing tokens, the lease, heartbeats and orders. */
 import { type Effect, Exit } from 'effect';
 import type { HttpResponse, HttpRequest } from '@lilacvalve/runtime/http-server';
 import type { RandomSource } from '@lilacvalve/controller/support/random-source';
@@ -7,187 +7,195 @@
 import type { Time } from '../time.js';
 import type { Amounts } from '../starvation-check.js';
 import { type GangTiming, type Task, type TaskHost, TaskRunner, type TaskWorld } from './task-runner.js';
-import { decodeDirectOrders, decodeHeartbeatAnswer, encodeHeartbeat } from './wire.js';
+import { decodeDirectOrders, decodeHeartbeatResponse, encodeHeartbeat } from './wire.js';
 
-/** The time between two heartbeats when something has changed, microseconds. */
-const CHANGED_HEARTBEAT = 500_000;
-/** The time to the next heartbeat after one that no leader has answered. */
-const RETRY_HEARTBEAT = 1e6;
-/** A heartbeat without an answer is given up after this. */
+/** Interval between two heartbeats after the state of a task has changed. Microseconds, like all durations below. */
+const CHANGED_HEARTBEAT_INTERVAL = 500_000;
+/** Delay before the next heartbeat after one that no leader has answered. */
+const HEARTBEAT_RETRY_DELAY = 1e6;
+/** Timeout of a heartbeat. */
 const HEARTBEAT_TIMEOUT = 4e6;
-/** A worker that hangs, or waits for an answer, looks again after this. */
-const BUSY_LOOKS_EVERY = 200_000;
-const HANGING_LOOKS_EVERY = 500_000;
+/** Delay before a worker that hangs or waits for a heartbeat response tries again to send a heartbeat. */
+const BUSY_RETRY_DELAY = 200_000;
+/** Interval at which direct orders to a hanging worker are delivered again. */
+const REDELIVERY_INTERVAL = 500_000;
 
-/** The network as a worker sees it, and who is told of what happens on it. */
+/** The network of a worker, and callbacks that report what happens on the worker. */
 export interface WorkerNet {
   readonly links: Links;
-  /** The controllers' labels. */
-  readonly nodes: readonly string[];
-  /** A request to a controller; null: it is down. */
-  handle(node: string, request: HttpRequest): Effect.Effect<HttpResponse> | null;
-  /** A copy of a request that has been sent may arrive later, once more. */
-  echo(from: string, again: () => void): void;
-  /** A heartbeat has been sent to a controller. */
-  heartbeatSent(by: Worker, node: string, body: Buffer): void;
-  /** An order or an answer has reached a machine: for so long it stands still before it acts. */
-  stallFor(by: Worker): number;
-  /** A machine has gone on; `order`: with a direct order, else with an answer. */
-  resumed(lapsed: boolean, order: boolean): void;
-  /** An order to its address has stopped a task. */
+  /** The labels of all controllers. */
+  readonly controllers: readonly string[];
+  /** Handles a request to a controller; null: the controller is not running. */
+  handle(label: string, request: HttpRequest): Effect.Effect<HttpResponse> | null;
+  /** Called with each request that is sent. `again` delivers a duplicate of it. */
+  onSend(from: string, again: () => void): void;
+  /** Called when a heartbeat has been sent to a controller. */
+  heartbeatSent(by: Worker, label: string, body: Buffer): void;
+  /** How long the machine hangs before it acts on received orders or a heartbeat response, in microseconds. */
+  stallDuration(by: Worker): number;
+  /**
+   * Called when the machine resumes after such a hang. `leaseExpired`: whether its lease has expired meanwhile. `order`: whether
+   * it acts on direct orders, else on a heartbeat response.
+   */
+  resumed(leaseExpired: boolean, order: boolean): void;
+  /** Called when direct orders have stopped a task. */
   stoppedDirectly(by: Worker, task: string): void;
-  /** An ended task is forgotten by its machine; `done`: it had completed. */
+  /** Called when the record of an exited task is deleted. `done`: whether the task had completed its work. */
   reaped(task: string, done: boolean): void;
 }
 
-/** Times by which a worker goes, microseconds. */
+/** Intervals and timeouts of a worker, in microseconds. */
 export interface Timing extends GangTiming {
   readonly heartbeatInterval: number;
   readonly lease: number;
 }
 
-/** A machine, and what it needs of the simulation around it. */
+/** The properties of a machine, and the components of the simulation that its worker depends on. */
 export interface WorkerOptions {
   readonly place: Place;
-  readonly room: { readonly cpus: number; readonly gpus: number; readonly memGb: number };
+  readonly capacity: { readonly cpus: number; readonly gpus: number; readonly memGb: number };
   readonly time: Time;
   readonly random: RandomSource;
-  readonly net: WorkerNet;
+  readonly network: WorkerNet;
   readonly rules: Rules;
   readonly world: TaskWorld;
   readonly timing: Timing;
-  /** Everything that runs here fails. */
+  /** Whether all tasks on this machine fail. */
   readonly faulty: boolean;
-  /** Called with the number of tasks that an expired lease has killed. */
+  /** Called with the number of tasks killed after the lease has expired. */
   readonly onKilled: (tasks: number) => void;
 }
 
-/** One machine with its worker, from its boot to its end. */
+/** One machine with its worker, from the boot until the machine is lost or deleted. */
 export class Worker implements TaskHost {
-  /** Of the worker, raised by each restart and each expired lease. */
+  /** The worker's incarnation. Each restart and each expired lease increments it. */
   incarnation = 1;
-  /** The number of the last heartbeat or direct orders. */
+  /** Incremented by each heartbeat and each execution of direct orders. */
   sequence = 0;
-  /** The highest term that it has taken orders of. */
+  /** The highest term from which the worker has accepted orders. */
   token = 0;
-  /** When the latest heartbeat was sent that it got a valid answer to. */
+  /** When the latest heartbeat with a valid response was sent, in microseconds. */
   answeredFrom = 0;
   alive = true;
   hanging = false;
-  /** What is sent to it is lost. */
+  /** Whether all messages to the worker are lost. */
   deaf = false;
-  /** It reaches no controller, while direct orders reach it. */
+  /** Whether the worker reaches no controller. Direct orders still reach it. */
   mute = false;
-  /** When the machine will be taken; null: no notice. */
+  /** When the cloud will reclaim the machine, in microseconds; null: no reclaim was announced. */
   recallAt: number | null = null;
   readonly runner: TaskRunner;
-  private leaseFrom: number;
-  /** What has reached it since it hangs; null: it does not, or is not told so by `hang`. */
-  private arrived: (() => void)[] | null = null;
-  /** Its clock is so much fast or slow. */
+  private leaseStart: number;
+  /** Messages received during a hang that `hang` began, as actions to perform afterwards; null: there is no such hang. */
+  private deferred: (() => void)[] | null = null;
+  /** Relative error of the worker's clock. */
   private readonly drift: number;
-  /** The controller that it reports to, counted on without end. */
-  private node: number;
-  /** A heartbeat has been sent and neither answered nor given up. */
+  /** Index of the controller that receives the heartbeats, modulo the number of controllers. */
+  private controllerIndex: number;
+  /** Whether a heartbeat is pending: neither answered nor timed out. */
   private awaiting = false;
-  /** Counts restarts: what was sent before one is not waited for. */
-  private lives = 0;
-  private reportAt = 0;
-  private cancelReport: () => void = () => undefined;
+  /** Number of restarts. Responses to heartbeats sent before a restart are ignored. */
+  private restarts = 0;
+  /** When the latest heartbeat was sent, in microseconds. */
+  private heartbeatAt = 0;
+  private cancelHeartbeat: () => void = () => undefined;
 
   constructor(private readonly options: WorkerOptions) {
-    const { net, random, rules, time, timing, world } = options;
+    const { network, random, rules, time, timing, world } = options;
     this.runner = new TaskRunner(this, time, random, rules, world, timing);
-    this.leaseFrom = time.now;
+    this.leaseStart = time.now;
     this.drift = random.between(-0.0005, 0.0005);
-    this.node = random.int(net.nodes.length);
+    this.controllerIndex = random.int(network.controllers.length);
     this.schedule(random.between(0, 500_000));
-    this.watchLease();
+    this.checkLease();
   }
 
   get place(): Place {
     return this.options.place;
   }
 
-  get room(): WorkerOptions['room'] {
-    return this.options.room;
+  get capacity(): WorkerOptions['capacity'] {
+    return this.options.capacity;
   }
 
   get faulty(): boolean {
     return this.options.faulty;
   }
 
-  /** Attempts that are here, ended ones too, by task. */
+  /** By task: its latest attempt on this machine, including exited ones until their record is deleted. */
   get tasks(): ReadonlyMap<string, Task> {
     return this.runner.tasks;
   }
 
-  /** A task runs here. */
+  /** Whether a task is running. */
   running(): boolean {
     return this.runner.running();
   }
 
-  /** Tasks that are here, fetching ones too. */
+  /** The tasks that have not exited, including those that fetch their image. */
   held(): string[] {
     return this.runner.held();
   }
 
-  /** What is free here, fetching tasks counted; null: nothing can run here, or the machine is about to be taken. */
+  /** The free resources; null: the machine can run no task, or the cloud is about to reclaim it. */
   spare(): Amounts | null {
     if (!this.alive || this.hanging || this.deaf || this.mute || this.faulty || this.recallAt !== null)
       return null;
     return this.runner.spare();
   }
 
-  /** The machine is gone. */
+  /** Ends the machine. */
   die(): void {
     this.alive = false;
-    this.cancelReport();
+    this.cancelHeartbeat();
     this.runner.killAll();
   }
 
-  /** The machine restarts: its tasks are gone, its worker comes back as a new incarnation. */
+  /** Restarts the machine. Its tasks end, and the worker starts again as a new incarnation after `down` microseconds. */
   restart(down: number): void {
     this.hanging = true;
     this.runner.killAll();
     this.incarnation++;
-    this.lives++;
+    this.restarts++;
     this.awaiting = false;
     this.options.time.after(down, () => {
       this.hanging = false;
-      this.leaseFrom = this.options.time.now;
+      this.leaseStart = this.options.time.now;
       this.changed();
     });
   }
 
-  /** Hangs for so long: reads and executes nothing, and goes on with what has arrived meanwhile. */
-  hang(lasts: number, goesOn: (lapsed: boolean) => void): void {
+  /**
+   * Makes the machine hang for `duration` microseconds: it processes no message. Afterwards it acts on the messages received
+   * meanwhile. `onResume` is called before that; `leaseExpired`: whether the lease has expired during the hang.
+   */
+  hang(duration: number, onResume: (leaseExpired: boolean) => void): void {
     const { incarnation } = this;
-    const arrived: (() => void)[] = [];
+    const deferred: (() => void)[] = [];
     this.hanging = true;
-    this.arrived = arrived;
-    this.options.time.after(lasts, () => {
+    this.deferred = deferred;
+    this.options.time.after(duration, () => {
       this.hanging = false;
-      this.arrived = null;
+      this.deferred = null;
       if (!this.alive) return;
-      goesOn(incarnation !== this.incarnation);
-      for (const act of arrived) act();
+      onResume(incarnation !== this.incarnation);
+      for (const act of deferred) act();
     });
   }
 
-  /** Orders sent to the worker's address. */
+  /** Receives orders sent directly to the worker's address. */
   direct(body: string): void {
     if (!this.alive || this.deaf) return;
     if (this.hanging) {
-      this.options.time.after(HANGING_LOOKS_EVERY, () => this.direct(body));
+      this.options.time.after(REDELIVERY_INTERVAL, () => this.direct(body));
       return;
     }
-    this.whenAwake(() => this.takeOrders(body), true);
+    this.whenAwake(() => this.executeOrders(body), true);
   }
 
-  /** A heartbeat reaches a controller. `then`: its answer; null: the controller is down. */
-  deliver(node: string, body: Buffer, then: (answer: HttpResponse | null) => void): void {
-    const effect = this.options.net.handle(node, { method: 'POST', path: '/agent/beat', body });
+  /** Delivers a heartbeat to a controller. `then` receives the response; null: the controller is not running. */
+  deliver(label: string, body: Buffer, then: (response: HttpResponse | null) => void): void {
+    const effect = this.options.network.handle(label, { method: 'POST', path: '/agent/beat', body });
     if (effect === null) {
       then(null);
       return;
@@ -196,35 +204,35 @@
     fiber.addObserver((exit) => then(Exit.isSuccess(exit) ? exit.value : null));
   }
 
-  /** The body of the next heartbeat. */
+  /** Encodes the next heartbeat. */
   body(): string {
     this.sequence++;
     const { incarnation, place, recallAt, sequence, token } = this;
-    const recallIn = recallAt === null ? null : recallAt - this.options.time.now;
-    return encodeHeartbeat({ place, incarnation, sequence, token, recallIn, tasks: this.tasks.values() });
+    const reclaimIn = recallAt === null ? null : recallAt - this.options.time.now;
+    return encodeHeartbeat({ place, incarnation, sequence, token, reclaimIn, tasks: this.tasks.values() });
   }
 
-  /** The next heartbeat comes soon. */
+  /** Schedules the next heartbeat early. */
   changed(): void {
     if (!this.alive) return;
-    const wait = Math.max(10_000, this.reportAt + CHANGED_HEARTBEAT - this.options.time.now);
+    const wait = Math.max(10_000, this.heartbeatAt + CHANGED_HEARTBEAT_INTERVAL - this.options.time.now);
     this.schedule(wait);
   }
 
   stoppedDirectly(task: string): void {
-    this.options.net.stoppedDirectly(this, task);
+    this.options.network.stoppedDirectly(this, task);
   }
 
   reaped(task: string, done: boolean): void {
-    this.options.net.reaped(task, done);
+    this.options.network.reaped(task, done);
   }
 
   private get leaseEnd(): number {
-    return this.leaseFrom + this.options.timing.lease * (1 + this.drift);
+    return this.leaseStart + this.options.timing.lease * (1 + this.drift);
   }
 
-  /** Kills everything once the lease has expired, and goes on as a new incarnation. */
-  private watchLease(): void {
+  /** Kills all tasks when the lease has expired, and continues as a new incarnation. */
+  private checkLease(): void {
     if (!this.alive) return;
     const { onKilled, time } = this.options;
     if (time.now >= this.leaseEnd) {
@@ -232,117 +240,120 @@
       if (tasks > 0) onKilled(tasks);
       this.runner.killAll();
       this.incarnation++;
-      this.leaseFrom = time.now;
+      this.leaseStart = time.now;
       this.changed();
     }
-    time.after(Math.max(1000, Math.min(this.leaseEnd - time.now, 500_000)), () => this.watchLease());
+    time.after(Math.max(1000, Math.min(this.leaseEnd - time.now, 500_000)), () => this.checkLease());
   }
 
   private schedule(delay: number): void {
-    this.cancelReport();
-    this.cancelReport = this.options.time.after(delay, () => this.send());
+    this.cancelHeartbeat();
+    this.cancelHeartbeat = this.options.time.after(delay, () => this.send());
   }
 
-  /** The controller that the next heartbeat goes to. */
-  private get reportsTo(): string {
-    const { nodes } = this.options.net;
-    return nodes[this.node % nodes.length]!;
+  /** The label of the controller that receives the next heartbeat. */
+  private get target(): string {
+    const { controllers } = this.options.network;
+    return controllers[this.controllerIndex % controllers.length]!;
   }
 
-  /** Sends a heartbeat. */
+  /** Sends a heartbeat, or postpones it while another one is pending or the machine hangs. */
   private send(): void {
     if (!this.alive) return;
     if (this.awaiting || this.hanging) {
-      this.schedule(BUSY_LOOKS_EVERY);
+      this.schedule(BUSY_RETRY_DELAY);
       return;
     }
-    const { net, time } = this.options;
+    const { network, time } = this.options;
     this.awaiting = true;
-    this.reportAt = time.now;
+    this.heartbeatAt = time.now;
     const sent = time.now;
-    const { incarnation, lives, reportsTo } = this;
+    const { incarnation, restarts, target } = this;
     const body = Buffer.from(this.body());
-    let over = false;
-    const finish = (answer: HttpResponse | null): void => {
-      if (over || lives !== this.lives) return;
-      over = true;
+    let finished = false;
+    const finish = (response: HttpResponse | null): void => {
+      if (finished || restarts !== this.restarts) return;
+      finished = true;
       this.awaiting = false;
-      if (this.alive) this.schedule(this.takeAnswer(answer, sent, incarnation));
+      if (this.alive) this.schedule(this.processResponse(response, sent, incarnation));
     };
     time.after(HEARTBEAT_TIMEOUT, () => finish(null));
-    net.echo(this.place.id, () => this.deliver(reportsTo, body, () => undefined));
-    net.heartbeatSent(this, reportsTo, body);
+    network.onSend(this.place.id, () => this.deliver(target, body, () => undefined));
+    network.heartbeatSent(this, target, body);
     if (this.mute) return void time.after(1000, () => finish(null));
-    this.sendOverLinks(reportsTo, body, finish);
+    this.sendOverLinks(target, body, finish);
   }
 
-  private sendOverLinks(node: string, body: Buffer, finish: (answer: HttpResponse | null) => void): void {
-    const { links } = this.options.net;
+  private sendOverLinks(label: string, body: Buffer, finish: (response: HttpResponse | null) => void): void {
+    const { links } = this.options.network;
     const zone = `zone:${this.place.zone}`;
-    const back = (answer: HttpResponse | null): void =>
+    const sendBack = (response: HttpResponse | null): void =>
       links.answer(
         zone,
-        node,
-        () => this.deaf || this.whenAwake(() => finish(answer)),
+        label,
+        () => this.deaf || this.whenAwake(() => finish(response)),
         () => finish(null),
       );
-    // Held, it may arrive long after the worker has given up.
+    // A held link may deliver the heartbeat long after it has timed out.
     links.send(
       zone,
-      node,
-      () => this.deliver(node, body, back),
+      label,
+      () => this.deliver(label, body, sendBack),
       () => finish(null),
     );
   }
 
-  /** Acts on an answer to the heartbeat that was sent then. The time to the next heartbeat. */
-  private takeAnswer(answer: HttpResponse | null, sent: number, incarnation: number): number {
+  /** Processes the response to the heartbeat sent at `sent`, and returns the delay before the next heartbeat. */
+  private processResponse(response: HttpResponse | null, sent: number, incarnation: number): number {
     const { random, timing } = this.options;
-    const usual = timing.heartbeatInterval * random.between(0.75, 1.25);
-    if (answer === null || (answer.status !== 200 && answer.status !== 421)) return this.tryNextNode();
-    const { leader, orders, token } = decodeHeartbeatAnswer(answer.body.toString());
-    if (answer.status === 421) return this.redirect(leader);
-    if (token === undefined || token < this.token || incarnation !== this.incarnation) return usual;
-    const higher = token > this.token;
+    const delay = timing.heartbeatInterval * random.between(0.75, 1.25);
+    if (response === null || (response.status !== 200 && response.status !== 421))
+      return this.tryNextController();
+    const { leader, orders, token } = decodeHeartbeatResponse(response.body.toString());
+    if (response.status === 421) return this.redirect(leader);
+    if (token === undefined || token < this.token || incarnation !== this.incarnation) return delay;
+    const newTerm = token > this.token;
     this.token = token;
-    this.leaseFrom = Math.max(this.leaseFrom, sent);
+    this.leaseStart = Math.max(this.leaseStart, sent);
     this.answeredFrom = sent;
     const before = this.runner.signature();
     this.runner.execute(orders);
-    return higher || before !== this.runner.signature() ? CHANGED_HEARTBEAT : usual;
+    return newTerm || before !== this.runner.signature() ? CHANGED_HEARTBEAT_INTERVAL : delay;
   }
 
-  private tryNextNode(): number {
-    this.node++;
-    return RETRY_HEARTBEAT;
+  /** Switches to the next controller and returns the delay before the next heartbeat. */
+  private tryNextController(): number {
+    this.controllerIndex++;
+    return HEARTBEAT_RETRY_DELAY;
   }
 
-  /** The controller does not lead, and may know who does. */
+  /** Switches to the leader that a controller without leadership names, or to the next controller. Returns the delay. */
   private redirect(leader: string | undefined): number {
-    const { net, random } = this.options;
-    const to = leader === undefined ? -1 : net.nodes.indexOf(leader);
-    if (to < 0 || to === this.node % net.nodes.length) return this.tryNextNode();
-    this.node = to;
+    const { network, random } = this.options;
+    const to = leader === undefined ? -1 : network.controllers.indexOf(leader);
+    if (to < 0 || to === this.controllerIndex % network.controllers.length) return this.tryNextController();
+    this.controllerIndex = to;
     return random.between(0, 500_000);
   }
 
-  /** Acts on what has arrived, at once or when the machine goes on. */
+  /** Performs an action at once, or when the machine resumes. */
   private whenAwake(act: () => void, order = false): void {
-    if (this.arrived !== null) return void this.arrived.push(act);
-    const { net, time } = this.options;
-    const still = this.alive && !this.hanging ? net.stallFor(this) : 0;
-    if (still === 0) return act();
+    if (this.deferred !== null) return void this.deferred.push(act);
+    const { network, time } = this.options;
+    const stall = this.alive && !this.hanging ? network.stallDuration(this) : 0;
+    if (stall === 0) return act();
     const { incarnation } = this;
     this.hanging = true;
-    time.after(still, () => {
+    time.after(stall, () => {
       this.hanging = false;
       if (!this.alive) return;
-      net.resumed(incarnation !== this.incarnation, order);
+      network.resumed(incarnation !== this.incarnation, order);
       act();
     });
   }
 
-  private takeOrders(body: string): void {
+  /** Executes direct orders of a current term that are meant for this incarnation. */
+  private executeOrders(body: string): void {
     if (!this.alive) return;
     const { incarnation, orders, token } = decodeDirectOrders(body);
     if (token === undefined || token < this.token || incarnation !== this.incarnation) return;
--- a/packages/simulation/src/world/world.ts
+++ b/packages/simulation/src/world/world.ts
@@ -1,6 +1,6 @@
 /**
- * A whole deployment on virtual time: the real controllers, stand-ins for everything else, seeded faults, and the
- * protocol's rules checked after every step. This module joins the parts; each part's job is said in its own module.
+ * A whole deployment on virtual time: real controllers, stand-ins for all other components, seeded faults, and checks of
+ * the protocol's rules after every event. This module connects the components; their own modules document them.
  */
 import type { Effect } from 'effect';
 import type { HttpResponse, HttpRequest } from '@lilacvalve/runtime/http-server';
@@ -32,7 +32,7 @@
 import { SCENARIO_NAMES } from './scenarios/scenario-names.js';
 import { Scenarios } from './scenarios/scenarios.js';
 import { type Place, Rules } from './rules.js';
-import { hostScenarios } from './scenario-host.js';
+import { createScenarioWorld } from './scenario-host.js';
 import { StateService } from './state-service/state-service.js';
 import { Time } from './time.js';
 import { type Submission, Users } from './users.js';
@@ -40,17 +40,21 @@
 import type { TaskWorld } from './worker/task-runner.js';
 import { type WorkerNet, Worker } from './worker/worker.js';
 
-/** The rules and checks are looked at this often, besides the rules' own check after every event. Microseconds. */
-const CHECK_EVERY = 1e6;
-const ACCOUNTS_EVERY = 5e6;
-/** A day goes on for so long after the last fault, for a job that nobody answers for to show. */
-const SCENARIOS_GO_ON = 90e6;
-/** A day without scenarios may end so long after its faults. */
-const ENDS_AFTER = 60e6;
-/** Users who ask about jobs that nobody has submitted. */
-const STRANGERS = 5;
+/** Interval between two runs of the checks that do not run after every event, in microseconds. */
+const CHECK_INTERVAL = 1e6;
+/** Interval between two comparisons of the controllers' accounts, in microseconds. */
+const ACCOUNTS_INTERVAL = 5e6;
+/**
+ * A day with scenarios continues for this long after the last fault, in microseconds, so that a job whose polls get no
+ * response is detected.
+ */
+const AFTER_SCENARIOS = 90e6;
+/** A day may end this long after its faults, in microseconds, once all jobs have finished. */
+const MIN_QUIET = 60e6;
+/** Number of polls for jobs that were never submitted. */
+const UNKNOWN_JOB_POLLS = 5;
 
-/** One simulated deployment, and the day that is played in it. The same seed, faults and size give the same day. */
+/** One simulated deployment and its day. The same seed, faults and size reproduce the same day. */
 export class World {
   readonly time: Time;
   readonly random: RandomSource;
@@ -63,17 +67,20 @@
   readonly workers = new Map<string, Worker>();
   readonly users: Users;
   readonly dataLoss: DataLoss;
-  /** Every answer of a day on which nothing is lost. After a loss, `rules` and `dataLoss` say what must still be known. */
+  /**
+   * All responses of a day without data loss; null on days with one, when `rules` and `dataLoss` determine what
+   * controllers must still know.
+   */
   readonly history: History | null;
-  readonly begun = new StartLatencyCheck();
+  readonly startLatency = new StartLatencyCheck();
   readonly serving = new Serving();
   readonly loans: Loans | null;
   readonly capacity: CapacityCheck;
-  /** null: no scenario of compound faults is on. */
+  /** null: no scenario of compound faults is enabled. */
   readonly scenarios: Scenarios | null;
-  /** null: jobs have no cutoffs, or the day has not begun. */
+  /** null: jobs have no cutoffs, or the day has not started. */
   cutoffs: Cutoffs | null = null;
-  /** Tasks that a worker killed because its lease expired. */
+  /** Number of tasks that workers killed because their lease expired. */
   killed = 0;
   private readonly settings: (label: string) => Settings;
   private readonly limits: Readonly<Record<string, { readonly cpus: number; readonly gpus: number }>>;
@@ -81,7 +88,7 @@
   private readonly injector: FaultInjector;
   private readonly accounts: AccountsCheck;
 
-  /** `print`: writes what the controllers log to stdout. */
+  /** `print`: writes the controllers' logs to stdout. */
   constructor(
     seed: number,
     private readonly faults: Faults,
@@ -98,7 +105,7 @@
     const { random, time } = this;
     this.links = new Links(time, random);
     this.state = new StateService(time, random, this.links);
-    if (faults.manySmallJobs) this.state.limits = { rps: 100, writeRps: 25, nodes: size.nodes.length };
+    if (faults.manySmallJobs) this.state.limits = { rps: 100, writeRps: 25, controllers: size.nodes.length };
     this.rules = new Rules(workers.cancel, this.limits);
     const { links, rules, state } = this;
     this.log = new FaultLog(time, rules);
@@ -145,9 +152,9 @@
       memory: dataLoss.memory,
       log,
       size,
-      brokenShare: faults.brokenJobs ? 0.5 : 0.03,
+      brokenFraction: faults.brokenJobs ? 0.5 : 0.03,
       cpuLimit: (team) => this.limits[team]?.cpus,
-      begun: this.begun,
+      startLatency: this.startLatency,
       scenarios,
     });
     const { users } = this;
@@ -161,8 +168,8 @@
       remembers: (id) => dataLoss.remembers(id),
       checksCost: faults.fastBoots === true || faults.outboundLoss === true,
     });
-    const count = this.countCommits();
-    this.accounts = new AccountsCheck(controllers, state, count, (machine) => cloud.kindOf(machine));
+    const usageCount = this.countCommits();
+    this.accounts = new AccountsCheck(controllers, state, usageCount, (machine) => cloud.kindOf(machine));
     this.loans = faults.lending
       ? new Loans(
           teams,
@@ -170,13 +177,13 @@
           (step) => this.injector.loanStep(step, ''),
         )
       : null;
-    if (this.loans) state.onCommit = (key, value, stamp) => this.loans?.committed(key, value, stamp);
-    const parts = { time, random, links, state, rules, controllers, cloud, users, log };
+    if (this.loans) state.onCommit = (key, value, revision) => this.loans?.committed(key, value, revision);
+    const components = { time, random, links, state, rules, controllers, cloud, users, log };
     this.scenarios =
       faults.compoundFaults || SCENARIO_NAMES.some((name) => faults[name])
         ? new Scenarios(
-            hostScenarios({
-              ...parts,
+            createScenarioWorld({
+              ...components,
               workers: this.workers,
               settings: workers,
               injector: () => this.injector,
@@ -187,7 +194,7 @@
     rules.onComplete = (task) => this.scenarios?.completed(task);
     rules.onOrdered = (task) => this.scenarios?.ordered(task);
     this.injector = new FaultInjector({
-      ...parts,
+      ...components,
       faults,
       size,
       workers: this.workers,
@@ -205,44 +212,44 @@
     if (faults.lost) state.lossy = 0.03;
   }
 
-  /** The controllers' labels. */
+  /** The labels of all controllers. */
   get nodes(): readonly string[] {
     return this.size.nodes;
   }
 
-  /** The controllers that are up. */
+  /** The running controllers. */
   up(): { readonly name: string; readonly node: Controller }[] {
     return this.controllers.up();
   }
 
-  /** The label of the controller that may act as leader. */
+  /** The label of the controller that currently has the right to act as leader. */
   leader(): string | undefined {
     return this.controllers.leader();
   }
 
-  /** A request to a controller's listener; null: it is down. */
+  /** Handles a request to a controller; null: the controller is not running. */
   handle(label: string, request: HttpRequest): Effect.Effect<HttpResponse> | null {
     return this.controllers.handle(label, request);
   }
 
-  /** A controller ends without a word, and is back after so many microseconds. */
+  /** Ends a controller without notice and starts it again after `back` microseconds. */
   crash(label: string, back: number): void {
     this.controllers.crash(label, back);
   }
 
-  /** Both directions between two ends fail for so many microseconds. */
+  /** Makes both directions between two network endpoints fail for `lasts` microseconds. */
   cut(one: string, other: string, state: LinkState, lasts: number): void {
     this.injector.cut(one, other, state, lasts);
   }
 
-  /** A user submits a job now. Its id; undefined: the drawn one was taken. */
+  /** Submits a job for a user. Returns its id; undefined if the id drawn at random is already in use. */
   submit(submission: Submission = {}): string | undefined {
     return this.users.submit(submission);
   }
 
   /**
-   * Plays a day: some jobs, faults until `troubled`, then a time of at most `quiet` in which everything should come to its
-   * end. All in microseconds. What is wrong is in `rules.broken` afterwards.
+   * Simulates a day with `jobs` jobs: faults until `troubled`, then at most `quiet` in which all jobs should finish. Both
+   * in microseconds. Violations are in `rules.violations` afterwards.
    */
   play(jobs: number, troubled: number, quiet: number): void {
     this.scheduleUsers(jobs, troubled);
@@ -253,12 +260,12 @@
     if (loans && this.unfinished().length === 0) loans.end();
   }
 
-  /** What is wrong with the accounts of the controllers that are up, a line each. */
+  /** Descriptions of the errors in the accounts of the running controllers. */
   accountsWrong(): string[] {
     return this.accounts.wrong(this.dataLoss.at.length === 0);
   }
 
-  /** Accepted jobs that nobody cancelled and that are not called done. */
+  /** Ids of the accepted jobs that were neither cancelled nor reported as completed. */
   unfinished(): string[] {
     return [...this.users.jobs.values()]
       .filter((job) => this.rules.state(job.id) === 'accepted' && job.shape !== 'daemon' && !job.broken)
@@ -266,27 +273,27 @@
       .map((job) => job.id);
   }
 
-  /** The part of the accepted jobs of each team that came to their end, those cancelled or broken left out. */
+  /** By team: the fraction of its accepted jobs that completed. Cancelled and failing jobs are left out. */
   served(): Record<string, number> {
-    const byTeam = new Map<string, { all: number; ended: number }>();
+    const byTeam = new Map<string, { all: number; finished: number }>();
     for (const job of this.users.jobs.values()) {
       const state = this.rules.state(job.id);
       if (state === undefined || state === 'aborted' || job.shape === 'daemon' || job.broken) continue;
       if (state === 'accepted' && !this.dataLoss.remembers(job.id)) continue;
       let counted = byTeam.get(job.team);
-      if (!counted) byTeam.set(job.team, (counted = { all: 0, ended: 0 }));
+      if (!counted) byTeam.set(job.team, (counted = { all: 0, finished: 0 }));
       counted.all++;
-      if (state === 'done') counted.ended++;
+      if (state === 'done') counted.finished++;
     }
-    return Object.fromEntries([...byTeam].sort().map(([team, { all, ended }]) => [team, ended / all]));
+    return Object.fromEntries([...byTeam].sort().map(([team, { all, finished }]) => [team, finished / all]));
   }
 
-  /** Served and begun in time, by class, team and each class's largest. */
+  /** The fractions of jobs served and started in time, by job class, by team and for the largest jobs of each class. */
   least(): LeastRow[] {
-    return this.begun.rows((id) => this.rules.state(id));
+    return this.startLatency.rows((id) => this.rules.state(id));
   }
 
-  /** Ends all controllers; the world can't be played any more. */
+  /** Stops all controllers. The simulation cannot continue afterwards. */
   stop(): void {
     this.controllers.stop();
     this.time.run(this.time.now + 1e6);
@@ -303,26 +310,27 @@
       const cancelAfter = random.chance(0.25) ? random.between(1e6, 60e6) : null;
       time.after(random.between(0, troubled * 0.7), () => users.submit({ cancelAfter }));
     }
-    for (let i = 0; i < STRANGERS; i++) time.after(random.between(0, troubled), () => users.pollUnknown());
+    for (let i = 0; i < UNKNOWN_JOB_POLLS; i++)
+      time.after(random.between(0, troubled), () => users.pollUnknown());
     if (!this.faults.lending) return;
     for (const { arrival, at, cancelAfter } of coming(random, troubled, this.size === SMALL ? 1 : 2))
       time.after(at, () => users.submit({ arrival, cancelAfter }));
   }
 
-  /** Until a rule is broken, all is done, or the day's time is over. */
+  /** Runs until a rule is violated, all jobs have finished, or the time of the day is used up. */
   private run(troubled: number, quiet: number): void {
     const { capacity, dataLoss, rules, time } = this;
     const end = troubled + quiet;
-    for (let at = 0; at < end && !dataLoss.isDayBroken(); at += CHECK_EVERY) {
+    for (let at = 0; at < end && !dataLoss.isDayBroken(); at += CHECK_INTERVAL) {
       time.run(at);
       dataLoss.settle();
       this.checkLending();
       capacity.look();
-      if (at % ACCOUNTS_EVERY === 0) rules.broken.push(...this.accounts.apart());
+      if (at % ACCOUNTS_INTERVAL === 0) rules.broken.push(...this.accounts.apart());
       dataLoss.judge();
-      if (this.scenarios && at < rules.quiescentAt + SCENARIOS_GO_ON) continue;
+      if (this.scenarios && at < rules.quiescentAt + AFTER_SCENARIOS) continue;
       if (capacity.open) continue;
-      if (at > troubled + ENDS_AFTER && this.unfinished().length === 0) break;
+      if (at > troubled + MIN_QUIET && this.unfinished().length === 0) break;
     }
   }
 
@@ -331,10 +339,10 @@
       this.faults.faultyMachines === true && this.random.chance(0.15) && this.log.strike('faultyMachines');
     return new Worker({
       place,
-      room: type,
+      capacity: type,
       time: this.time,
       random: this.random,
-      net: this.workerNet(),
+      network: this.workerNet(),
       rules: this.rules,
       world: this.taskWorld(),
       timing: this.settings('n0').workers,
@@ -346,48 +354,51 @@
   private workerNet(): WorkerNet {
     const { controllers, duplicates, links, scenarios } = this;
     return {
-      echo: (from, again) => duplicates.sending(from, again),
+      onSend: (from, again) => duplicates.sending(from, again),
       heartbeatSent: (by, label, body) => scenarios?.heartbeatSent(by, label, body),
-      stallFor: (by) => scenarios?.stallFor(by) ?? 0,
-      resumed: (lapsed, order) => scenarios?.resumed(lapsed, order),
+      stallDuration: (by) => scenarios?.stallFor(by) ?? 0,
+      resumed: (leaseExpired, order) => scenarios?.resumed(leaseExpired, order),
       stoppedDirectly: (by, task) => scenarios?.stoppedDirectly(by, task),
       reaped: (task, done) => scenarios?.reaped(task, done),
       handle: (label, request) => controllers.handle(label, request),
       links,
-      nodes: controllers.nodes,
+      controllers: controllers.nodes,
     };
   }
 
   private taskWorld(): TaskWorld {
     return {
       jobs: this.users.jobs,
-      begun: this.begun,
+      startLatency: this.startLatency,
       workers: this.workers,
       step: (what, machine) => this.injector.loanStep(what, machine),
     };
   }
 
-  /** Follows every change of the store: for the accounts, the scenarios, and the rule that no record is written twice. */
+  /**
+   * Observes every change of the store for the usage count, the scenarios, and the rule that no log entry is written twice.
+   */
   private countCommits(): UsageCount {
     const { cloud, dataLoss, rules, state, time, users } = this;
-    const count = new UsageCount(
-      (id) => countedJob(users.jobs.get(id)),
+    const usageCount = new UsageCount(
+      (id) => countedJobOf(users.jobs.get(id)),
       (machine) => cloud.kindOf(machine),
     );
-    const records = new Set<string>();
+    const logEntries = new Set<string>();
     state.onPut = (key, value) => {
-      count.put(key, value);
+      usageCount.put(key, value);
       this.scenarios?.committed(key, value);
-      // Not even once it is compacted and deleted: a late copy of it finds no key, and must not commit.
+      // The rule also holds for entries that were compacted and deleted: a delayed copy of the transaction finds no key,
+      // and must not commit.
       if (!key.startsWith(LOG_ENTRIES) || value === undefined || dataLoss.at.length > 0) return;
-      if (records.has(key)) rules.broken.push(`record_rewritten: ${key} at ${time.now}`);
-      records.add(key);
+      if (logEntries.has(key)) rules.broken.push(`record_rewritten: ${key} at ${time.now}`);
+      logEntries.add(key);
     };
-    state.onSpoilt = (key) => count.spoil(key);
-    return count;
+    state.onDamaged = (key) => usageCount.recordDamaged(key);
+    return usageCount;
   }
 
-  /** Loans against their rules, and how many replicas of each service are up. */
+  /** Checks the rules of loans, and records the number of running replicas of each service. */
   private checkLending(): void {
     if (!this.loans) return;
     this.loans.check(
@@ -410,7 +421,7 @@
   }
 }
 
-/** Each controller's settings. On every other day few records are kept, so that they are compacted again and again. */
+/** Returns the settings of a controller. Even seeds keep few log entries, so that compaction runs again and again. */
 const settingsOf = (seed: number, faults: Faults, size: Size): ((label: string) => Settings) => {
   const { state, workers } = worldSettings('n0');
   return (label) =>
@@ -425,6 +436,6 @@
     });
 };
 
-/** What the accounts count of a job: thousandths of CPUs, GPUs and GB of memory. */
-const countedJob = (job: JobTruth | undefined): ReturnType<ConstructorParameters<typeof UsageCount>[0]> =>
+/** The properties of a job that accounts depend on. The shape holds thousandths of CPUs, GPUs and GB of memory. */
+const countedJobOf = (job: JobTruth | undefined): ReturnType<ConstructorParameters<typeof UsageCount>[0]> =>
   job && { team: job.team, jobClass: job.jobClass, shape: [job.cpus * 1000, job.gpus * 1000, 2000] };
--- a/packages/simulation/test/checks.test.ts
+++ b/packages/simulation/test/checks.test.ts
@@ -1,4 +1,4 @@
-/** Each check of the rules is seen to fail on what breaks it. */
+/** Verifies the simulation's own checks: each reports the violations that it is meant to detect, and nothing else. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { encodeJob, encodeLogEntry } from '@lilacvalve/controller/jobs/codec';
@@ -39,7 +39,7 @@
   spread: false,
   spot: false,
 };
-const m = (id: string, over: Partial<{ type: string; zone: string; spot: boolean }> = {}) => ({
+const machine = (id: string, over: Partial<{ type: string; zone: string; spot: boolean }> = {}) => ({
   id,
   type: 'c8',
   zone: 'a',
@@ -47,56 +47,68 @@
   ...over,
 });
 
-test('every rule is broken by what it forbids, and by nothing less', () => {
-  const table: [string, (r: Rules) => void][] = [
-    ['ran_twice', (r) => (r.start('job-1/0', m('m1'), 1), r.start('job-1/0', m('m2'), 2))],
-    ['wrong_place', (r) => r.start('job-1/0', m('m1', { type: 'g4' }), 1)],
-    ['wrong_place', (r) => r.start('job-1/0', m('m1', { spot: true }), 1)],
-    ['wrong_place', (r) => (r.start('job-1/0', m('m1'), 1), r.start('job-1/1', m('m2', { zone: 'b' }), 2))],
-    ['quota', (r) => [0, 1, 2].forEach((i) => r.start(`job-1/${i}`, m(`m${i}`), i))],
-    ['forgotten', (r) => (r.submitted('job-1', 201, 1), r.answered('job-1', 404, undefined, 2))],
-    ['forgotten', (r) => (r.submitted('job-1', 201, 1), r.submitted('job-1', 422, 2))],
-    ['invented', (r) => r.answered('job-2', 200, 'pending', 1)],
-    ['not_done', (r) => r.answered('job-1', 200, 'done', 1)],
+test('each rule reports exactly one violation when it is broken, and none otherwise', () => {
+  const table: [string, (rules: Rules) => void][] = [
+    [
+      'ran_twice',
+      (rules) => (rules.start('job-1/0', machine('m1'), 1), rules.start('job-1/0', machine('m2'), 2)),
+    ],
+    ['wrong_place', (rules) => rules.start('job-1/0', machine('m1', { type: 'g4' }), 1)],
+    ['wrong_place', (rules) => rules.start('job-1/0', machine('m1', { spot: true }), 1)],
+    [
+      'wrong_place',
+      (rules) => (
+        rules.start('job-1/0', machine('m1'), 1),
+        rules.start('job-1/1', machine('m2', { zone: 'b' }), 2)
+      ),
+    ],
+    ['quota', (rules) => [0, 1, 2].forEach((i) => rules.start(`job-1/${i}`, machine(`m${i}`), i))],
+    ['forgotten', (rules) => (rules.submitted('job-1', 201, 1), rules.answered('job-1', 404, undefined, 2))],
+    ['forgotten', (rules) => (rules.submitted('job-1', 201, 1), rules.submitted('job-1', 422, 2))],
+    ['invented', (rules) => rules.answered('job-2', 200, 'pending', 1)],
+    ['not_done', (rules) => rules.answered('job-1', 200, 'done', 1)],
     [
       'went_back',
-      (r) => (
-        r.askCancel('job-1'),
-        r.answered('job-1', 200, 'aborted', 1),
-        r.answered('job-1', 200, 'running', 2)
+      (rules) => (
+        rules.askCancel('job-1'),
+        rules.answered('job-1', 200, 'aborted', 1),
+        rules.answered('job-1', 200, 'running', 2)
       ),
     ],
-    ['went_back', (r) => r.answered('job-1', 200, 'aborted', 1)],
+    ['went_back', (rules) => rules.answered('job-1', 200, 'aborted', 1)],
     [
       'older_answer',
-      (r) => (r.answered('job-1', 200, 'running', 1, 2), r.answered('job-1', 200, 'running', 2, 1)),
+      (rules) => (
+        rules.answered('job-1', 200, 'running', 1, 2),
+        rules.answered('job-1', 200, 'running', 2, 1)
+      ),
     ],
     [
       'ran_cancelled',
-      (r) => (
-        r.start('job-1/0', m('m1'), 1),
-        r.askCancel('job-1'),
-        r.answered('job-1', 200, 'aborted', 5),
-        r.check(5 + 36e6)
+      (rules) => (
+        rules.start('job-1/0', machine('m1'), 1),
+        rules.askCancel('job-1'),
+        rules.answered('job-1', 200, 'aborted', 5),
+        rules.check(5 + 36e6)
       ),
     ],
-    ['attempt_reused', (r) => (r.ordered('job-1/0', 7, 'm1'), r.ordered('job-1/0', 7, 'm2'))],
-    ['hire_reused', (r) => (r.hired('h-1', 'c8 a'), r.hired('h-1', 'g4 a'))],
+    ['attempt_reused', (rules) => (rules.ordered('job-1/0', 7, 'm1'), rules.ordered('job-1/0', 7, 'm2'))],
+    ['hire_reused', (rules) => (rules.hired('h-1', 'c8 a'), rules.hired('h-1', 'g4 a'))],
   ];
-  for (const [rule, breakIt] of table) {
-    const r = new Rules(35e6, { red: { cpus: 11, gpus: 0 } });
-    r.specs.set('job-1', spec);
-    breakIt(r);
-    assert.equal(r.broken.length, 1, `${rule}: ${r.broken.join('; ')}`);
-    assert.ok(r.broken[0]!.startsWith(`${rule}:`), r.broken[0]);
+  for (const [rule, violate] of table) {
+    const rules = new Rules(35e6, { red: { cpus: 11, gpus: 0 } });
+    rules.specs.set('job-1', spec);
+    violate(rules);
+    assert.equal(rules.broken.length, 1, `${rule}: ${rules.broken.join('; ')}`);
+    assert.ok(rules.broken[0]!.startsWith(`${rule}:`), rules.broken[0]);
   }
   const sound = new Rules(35e6, { red: { cpus: 11, gpus: 0 } });
   sound.specs.set('job-1', spec);
   sound.ordered('job-1/0', 7, 'm1');
   sound.ordered('job-1/0', 7, 'm1');
-  sound.start('job-1/0', m('m1'), 1);
+  sound.start('job-1/0', machine('m1'), 1);
   sound.leave('job-1/0', 'm1');
-  sound.start('job-1/0', m('m2'), 2);
+  sound.start('job-1/0', machine('m2'), 2);
   sound.submitted('job-1', 201, 1);
   sound.answered('job-1', 200, 'running', 3, 1);
   sound.answered('job-1', 200, 'running', 4, 1);
@@ -105,30 +117,30 @@
   assert.deepEqual(sound.broken, []);
 });
 
-test('a job counts as forgotten when nothing about it is answered for 75 s after the last trouble, however others fare', () => {
-  const r = new Rules(35e6, {});
-  r.polled('job-1', true, 0);
-  r.polled('job-2', true, 0);
-  r.quiescentAt = 100e6;
-  // As long as the troubles last nobody need be answered.
-  for (let t = 5e6; t <= 174e6; t += 5e6) {
-    r.polled('job-1', false, t);
-    r.polled('job-2', true, t);
+test('a job is reported as unanswered when none of its polls is answered for 75 s after the last fault, whatever happens to other jobs', () => {
+  const rules = new Rules(35e6, {});
+  rules.polled('job-1', true, 0);
+  rules.polled('job-2', true, 0);
+  rules.quiescentAt = 100e6;
+  // While faults last, polls may stay unanswered.
+  for (let now = 5e6; now <= 174e6; now += 5e6) {
+    rules.polled('job-1', false, now);
+    rules.polled('job-2', true, now);
   }
-  assert.deepEqual(r.broken, []);
-  r.polled('job-1', false, 176e6);
-  assert.equal(r.broken.length, 1);
-  assert.match(r.broken[0]!, /^unanswered: job-1 for 76 s/);
-  assert.equal(r.silence, 76e6);
-  r.polled('job-1', true, 177e6);
-  r.polled('job-1', false, 178e6);
-  assert.equal(r.broken.length, 1, 'one answer is enough');
+  assert.deepEqual(rules.broken, []);
+  rules.polled('job-1', false, 176e6);
+  assert.equal(rules.broken.length, 1);
+  assert.match(rules.broken[0]!, /^unanswered: job-1 for 76 s/);
+  assert.equal(rules.silence, 76e6);
+  rules.polled('job-1', true, 177e6);
+  rules.polled('job-1', false, 178e6);
+  assert.equal(rules.broken.length, 1, 'a single answered poll restarts the time');
 });
 
-test('the state service loses what it is told to lose', () => {
+test('each kind of data loss removes or alters exactly what it specifies', () => {
   const time = new Time(1);
-  const luck = new RandomSource(1);
-  const state = new StateService(time, luck, new Links(time, luck));
+  const random = new RandomSource(1);
+  const state = new StateService(time, random, new Links(time, random));
   const set = (key: string, value: unknown): void => {
     time.fork(state.port('n0').transact([], [{ set: key, value }], 1, 1000));
     time.run(time.now + 1e6);
@@ -147,54 +159,54 @@
   assert.equal(state.keys.get('s/a')!.value, '1');
   state.lose({ kind: 'keys', prefix: 's/', part: 1 });
   assert.equal(state.keys.size, 0);
-  assert.ok(state.revision > 0, 'no revision tells of it');
+  assert.ok(state.revision > 0, 'a loss of single keys does not change the revision');
   state.lose({ kind: 'all' });
   assert.equal(state.revision, 0);
 });
 
-test('a link carries, holds, resets, delays and loses in its own direction only', () => {
+test('a link state delays, resets or loses messages in its own direction only', () => {
   const arrived: string[] = [];
-  const run = (how: Parameters<Links['set']>[2] | null): string => {
+  const run = (linkState: Parameters<Links['set']>[2] | null): string => {
     const time = new Time(2);
     const links = new Links(time, new RandomSource(2));
-    if (how !== null) links.set('a', 'b', how, 5e6);
+    if (linkState !== null) links.set('a', 'b', linkState, 5e6);
     arrived.length = 0;
-    let there = -1;
-    let back = -1;
-    let failed = -1;
+    let arrivedAt = -1;
+    let answeredAt = -1;
+    let failedAt = -1;
     links.send(
       'a',
       'b',
       () => {
-        there = time.now;
-        links.answer('a', 'b', () => (back = time.now));
+        arrivedAt = time.now;
+        links.answer('a', 'b', () => (answeredAt = time.now));
       },
-      () => (failed = time.now),
+      () => (failedAt = time.now),
     );
-    let other = -1;
-    links.send('b', 'a', () => (other = time.now));
+    let reverseArrivedAt = -1;
+    links.send('b', 'a', () => (reverseArrivedAt = time.now));
     time.run(30e6);
-    assert.ok(other >= 0 && other < 5000, 'the other direction is untouched');
+    assert.ok(reverseArrivedAt >= 0 && reverseArrivedAt < 5000, 'the other direction is unaffected');
     return [
-      there < 0 ? 'lost' : there > 4e6 ? 'late' : there > 50_000 ? 'slow' : 'there',
-      back < 0 ? 'no answer' : 'answer',
-      failed < 0 ? '' : 'told',
+      arrivedAt < 0 ? 'lost' : arrivedAt > 4e6 ? 'late' : arrivedAt > 50_000 ? 'slow' : 'arrived',
+      answeredAt < 0 ? 'unanswered' : 'answered',
+      failedAt < 0 ? '' : 'failed',
     ]
       .join(' ')
       .trim();
   };
-  assert.equal(run(null), 'there answer');
-  assert.equal(run('held'), 'late answer');
-  assert.equal(run('reset'), 'lost no answer told');
-  assert.equal(run('slow'), 'slow answer');
-  assert.equal(run('unanswered'), 'there no answer');
-  assert.match(run('lossy'), /^(there|slow) answer$/);
+  assert.equal(run(null), 'arrived answered');
+  assert.equal(run('held'), 'late answered');
+  assert.equal(run('reset'), 'lost unanswered failed');
+  assert.equal(run('slow'), 'slow answered');
+  assert.equal(run('unanswered'), 'arrived unanswered');
+  assert.match(run('lossy'), /^(arrived|slow) answered$/);
 });
 
-test("a day fails when less than half of a class's largest begin within four minutes, and only then", () => {
-  const begun = new StartLatencyCheck();
+test("a day fails if less than half of a class's largest jobs start within four minutes", () => {
+  const startLatency = new StartLatencyCheck();
   const job = (id: string, tasks: number, shape = 'array'): JobTruth => {
-    const j = {
+    const truth = {
       ...spec,
       id,
       tasks,
@@ -203,18 +215,18 @@
       cpus: 1,
       broken: false,
     } as unknown as JobTruth;
-    begun.submit(j, 0, 4);
-    return j;
+    startLatency.submit(truth, 0, 4);
+    return truth;
   };
-  const run = (j: JobTruth, tasks: number, at: number): void => {
-    for (let i = 0; i < tasks; i++) begun.run(j, `${j.id}/${i}`, at);
+  const run = (truth: JobTruth, tasks: number, at: number): void => {
+    for (let i = 0; i < tasks; i++) startLatency.run(truth, `${truth.id}/${i}`, at);
   };
   for (let i = 0; i < 20; i++) run(job(`small-${i}`, 1), 1, 1e6);
   const large = [1, 2, 3, 4, 5].map((i) => job(`large-${i}`, 10 + i));
-  // An array has begun with the four that its team may run at once, if no command stops one of them soon after.
+  // An array has started when the four tasks that its team may run at once have run, unless one is stopped soon after.
   run(large[0]!, 4, 100e6);
   run(large[1]!, 4, 100e6);
-  begun.stop(large[1]!, 'large-2/3', 120e6);
+  startLatency.stop(large[1]!, 'large-2/3', 120e6);
   run(large[2]!, 4, 250e6);
   const day = (): DayResult =>
     ({
@@ -223,32 +235,43 @@
       unfinished: 0,
       unwitnessed: 0,
       room: true,
-      least: begun.rows(() => 'done'),
+      least: startLatency.rows(() => 'done'),
     }) as unknown as DayResult;
-  const row = day().least.find((r) => r.of === 'largest render')!;
+  const row = day().least.find((group) => group.of === 'largest render')!;
   assert.deepEqual([row.jobs, row.begun, row.longest], [5, 0.2, 250]);
   assert.deepEqual(faultsOf(day()), ['largest render: 0.20 of 5 begun within four minutes']);
-  assert.deepEqual(faultsOf({ ...day(), room: false }), [], 'asked only where there is room');
+  assert.deepEqual(
+    faultsOf({ ...day(), room: false }),
+    [],
+    'start latency is required only on days with enough capacity for all jobs',
+  );
   run(large[1]!, 4, 130e6);
   run(large[3]!, 4, 239e6);
   assert.deepEqual(faultsOf(day()), []);
   const gang = job('large-6', 16, 'ensemble');
   run(gang, 15, 1e6);
-  assert.equal(begun.wait(begun.submitted.get(gang.id)!), null, 'a gang begins whole');
-  const half = { ...day(), least: begun.rows((id) => (id.startsWith('small') ? 'accepted' : 'done')) };
+  assert.equal(
+    startLatency.wait(startLatency.submitted.get(gang.id)!),
+    null,
+    'a gang has started only when all of its tasks have run',
+  );
+  const half = { ...day(), least: startLatency.rows((id) => (id.startsWith('small') ? 'accepted' : 'done')) };
   assert.ok(
-    faultsOf(half).some((f) => f.startsWith('class render: 0.23 served')),
+    faultsOf(half).some((fault) => fault.startsWith('class render: 0.23 served')),
     faultsOf(half).join('; '),
   );
 });
 
-/** A service and a batch job with four tasks running, and what a record after that is said to break. */
-const afterRecord = (
-  taker: Partial<JobSpec>,
+/**
+ * Returns the names of the rules that a log entry violates in a state with a service and a batch job with four running
+ * tasks. `seconds`: how long the checks run after the entry. `cancelled`: whether the batch job is cancelled after it.
+ */
+const violationsAfterEntry = (
+  borrower: Partial<JobSpec>,
   lender: Partial<JobSpec>,
   change: Record<string, JobChange>,
   seconds = 0,
-  withdrawn = false,
+  cancelled = false,
 ): string[] => {
   const broken: string[] = [];
   const loans = new Loans(
@@ -257,11 +280,13 @@
     () => undefined,
   );
   const gpu = { gpus: 1, cpus: 1, tasks: 4 };
-  const service = job('job-1', { ...gpu, shape: 'service', urgency: 2, team: 'guest', ...taker });
+  const service = job('job-1', { ...gpu, shape: 'service', urgency: 2, team: 'guest', ...borrower });
   const batch = job('job-2', { ...gpu, team: 'blue', ...lender });
   for (let task = 0; task < 4; task++)
     batch.placed.set(task, { task, attempt: 1, machine: 'm', since: 0 as never });
-  [service, batch].forEach((j, i) => loans.committed(activeJobKey(j.spec.id), encodeJob(j, 0), i + 1));
+  [service, batch].forEach((stored, i) =>
+    loans.committed(activeJobKey(stored.spec.id), encodeJob(stored, 0), i + 1),
+  );
   const put = (seq: number, changes: Record<string, JobChange>): void =>
     loans.committed(
       logEntryKey(seq),
@@ -269,120 +294,137 @@
       seq + 2,
     );
   put(1, change);
-  batch.cancelled = withdrawn;
-  if (withdrawn) loans.committed(activeJobKey('job-2'), encodeJob({ ...batch, loans: new Map() }, 1), 9);
-  for (let s = 0; s < seconds; s++) loans.check(s * 1e6, [], true);
-  if (seconds === 0 && broken.length === 0 && withdrawn) loans.end();
-  return broken.map((b) => b.slice(0, b.indexOf(':')));
+  batch.cancelled = cancelled;
+  if (cancelled) loans.committed(activeJobKey('job-2'), encodeJob({ ...batch, loans: new Map() }, 1), 9);
+  for (let second = 0; second < seconds; second++) loans.check(second * 1e6, [], true);
+  if (seconds === 0 && broken.length === 0 && cancelled) loans.end();
+  return broken.map((violation) => violation.slice(0, violation.indexOf(':')));
 };
 
-test('loans beyond a guarantee, of equal urgency, or open after their end are seen', () => {
-  const lend = { 'job-1': { lend: [{ lender: 'job-2', gpus: 1000, tasks: 1 }] } };
-  // Blue runs four, and four are promised to it: nobody takes one for more than their own.
-  assert.deepEqual(afterRecord({}, {}, lend), ['guarantee']);
-  assert.deepEqual(afterRecord({ team: 'red' }, {}, lend), []);
-  assert.deepEqual(afterRecord({}, { team: 'guest' }, lend), []);
-  assert.deepEqual(afterRecord({ team: 'red' }, { team: 'guest', urgency: 2 }, lend), []);
-  assert.deepEqual(afterRecord({ team: 'blue' }, { team: 'guest', urgency: 2 }, lend), []);
-  assert.deepEqual(afterRecord({}, { team: 'red', urgency: 2 }, lend), ['guarantee', 'guarantee']);
-  assert.deepEqual(afterRecord({ team: 'red' }, {}, lend, 30, true), []);
-  assert.deepEqual(afterRecord({ team: 'red' }, {}, lend, 70, true).slice(0, 1), ['loan_open']);
-  assert.deepEqual(afterRecord({ team: 'red' }, {}, lend, 0, true), ['loan_open']);
+test('loans that exceed a guarantee, lend between equal urgencies, or stay open too long are reported', () => {
+  const loan = { 'job-1': { lend: [{ lender: 'job-2', gpus: 1000, tasks: 1 }] } };
+  // Blue runs four tasks and its guarantee covers four, so a team may not borrow from it beyond the team's own guarantee.
+  assert.deepEqual(violationsAfterEntry({}, {}, loan), ['guarantee']);
+  assert.deepEqual(violationsAfterEntry({ team: 'red' }, {}, loan), []);
+  assert.deepEqual(violationsAfterEntry({}, { team: 'guest' }, loan), []);
+  assert.deepEqual(violationsAfterEntry({ team: 'red' }, { team: 'guest', urgency: 2 }, loan), []);
+  assert.deepEqual(violationsAfterEntry({ team: 'blue' }, { team: 'guest', urgency: 2 }, loan), []);
+  assert.deepEqual(violationsAfterEntry({}, { team: 'red', urgency: 2 }, loan), ['guarantee', 'guarantee']);
+  assert.deepEqual(violationsAfterEntry({ team: 'red' }, {}, loan, 30, true), []);
+  assert.deepEqual(violationsAfterEntry({ team: 'red' }, {}, loan, 70, true).slice(0, 1), ['loan_open']);
+  assert.deepEqual(violationsAfterEntry({ team: 'red' }, {}, loan, 0, true), ['loan_open']);
 });
 
-test('what was told must be known as long as one lives who was promised to know it', () => {
-  const [a, b, c] = ['a', 'b', 'c'].map((label) => ({ label }));
-  const all = [a!, b!, c!];
-  const day = (still: readonly string[], end: readonly string[], kept = 0): boolean => {
-    const m = new Memory();
-    const look = (
+test('a reported fact must be known while a controller survives that had to know it', () => {
+  const [first, second, third] = ['a', 'b', 'c'].map((label) => ({ label }));
+  const all = [first!, second!, third!];
+  const mustBeKnown = (frozen: readonly string[], ended: readonly string[], kept = 0): boolean => {
+    const memory = new Memory();
+    const observe = (
       from: number,
       to: number,
       up: readonly { label: string }[],
-      frozen: readonly string[],
+      unhealthy: readonly string[],
     ): void => {
       for (let at = from; at < to; at += 100_000)
-        m.look(
+        memory.look(
           at,
-          up.map((p) => ({
-            process: p,
-            fine: !frozen.includes(p.label),
-            reaches: new Set(up.flatMap((o) => (o !== p && !frozen.includes(o.label) ? [o.label] : []))),
+          up.map((process) => ({
+            process,
+            fine: !unhealthy.includes(process.label),
+            reaches: new Set(
+              up.flatMap((peer) => (peer !== process && !unhealthy.includes(peer.label) ? [peer.label] : [])),
+            ),
           })),
         );
     };
-    look(0, 20e6, all, []);
-    look(20e6, 30e6, all, still);
-    const fact = m.fact(30e6, a!, () => true);
-    m.lose(30.1e6, kept);
-    const left = all.filter((p) => !end.includes(p.label));
-    look(30.2e6, 45e6, left, still);
-    m.settle(45e6, true);
-    return m.promised([fact], 44e6, new Set());
+    observe(0, 20e6, all, []);
+    observe(20e6, 30e6, all, frozen);
+    const fact = memory.fact(30e6, first!, () => true);
+    memory.lose(30.1e6, kept);
+    const survivors = all.filter((process) => !ended.includes(process.label));
+    observe(30.2e6, 45e6, survivors, frozen);
+    memory.settle(45e6, true);
+    return memory.promised([fact], 44e6, new Set());
   };
-  assert.equal(day([], []), true);
-  assert.equal(day([], ['a', 'b']), true, 'the third was told');
-  assert.equal(day([], ['a', 'b', 'c']), false, 'nobody is left');
-  assert.equal(day(['c'], ['a', 'b']), false, 'the third stood still');
-  assert.equal(day(['c'], ['b']), true, 'whoever said it knows it');
-  assert.equal(day(['c'], ['a', 'b'], 30.05e6), true, 'the store has it still');
+  assert.equal(mustBeKnown([], []), true);
+  assert.equal(mustBeKnown([], ['a', 'b']), true, 'the third controller was informed');
+  assert.equal(mustBeKnown([], ['a', 'b', 'c']), false, 'no controller survives');
+  assert.equal(mustBeKnown(['c'], ['a', 'b']), false, 'the third controller was frozen');
+  assert.equal(mustBeKnown(['c'], ['b']), true, 'the controller that reported the fact knows it');
+  assert.equal(mustBeKnown(['c'], ['a', 'b'], 30.05e6), true, 'the store still holds the fact');
 });
 
-const roomOn = (machine: string, free: Amounts, over: Partial<RoomOn> = {}): RoomOn => ({
-  ...m(machine),
-  machine,
+const freeMachine = (id: string, free: Amounts, over: Partial<RoomOn> = {}): RoomOn => ({
+  ...machine(id),
+  machine: id,
   free,
   ...over,
 });
-const wants = (over: Partial<Spec> = {}, shape = 'array', on: Record<string, string> = {}): Wanted => {
-  const s = { ...spec, types: null, oneZone: false, ...over };
-  const waiting = s.tasks - Object.keys(on).length;
+const unfinishedJob = (
+  over: Partial<Spec> = {},
+  shape = 'array',
+  on: Record<string, string> = {},
+): Wanted => {
+  const wanted = { ...spec, types: null, oneZone: false, ...over };
+  const waiting = wanted.tasks - Object.keys(on).length;
   const places = new Map(Object.entries(on).map(([task, zone]) => [task, { zone }]));
-  return { spec: s, shape, waiting, on: places, need: amounts(s.cpus, s.gpus, 2) };
+  return { spec: wanted, shape, waiting, on: places, need: amounts(wanted.cpus, wanted.gpus, 2) };
 };
 
-test('what fits is found by type, zone, spot, spread, place and for a gang whole', () => {
+test('whether a job fits depends on machine type, zone, spot, spread and the size of a gang', () => {
   const free = amounts(8, 0, 32);
-  const a = roomOn('m1', free);
-  const b = roomOn('m2', free, { zone: 'b' });
+  const inZoneA = freeMachine('m1', free);
+  const inZoneB = freeMachine('m2', free, { zone: 'b' });
   const table: [string, boolean, Wanted, RoomOn[]][] = [
-    ['a task', true, wants(), [a]],
-    ['too large', false, wants({ cpus: 9 }), [a]],
-    ['no GPU', false, wants({ gpus: 1 }), [a]],
-    ['no memory', false, wants(), [roomOn('m1', amounts(8, 0, 1))]],
-    ['another type', false, wants({ types: ['g4'] }), [a]],
-    ['another zone', false, wants({ zone: 'b' }), [a]],
-    ['a spot machine', false, wants(), [roomOn('m1', free, { spot: true })]],
-    ['a spot machine that it may use', true, wants({ spot: true }), [roomOn('m1', free, { spot: true })]],
-    ['two of a gang of three', false, wants({}, 'ensemble'), [a]],
-    ['a gang of three over two zones', true, wants({}, 'ensemble'), [a, b]],
-    ['a gang of three in one of two zones', false, wants({ oneZone: true }, 'ensemble'), [a, b]],
-    ['a gang of three in one', true, wants({ oneZone: true }, 'ensemble'), [a, roomOn('m3', free), b]],
-    ['a gang of four that must spread', false, wants({ tasks: 4, cpus: 2, spread: true }, 'ensemble'), [a]],
-    ['the same with two zones', true, wants({ tasks: 4, cpus: 2, spread: true }, 'ensemble'), [a, b]],
-    ['the second half of an array that must spread', false, wants({ tasks: 2, spread: true }, 'array', { 'job-1/0': 'a' }), [a]], // prettier-ignore
-    ['the same elsewhere', true, wants({ tasks: 2, spread: true }, 'array', { 'job-1/0': 'a' }), [b]],
-    ['beside the rest of its job', false, wants({ oneZone: true }, 'array', { 'job-1/0': 'a' }), [b]],
-    ['the same there', true, wants({ oneZone: true }, 'array', { 'job-1/0': 'a' }), [a]],
+    ['a task that fits', true, unfinishedJob(), [inZoneA]],
+    ['a task with too many CPUs', false, unfinishedJob({ cpus: 9 }), [inZoneA]],
+    ['a task that needs a GPU on a machine without', false, unfinishedJob({ gpus: 1 }), [inZoneA]],
+    [
+      'a task on a machine with too little memory',
+      false,
+      unfinishedJob(),
+      [freeMachine('m1', amounts(8, 0, 1))],
+    ],
+    ['a machine of another type', false, unfinishedJob({ types: ['g4'] }), [inZoneA]],
+    ['a machine in another zone', false, unfinishedJob({ zone: 'b' }), [inZoneA]],
+    ['a spot machine, not allowed', false, unfinishedJob(), [freeMachine('m1', free, { spot: true })]],
+    [
+      'a spot machine, allowed',
+      true,
+      unfinishedJob({ spot: true }),
+      [freeMachine('m1', free, { spot: true })],
+    ],
+    ['a gang of three on a machine for two', false, unfinishedJob({}, 'ensemble'), [inZoneA]],
+    ['a gang of three in two zones', true, unfinishedJob({}, 'ensemble'), [inZoneA, inZoneB]],
+    ['a one-zone gang of three, zones with two slots', false, unfinishedJob({ oneZone: true }, 'ensemble'), [inZoneA, inZoneB]], // prettier-ignore
+    ['a one-zone gang of three, a zone with four slots', true, unfinishedJob({ oneZone: true }, 'ensemble'), [inZoneA, freeMachine('m3', free), inZoneB]], // prettier-ignore
+    ['a spread gang of four, one zone', false, unfinishedJob({ tasks: 4, cpus: 2, spread: true }, 'ensemble'), [inZoneA]], // prettier-ignore
+    ['a spread gang of four, two zones', true, unfinishedJob({ tasks: 4, cpus: 2, spread: true }, 'ensemble'), [inZoneA, inZoneB]], // prettier-ignore
+    ['the second half of a spread array, zone of the first', false, unfinishedJob({ tasks: 2, spread: true }, 'array', { 'job-1/0': 'a' }), [inZoneA]], // prettier-ignore
+    ['the second half of a spread array, another zone', true, unfinishedJob({ tasks: 2, spread: true }, 'array', { 'job-1/0': 'a' }), [inZoneB]], // prettier-ignore
+    ['a one-zone job, another zone than that of its tasks', false, unfinishedJob({ oneZone: true }, 'array', { 'job-1/0': 'a' }), [inZoneB]], // prettier-ignore
+    ['a one-zone job, the zone of its tasks', true, unfinishedJob({ oneZone: true }, 'array', { 'job-1/0': 'a' }), [inZoneA]], // prettier-ignore
   ];
-  for (const [what, fits, job, rooms] of table) assert.equal(fitsNow(job, rooms), fits, what);
+  for (const [description, fits, job, machines] of table)
+    assert.equal(fitsNow(job, machines), fits, description);
 });
 
-test('a job that waits for 90 s while there is room for it is seen, and no other', () => {
+test('only a job that waits for 90 s although it could run is reported as starved', () => {
   const play = (
     seconds: number,
-    at: (s: number) => { job?: Wanted; free?: Amounts; used?: Amounts; troubled?: boolean },
+    stateAt: (second: number) => { job?: Wanted; free?: Amounts; used?: Amounts; disrupted?: boolean },
   ): string[] => {
     const broken: string[] = [];
-    const waiting = new StarvationCheck((what) => broken.push(what));
-    for (let s = 0; s < seconds; s++) {
-      const { job = wants(), free = amounts(8, 0, 32), used = amounts(0, 0, 0), troubled = false } = at(s);
-      if (troubled) waiting.troubled();
+    const check = new StarvationCheck((violation) => broken.push(violation));
+    for (let second = 0; second < seconds; second++) {
+      const { job = unfinishedJob(), free = amounts(8, 0, 32), used = amounts(0, 0, 0), disrupted = false } = stateAt(second); // prettier-ignore
+      if (disrupted) check.troubled();
       else
-        waiting.look(
-          s * 1e6,
+        check.look(
+          second * 1e6,
           [job],
-          [roomOn('m1', free)],
+          [freeMachine('m1', free)],
           new Map([['red', used]]),
           new Map([['red', [11, 0] as const]]),
         );
@@ -393,65 +435,93 @@
   assert.deepEqual(
     play(101, () => ({})),
     [],
-    'ten seconds of standing free, and 90',
+    'resources must have been free for ten seconds before the 90 s begin',
   );
-  assert.match(play(103, () => ({}))[0]!, /^waited: 3 tasks of job-1 for 91 s with room, at 101000000$/);
-  assert.equal(play(400, () => ({})).length, 1, 'said once');
   assert.match(
-    play(103, () => ({ job: wants({ cpus: 2 }, 'ensemble') }))[0]!,
+    play(103, () => ({}))[0]!,
+    /^waited: 3 tasks of job-1 for 91 s with enough free resources, at 101000000$/,
+  );
+  assert.equal(play(400, () => ({})).length, 1, 'a starved job is reported once');
+  assert.match(
+    play(103, () => ({ job: unfinishedJob({ cpus: 2 }, 'ensemble') }))[0]!,
     /^waited: all 3 tasks of job-1/,
   );
-  const never: [string, (s: number) => ReturnType<Parameters<typeof play>[1]>][] = [
-    ['no room', () => ({ free: full })],
-    ['room now and then, for less than ten seconds', (s) => (s % 10 === 0 ? { free: full } : {})],
-    ['no room once in a while', (s) => (s % 80 === 0 ? { free: full } : {})],
+  const notStarved: [string, (second: number) => ReturnType<Parameters<typeof play>[1]>][] = [
+    ['too few free resources', () => ({ free: full })],
+    [
+      'resources free for less than ten seconds at a time',
+      (second) => (second % 10 === 0 ? { free: full } : {}),
+    ],
+    ['resources in use every 80 s', (second) => (second % 80 === 0 ? { free: full } : {})],
     ['the team at its limit', () => ({ used: amounts(8, 0, 4) })],
-    ['a gang that would bring its team over the limit', () => ({ job: wants({}, 'ensemble') })],
-    ['troubles now and then', (s) => ({ troubled: s % 80 === 0 })],
-    ['nothing waits', () => ({ job: wants({ tasks: 1 }, 'array', { 'job-1/0': 'a' }) })],
-    ['a gang of which one is there', () => ({ job: wants({ cpus: 1 }, 'ensemble', { 'job-1/0': 'a' }) })],
-    ['one more starts now and then', (s) => ({ job: wants({ tasks: 99 }, 'array', { [`job-1/${s >> 6}`]: 'a' }) })], // prettier-ignore
+    ['a gang that would exceed the limit of its team', () => ({ job: unfinishedJob({}, 'ensemble') })],
+    ['a fault every 80 s', (second) => ({ disrupted: second % 80 === 0 })],
+    ['no waiting task', () => ({ job: unfinishedJob({ tasks: 1 }, 'array', { 'job-1/0': 'a' }) })],
+    [
+      'a gang that is being placed',
+      () => ({ job: unfinishedJob({ cpus: 1 }, 'ensemble', { 'job-1/0': 'a' }) }),
+    ],
+    ['another task starts every 64 s', (second) => ({ job: unfinishedJob({ tasks: 99 }, 'array', { [`job-1/${second >> 6}`]: 'a' }) })], // prettier-ignore
   ];
-  for (const [what, at] of never) assert.deepEqual(play(400, at), [], what);
-  // Ends alone are no progress: what is left waits on.
-  const ending = (s: number): Wanted =>
-    wants({ tasks: 9 }, 'array', s < 50 ? { 'job-1/0': 'a', 'job-1/1': 'a' } : { 'job-1/0': 'a' });
-  assert.equal(play(110, (s) => ({ job: ending(s) })).length, 1);
+  for (const [description, stateAt] of notStarved) assert.deepEqual(play(400, stateAt), [], description);
+  // A task that exits is no progress: the other tasks of the job keep waiting.
+  const exiting = (second: number): Wanted =>
+    unfinishedJob(
+      { tasks: 9 },
+      'array',
+      second < 50 ? { 'job-1/0': 'a', 'job-1/1': 'a' } : { 'job-1/0': 'a' },
+    );
+  assert.equal(play(110, (second) => ({ job: exiting(second) })).length, 1);
 });
 
-test('a machine charged unused, and one rented for what has had room for seconds, are seen, and no other', () => {
-  const play = (look: (c: CostCheck, s: number) => void, seconds: number): string[] => {
+test('only machines that stay unused, or that are rented although free resources suffice, are reported', () => {
+  const play = (look: (check: CostCheck, second: number) => void, seconds: number): string[] => {
     const broken: string[] = [];
-    const charged = new CostCheck((what) => broken.push(what));
-    for (let s = 0; s < seconds; s++) look(charged, s);
+    const check = new CostCheck((violation) => broken.push(violation));
+    for (let second = 0; second < seconds; second++) look(check, second);
     return broken;
   };
-  const paid = (over = {}) => ({ id: 'm1', rentedAt: 0, boot: 10e6, up: true, used: false, ...over });
+  const rentedMachine = (over = {}) => ({
+    id: 'm1',
+    rentedAt: 0,
+    boot: 10e6,
+    up: true,
+    used: false,
+    ...over,
+  });
   const unused =
     (over = {}, wanted: Wanted[] = [], quiescentAt = 0) =>
-    (c: CostCheck, s: number) =>
-      c.look(s * 1e6, quiescentAt, [paid(over)], wanted, []);
+    (check: CostCheck, second: number) =>
+      check.look(second * 1e6, quiescentAt, [rentedMachine(over)], wanted, []);
   assert.deepEqual(play(unused(), 121), []);
   assert.match(play(unused(), 122).join(), /^left_charged: m1 unused for 121 s/);
   assert.deepEqual(play(unused({ used: true }), 300), []);
-  assert.deepEqual(play(unused({}, [wants()]), 300), [], 'somebody waits');
-  assert.deepEqual(play(unused({}, [], 100e6), 220), [], 'troubles last');
-  assert.deepEqual(play(unused({ up: false }), 151), [], 'it boots');
+  assert.deepEqual(play(unused({}, [unfinishedJob()]), 300), [], 'a job waits');
+  assert.deepEqual(play(unused({}, [], 100e6), 220), [], 'faults last');
+  assert.deepEqual(play(unused({ up: false }), 151), [], 'the machine boots');
   assert.match(play(unused({ up: false }), 152).join(), /^left_charged/);
-  const rent =
-    (free: Amounts, at = 20, wanted: Wanted[] = [wants({ tasks: 2 })]) =>
-    (c: CostCheck, s: number) => {
-      c.look(s * 1e6, 0, [], wanted, [roomOn('m1', free)]);
-      if (s === at) c.rented(s * 1e6, 1);
+  const rentAt =
+    (free: Amounts, at = 20, wanted: Wanted[] = [unfinishedJob({ tasks: 2 })]) =>
+    (check: CostCheck, second: number) => {
+      check.look(second * 1e6, 0, [], wanted, [freeMachine('m1', free)]);
+      if (second === at) check.rented(second * 1e6, 1);
     };
-  assert.match(play(rent(amounts(8, 0, 32)), 30).join(), /^hired_twice: 1 machines at 20000000, with room/);
-  assert.deepEqual(play(rent(amounts(8, 0, 32), 4), 30), [], 'what was asked for before may have come');
-  assert.deepEqual(play(rent(amounts(7, 0, 32)), 30), [], 'one of two has no room');
-  assert.deepEqual(play(rent(amounts(8, 4, 32)), 30), [], 'room beside GPUs is not counted on');
-  assert.match(play(rent(amounts(8, 0, 32), 20, []), 30).join(), /^hired_twice/, 'nobody waits at all');
+  assert.match(play(rentAt(amounts(8, 0, 32)), 30).join(), /^hired_twice: 1 machines at 20000000, with room/);
+  assert.deepEqual(
+    play(rentAt(amounts(8, 0, 32), 4), 30),
+    [],
+    'the machine may be the result of an earlier request',
+  );
+  assert.deepEqual(play(rentAt(amounts(7, 0, 32)), 30), [], 'one of two tasks does not fit');
+  assert.deepEqual(
+    play(rentAt(amounts(8, 4, 32)), 30),
+    [],
+    'CPUs of machines with GPUs are not expected to be used',
+  );
+  assert.match(play(rentAt(amounts(8, 0, 32), 20, []), 30).join(), /^hired_twice/, 'no job waits');
 });
 
-test('an odd submission that is accepted, refused otherwise, or whose field is not named is seen', () => {
+test('an invalid submission that is accepted, rejected with a wrong status, or whose field is not named is reported', () => {
   assert.equal(wrongly(400, 'pieces: is missing', 400, 'pieces'), null);
   assert.equal(wrongly(400, 'hostsKinds.0: Expected string', 400, 'hostsKinds'), null);
   assert.equal(wrongly(422, 'unknown team', 422), null);
@@ -463,40 +533,46 @@
   assert.ok(ODD.every(([status, , field]) => (status === 400) === (field !== undefined)));
 });
 
-test('a completion that is forgotten before it is durable is seen', () => {
-  const w = new World(5, { staggeredCompletions: true });
-  w.time.run(15e6);
-  w.scenarios!.begin.staggeredCompletions();
-  w.time.run(w.time.now + 1e6);
-  const id = [...w.users.jobs.keys()][0]!;
-  assert.ok(w.state.keys.has(activeJobKey(id)), 'accepted');
-  const early = (): string[] => w.rules.broken.filter((b) => b.startsWith('reaped_early: '));
-  w.scenarios!.reaped(`${id}/0`, false);
-  w.scenarios!.reaped('job-1/0', true);
-  assert.deepEqual(early(), [], 'what did not complete, or is none of its jobs');
-  w.scenarios!.reaped(`${id}/0`, true);
-  assert.equal(early().length, 1);
-  while (!w.rules.completed.has(id) && w.time.now < 120e6) w.time.run(w.time.now + 100_000);
-  w.time.run(w.time.now + 5e6);
-  const [task] = w.rules.completed.get(id)!;
-  w.scenarios!.reaped(`${id}/${task}`, true);
-  assert.equal(early().length, 1, 'durable by then');
-  w.stop();
+test('deleting the record of a completed task before its completion is durable is reported', () => {
+  const world = new World(5, { staggeredCompletions: true });
+  world.time.run(15e6);
+  world.scenarios!.begin.staggeredCompletions();
+  world.time.run(world.time.now + 1e6);
+  const id = [...world.users.jobs.keys()][0]!;
+  assert.ok(world.state.keys.has(activeJobKey(id)), 'the job is accepted');
+  const earlyDeletions = (): string[] =>
+    world.rules.broken.filter((violation) => violation.startsWith('reaped_early: '));
+  world.scenarios!.reaped(`${id}/0`, false);
+  world.scenarios!.reaped('job-1/0', true);
+  assert.deepEqual(
+    earlyDeletions(),
+    [],
+    'tasks that did not complete, and tasks of other jobs, are not reported',
+  );
+  world.scenarios!.reaped(`${id}/0`, true);
+  assert.equal(earlyDeletions().length, 1);
+  while (!world.rules.completed.has(id) && world.time.now < 120e6) world.time.run(world.time.now + 100_000);
+  world.time.run(world.time.now + 5e6);
+  const [task] = world.rules.completed.get(id)!;
+  world.scenarios!.reaped(`${id}/${task}`, true);
+  assert.equal(earlyDeletions().length, 1, 'the completion is durable now');
+  world.stop();
 });
 
-test('a record that is written twice is seen, unless the store has lost data', () => {
-  const w = new World(5, {});
-  const put = (seq: number, value: string | undefined): void => w.state.onPut(logEntryKey(seq), value);
-  const twice = (): string[] => w.rules.broken.filter((b) => b.startsWith('record_rewritten: '));
+test('a log entry that is written twice is reported, unless the store has lost data', () => {
+  const world = new World(5, {});
+  const put = (seq: number, value: string | undefined): void => world.state.onPut(logEntryKey(seq), value);
+  const rewrites = (): string[] =>
+    world.rules.broken.filter((violation) => violation.startsWith('record_rewritten: '));
   put(1001, '{"@":{"t":1}}');
   put(1002, '{"@":{"t":2}}');
   put(1001, undefined);
   put(1001, undefined);
-  assert.deepEqual(twice(), []);
+  assert.deepEqual(rewrites(), []);
   put(1001, '{"@":{"t":3}}');
-  assert.equal(twice().length, 1);
-  w.dataLoss.at.push(w.time.now);
+  assert.equal(rewrites().length, 1);
+  world.dataLoss.at.push(world.time.now);
   put(1002, '{"@":{"t":4}}');
-  assert.equal(twice().length, 1);
-  w.stop();
+  assert.equal(rewrites().length, 1);
+  world.stop();
 });
--- a/packages/simulation/test/restore.test.ts
+++ b/packages/simulation/test/restore.test.ts
@@ -1,4 +1,4 @@
-/** A snapshot put back into the stand-in of the state service, with answers lost and the command ended in between. */
+/** Restores snapshots into the simulated state service, with lost responses and interruptions of the command. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Exit } from 'effect';
@@ -40,74 +40,83 @@
 };
 const limits = { txnOps: 10, valueBytes: 16_384 };
 
-const world = (seed: number): { time: Time; state: StateService } => {
+const simulatedService = (seed: number): { time: Time; state: StateService } => {
   const time = new Time(seed);
-  const luck = new RandomSource(seed);
-  return { time, state: new StateService(time, luck, new Links(time, luck)) };
+  const random = new RandomSource(seed);
+  return { time, state: new StateService(time, random, new Links(time, random)) };
 };
-/** Plays it until it ends, or for so long. */
-const play = (
-  w: { time: Time; state: StateService },
-  c: SnapshotContent,
-  lasts: number,
+/** Runs a restore until it ends; interrupts it after `duration` microseconds and returns null if it has not ended. */
+const runRestore = (
+  simulation: { time: Time; state: StateService },
+  snapshot: SnapshotContent,
+  duration: number,
 ): RestoreResult | null => {
   let result: RestoreResult | null = null;
-  const fiber = w.time.fork(restoreSnapshot(c, w.state.port('restore'), limits, () => undefined));
-  fiber.addObserver((e) => {
-    if (Exit.isSuccess(e)) result = e.value;
+  const fiber = simulation.time.fork(
+    restoreSnapshot(snapshot, simulation.state.port('restore'), limits, () => undefined),
+  );
+  fiber.addObserver((exit) => {
+    if (Exit.isSuccess(exit)) result = exit.value;
   });
-  w.time.run(w.time.now + lasts);
+  simulation.time.run(simulation.time.now + duration);
   if (result === null) fiber.unsafeInterruptAsFork(fiber.id());
   return result;
 };
-const isThere = (state: StateService, jobs: number): void => {
+const assertRestored = (state: StateService, jobs: number): void => {
   const view = new JobState();
   view.load(
-    [...state.keys].map(([key, v]) => ({ key, value: JSON.parse(v.value) as unknown, revision: v.revision })),
+    [...state.keys].map(([key, stored]) => ({
+      key,
+      value: JSON.parse(stored.value) as unknown,
+      revision: stored.revision,
+    })),
     state.revision,
   );
   assert.equal(view.jobs.size, jobs);
   assert.equal(view.finalStates.size, jobs);
-  assert.equal(view.incarnation!.generation, 3, 'what was used after the snapshot is never used again');
+  assert.equal(view.incarnation!.generation, 3, 'generations used after the snapshot are not used again');
   assert.equal(view.rebuild!.phase, 'gather');
   assert.equal(view.leader, null);
   assert.ok(view.term >= view.attemptFloor && !state.keys.has(RESTORE_PROGRESS));
 };
 
-test('all that a snapshot holds is put back, under a new incarnation that is to be rebuilt', () => {
-  const w = world(1);
-  assert.deepEqual(play(w, content(40), 60e6), { ok: true, written: 80, resumed: false });
-  isThere(w.state, 40);
-  const again = play(w, content(40), 60e6)!;
-  assert.ok(!again.ok && again.reason.includes('not empty'), 'a store that has content is refused');
-  assert.ok(w.state.keys.has(REBUILD));
+test('a restore writes all entries of a snapshot under a new incarnation with a pending rebuild', () => {
+  const simulation = simulatedService(1);
+  assert.deepEqual(runRestore(simulation, content(40), 60e6), { ok: true, written: 80, resumed: false });
+  assertRestored(simulation.state, 40);
+  const again = runRestore(simulation, content(40), 60e6)!;
+  assert.ok(
+    !again.ok && again.reason.includes('not empty'),
+    'a restore into a store with content is rejected',
+  );
+  assert.ok(simulation.state.keys.has(REBUILD));
 });
 
-test('ended at any point and begun again, with answers lost, it comes to the same end', () => {
+test('an interrupted restore can be resumed with the same result, even when responses are lost', () => {
   let resumed = 0;
   for (let seed = 1; seed <= 60; seed++) {
-    const w = world(seed);
-    w.state.lossy = 0.1;
-    const luck = new RandomSource(seed);
+    const simulation = simulatedService(seed);
+    simulation.state.lossy = 0.1;
+    const random = new RandomSource(seed);
     for (let i = 0; i < 40; i++) {
-      const r = play(w, content(25), luck.between(10_000, 900_000));
-      if (r === null) continue;
-      // Its last transaction was applied and its answer lost: what is there is whole, and is not written over.
-      if (!r.ok) assert.match(r.reason, /not empty|somebody else/);
-      else if (r.resumed) resumed++;
+      const result = runRestore(simulation, content(25), random.between(10_000, 900_000));
+      if (result === null) continue;
+      // The last transaction committed and its response was lost: the store is complete, and the restore refuses to run.
+      if (!result.ok) assert.match(result.reason, /not empty|somebody else/);
+      else if (result.resumed) resumed++;
       break;
     }
-    w.state.lossy = 0;
-    w.time.run(w.time.now + 70e6);
-    if (w.state.keys.has(RESTORE_PROGRESS)) assert.ok(play(w, content(25), 60e6)!.ok);
-    isThere(w.state, 25);
+    simulation.state.lossy = 0;
+    simulation.time.run(simulation.time.now + 70e6);
+    if (simulation.state.keys.has(RESTORE_PROGRESS)) assert.ok(runRestore(simulation, content(25), 60e6)!.ok);
+    assertRestored(simulation.state, 25);
   }
-  assert.ok(resumed > 20, `${resumed} resumed`);
+  assert.ok(resumed > 20, `only ${resumed} of 60 restores were resumed`);
 });
 
-test('another snapshot does not go on where one was broken off', () => {
-  const w = world(3);
-  assert.equal(play(w, content(400), 200_000), null);
-  const other = play(w, { ...content(400), revision: 9 }, 60e6)!;
+test('an interrupted restore cannot be resumed with another snapshot', () => {
+  const simulation = simulatedService(3);
+  assert.equal(runRestore(simulation, content(400), 200_000), null);
+  const other = runRestore(simulation, { ...content(400), revision: 9 }, 60e6)!;
   assert.ok(!other.ok && other.reason.includes('another snapshot'), JSON.stringify(other));
 });
--- a/packages/simulation/test/rules-met.test.ts
+++ b/packages/simulation/test/rules-met.test.ts
@@ -1,8 +1,11 @@
-/** What the operators met later: slow, silent, half reachable, or wrong. */
+/**
+ * Plays days with faults that operators reported: components that are slow, silent, reachable only in part, or that send
+ * wrong data. Checks the rules.
+ */
 import { everything, playDays } from './support/days.js';
 import type { Faults } from '../src/world/faults.js';
 
-const met: Faults = {
+const reported: Faults = {
   freeze: true,
   workersCut: true,
   peersCut: true,
@@ -14,17 +17,21 @@
 };
 playDays(
   [
-    ['controllers stand still', { freeze: true }, [41, 42]],
-    ['controllers cut from workers or from one another', { workersCut: true, peersCut: true }, [43, 44]],
+    ['controllers freeze', { freeze: true }, [41, 42]],
     [
-      'machines late or never there, and old lists',
+      'controllers are partitioned from workers or from one another',
+      { workersCut: true, peersCut: true },
+      [43, 44],
+    ],
+    [
+      'machines boot late or never, and machine lists are outdated',
       { lateBoots: true, oldLists: true, machineDie: true },
       [45, 46],
     ],
-    ['broken jobs and faulty machines', { brokenJobs: true, faultyMachines: true }, [47, 48]],
-    ['guests with a huge array and tiny jobs', { guests: true, nodeCrash: true }, [49]],
-    ['all that the operators met', met, [51, 52, 53, 54]],
-    ['all that the operators met, and everything else', { ...everything, ...met }, [55, 56, 57, 58]],
+    ['failing jobs and faulty machines', { brokenJobs: true, faultyMachines: true }, [47, 48]],
+    ['a team without guarantee submits a huge array and tiny jobs', { guests: true, nodeCrash: true }, [49]],
+    ['all reported faults', reported, [51, 52, 53, 54]],
+    ['all reported faults, and all other faults', { ...everything, ...reported }, [55, 56, 57, 58]],
   ],
-  [...Object.keys(met).filter((k) => k !== 'oldLists'), 'relayed'],
+  [...Object.keys(reported).filter((fault) => fault !== 'oldLists'), 'relayed'],
 );
--- a/packages/simulation/test/rules-restart.test.ts
+++ b/packages/simulation/test/rules-restart.test.ts
@@ -1,18 +1,18 @@
-/** Everything restarts at once, and more is asked than there is room to answer. */
+/** Plays days on which all components restart at once, or controllers receive more requests than they can answer. */
 import { playDays } from './support/days.js';
 
 playDays(
   [
-    ['everything restarts at once', { everythingRestarts: true }, [61, 62, 63]],
+    ['all components restart at once', { everythingRestarts: true }, [61, 62, 63]],
     [
-      'everything restarts at once, with crashes and lost answers',
+      'all components restart at once, with crashes and lost responses',
       { everythingRestarts: true, nodeCrash: true, lost: true },
       [64],
     ],
-    ['more is asked than a controller can answer', { flood: true, nodeCrash: true }, [65, 66]],
-    ['all controllers are behind for long, and asked ten times as often', { storm: true }, [67]],
+    ['more requests than a controller can answer', { flood: true, nodeCrash: true }, [65, 66]],
+    ['all controllers are overloaded for long, and users poll ten times as often', { storm: true }, [67]],
     [
-      'all are back at once, and what they sent before comes again',
+      'all components resume at once, and requests that they sent before arrive again',
       { quickRestart: true, machineRestart: true, echoes: true },
       [68, 69, 70],
     ],
--- a/packages/simulation/test/rules.test.ts
+++ b/packages/simulation/test/rules.test.ts
@@ -1,19 +1,19 @@
-/** What the first version met: crashes, outages, cuts and losses, on three controllers and on five. */
+/** Plays days with crashes, outages, partitions and lost messages on three and on five controllers, and checks the rules. */
 import { everything, playDays } from './support/days.js';
 
 playDays([
-  ['quiet', {}, [1]],
+  ['no faults', {}, [1]],
   ['controllers crash', { nodeCrash: true }, [3, 4]],
-  ['state service out, or refusing one node', { stateOutage: true, stateCut: true }, [6, 7]],
-  ['answers lost, transactions late', { lost: true }, [9]],
-  ['networks cut, messages held', { netCut: true }, [11, 12]],
-  ['machines die, hang and are recalled', { machineDie: true, machineHang: true }, [14, 15]],
-  ['everything at once', everything, [17, 18, 19, 20, 21, 22]],
+  ['the state service is down, or refuses one controller', { stateOutage: true, stateCut: true }, [6, 7]],
+  ['responses are lost, transactions are late', { lost: true }, [9]],
+  ['the network is partitioned, messages are delayed', { netCut: true }, [11, 12]],
+  ['machines die, hang and are reclaimed', { machineDie: true, machineHang: true }, [14, 15]],
+  ['all of these faults', everything, [17, 18, 19, 20, 21, 22]],
 ]);
 playDays(
   [
-    ['five controllers crash, two and all at once', { nodeCrash: true, netCut: true }, [31, 32]],
-    ['five controllers and everything at once', everything, [33, 34]],
+    ['five controllers, of which two or all crash at once', { nodeCrash: true, netCut: true }, [31, 32]],
+    ['five controllers, all of these faults', everything, [33, 34]],
   ],
   [],
   true,
