--- a/packages/simulation/src/experiment.ts
+++ b/packages/simulation/src/experiment.ts
@@ -1,4 +1,4 @@
-/** An experiment: a checked TOML file that says what a day is like. `docs/simulation.md` shows one. */
+/** Reads experiments: TOML files that describe the deployment and the faults of a simulated day (`docs/simulation.md`). */
 import { Schema } from 'effect';
 import { checkedToml } from '@lilacvalve/runtime/toml';
 import { LINK_STATES } from './world/links.js';
@@ -7,7 +7,7 @@
 import { LOAD_BURST, GROWN, type Size, SMALL } from './world/deployment-size.js';
 import type { Faults, LinkPlan, LossPlan } from './world/faults.js';
 
-const FLAGS = [
+const FAULT_NAMES = [
   'nodeCrash',
   'stateOutage',
   'stateCut',
@@ -37,8 +37,8 @@
   ...SCENARIO_NAMES,
 ] as const satisfies readonly (keyof Faults)[];
 
-/** Names that experiment files were written with, and still are: read as the fault's name. */
-const OLD_NAMES = {
+/** Former names of faults, which experiment files may still use. */
+const FORMER_FAULT_NAMES = {
   meetings: 'compoundFaults',
   lateReports: 'lateHeartbeats',
   machineDeaf: 'inboundLoss',
@@ -62,58 +62,63 @@
   oddRequests: 'invalidRequests',
 } as const satisfies Readonly<Record<string, keyof Faults>>;
 
-type OldName = keyof typeof OLD_NAMES;
-const isOldName = (name: string): name is OldName => Object.hasOwn(OLD_NAMES, name);
+type FormerFaultName = keyof typeof FORMER_FAULT_NAMES;
+const isFormerFaultName = (name: string): name is FormerFaultName => Object.hasOwn(FORMER_FAULT_NAMES, name);
 
 const Seconds = Schema.Finite.pipe(Schema.nonNegative());
-const Between = Schema.Tuple(Schema.Finite, Schema.Finite);
-const or = <A, I>(s: Schema.Schema<A, I>, value: A) => Schema.optionalWith(s, { default: () => value });
+const SecondsRange = Schema.Tuple(Schema.Finite, Schema.Finite);
+const withDefault = <A, I>(schema: Schema.Schema<A, I>, value: A) =>
+  Schema.optionalWith(schema, { default: () => value });
 
-const File = Schema.Struct({
+const ExperimentFile = Schema.Struct({
   name: Schema.NonEmptyString,
-  size: or(Schema.Literal('small', 'grown', 'crowded'), 'small'),
-  jobs: or(Schema.Int.pipe(Schema.positive()), 30),
-  /** Faults are drawn until then; after it the day has so long to come to its end. */
-  troubled_s: or(Seconds, 120),
-  quiet_s: or(Seconds, 300),
-  /** There is room for all: of each class's largest jobs at least half must begin within four minutes. */
-  room: or(Schema.Boolean, false),
-  troubles: or(Schema.Array(Schema.Literal(...FLAGS, ...(Object.keys(OLD_NAMES) as OldName[]))), []),
-  loss: or(
+  size: withDefault(Schema.Literal('small', 'grown', 'crowded'), 'small'),
+  jobs: withDefault(Schema.Int.pipe(Schema.positive()), 30),
+  /** Duration in which faults are drawn, and the maximum duration after it in which the accepted jobs must finish. */
+  troubled_s: withDefault(Seconds, 120),
+  quiet_s: withDefault(Seconds, 300),
+  /** Whether the capacity suffices for all jobs: then at least half of each class's largest jobs must begin within four minutes. */
+  room: withDefault(Schema.Boolean, false),
+  troubles: withDefault(
+    Schema.Array(Schema.Literal(...FAULT_NAMES, ...(Object.keys(FORMER_FAULT_NAMES) as FormerFaultName[]))),
+    [],
+  ),
+  loss: withDefault(
     Schema.Array(
       Schema.Struct({
-        at_s: Between,
+        at_s: SecondsRange,
         kind: Schema.Literal('all', 'window', 'keys', 'damage', 'copies'),
-        since_s: or(Seconds, 0),
-        leases: or(Schema.Literal('renewed', 'gone', 'keys stay'), 'renewed'),
-        prefix: or(Schema.String, 's/j/a/'),
-        /** Of keys: 0.4, unless said; of values: one, unless said. */
-        part: or(Schema.NullOr(Schema.Number.pipe(Schema.between(0, 1))), null),
-        how: or(Schema.Literal('unreadable', 'older'), 'unreadable'),
-        lasts_s: or(Seconds, 0),
-        out_s: or(Seconds, 0),
-        crash: or(Schema.Literal('none', 'one', 'leader', 'all but one', 'all'), 'none'),
-        within_s: or(Between, [0, 0] as const),
-        back_s: or(Between, [2, 8] as const),
+        since_s: withDefault(Seconds, 0),
+        leases: withDefault(Schema.Literal('renewed', 'gone', 'keys stay'), 'renewed'),
+        prefix: withDefault(Schema.String, 's/j/a/'),
+        /** The fraction of the keys that are lost (default 0.4) or of the values that are damaged (default: one value). */
+        part: withDefault(Schema.NullOr(Schema.Number.pipe(Schema.between(0, 1))), null),
+        how: withDefault(Schema.Literal('unreadable', 'older'), 'unreadable'),
+        lasts_s: withDefault(Seconds, 0),
+        out_s: withDefault(Seconds, 0),
+        crash: withDefault(Schema.Literal('none', 'one', 'leader', 'all but one', 'all'), 'none'),
+        within_s: withDefault(SecondsRange, [0, 0] as const),
+        back_s: withDefault(SecondsRange, [2, 8] as const),
       }),
     ),
     [],
   ),
-  link: or(
+  link: withDefault(
     Schema.Array(
       Schema.Struct({
-        at_s: Between,
+        at_s: SecondsRange,
         from: Schema.NonEmptyString,
         to: Schema.NonEmptyString,
         state: Schema.Literal(...LINK_STATES),
-        both: or(Schema.Boolean, true),
-        lasts_s: Between,
+        both: withDefault(Schema.Boolean, true),
+        lasts_s: SecondsRange,
       }),
     ),
     [],
   ),
 });
 
+/** A checked experiment; times in microseconds. */
 export interface Experiment {
   readonly name: string;
   readonly size: Size;
@@ -124,54 +129,60 @@
   readonly troubles: Faults;
 }
 
-const us = (s: number): number => Math.round(s * 1e6);
-const span = (s: readonly [number, number]): [number, number] => [us(s[0]), us(s[1])];
+/** Converts seconds to microseconds. */
+const toMicros = (seconds: number): number => Math.round(seconds * 1e6);
+const toMicrosRange = (range: readonly [number, number]): [number, number] => [
+  toMicros(range[0]),
+  toMicros(range[1]),
+];
 
-const read = checkedToml(File, { exact: true });
+const parseFile = checkedToml(ExperimentFile, { exact: true });
 
-/** Either an experiment or one line that names the field and the reason. */
+/** Returns the experiment, or one line that names the invalid field and the reason. */
 export const readExperiment = (text: string) => {
-  const file = read(text);
-  if (file._tag === 'Left') return file;
-  const f = file.right;
-  const losses = f.loss.map((l): LossPlan => {
-    const since = us(l.since_s);
+  const parsed = parseFile(text);
+  if (parsed._tag === 'Left') return parsed;
+  const file = parsed.right;
+  const losses = file.loss.map((entry): LossPlan => {
+    const since = toMicros(entry.since_s);
     const loss: Loss =
-      l.kind === 'all'
+      entry.kind === 'all'
         ? { kind: 'all' }
-        : l.kind === 'window'
-          ? { kind: 'window', since, leases: l.leases }
-          : l.kind === 'keys'
-            ? { kind: 'keys', prefix: l.prefix, part: l.part ?? 0.4 }
-            : l.kind === 'damage'
-              ? { kind: 'damage', prefix: l.prefix, part: l.part, how: l.how }
-              : { kind: 'copies', since, lasts: us(l.lasts_s) };
+        : entry.kind === 'window'
+          ? { kind: 'window', since, leases: entry.leases }
+          : entry.kind === 'keys'
+            ? { kind: 'keys', prefix: entry.prefix, part: entry.part ?? 0.4 }
+            : entry.kind === 'damage'
+              ? { kind: 'damage', prefix: entry.prefix, part: entry.part, how: entry.how }
+              : { kind: 'copies', since, lasts: toMicros(entry.lasts_s) };
     return {
-      at: span(l.at_s),
+      at: toMicrosRange(entry.at_s),
       loss,
-      out: us(l.out_s),
-      crash: l.crash,
-      within: span(l.within_s),
-      back: span(l.back_s),
+      out: toMicros(entry.out_s),
+      crash: entry.crash,
+      within: toMicrosRange(entry.within_s),
+      back: toMicrosRange(entry.back_s),
     };
   });
-  const links = f.link.map((k): LinkPlan => ({
-    at: span(k.at_s),
-    from: k.from,
-    to: k.to,
-    state: k.state,
-    both: k.both,
-    lasts: span(k.lasts_s),
+  const links = file.link.map((entry): LinkPlan => ({
+    at: toMicrosRange(entry.at_s),
+    from: entry.from,
+    to: entry.to,
+    state: entry.state,
+    both: entry.both,
+    lasts: toMicrosRange(entry.lasts_s),
   }));
   const experiment: Experiment = {
-    name: f.name,
-    size: { small: SMALL, grown: GROWN, crowded: LOAD_BURST }[f.size],
-    jobs: f.jobs,
-    room: f.room,
-    troubledUs: us(f.troubled_s),
-    quietUs: us(f.quiet_s),
+    name: file.name,
+    size: { small: SMALL, grown: GROWN, crowded: LOAD_BURST }[file.size],
+    jobs: file.jobs,
+    room: file.room,
+    troubledUs: toMicros(file.troubled_s),
+    quietUs: toMicros(file.quiet_s),
     troubles: {
-      ...Object.fromEntries(f.troubles.map((name) => [isOldName(name) ? OLD_NAMES[name] : name, true])),
+      ...Object.fromEntries(
+        file.troubles.map((name) => [isFormerFaultName(name) ? FORMER_FAULT_NAMES[name] : name, true]),
+      ),
       losses,
       links,
     },
--- a/packages/simulation/src/play.ts
+++ b/packages/simulation/src/play.ts
@@ -1,52 +1,60 @@
-/** Plays one day of an experiment and says what became of it. The same experiment and seed give the same outcome. */
+/** Plays one day of an experiment and returns its result. The same experiment and seed always give the same result. */
 import type { Experiment } from './experiment.js';
 import type { LeastRow } from './world/start-latency-check.js';
 import type { CutoffDay } from './world/cutoffs.js';
 import { BY_MEMORY } from './world/rules.js';
 import { World } from './world/world.js';
 
-/** What a day must have served of each team. */
+/** Minimum fraction of the jobs of each team and class that a day must finish. */
 export const SERVED_AT_LEAST = 0.5;
 
-/** Times after the last loss, milliseconds; null: not reached, or nothing was lost. */
+/** Durations from the last data loss, in milliseconds; null: not reached, or no loss occurred. */
 export interface Recovery {
-  /** Until a controller doubted the store. */
+  /** Until a controller suspected the data loss. */
   readonly noticed: number | null;
-  /** Until a poll was answered otherwise than with 503, by a controller that had noticed. */
+  /** Until, after the rebuild, a poll was answered with another status than 503. */
   readonly answers: number | null;
-  /** Until all that is known was durable again. */
+  /** Until everything that the controllers know was durable again. */
   readonly durable: number | null;
-  /** Until a task was started. */
+  /** Until a task was started after the rebuild. */
   readonly started: number | null;
 }
 
+/** The result of a day. Its fields are the fields of the day's JSON line. */
 export interface DayResult {
   readonly experiment: string;
   readonly seed: number;
+  /** The violations, each beginning with the name of the broken rule. */
   readonly broken: readonly string[];
+  /** Accepted jobs without a final state at the end of the day. */
   readonly unfinished: number;
   readonly accepted: number;
+  /** Finished jobs. */
   readonly over: number;
+  /** Tasks started. */
   readonly started: number;
-  /** Tasks killed by a worker whose lease ran out. */
+  /** Tasks killed by a worker whose lease expired. */
   readonly killed: number;
+  /** Data losses of the state service. */
   readonly losses: number;
-  /** Losses through which no controller lived that had read the store: what only they knew is gone. */
+  /** Data losses that no controller survived that had read the store before, so that its knowledge is lost. */
   readonly unwitnessed: number;
-  /** The longest that a job went without an answered poll after the last fault, seconds. */
+  /** The longest time for which polls of one job got no response after the last fault, in seconds. */
   readonly silence: number;
-  /** Answers that lacked what all who were promised to know it took along. */
+  /** Responses that lacked data which every controller that had to know it lost when it ended. */
   readonly excused: number;
+  /** By team: the fraction of its jobs that finished, 0 to 1. */
   readonly served: Readonly<Record<string, number>>;
-  /** Of each class, each team and each class's largest jobs: served, and begun within four minutes. */
+  /** For each class, team and group of a class's largest jobs: the fractions that finished and that began within four minutes. */
   readonly least: readonly LeastRow[];
-  /** There was room for all. */
+  /** Whether the capacity was sufficient for all jobs. */
   readonly room: boolean;
+  /** By fault: how often it was injected. */
   readonly struck: Readonly<Record<string, number>>;
-  /** How often each thing that the scenarios are about has happened. */
+  /** How often each situation that the scenarios are meant to cause has occurred. */
   readonly met: Readonly<Record<string, number>>;
   readonly recovery: Recovery;
-  /** Loans made, and how services fared: seconds of replicas wanted and up, services in all and complete within 60 s. */
+  /** Loans; seconds of replicas wanted and running; services, and those that were complete within 60 s. */
   readonly lending: {
     readonly loans: number;
     readonly wanted: number;
@@ -54,75 +62,81 @@
     readonly all: number;
     readonly soon: number;
   } | null;
-  /** null: the day had none. */
+  /** The results of cutoffs; null: the day had none. */
   readonly cutoffs: CutoffDay | null;
-  /** When the day ended, seconds. */
+  /** Virtual time at which the day ended, in seconds. */
   readonly ended: number;
 }
 
-/** What speaks against the day; empty: nothing. */
-export const faultsOf = (d: DayResult): string[] => {
-  const excused = d.unwitnessed > 0;
-  const out = d.broken.filter((b) => !excused || !BY_MEMORY.test(b));
-  if (!excused && d.broken.length === 0) {
-    if (d.unfinished > 0) out.push(`${d.unfinished} accepted jobs not at their end`);
-    for (const [team, part] of Object.entries(d.served))
-      if (part < SERVED_AT_LEAST) out.push(`team ${team}: ${part.toFixed(2)} served`);
-    for (const row of d.least) {
+/**
+ * The reasons for which a day fails; empty: it passes. After a data loss that no controller survived, violations of rules
+ * that depend on the controllers' memory are tolerated.
+ */
+export const faultsOf = (day: DayResult): string[] => {
+  const tolerateMemoryLoss = day.unwitnessed > 0;
+  const failures = day.broken.filter((violation) => !tolerateMemoryLoss || !BY_MEMORY.test(violation));
+  if (!tolerateMemoryLoss && day.broken.length === 0) {
+    if (day.unfinished > 0) failures.push(`${day.unfinished} accepted jobs unfinished`);
+    for (const [team, fraction] of Object.entries(day.served))
+      if (fraction < SERVED_AT_LEAST) failures.push(`team ${team}: ${fraction.toFixed(2)} served`);
+    for (const row of day.least) {
       if (row.of.startsWith('class ') && row.served < SERVED_AT_LEAST)
-        out.push(`${row.of}: ${row.served.toFixed(2)} served`);
-      if (d.room && row.of.startsWith('largest ') && row.begun < SERVED_AT_LEAST)
-        out.push(`${row.of}: ${row.begun.toFixed(2)} of ${row.jobs} begun within four minutes`);
+        failures.push(`${row.of}: ${row.served.toFixed(2)} served`);
+      if (day.room && row.of.startsWith('largest ') && row.begun < SERVED_AT_LEAST)
+        failures.push(`${row.of}: ${row.begun.toFixed(2)} of ${row.jobs} begun within four minutes`);
     }
   }
-  return out;
+  return failures;
 };
 
-export const playDay = (x: Experiment, seed: number, print = false): DayResult => {
-  const world = new World(seed, x.troubles, x.size, print);
-  const took: { -readonly [K in keyof Recovery]: Recovery[K] } = {
+/** Plays a day; `print`: with the controllers' log on the standard output. */
+export const playDay = (experiment: Experiment, seed: number, print = false): DayResult => {
+  const world = new World(seed, experiment.troubles, experiment.size, print);
+  const recovery: { -readonly [K in keyof Recovery]: Recovery[K] } = {
     noticed: null,
     answers: null,
     durable: null,
     started: null,
   };
-  const step = world.time.onStep;
+  const checkStep = world.time.onStep;
   let losses = 0;
-  let startedBefore = 0;
+  let startsBeforeLoss = 0;
   let incarnation: string | null = null;
   world.time.onStep = () => {
-    step();
+    checkStep();
     if (world.dataLoss.at.length > losses) {
       losses = world.dataLoss.at.length;
-      startedBefore = world.rules.started;
+      startsBeforeLoss = world.rules.started;
       incarnation = world.up()[0]?.node.lossDetector.incarnation?.id ?? null;
-      Object.assign(took, { noticed: null, answers: null, durable: null, started: null });
+      Object.assign(recovery, { noticed: null, answers: null, durable: null, started: null });
     }
-    if (losses === 0 || took.started !== null) return;
-    const at = world.dataLoss.at[losses - 1]!;
-    const ms = (now: number): number => Math.round((now - at) / 1000);
-    if (took.noticed === null) {
-      if (world.up().some((u) => u.node.lossDetector.suspected)) took.noticed = ms(world.time.now);
+    if (losses === 0 || recovery.started !== null) return;
+    const lostAt = world.dataLoss.at[losses - 1]!;
+    const millisecondsAfterLoss = (now: number): number => Math.round((now - lostAt) / 1000);
+    if (recovery.noticed === null) {
+      if (world.up().some((controller) => controller.node.lossDetector.suspected))
+        recovery.noticed = millisecondsAfterLoss(world.time.now);
       return;
     }
-    if (took.durable === null) {
-      if (world.dataLoss.rebuilt(incarnation)) took.durable = ms(world.time.now);
+    if (recovery.durable === null) {
+      if (world.dataLoss.rebuilt(incarnation)) recovery.durable = millisecondsAfterLoss(world.time.now);
       return;
     }
-    if (took.answers === null && world.users.answersAt > at + took.durable * 1000)
-      took.answers = ms(world.users.answersAt);
-    if (world.rules.started > startedBefore) {
-      // What was sent before the loss may still start; what counts is a start after the rebuild.
-      if (world.rules.startedAt > at + took.durable * 1000) took.started = ms(world.rules.startedAt);
+    if (recovery.answers === null && world.users.answersAt > lostAt + recovery.durable * 1000)
+      recovery.answers = millisecondsAfterLoss(world.users.answersAt);
+    if (world.rules.started > startsBeforeLoss) {
+      // Orders sent before the loss may still start tasks; only a start after the rebuild counts.
+      if (world.rules.startedAt > lostAt + recovery.durable * 1000)
+        recovery.started = millisecondsAfterLoss(world.rules.startedAt);
     }
   };
-  world.play(x.jobs, x.troubledUs, x.quietUs);
+  world.play(experiment.jobs, experiment.troubledUs, experiment.quietUs);
   if (world.cutoffs !== null && world.dataLoss.at.length === 0 && world.unfinished().length === 0) {
     const miscounted = world.cutoffs.counted();
     if (miscounted !== null) world.rules.broken.push(`miscounted: ${miscounted}`);
   }
   const result: DayResult = {
-    experiment: x.name,
+    experiment: experiment.name,
     seed,
     broken: [...world.rules.broken],
     unfinished: world.unfinished().length,
@@ -136,10 +150,10 @@
     excused: world.dataLoss.excused,
     served: world.served(),
     least: world.least(),
-    room: x.room,
+    room: experiment.room,
     struck: { ...world.log.struck },
     met: { ...world.scenarios?.occurred },
-    recovery: { ...took },
+    recovery: { ...recovery },
     lending: world.loans && {
       loans: world.loans.made,
       wanted: world.serving.wanted,
--- a/packages/simulation/src/recovery.ts
+++ b/packages/simulation/src/recovery.ts
@@ -1,65 +1,66 @@
 /**
- * How the service comes back when everything restarts at once: the seeded world's day of it, over many seeds, in virtual
- * time. Run by `npm run recovery -- [days]`; times count from when the state service answers again, the first moment at
- * which anything durable could be done.
+ * Measures how fast the service recovers when all controllers and the state service restart at once, over many seeded days in
+ * virtual time. Run by `npm run recovery -- [days]`. Durations count from the end of the state service's outage, the first time
+ * at which anything can become durable.
  */
 import { World } from './world/world.js';
 
 const days = Number(process.argv[2] ?? 20);
-type Mark =
+type Milestone =
   'leads' | 'ready on a majority' | 'leases renewed (9 of 10)' | 'first submission accepted' | 'first start';
-const MARKS: readonly Mark[] = [
+const MILESTONES: readonly Milestone[] = [
   'leads',
   'ready on a majority',
   'first submission accepted',
   'first start',
   'leases renewed (9 of 10)',
 ];
-const took = new Map<Mark, number[]>(MARKS.map((m) => [m, []]));
-let broken = 0;
+const durations = new Map<Milestone, number[]>(MILESTONES.map((milestone) => [milestone, []]));
+let violations = 0;
 let unfinished = 0;
 
 for (let seed = 1; seed <= days; seed++) {
   const world = new World(1000 + seed, { everythingRestarts: true });
-  const marks = new Map<Mark, number>();
-  let out = false;
-  let back: number | null = null;
-  let before = { accepted: 0, started: 0, term: 0 };
-  const mark = (m: Mark, is: boolean): void => {
-    if (is && !marks.has(m)) marks.set(m, world.time.now - back!);
+  const reachedAfter = new Map<Milestone, number>();
+  let outageBegan = false;
+  let serviceBackAt: number | null = null;
+  let atReturn = { accepted: 0, started: 0, term: 0 };
+  const reach = (milestone: Milestone, reached: boolean): void => {
+    if (reached && !reachedAfter.has(milestone)) reachedAfter.set(milestone, world.time.now - serviceBackAt!);
   };
-  const step = world.time.onStep;
+  const checkStep = world.time.onStep;
   world.time.onStep = () => {
-    step();
-    if (world.state.out) out = true;
-    if (!out || world.state.out) return;
-    const token = Math.max(0, ...[...world.workers.values()].map((w) => w.token));
-    if (back === null) {
-      back = world.time.now;
-      before = { accepted: world.users.accepted, started: world.rules.started, term: token };
+    checkStep();
+    if (world.state.out) outageBegan = true;
+    if (!outageBegan || world.state.out) return;
+    const highestToken = Math.max(0, ...[...world.workers.values()].map((worker) => worker.token));
+    if (serviceBackAt === null) {
+      serviceBackAt = world.time.now;
+      atReturn = { accepted: world.users.accepted, started: world.rules.started, term: highestToken };
     }
-    if (marks.size === MARKS.length) return;
-    mark('leads', world.leader() !== undefined);
+    if (reachedAfter.size === MILESTONES.length) return;
+    reach('leads', world.leader() !== undefined);
     const ready = world.nodes.filter((label) => world.controllers.ready(label)).length;
-    mark('ready on a majority', ready > world.nodes.length / 2);
-    mark('first submission accepted', world.users.accepted > before.accepted);
-    mark('first start', world.rules.started > before.started);
-    const up = [...world.workers.values()];
-    const renewed = up.filter((w) => w.token > before.term).length;
-    mark('leases renewed (9 of 10)', up.length > 0 && renewed >= up.length * 0.9);
+    reach('ready on a majority', ready > world.nodes.length / 2);
+    reach('first submission accepted', world.users.accepted > atReturn.accepted);
+    reach('first start', world.rules.started > atReturn.started);
+    const liveWorkers = [...world.workers.values()];
+    const renewed = liveWorkers.filter((worker) => worker.token > atReturn.term).length;
+    reach('leases renewed (9 of 10)', liveWorkers.length > 0 && renewed >= liveWorkers.length * 0.9);
   };
   world.play(30, 120e6, 300e6);
-  broken += world.rules.broken.length;
+  violations += world.rules.broken.length;
   unfinished += world.unfinished().length;
-  for (const [m, t] of marks) took.get(m)!.push(t / 1e6);
+  for (const [milestone, seconds] of reachedAfter) durations.get(milestone)!.push(seconds / 1e6);
   world.stop();
 }
-for (const m of MARKS) {
-  const t = took.get(m)!.sort((a, b) => a - b);
-  const at = (q: number): string => t[Math.min(t.length - 1, Math.floor(q * t.length))]?.toFixed(1) ?? '-';
+for (const milestone of MILESTONES) {
+  const seconds = durations.get(milestone)!.sort((a, b) => a - b);
+  const quantile = (fraction: number): string =>
+    seconds[Math.min(seconds.length - 1, Math.floor(fraction * seconds.length))]?.toFixed(1) ?? '-';
   process.stdout.write(
-    `${m}: middle ${at(0.5)} s, 9 in 10 ${at(0.9)} s, longest ${at(1)} s (${t.length} days)\n`,
+    `${milestone}: median ${quantile(0.5)} s, 90th percentile ${quantile(0.9)} s, maximum ${quantile(1)} s (${seconds.length} days)\n`,
   );
 }
-process.stdout.write(`rules broken: ${broken}; jobs not at their end: ${unfinished}\n`);
-process.exit(broken + unfinished > 0 ? 1 : 0);
+process.stdout.write(`violations: ${violations}; unfinished jobs: ${unfinished}\n`);
+process.exit(violations + unfinished > 0 ? 1 : 0);
--- a/packages/simulation/src/report.ts
+++ b/packages/simulation/src/report.ts
@@ -1,64 +1,66 @@
-/** What many days of one experiment say together. */
+/** Summarizes many days of one experiment as text. */
 import { build, type Histogram } from 'hdr-histogram-js';
 import { type DayResult, faultsOf, type Recovery } from './play.js';
 
 const STEPS = ['noticed', 'durable', 'answers', 'started'] as const satisfies readonly (keyof Recovery)[];
-const SAID: Record<(typeof STEPS)[number], string> = {
-  noticed: 'loss noticed',
+const STEP_LABELS: Record<(typeof STEPS)[number], string> = {
+  noticed: 'data loss suspected',
   durable: 'all known durable',
-  answers: 'first answer after that',
+  answers: 'first response after that',
   started: 'first start after that',
 };
 
-const histogram = (): Histogram =>
+const newHistogram = (): Histogram =>
   build({ bitBucketSize: 64, numberOfSignificantValueDigits: 3, highestTrackableValue: 3_600_000 });
 
-/** Lines for a person: totals, then recovery times as percentiles. */
+/** Returns the lines of the summary: totals, recovery times as percentiles, rows of classes and teams, and failed days. */
 export const table = (days: readonly DayResult[]): string[] => {
-  const sum = (of: (d: DayResult) => number): number => days.reduce((n, d) => n + of(d), 0);
-  const bad = days.filter((d) => faultsOf(d).length > 0);
+  const sum = (of: (day: DayResult) => number): number => days.reduce((total, day) => total + of(day), 0);
+  const failedDays = days.filter((day) => faultsOf(day).length > 0);
   const lines = [
-    `${days.length} days, ${bad.length} with a fault; losses ${sum((d) => d.losses)} on ${days.filter((d) => d.losses > 0).length} days, ` +
-      `of them ${sum((d) => d.unwitnessed)} that no controller lived through`,
-    `jobs accepted ${sum((d) => d.accepted)}, over ${sum((d) => d.over)}; tasks started ${sum((d) => d.started)}, killed by a lease ${sum((d) => d.killed)}`,
+    `${days.length} days, ${failedDays.length} failed; data losses ${sum((day) => day.losses)} on ${days.filter((day) => day.losses > 0).length} days, ` +
+      `${sum((day) => day.unwitnessed)} of them survived by no controller`,
+    `jobs accepted ${sum((day) => day.accepted)}, finished ${sum((day) => day.over)}; tasks started ${sum((day) => day.started)}, killed by lease expiry ${sum((day) => day.killed)}`,
   ];
-  const silences = days.map((d) => d.silence).sort((a, b) => a - b);
-  const silent = (part: number): string =>
-    (silences[Math.floor(part * (silences.length - 1))] ?? 0).toFixed(1);
+  const silences = days.map((day) => day.silence).sort((a, b) => a - b);
+  const silenceQuantile = (fraction: number): string =>
+    (silences[Math.floor(fraction * (silences.length - 1))] ?? 0).toFixed(1);
   lines.push(
-    `longest that a job went unanswered after the troubles, by day: middle ${silent(0.5)} s, 9 in 10 ${silent(0.9)} s, longest ${silent(1)} s`,
+    `longest time without a response for a job after the last fault, by day: median ${silenceQuantile(0.5)} s, 90th percentile ${silenceQuantile(0.9)} s, maximum ${silenceQuantile(1)} s`,
   );
-  if (days.some((d) => d.lending !== null)) {
-    const of = (k: 'loans' | 'wanted' | 'up' | 'all' | 'soon'): number => sum((d) => d.lending?.[k] ?? 0);
-    const died = Object.entries(Object.assign({}, ...days.map((d) => d.struck)) as object)
-      .filter(([k]) => k.startsWith('after_'))
-      .map(([k]) => `${k.slice(6)} ${sum((d) => d.struck[k] ?? 0)}`);
+  if (days.some((day) => day.lending !== null)) {
+    const of = (field: 'loans' | 'wanted' | 'up' | 'all' | 'soon'): number =>
+      sum((day) => day.lending?.[field] ?? 0);
+    const leaderDeaths = Object.entries(Object.assign({}, ...days.map((day) => day.struck)) as object)
+      .filter(([field]) => field.startsWith('after_'))
+      .map(([field]) => `${field.slice(6)} ${sum((day) => day.struck[field] ?? 0)}`);
     lines.push(
       `loans ${of('loans')}; services ${of('all')}, complete within 60 s ${(of('soon') / Math.max(1, of('all'))).toFixed(3)}, ` +
-        `up ${(of('up') / Math.max(1, of('wanted'))).toFixed(3)} of the time wanted; leaders that died after: ${died.join(', ')}`,
+        `running for ${(of('up') / Math.max(1, of('wanted'))).toFixed(3)} of the wanted time; leaders that ended after: ${leaderDeaths.join(', ')}`,
     );
   }
   for (const step of STEPS) {
-    const h = histogram();
-    for (const d of days) {
-      const ms = d.recovery[step];
-      if (ms !== null) h.recordValue(ms);
+    const histogram = newHistogram();
+    for (const day of days) {
+      const ms = day.recovery[step];
+      if (ms !== null) histogram.recordValue(ms);
     }
-    if (h.totalCount === 0) continue;
-    const at = (p: number): string => `${(h.getValueAtPercentile(p) / 1000).toFixed(2)} s`;
+    if (histogram.totalCount === 0) continue;
+    const secondsAt = (percentile: number): string =>
+      `${(histogram.getValueAtPercentile(percentile) / 1000).toFixed(2)} s`;
     lines.push(
-      `${SAID[step]}: middle ${at(50)}, 9 in 10 ${at(90)}, 99 in 100 ${at(99)}, longest ${(h.maxValue / 1000).toFixed(2)} s (${h.totalCount})`,
+      `${STEP_LABELS[step]}: median ${secondsAt(50)}, 90th percentile ${secondsAt(90)}, 99th percentile ${secondsAt(99)}, maximum ${(histogram.maxValue / 1000).toFixed(2)} s (${histogram.totalCount})`,
     );
   }
-  for (const of of [...new Set(days.flatMap((d) => d.least.map((r) => r.of)))].sort()) {
-    const rows = days.flatMap((d) => d.least.filter((r) => r.of === of));
-    const jobs = rows.reduce((n, r) => n + r.jobs, 0);
-    const part = (by: 'served' | 'begun'): string =>
-      `${(rows.reduce((n, r) => n + r[by] * r.jobs, 0) / jobs).toFixed(3)} (least on a day ${Math.min(...rows.map((r) => r[by])).toFixed(2)})`;
+  for (const of of [...new Set(days.flatMap((day) => day.least.map((row) => row.of)))].sort()) {
+    const rows = days.flatMap((day) => day.least.filter((row) => row.of === of));
+    const jobs = rows.reduce((total, row) => total + row.jobs, 0);
+    const fraction = (by: 'served' | 'begun'): string =>
+      `${(rows.reduce((total, row) => total + row[by] * row.jobs, 0) / jobs).toFixed(3)} (minimum of a day ${Math.min(...rows.map((row) => row[by])).toFixed(2)})`;
     lines.push(
-      `${of}: ${jobs} jobs, served ${part('served')}, begun within four minutes ${part('begun')}, longest ${Math.max(...rows.map((r) => r.longest))} s`,
+      `${of}: ${jobs} jobs, finished ${fraction('served')}, begun within four minutes ${fraction('begun')}, longest wait ${Math.max(...rows.map((row) => row.longest))} s`,
     );
   }
-  for (const d of bad) lines.push(`seed ${d.seed}: ${faultsOf(d).slice(0, 3).join('; ')}`);
+  for (const day of failedDays) lines.push(`seed ${day.seed}: ${faultsOf(day).slice(0, 3).join('; ')}`);
   return lines;
 };
--- a/packages/simulation/src/sample-fleet.ts
+++ b/packages/simulation/src/sample-fleet.ts
@@ -1,10 +1,11 @@
-/** Inputs of one scheduling cycle, made up at a given size: what measurements and property tests of the cycle run on. */
+/** Generates inputs of one scheduling cycle at a given size, for measurements and property tests of the cycle. */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { Job, JobSpec } from '@lilacvalve/controller/jobs/model';
 import type { CycleInput, PlacedTask, MachineView, QueuedJob } from '@lilacvalve/controller/scheduler/model';
 import { findIdleMachines } from '@lilacvalve/controller/scheduler/idle-machines';
 import { job } from '@lilacvalve/controller/support/job';
 
+/** A generated fleet with its placed and waiting tasks. */
 export interface SampleFleet {
   readonly input: CycleInput;
 }
@@ -13,7 +14,7 @@
 const MIXED_TEAMS = ['app', 'core', 'risk', 'data'];
 const RENDER_JOB_TASKS = 120;
 
-/** Lehmer's generator: the same fleet for the same sizes. */
+/** Returns a Lehmer random number generator with a fixed seed, so that the same sizes give the same fleet. */
 const lehmer = (): (() => number) => {
   let seed = 7;
   return () => {
@@ -22,12 +23,12 @@
   };
 };
 
-/** Makes jobs of teams by turns and places their tasks. */
+/** Creates jobs, assigned to the teams round-robin, and places or queues their tasks. */
 class Workload {
   readonly placedTasks: PlacedTask[] = [];
   readonly queued: QueuedJob[] = [];
   private count = 0;
-  /** Jobs that tasks are still being placed of, by kind. */
+  /** By kind: the job whose tasks are being placed. */
   private readonly open = new Map<string, Job>();
 
   constructor(
@@ -35,12 +36,13 @@
     private readonly random: () => number,
   ) {}
 
-  make(over: Partial<JobSpec>): Job {
+  /** Creates a job of the next team. */
+  make(overrides: Partial<JobSpec>): Job {
     return job(`job-${String(++this.count).padStart(6, '0')}`, {
       team: this.teams[this.count % this.teams.length]!,
       image: 'img',
       estimate: 20e6 as Micros,
-      ...over,
+      ...overrides,
     });
   }
 
@@ -72,11 +74,11 @@
     return this.make({ urgency: 0, cpus: 1, memGb: 3.1, tasks, spot: true });
   }
 
-  /** Places the next task of the open job of this kind; a full one is followed by a fresh one. */
-  hold(kind: string, fresh: () => Job, machine: MachineView): void {
+  /** Places the next task of the open job of this kind; creates a new job when all its tasks are placed. */
+  place(kind: string, newJob: () => Job, machine: MachineView): void {
     let open = this.open.get(kind);
     if (open === undefined || open.placed.size === open.spec.tasks) {
-      open = fresh();
+      open = newJob();
       this.open.set(kind, open);
     }
     const task = open.placed.size;
@@ -92,7 +94,8 @@
     });
   }
 
-  wait(waiting: Job): void {
+  /** Queues all tasks of a job. */
+  enqueue(waiting: Job): void {
     this.queued.push({
       job: waiting,
       tasks: Array.from({ length: waiting.spec.tasks }, (_, i) => i),
@@ -103,6 +106,7 @@
     });
   }
 
+  /** Returns the input of a scheduling cycle on these machines. */
   input(nodes: readonly MachineView[]): CycleInput {
     return {
       now: 1e9 as Micros,
@@ -125,7 +129,7 @@
   }
 }
 
-/** Every machine is full of gangs, GPU tasks or small ones; more waits than will find room. */
+/** A fleet whose machines are full of gangs, GPU tasks or small tasks, with more waiting tasks than free capacity. */
 export const mixedFleet = (machines: number, waiting: number): SampleFleet => {
   const random = lehmer();
   const nodes: MachineView[] = Array.from({ length: machines }, (_, i) => {
@@ -140,33 +144,36 @@
       open: true,
     };
   });
-  const work = new Workload(MIXED_TEAMS, random);
-  for (const m of nodes) {
-    if (m.type === 'g') for (let i = 0; i < 2; i++) work.hold('scoring', () => work.scoring(), m);
-    else if (!m.spot && random() < 0.6) work.hold('gang', () => work.gang(6), m);
-    else for (let i = 0; i < 16; i++) work.hold('render', () => work.render(), m);
+  const workload = new Workload(MIXED_TEAMS, random);
+  for (const machine of nodes) {
+    if (machine.type === 'g')
+      for (let i = 0; i < 2; i++) workload.place('scoring', () => workload.scoring(), machine);
+    else if (!machine.spot && random() < 0.6) workload.place('gang', () => workload.gang(6), machine);
+    else for (let i = 0; i < 16; i++) workload.place('render', () => workload.render(), machine);
   }
-  for (const size of [1, 3, 6, 12, 16, 16]) work.wait(work.gang(size));
-  for (let i = 0; i < 8; i++) work.wait(work.scoring());
-  for (let left = waiting; left > 0; left -= RENDER_JOB_TASKS) work.wait(work.render());
-  return { input: work.input(nodes) };
+  for (const size of [1, 3, 6, 12, 16, 16]) workload.enqueue(workload.gang(size));
+  for (let i = 0; i < 8; i++) workload.enqueue(workload.scoring());
+  for (let remaining = waiting; remaining > 0; remaining -= RENDER_JOB_TASKS)
+    workload.enqueue(workload.render());
+  return { input: workload.input(nodes) };
 };
 
+/** Sizes of a fleet of short tasks. */
 export interface ShortTaskSizes {
   readonly machines: number;
-  /** Tasks that wait. */
+  /** Number of waiting tasks. */
   readonly waiting: number;
-  /** Tasks of one CPU that each machine has room for. */
+  /** Number of tasks of one CPU that fit on each machine. */
   readonly held: number;
-  /** The part of that room that is free, 0 to 1. */
+  /** Fraction of that capacity that is free, 0 to 1. */
   readonly free: number;
   readonly teams: number;
 }
 
-/** Tasks of a job in a fleet of short tasks: 33,000 jobs a day have to make thousands of starts a second. */
+/** Number of tasks of a job in a fleet of short tasks, large since 33,000 jobs a day have to cause thousands of starts a second. */
 const SHORT_JOB_TASKS = 1000;
 
-/** Every machine holds tasks of one CPU that last for seconds, by jobs of many teams; some of them have just ended. */
+/** A fleet whose machines run tasks of one CPU and a few seconds, of many teams; a fraction of them has just exited. */
 export const shortTaskFleet = (sizes: ShortTaskSizes): SampleFleet => {
   const random = lehmer();
   const teams = Array.from({ length: sizes.teams }, (_, i) => `team-${i}`);
@@ -179,13 +186,17 @@
     images: new Set(['img']),
     open: true,
   }));
-  const work = new Workload(teams, random);
-  for (const m of nodes)
+  const workload = new Workload(teams, random);
+  for (const machine of nodes)
     for (let i = 0; i < sizes.held; i++)
-      // Tasks of several jobs lie on one machine, as those of teams that take turns do.
+      // Tasks of several jobs share a machine, as they do when teams are served round-robin.
       if (random() >= sizes.free)
-        work.hold(`short-${Math.floor(random() * sizes.teams)}`, () => work.render(SHORT_JOB_TASKS), m);
-  for (let left = sizes.waiting; left > 0; left -= SHORT_JOB_TASKS)
-    work.wait(work.render(Math.min(left, SHORT_JOB_TASKS)));
-  return { input: work.input(nodes) };
+        workload.place(
+          `short-${Math.floor(random() * sizes.teams)}`,
+          () => workload.render(SHORT_JOB_TASKS),
+          machine,
+        );
+  for (let remaining = sizes.waiting; remaining > 0; remaining -= SHORT_JOB_TASKS)
+    workload.enqueue(workload.render(Math.min(remaining, SHORT_JOB_TASKS)));
+  return { input: workload.input(nodes) };
 };
--- a/packages/simulation/src/shrink.ts
+++ b/packages/simulation/src/shrink.ts
@@ -1,52 +1,68 @@
-/** Makes a failing day smaller: leaves out what it fails without, one thing at a time, until nothing more can go. */
+/** Reduces a failing day: removes its faults and jobs one step at a time, as long as the day still fails. */
 import type { Experiment } from './experiment.js';
 
-/** Every experiment that lacks one thing that `x` has. */
-export const smaller = (x: Experiment): { readonly without: string; readonly experiment: Experiment }[] => {
-  const out: { without: string; experiment: Experiment }[] = [];
-  const { losses = [], links = [], ...flags } = x.troubles;
+/** Every variant of an experiment with one fault, crash, loss or link less, or with half of the jobs. */
+export const smaller = (
+  experiment: Experiment,
+): { readonly without: string; readonly experiment: Experiment }[] => {
+  const variants: { without: string; experiment: Experiment }[] = [];
+  const { losses = [], links = [], ...flags } = experiment.troubles;
   for (const flag of Object.keys(flags)) {
-    const rest = Object.fromEntries(Object.entries(flags).filter(([f]) => f !== flag));
-    out.push({ without: flag, experiment: { ...x, troubles: { ...rest, losses, links } } });
+    const rest = Object.fromEntries(Object.entries(flags).filter(([name]) => name !== flag));
+    variants.push({ without: flag, experiment: { ...experiment, troubles: { ...rest, losses, links } } });
   }
-  losses.forEach((l, i) => {
-    out.push({
-      without: `loss ${i + 1}`,
-      experiment: { ...x, troubles: { ...x.troubles, losses: losses.filter((_, k) => k !== i) } },
+  losses.forEach((loss, index) => {
+    variants.push({
+      without: `loss ${index + 1}`,
+      experiment: {
+        ...experiment,
+        troubles: { ...experiment.troubles, losses: losses.filter((_, other) => other !== index) },
+      },
     });
-    if (l.crash !== 'none')
-      out.push({
-        without: `crash at loss ${i + 1}`,
+    if (loss.crash !== 'none')
+      variants.push({
+        without: `crash at loss ${index + 1}`,
         experiment: {
-          ...x,
+          ...experiment,
           troubles: {
-            ...x.troubles,
-            losses: losses.map((o, k) => (k === i ? { ...o, crash: 'none' as const } : o)),
+            ...experiment.troubles,
+            losses: losses.map((entry, other) =>
+              other === index ? { ...entry, crash: 'none' as const } : entry,
+            ),
           },
         },
       });
   });
-  links.forEach((_, i) =>
-    out.push({
-      without: `link ${i + 1}`,
-      experiment: { ...x, troubles: { ...x.troubles, links: links.filter((_l, k) => k !== i) } },
+  links.forEach((_, index) =>
+    variants.push({
+      without: `link ${index + 1}`,
+      experiment: {
+        ...experiment,
+        troubles: { ...experiment.troubles, links: links.filter((_link, other) => other !== index) },
+      },
     }),
   );
-  if (x.jobs > 1)
-    out.push({ without: `half of ${x.jobs} jobs`, experiment: { ...x, jobs: Math.floor(x.jobs / 2) } });
-  return out;
+  if (experiment.jobs > 1)
+    variants.push({
+      without: `half of ${experiment.jobs} jobs`,
+      experiment: { ...experiment, jobs: Math.floor(experiment.jobs / 2) },
+    });
+  return variants;
 };
 
-/** `fails`: whether a day still fails. `said`: called with each thing that could go. */
+/**
+ * Returns the smallest experiment found for which `fails` is true. `onRemoved` is called with the description of each removed
+ * item.
+ */
 export const shrink = (
-  x: Experiment,
-  fails: (x: Experiment) => boolean,
-  said: (without: string) => void = () => undefined,
+  experiment: Experiment,
+  fails: (experiment: Experiment) => boolean,
+  onRemoved: (without: string) => void = () => undefined,
 ): Experiment => {
-  for (let at = x; ;) {
-    const next = smaller(at).find((s) => fails(s.experiment));
-    if (next === undefined) return at;
-    said(next.without);
-    at = next.experiment;
+  for (let current = experiment; ;) {
+    const failing = smaller(current).find((variant) => fails(variant.experiment));
+    if (failing === undefined) return current;
+    onRemoved(failing.without);
+    current = failing.experiment;
   }
 };
--- a/packages/simulation/src/simulate.ts
+++ b/packages/simulation/src/simulate.ts
@@ -1,4 +1,4 @@
-/** The lab's command: plays an experiment's days, one again with its log, or the smallest that still fails. */
+/** The command `simulate`: plays days of an experiment, replays one day with its log, or reduces a failing day. */
 import { spawn } from 'node:child_process';
 import { readFileSync } from 'node:fs';
 import { Command, InvalidArgumentError } from 'commander';
@@ -7,109 +7,119 @@
 import { table } from './report.js';
 import { shrink } from './shrink.js';
 
-const count = (text: string): number => {
-  const n = Number(text);
-  if (!Number.isInteger(n) || n < 1) throw new InvalidArgumentError('a whole number from 1 on');
-  return n;
+const parsePositiveInteger = (text: string): number => {
+  const value = Number(text);
+  if (!Number.isInteger(value) || value < 1)
+    throw new InvalidArgumentError('expected a whole number of at least 1');
+  return value;
 };
-const range = (text: string): [number, number] => {
-  const m = /^(\d+)(?:\.\.(\d+))?$/.exec(text);
-  if (!m) throw new InvalidArgumentError('a seed, or a range such as 1..500');
-  return [Number(m[1]), Number(m[2] ?? m[1])];
+const parseSeedRange = (text: string): [number, number] => {
+  const match = /^(\d+)(?:\.\.(\d+))?$/.exec(text);
+  if (!match) throw new InvalidArgumentError('expected a seed, or a range such as 1..500');
+  return [Number(match[1]), Number(match[2] ?? match[1])];
 };
 
-const cli = new Command().name('simulate').description('Plays deployments in virtual time');
-const load = (file: string): Experiment => {
+const program = new Command().name('simulate').description('Plays deployments in virtual time');
+const loadExperiment = (file: string): Experiment => {
   let text: string;
   try {
     text = readFileSync(file, 'utf8');
-  } catch (e) {
-    return cli.error(`${file}: ${(e as Error).message}`, { exitCode: 2 });
+  } catch (error) {
+    return program.error(`${file}: ${(error as Error).message}`, { exitCode: 2 });
   }
-  const x = readExperiment(text);
-  return x._tag === 'Left' ? cli.error(`${file}: ${x.left}`, { exitCode: 2 }) : x.right;
+  const experiment = readExperiment(text);
+  return experiment._tag === 'Left'
+    ? program.error(`${file}: ${experiment.left}`, { exitCode: 2 })
+    : experiment.right;
 };
 
-/** Days of a range of seeds in so many processes at once; each prints its days as JSON lines. */
-const playAll = async (
+/** Plays a range of seeds in several processes at once; each process prints its days as JSON lines. */
+const playInProcesses = async (
   file: string,
   [from, to]: readonly [number, number],
-  jobs: number,
+  processes: number,
 ): Promise<DayResult[]> => {
   const days: DayResult[] = [];
-  const one = (first: number): Promise<void> =>
-    new Promise((done) => {
+  const playFrom = (first: number): Promise<void> =>
+    new Promise((resolve) => {
       const child = spawn(
         process.execPath,
-        [process.argv[1]!, 'play', file, '--seeds', `${first}..${to}`, '--step', String(jobs), '--json'],
+        [process.argv[1]!, 'play', file, '--seeds', `${first}..${to}`, '--step', String(processes), '--json'],
         { stdio: ['ignore', 'pipe', 'inherit'] },
       );
-      let rest = '';
-      child.stdout.on('data', (part: Buffer) => {
-        const lines = (rest + part.toString()).split('\n');
-        rest = lines.pop()!;
+      let incompleteLine = '';
+      child.stdout.on('data', (chunk: Buffer) => {
+        const lines = (incompleteLine + chunk.toString()).split('\n');
+        incompleteLine = lines.pop()!;
         for (const line of lines) days.push(JSON.parse(line) as DayResult);
       });
-      child.on('exit', () => done());
+      child.on('exit', () => resolve());
     });
-  await Promise.all(Array.from({ length: Math.min(jobs, to - from + 1) }, (_, i) => one(from + i)));
+  await Promise.all(Array.from({ length: Math.min(processes, to - from + 1) }, (_, i) => playFrom(from + i)));
   return days.sort((a, b) => a.seed - b.seed);
 };
 
-cli
+program
   .command('play')
-  .description('plays days; exit status 1 if one of them has a fault')
+  .description('plays days; exit status 1 if one of them fails')
   .argument('<file>', 'the experiment')
-  .option('--seeds <range>', 'such as 1..500', range, [1, 20])
-  .option('--jobs <n>', 'processes at once', count, 1)
-  .option('--step <n>', 'every so many seeds only', count, 1)
+  .option('--seeds <range>', 'a seed, or a range such as 1..500', parseSeedRange, [1, 20])
+  .option('--jobs <n>', 'number of parallel processes', parsePositiveInteger, 1)
+  .option('--step <n>', 'interval between played seeds', parsePositiveInteger, 1)
   .option('--json', 'one line of JSON a day instead of the table')
   .action(
-    async (file: string, o: { seeds: [number, number]; jobs: number; step: number; json?: boolean }) => {
-      const x = load(file);
+    async (
+      file: string,
+      options: { seeds: [number, number]; jobs: number; step: number; json?: boolean },
+    ) => {
+      const experiment = loadExperiment(file);
       let days: DayResult[] = [];
-      if (o.jobs > 1) days = await playAll(file, o.seeds, o.jobs);
+      if (options.jobs > 1) days = await playInProcesses(file, options.seeds, options.jobs);
       else
-        for (let seed = o.seeds[0]; seed <= o.seeds[1]; seed += o.step) {
-          const day = playDay(x, seed);
+        for (let seed = options.seeds[0]; seed <= options.seeds[1]; seed += options.step) {
+          const day = playDay(experiment, seed);
           days.push(day);
-          if (o.json) process.stdout.write(`${JSON.stringify(day)}\n`);
+          if (options.json) process.stdout.write(`${JSON.stringify(day)}\n`);
         }
-      if (o.jobs > 1 && o.json) for (const d of days) process.stdout.write(`${JSON.stringify(d)}\n`);
-      if (!o.json) process.stdout.write(`${[x.name, ...table(days)].join('\n  ')}\n`);
-      const expected = Math.floor((o.seeds[1] - o.seeds[0]) / o.step) + 1;
+      if (options.jobs > 1 && options.json)
+        for (const day of days) process.stdout.write(`${JSON.stringify(day)}\n`);
+      if (!options.json) process.stdout.write(`${[experiment.name, ...table(days)].join('\n  ')}\n`);
+      const expected = Math.floor((options.seeds[1] - options.seeds[0]) / options.step) + 1;
       if (days.length < expected) {
-        process.stderr.write(`${expected - days.length} days were not played to their end\n`);
+        process.stderr.write(`${expected - days.length} days were not completed\n`);
         process.exitCode = 2;
-      } else process.exitCode = days.some((d) => faultsOf(d).length > 0) ? 1 : 0;
+      } else process.exitCode = days.some((day) => faultsOf(day).length > 0) ? 1 : 0;
     },
   );
 
-cli
+program
   .command('replay')
-  .description('plays one day again, with what the controllers log')
+  .description('plays one day again and prints the log of the controllers')
   .argument('<file>', 'the experiment')
-  .requiredOption('--seed <n>', 'the day', count)
-  .action((file: string, o: { seed: number }) => {
-    const day = playDay(load(file), o.seed, true);
+  .requiredOption('--seed <n>', 'the seed of the day', parsePositiveInteger)
+  .action((file: string, options: { seed: number }) => {
+    const day = playDay(loadExperiment(file), options.seed, true);
     process.stdout.write(`${JSON.stringify(day)}\n`);
     process.exitCode = faultsOf(day).length > 0 ? 1 : 0;
   });
 
-cli
+program
   .command('shrink')
-  .description('leaves out what a failing day fails without, and prints what is left')
+  .description('removes faults and jobs as long as the day still fails, and prints the remaining ones')
   .argument('<file>', 'the experiment')
-  .requiredOption('--seed <n>', 'the day', count)
-  .action((file: string, o: { seed: number }) => {
-    const x = load(file);
-    const fails = (e: Experiment): boolean => faultsOf(playDay(e, o.seed)).length > 0;
-    if (!fails(x)) return cli.error(`seed ${o.seed}: the day has no fault`, { exitCode: 2 });
-    const least = shrink(x, fails, (without) => process.stderr.write(`fails without ${without}\n`));
-    const day = playDay(least, o.seed);
+  .requiredOption('--seed <n>', 'the seed of the day', parsePositiveInteger)
+  .action((file: string, options: { seed: number }) => {
+    const experiment = loadExperiment(file);
+    const fails = (candidate: Experiment): boolean => faultsOf(playDay(candidate, options.seed)).length > 0;
+    if (!fails(experiment))
+      return program.error(`seed ${options.seed}: the day does not fail`, { exitCode: 2 });
+    const smallest = shrink(experiment, fails, (without) =>
+      process.stderr.write(`fails without ${without}\n`),
+    );
+    const day = playDay(smallest, options.seed);
     process.stdout.write(
-      `${JSON.stringify({ jobs: least.jobs, troubles: least.troubles, faults: faultsOf(day) }, null, 2)}\n`,
+      `${JSON.stringify({ jobs: smallest.jobs, troubles: smallest.troubles, faults: faultsOf(day) }, null, 2)}\n`,
     );
   });
 
-void cli.parseAsync();
+void program.parseAsync();
--- a/packages/simulation/src/turns.ts
+++ b/packages/simulation/src/turns.ts
@@ -1,10 +1,10 @@
 /**
- * Times the pure scheduling cycle on a fleet of a given size. Run by `npm run turns -- [machines] [waiting] [rounds]`;
- * prints the middle and the longest of the rounds in milliseconds.
+ * Measures the pure scheduling cycle on a fleet of a given size. Run by `npm run turns -- [machines] [waiting] [rounds]`;
+ * prints the median and the longest duration of the cycles in milliseconds.
  *
- * Without `--held` the fleet is a mixed one, all busy, on which most of what waits finds no room. With `--held N` every
- * machine has room for N small tasks and a part of that room (`--free`) has just fallen free, as between two turns of a
- * fleet whose tasks last for seconds: the turn has to place as many tasks as have ended.
+ * Without `--held` the fleet is a mixed one whose machines are all busy, so that most waiting tasks cannot be placed. With
+ * `--held N` every machine has capacity for N small tasks, and a fraction of that capacity (`--free`) has just been freed, as
+ * between two cycles on a fleet whose tasks last for seconds: the cycle has to place as many tasks as have exited.
  */
 import { Command } from 'commander';
 import { exitOnClosedPipe } from '@lilacvalve/runtime/closed-pipe';
@@ -17,6 +17,7 @@
 import type { CycleInput, CycleResult } from '@lilacvalve/controller/scheduler/model';
 import { type SampleFleet, mixedFleet, shortTaskFleet } from './sample-fleet.js';
 
+/** The options of the command. */
 interface Options {
   readonly held?: number;
   readonly free: number;
@@ -24,25 +25,25 @@
   readonly json?: boolean;
 }
 
-interface Times {
-  /** Milliseconds. */
+/** Durations of cycles, in milliseconds. */
+interface CycleTimes {
   readonly median: number;
   readonly longest: number;
 }
 
-const timed = (rounds: number, run: () => void): Times => {
-  const times: number[] = [];
-  for (let i = 0; i < rounds; i++) {
-    const began = performance.now();
+const measure = (cycles: number, run: () => void): CycleTimes => {
+  const durations: number[] = [];
+  for (let i = 0; i < cycles; i++) {
+    const startedAt = performance.now();
     run();
-    times.push(performance.now() - began);
+    durations.push(performance.now() - startedAt);
   }
-  times.sort((a, b) => a - b);
-  return { median: times[rounds >> 1]!, longest: times[rounds - 1]! };
+  durations.sort((a, b) => a - b);
+  return { median: durations[cycles >> 1]!, longest: durations[cycles - 1]! };
 };
 
-/** What a calendar adds to a turn: half of the jobs are tied to one of 1,000 occurrences. */
-const timeCutoffs = (jobs: readonly Job[], rounds: number): string => {
+/** Measures the time that a calendar adds to a cycle when half of the jobs are bound to one of 1,000 occurrences. */
+const measureCutoffs = (jobs: readonly Job[], cycles: number): string => {
   const calendar = makeCalendar(
     {
       version: 1,
@@ -58,51 +59,56 @@
     },
     Array.from({ length: 1000 }, (_, i) => ({ id: `c@${i}`, cutoff: 0, at: (1e9 + i * 60e6) as Micros })),
   );
-  const tied = jobs
+  const boundJobs = jobs
     .filter((_, i) => i % 2 === 0)
-    .map((j, i) => ({ ...j, spec: { ...j.spec, cutoffBinding: `c@${i % 1000}` } }));
-  const pace = { classDurations: new Map(), limit: () => undefined, total: [10_000, 400, 40_000] as const };
-  const { median, longest } = timed(rounds, () => {
-    for (const j of tied) {
-      cutoffRank(j, calendar, 1e9 as Micros, () => pace);
+    .map((job, i) => ({ ...job, spec: { ...job.spec, cutoffBinding: `c@${i % 1000}` } }));
+  const expectedPace = {
+    classDurations: new Map(),
+    limit: () => undefined,
+    total: [10_000, 400, 40_000] as const,
+  };
+  const { median, longest } = measure(cycles, () => {
+    for (const job of boundJobs) {
+      cutoffRank(job, calendar, 1e9 as Micros, () => expectedPace);
       newCutoffRisk(
-        j,
+        job,
         calendar,
         1e9 as Micros,
-        () => pace,
+        () => expectedPace,
         () => ({ limited: false, lost: false }),
       );
     }
   });
   return (
-    `cutoffs of ${tied.length} of ${jobs.length} jobs, ${calendar.occurrences.length} occurrences: ` +
-    `${median.toFixed(2)} ms a turn more, longest ${longest.toFixed(2)} ms\n`
+    `cutoffs of ${boundJobs.length} of ${jobs.length} jobs, ${calendar.occurrences.length} occurrences: ` +
+    `${median.toFixed(2)} ms more per cycle, longest ${longest.toFixed(2)} ms\n`
   );
 };
 
-const startedBy = (result: CycleResult): number =>
+const countStarts = (result: CycleResult): number =>
   result.starts.reduce(
-    (n, s) => n + [...s.tasksByMachine.values()].reduce((k, tasks) => k + tasks.length, 0),
+    (total, start) =>
+      total + [...start.tasksByMachine.values()].reduce((count, tasks) => count + tasks.length, 0),
     0,
   );
 
-const run = (machines: number, waiting: number, rounds: number, options: Options): void => {
+const run = (machines: number, waiting: number, cycles: number, options: Options): void => {
   const fleet: SampleFleet =
     options.held === undefined
       ? mixedFleet(machines, waiting)
       : shortTaskFleet({ machines, waiting, held: options.held, free: options.free, teams: options.teams });
   const input: CycleInput = fleet.input;
   let result = schedule(input);
-  const turn = timed(rounds, () => (result = schedule(input)));
-  const tasks = input.queued.reduce((n, q) => n + q.tasks.length, 0);
+  const cycleTimes = measure(cycles, () => (result = schedule(input)));
+  const tasks = input.queued.reduce((total, queuedJob) => total + queuedJob.tasks.length, 0);
   const figures = {
     machines,
     held: input.placedTasks.length,
     waiting: tasks,
     teams: input.teams.length,
-    medianMs: Number(turn.median.toFixed(2)),
-    longestMs: Number(turn.longest.toFixed(2)),
-    started: startedBy(result),
+    medianMs: Number(cycleTimes.median.toFixed(2)),
+    longestMs: Number(cycleTimes.longest.toFixed(2)),
+    started: countStarts(result),
     stops: result.preemptions.length,
     unplaced: result.unplaced.length,
   };
@@ -111,12 +117,17 @@
     return;
   }
   process.stdout.write(
-    `${machines} machines, ${figures.held} tasks held, ${tasks} waiting, ${figures.teams} teams: ` +
-      `turn ${figures.medianMs} ms, longest ${figures.longestMs} ms; ` +
-      `starts ${figures.started}, stops ${figures.stops}, unplaced ${figures.unplaced}\n`,
+    `${machines} machines, ${figures.held} tasks placed, ${tasks} waiting, ${figures.teams} teams: ` +
+      `cycle ${figures.medianMs} ms, longest ${figures.longestMs} ms; ` +
+      `starts ${figures.started}, preemptions ${figures.stops}, unplaced ${figures.unplaced}\n`,
   );
-  const jobs = [...new Set([...input.placedTasks.map((h) => h.job), ...input.queued.map((q) => q.job)])];
-  process.stdout.write(timeCutoffs(jobs, rounds));
+  const jobs = [
+    ...new Set([
+      ...input.placedTasks.map((placedTask) => placedTask.job),
+      ...input.queued.map((queuedJob) => queuedJob.job),
+    ]),
+  ];
+  process.stdout.write(measureCutoffs(jobs, cycles));
 };
 
 exitOnClosedPipe();
@@ -124,11 +135,15 @@
   .name('turns')
   .description('Times the pure scheduling cycle on a fleet of a given size')
   .argument('[machines]', 'machines', parsePositiveInteger, 600)
-  .argument('[waiting]', 'tasks that wait', parsePositiveInteger, 5000)
-  .argument('[rounds]', 'cycles that are timed', parsePositiveInteger, 200)
-  .option('--held <n>', 'tasks that each machine has room for: a fleet of short tasks', parsePositiveInteger)
-  .option('--free <share>', 'with --held: the part of that room that is free', parseFraction, 0.05)
-  .option('--teams <n>', 'with --held: teams', parsePositiveInteger, 4)
+  .argument('[waiting]', 'waiting tasks', parsePositiveInteger, 5000)
+  .argument('[rounds]', 'number of measured cycles', parsePositiveInteger, 200)
+  .option(
+    '--held <n>',
+    'measure a fleet of short tasks with capacity for so many on each machine',
+    parsePositiveInteger,
+  )
+  .option('--free <share>', 'with --held: fraction of that capacity that is free', parseFraction, 0.05)
+  .option('--teams <n>', 'with --held: number of teams', parsePositiveInteger, 4)
   .option('--json', 'one line of JSON')
   .action(run)
   .parse();
--- a/packages/simulation/src/world/scenarios/at-limit.ts
+++ b/packages/simulation/src/world/scenarios/at-limit.ts
@@ -5,224 +5,275 @@
 import type { Worker } from '../worker/worker.js';
 import { PLAIN_JOB, type ScenarioKit, type Scenario } from './scenario-kit.js';
 
-/** Every team of these days is at its limit as soon as a few jobs of it are there. */
+/** Teams whose limits are reached by a few jobs. */
 export const TIGHT_TEAMS: readonly TeamSettings[] = [
   { name: 'red', guarantee: { cpus: 4, gpus: 0 }, limit: { cpus: 10, gpus: 0 } },
   { name: 'blue', guarantee: { cpus: 0, gpus: 0 }, limit: { cpus: 10, gpus: 0 } },
   { name: 'guest', guarantee: { cpus: 0, gpus: 0 }, limit: { cpus: 4, gpus: 0 } },
 ];
-/** What a team's jobs ask for, of its limit: enough waits to take whatever room comes back. */
-const ASKED_FOR = 1.8;
-const CPUS = 2;
-const SHORTEST = 30e6;
-const LOOK_EVERY = 100_000;
-const AFTER = 3e6;
+/** CPUs that a team's jobs request per CPU of its limit: more than one, so that tasks wait for any freed capacity. */
+const DEMAND_PER_LIMIT = 1.8;
+const CPUS_PER_TASK = 2;
+const MIN_RUN_US = 30e6;
+const CHECK_INTERVAL_US = 100_000;
+const RECOVERY_US = 3e6;
 
-/**
- * The bound (docs/meetings.md): how late the limit may still count a task that is gone. From a newer report that was
- * answered, or the cloud's delete; from the end of the machine's lease, where the leader has heard it; from a lease after
- * the leader began, where it has not: then older leaders' word must have run out too.
+/*
+ * Maximum time for which a team's limit may still count a task that no longer holds its resources (docs/meetings.md), in
+ * microseconds. The time runs from the response to a newer heartbeat or the deletion of the machine; from the expiry of
+ * the machine's lease, if the leader has received a heartbeat of it; or from the expiry of a full lease after the leader's
+ * term began, if it has not, since leases that earlier leaders granted must have expired too.
  */
-const BY_WORD = 2e6;
-const BY_LEASE = 3.5e6;
-const BY_LEASE_ANEW = 7e6;
-/** From there to the next start of the team, where a machine that the leader hears has room. */
-const USED = 3e6;
+const MAX_DELAY_BY_EVIDENCE_US = 2e6;
+const MAX_DELAY_BY_LEASE_US = 3.5e6;
+const MAX_DELAY_BY_LEASE_UNHEARD_US = 7e6;
+/** Maximum time until the team's next start, if a machine that reports to the leader has free capacity, in microseconds. */
+const MAX_REUSE_US = 3e6;
 
+/** A task of a cancelled job on a machine that is cut off or hangs. */
 interface Victim {
   readonly key: string;
   readonly job: JobTruth;
   readonly machine: Worker;
   readonly how: 'cut off' | 'hung';
   readonly term: number | null;
-  /** When its machine sent the last report that was not held up. */
-  readonly sent: number;
-  goneAt: number | null;
-  /** Since when the leader can know that. */
-  word: { readonly term: number; readonly at: number } | null;
-  met: boolean;
+  /** When the machine sent its last heartbeat before the fault, in microseconds. */
+  readonly lastHeartbeatAt: number;
+  /** When the task was first seen not to hold its resources any more, in microseconds; null: it still holds them. */
+  exitObservedAt: number | null;
+  /** The term and time from which the leader can know by a heartbeat or a deletion that the task has exited. */
+  evidence: { readonly term: number; readonly at: number } | null;
+  /** Whether the cancellation at the limit under a new leader has been counted for this task. */
+  recorded: boolean;
 }
-type Counted = ReadonlyMap<string, number>;
+/** The tasks that the leader counts against a team's limit, with their attempts. */
+type CountedAttempts = ReadonlyMap<string, number>;
 
-/** Teams at their limits; users cancel jobs whose machines are cut off or hang, and the leader changes. */
+/**
+ * Keeps teams at their limits, cuts off or hangs machines, cancels jobs on them and changes the leader. Checks that the
+ * limit counts a task for as long as it may run and not much longer, and that freed capacity is used again.
+ */
 export const atLimit = (kit: ScenarioKit): Scenario => {
   const { world } = kit;
-  const limits = new Map(TIGHT_TEAMS.map((t) => [t.name, t.limit.cpus]));
-  /** Until when zones are cut off, and machines hang; their reports come soon after. */
-  const away = new Map<string, number>();
-  const sent = new Map<string, number>();
-  let strikes = 0;
+  const limits = new Map(TIGHT_TEAMS.map((task) => [task.name, task.limit.cpus]));
+  /** By zone or machine: when its disconnection or hang ends. Heartbeats arrive again soon after. */
+  const unreachableUntil = new Map<string, number>();
+  const lastHeartbeatAt = new Map<string, number>();
+  let injections = 0;
   let leaderTerm = { term: null as number | null, since: 0 };
 
-  const mine = (j: JobTruth, team: string): boolean =>
-    j.team === team && !world.rules.cancelAsked(j.id) && world.rules.state(j.id) !== 'done';
-  /** So that every team asks for more than its limit. */
-  const fill = (): void => {
+  const isActiveJobOf = (job: JobTruth, team: string): boolean =>
+    job.team === team && !world.rules.cancelAsked(job.id) && world.rules.state(job.id) !== 'done';
+  /** Submits jobs until every team requests more than its limit. */
+  const fillLimits = (): void => {
     const { random } = world;
     for (const [team, limit] of limits) {
-      let more = ASKED_FOR * limit;
-      for (const j of world.jobs.values()) if (mine(j, team)) more -= j.cpus * (j.tasks - j.finished.size);
-      while (more > 0) {
+      let missingCpus = DEMAND_PER_LIMIT * limit;
+      for (const job of world.jobs.values())
+        if (isActiveJobOf(job, team)) missingCpus -= job.cpus * (job.tasks - job.finished.size);
+      while (missingCpus > 0) {
         const tasks = 1 + random.int(2);
-        const job = { ...PLAIN_JOB, team, tasks, cpus: CPUS, runUs: random.between(SHORTEST, 2 * SHORTEST) };
+        const job = {
+          ...PLAIN_JOB,
+          team,
+          tasks,
+          cpus: CPUS_PER_TASK,
+          runUs: random.between(MIN_RUN_US, 2 * MIN_RUN_US),
+        };
         world.submit({ job, urgency: 'high', due: null }, () => world.anyNode());
-        more -= tasks * CPUS;
+        missingCpus -= tasks * CPUS_PER_TASK;
       }
     }
   };
-  /** One more task of the team waits. */
-  const waits = (team: string, counted: Counted): boolean => {
-    for (const j of world.jobs.values()) {
-      if (!mine(j, team) || j.cpus !== CPUS || j.runUs < SHORTEST || j.shape !== 'array' || j.gpus > 0)
+  /** Whether a task of the team, which any machine type and zone could run, waits to be placed. */
+  const hasWaitingTask = (team: string, counted: CountedAttempts): boolean => {
+    for (const job of world.jobs.values()) {
+      if (
+        !isActiveJobOf(job, team) ||
+        job.cpus !== CPUS_PER_TASK ||
+        job.runUs < MIN_RUN_US ||
+        job.shape !== 'array' ||
+        job.gpus > 0
+      )
         continue;
-      if (world.rules.state(j.id) !== 'accepted' || j.types !== null || j.zone !== null || j.oneZone)
+      if (world.rules.state(job.id) !== 'accepted' || job.types !== null || job.zone !== null || job.oneZone)
         continue;
-      for (let i = 0; i < j.tasks; i++)
-        if (!j.finished.has(i) && !counted.has(`${j.id}/${i}`) && !world.rules.holds(`${j.id}/${i}`))
+      for (let i = 0; i < job.tasks; i++)
+        if (!job.finished.has(i) && !counted.has(`${job.id}/${i}`) && !world.rules.holds(`${job.id}/${i}`))
           return true;
     }
     return false;
   };
-  const full = (team: string, counted: Counted): boolean => {
-    let cpus = CPUS;
+  /** Whether one more task would exceed the team's limit. */
+  const isAtLimit = (team: string, counted: CountedAttempts): boolean => {
+    let cpus = CPUS_PER_TASK;
     for (const key of counted.keys()) cpus += world.jobs.get(key.slice(0, key.indexOf('/')))!.cpus;
     return cpus > limits.get(team)!;
   };
-  /** A machine that the leader hears has room for one more. */
-  const room = (): boolean => {
-    for (const x of world.workers.values()) {
-      if (!x.alive || x.hanging || x.place.spot || !world.heardFrom(x.place.id)) continue;
-      if ([x.place.id, x.place.zone].some((k) => world.time.now < (away.get(k) ?? 0) + AFTER)) continue;
-      if (x.token !== leaderTerm.term) continue;
-      let free = 8 - CPUS;
-      for (const key of world.placedOn(x.place.id))
+  /** Whether a machine that reports to the leader has enough free CPUs for one more task. */
+  const hasFreeMachine = (): boolean => {
+    for (const worker of world.workers.values()) {
+      if (!worker.alive || worker.hanging || worker.place.spot || !world.heardFrom(worker.place.id)) continue;
+      if (
+        [worker.place.id, worker.place.zone].some(
+          (k) => world.time.now < (unreachableUntil.get(k) ?? 0) + RECOVERY_US,
+        )
+      )
+        continue;
+      if (worker.token !== leaderTerm.term) continue;
+      let free = 8 - CPUS_PER_TASK;
+      for (const key of world.placedOn(worker.place.id))
         free -= world.jobs.get(key.slice(0, key.indexOf('/')))!.cpus;
-      if (free >= 0 && x.place.type === 'c8') return true;
+      if (free >= 0 && worker.place.type === 'c8') return true;
     }
     return false;
   };
 
-  /** Room of a team's limit has come back: until another task of it is placed. */
-  const reuse = (team: string, from: Counted, since: number): void => {
+  /** After capacity within a team's limit was freed, checks that another task of the team is placed in time. */
+  const awaitReuse = (team: string, from: CountedAttempts, since: number): void => {
     const { term } = leaderTerm;
-    const look = (): void => {
+    const check = (): void => {
       const counted = world.countedAgainstLimit(team);
       if (counted === null || world.term() !== term) return;
       if ([...counted].some(([key, attempt]) => from.get(key) !== attempt)) {
-        kit.record('the room was used again');
-        kit.recordDuration('the room was used again', world.time.now - since);
-      } else if (!waits(team, counted) || full(team, counted) || !room()) return;
-      else if (world.time.now > since + USED)
+        kit.record('freed capacity was used again');
+        kit.recordDuration('freed capacity was used again', world.time.now - since);
+      } else if (!hasWaitingTask(team, counted) || isAtLimit(team, counted) || !hasFreeMachine()) return;
+      else if (world.time.now > since + MAX_REUSE_US)
         world.rules.broken.push(`limit_unused: ${team} since ${since}, at ${world.time.now}`);
-      else kit.after(LOOK_EVERY, look);
+      else kit.after(CHECK_INTERVAL_US, check);
     };
-    look();
+    check();
   };
 
-  /** From when on it is sure, how, and how soon it must be known then. */
-  const due = (v: Victim): { readonly from: number; readonly how: string; readonly within: number } => {
-    if (v.word !== null) return { from: v.word.at, how: 'by word', within: BY_WORD };
+  /** The time from which it is certain that the task has exited, the reason, and how soon the limit must reflect it. */
+  const recognitionDeadline = (
+    victim: Victim,
+  ): { readonly from: number; readonly how: string; readonly withinUs: number } => {
+    if (victim.evidence !== null)
+      return {
+        from: victim.evidence.at,
+        how: 'by heartbeat or deletion',
+        withinUs: MAX_DELAY_BY_EVIDENCE_US,
+      };
     const lease = world.lease * (1 + 2 * MAX_CLOCK_DRIFT);
-    const { machine } = v;
-    const last = Math.max(v.sent, machine.answeredFrom);
+    const { machine } = victim;
+    const lastAnsweredAt = Math.max(victim.lastHeartbeatAt, machine.answeredFrom);
     if (machine.token === leaderTerm.term && world.heardFrom(machine.place.id))
-      return { from: last + lease, how: 'by its lease', within: BY_LEASE };
-    const from = Math.max(last, leaderTerm.since) + lease;
-    return { from, how: 'by its lease, never heard', within: BY_LEASE_ANEW };
+      return { from: lastAnsweredAt + lease, how: 'by lease expiry', withinUs: MAX_DELAY_BY_LEASE_US };
+    const from = Math.max(lastAnsweredAt, leaderTerm.since) + lease;
+    return { from, how: 'by lease expiry, without a heartbeat', withinUs: MAX_DELAY_BY_LEASE_UNHEARD_US };
   };
 
-  const look = (v: Victim): 'over' | 'on' => {
+  /** Checks one task against the limit of its team; returns whether to go on watching it. */
+  const checkVictim = (victim: Victim): 'finished' | 'watching' => {
     const { now } = world.time;
-    const { key, machine, job } = v;
+    const { key, machine, job } = victim;
     const counted = world.countedAgainstLimit(job.team);
-    const on = world.rules.holds(key);
-    // Whoever leads next could not count it.
-    if (on && world.rules.state(job.id) === 'aborted' && !world.state.keys.has(activeJobKey(job.id)))
+    const holds = world.rules.holds(key);
+    // After its key is deleted, the next leader cannot count the task against the limit.
+    if (holds && world.rules.state(job.id) === 'aborted' && !world.state.keys.has(activeJobKey(job.id)))
       world.rules.broken.push(`closed_while_on: ${key} at ${now}`);
-    if (counted === null) return 'on';
-    const has = counted.has(key);
-    if (on) {
-      if (!has) world.rules.broken.push(`limit_room_early: ${key} at ${now}`);
-      const anew = v.term !== null && (leaderTerm.term ?? 0) > v.term && !world.heardFrom(machine.place.id);
-      if (!v.met && anew && world.rules.state(job.id) === 'aborted' && full(job.team, counted)) {
-        v.met = waits(job.team, counted);
-        if (v.met)
+    if (counted === null) return 'watching';
+    const isCounted = counted.has(key);
+    if (holds) {
+      if (!isCounted) world.rules.broken.push(`limit_room_early: ${key} at ${now}`);
+      const underNewLeader =
+        victim.term !== null && (leaderTerm.term ?? 0) > victim.term && !world.heardFrom(machine.place.id);
+      if (
+        !victim.recorded &&
+        underNewLeader &&
+        world.rules.state(job.id) === 'aborted' &&
+        isAtLimit(job.team, counted)
+      ) {
+        victim.recorded = hasWaitingTask(job.team, counted);
+        if (victim.recorded)
           kit.record(
-            `at the limit, cancelled on a machine that is ${v.how} and that a new leader never heard`,
+            `cancelled at the team limit on a machine that is ${victim.how} and never reported to the new leader`,
           );
       }
-      return has ? 'on' : 'over';
+      return isCounted ? 'watching' : 'finished';
     }
-    v.goneAt ??= now;
-    if (v.word !== null && v.word.term !== leaderTerm.term) v.word = null;
-    const told =
-      machine.token === leaderTerm.term && machine.answeredFrom >= Math.max(v.goneAt, leaderTerm.since);
-    if (v.word === null && leaderTerm.term !== null && (told || world.isDeleted(machine.place.id)))
-      v.word = { term: leaderTerm.term, at: Math.max(now, leaderTerm.since) };
-    const { from, how, within } = due(v);
-    if (has) {
-      if (now <= from + within) return 'on';
+    victim.exitObservedAt ??= now;
+    if (victim.evidence !== null && victim.evidence.term !== leaderTerm.term) victim.evidence = null;
+    const hasLeaderResponse =
+      machine.token === leaderTerm.term &&
+      machine.answeredFrom >= Math.max(victim.exitObservedAt, leaderTerm.since);
+    if (
+      victim.evidence === null &&
+      leaderTerm.term !== null &&
+      (hasLeaderResponse || world.isDeleted(machine.place.id))
+    )
+      victim.evidence = { term: leaderTerm.term, at: Math.max(now, leaderTerm.since) };
+    const { from, how, withinUs } = recognitionDeadline(victim);
+    if (isCounted) {
+      if (now <= from + withinUs) return 'watching';
       world.rules.broken.push(`limit_room_late: ${key} ${how}, ${Math.round(now - from)} us, at ${now}`);
-      return 'over';
+      return 'finished';
     }
-    // Before its lease is over only a report can have said so, whose answer is on its way still.
-    const known = now < from ? 'by word' : how;
-    kit.record(`the room came back ${known}`);
-    kit.recordDuration(`the room came back ${known}`, now - from);
-    if (!full(job.team, counted) && waits(job.team, counted) && room()) reuse(job.team, counted, now);
-    return 'over';
+    // Before the lease expires, only a heartbeat can have shown the exit; its response is still in flight.
+    const known = now < from ? 'by heartbeat or deletion' : how;
+    kit.record(`freed capacity was recognized ${known}`);
+    kit.recordDuration(`freed capacity was recognized ${known}`, now - from);
+    if (!isAtLimit(job.team, counted) && hasWaitingTask(job.team, counted) && hasFreeMachine())
+      awaitReuse(job.team, counted, now);
+    return 'finished';
   };
 
   const watch = (victims: Set<Victim>): void => {
     const term = world.term();
     if (term !== leaderTerm.term) leaderTerm = { term, since: world.time.now };
-    for (const v of victims) if (look(v) === 'over') victims.delete(v);
-    if (victims.size > 0) kit.after(LOOK_EVERY, () => watch(victims));
+    for (const victim of victims) if (checkVictim(victim) === 'finished') victims.delete(victim);
+    if (victims.size > 0) kit.after(CHECK_INTERVAL_US, () => watch(victims));
   };
 
-  const strike = (): void => {
+  const inject = (): void => {
     const { random } = world;
     const old = world.leader();
     if (old === undefined) return;
-    fill();
-    const how = strikes++ % 2 === 0 ? 'cut off' : 'hung';
+    fillLimits();
+    const how = injections++ % 2 === 0 ? 'cut off' : 'hung';
     const zone = world.zones[random.int(world.zones.length)]!;
     const machines = [...world.workers.values()].filter(
-      (x) =>
-        x.alive && !x.hanging && x.running() && (how === 'hung' ? random.chance(0.6) : x.place.zone === zone),
+      (worker) =>
+        worker.alive &&
+        !worker.hanging &&
+        worker.running() &&
+        (how === 'hung' ? random.chance(0.6) : worker.place.zone === zone),
     );
     if (machines.length === 0) return;
     world.strike('atLimit');
-    const lasts = world.lease * (random.chance(0.3) ? random.between(0.3, 0.95) : random.between(1.05, 2.2));
-    world.disturbed(lasts);
+    const durationUs =
+      world.lease * (random.chance(0.3) ? random.between(0.3, 0.95) : random.between(1.05, 2.2));
+    world.disturbed(durationUs);
     if (how === 'cut off') {
       const state = random.chance(0.5) ? 'held' : 'reset';
-      for (const n of world.nodes) world.cut(`zone:${zone}`, n, state, lasts);
-      away.set(zone, world.time.now + lasts);
+      for (const controller of world.nodes) world.cut(`zone:${zone}`, controller, state, durationUs);
+      unreachableUntil.set(zone, world.time.now + durationUs);
     } else
-      for (const x of machines) {
-        x.hang(lasts, () => undefined);
-        away.set(x.place.id, world.time.now + lasts);
+      for (const worker of machines) {
+        worker.hang(durationUs, () => undefined);
+        unreachableUntil.set(worker.place.id, world.time.now + durationUs);
       }
     const term = world.term();
     const victims = new Set<Victim>();
     const jobs = new Set<JobTruth>();
     for (const machine of machines)
-      for (const t of machine.tasks.values()) {
-        const job = world.jobs.get(t.key.slice(0, t.key.indexOf('/')))!;
-        if (t.status !== 'running' || job.shape !== 'array' || world.rules.cancelAsked(job.id)) continue;
+      for (const task of machine.tasks.values()) {
+        const job = world.jobs.get(task.key.slice(0, task.key.indexOf('/')))!;
+        if (task.status !== 'running' || job.shape !== 'array' || world.rules.cancelAsked(job.id)) continue;
         if (world.rules.state(job.id) !== 'accepted' || (!jobs.has(job) && !random.chance(0.7))) continue;
         jobs.add(job);
         victims.add({
-          key: t.key,
+          key: task.key,
           job,
           machine,
           how,
           term,
-          sent: sent.get(machine.place.id) ?? 0,
-          goneAt: null,
-          word: null,
-          met: false,
+          lastHeartbeatAt: lastHeartbeatAt.get(machine.place.id) ?? 0,
+          exitObservedAt: null,
+          evidence: null,
+          recorded: false,
         });
       }
     for (const { id } of jobs) kit.after(random.between(0, 3e6), () => kit.cancel(id));
@@ -230,11 +281,11 @@
     watch(victims);
   };
   return {
-    heartbeatSent: (by) => void sent.set(by.place.id, world.time.now),
+    heartbeatSent: (worker) => void lastHeartbeatAt.set(worker.place.id, world.time.now),
     begin: () => {
-      fill();
+      fillLimits();
       world.disturbed(25e6);
-      kit.after(world.random.between(16e6, 24e6), strike);
+      kit.after(world.random.between(16e6, 24e6), inject);
     },
   };
 };
--- a/packages/simulation/src/world/scenarios/cancel-and-hang.ts
+++ b/packages/simulation/src/world/scenarios/cancel-and-hang.ts
@@ -1,26 +1,30 @@
 import type { Worker } from '../worker/worker.js';
 import type { ScenarioKit, Scenario } from './scenario-kit.js';
 
-/** Machines that hang at once, at the most. */
-const MACHINES = 8;
-/** What has long to go. */
-const LONG = 40e6;
+/** Maximum number of machines that hang at the same time. */
+const MAX_MACHINES = 8;
+/** Minimum run time of the jobs that are cancelled, in microseconds. */
+const MIN_RUN_US = 40e6;
 
 /**
- * Users call off several jobs that have long to go, within a fifth of a second; mostly their machines hang then, and go on
- * within their leases or beyond them. Now and then the leader changes meanwhile.
+ * Users cancel several long jobs within a fifth of a second. In most cases the machines of these jobs hang at that time and
+ * resume before or after their leases expire, and sometimes the leader changes meanwhile.
  */
 export const cancelAndHang = (kit: ScenarioKit): Scenario => {
   const { world } = kit;
-  let strikes = 0;
-  const runs = (x: Worker, ids: ReadonlySet<string>): boolean =>
-    [...x.tasks.values()].some((t) => t.status === 'running' && ids.has(t.key.slice(0, t.key.indexOf('/'))));
-  const hang = (x: Worker, ids: ReadonlySet<string>, lasts: number): void => {
-    if (!x.alive || x.hanging || !runs(x, ids)) return;
-    x.hang(lasts, (lapsed) => {
+  let injections = 0;
+  const runsAny = (worker: Worker, ids: ReadonlySet<string>): boolean =>
+    [...worker.tasks.values()].some(
+      (task) => task.status === 'running' && ids.has(task.key.slice(0, task.key.indexOf('/'))),
+    );
+  const hang = (worker: Worker, ids: ReadonlySet<string>, durationUs: number): void => {
+    if (!worker.alive || worker.hanging || !runsAny(worker, ids)) return;
+    worker.hang(durationUs, (leaseExpired) => {
       const cancelled = new Set([...ids].filter((id) => world.rules.state(id) === 'aborted'));
-      if (lapsed && cancelled.size > 0) kit.record('hung with a cancelled task, went on beyond its lease');
-      if (!lapsed && runs(x, cancelled)) kit.record('hung with a cancelled task, went on within its lease');
+      if (leaseExpired && cancelled.size > 0)
+        kit.record('machine hung with a cancelled task and resumed after its lease expired');
+      if (!leaseExpired && runsAny(worker, cancelled))
+        kit.record('machine hung with a cancelled task and resumed within its lease');
     });
   };
   return {
@@ -29,24 +33,25 @@
       kit.longJobs(6);
       world.disturbed(25e6);
       kit.after(random.between(18e6, 25e6), () => {
-        const long = [...world.jobs.values()].filter(
-          (j) => j.runUs >= LONG && world.rules.isOn(j.id) && world.rules.state(j.id) === 'accepted',
+        const longJobs = [...world.jobs.values()].filter(
+          (job) =>
+            job.runUs >= MIN_RUN_US && world.rules.isOn(job.id) && world.rules.state(job.id) === 'accepted',
         );
-        const chosen = long.sort(() => random.next() - 0.5).slice(0, 1 + random.int(6));
-        const ids = new Set(chosen.map((j) => j.id));
+        const chosen = longJobs.sort(() => random.next() - 0.5).slice(0, 1 + random.int(6));
+        const ids = new Set(chosen.map((job) => job.id));
         if (ids.size === 0) return;
         world.strike('cancelAndHang');
         for (const id of ids) kit.after(random.between(0, 200_000), () => kit.cancel(id));
         if (random.chance(0.15)) return;
-        const lasts =
-          world.lease * (strikes++ % 2 === 0 ? random.between(0.2, 0.98) : random.between(1.02, 1.8));
-        world.disturbed(lasts);
+        const durationUs =
+          world.lease * (injections++ % 2 === 0 ? random.between(0.2, 0.98) : random.between(1.02, 1.8));
+        world.disturbed(durationUs);
         const leader = world.leader();
         if (leader !== undefined && random.chance(0.3))
-          kit.after(random.between(0, lasts), () => kit.changeLeader(leader));
-        const machines = [...world.workers.values()].filter((x) => runs(x, ids));
-        for (const x of machines.slice(0, MACHINES))
-          kit.after(random.between(0, 300_000), () => hang(x, ids, lasts));
+          kit.after(random.between(0, durationUs), () => kit.changeLeader(leader));
+        const machines = [...world.workers.values()].filter((worker) => runsAny(worker, ids));
+        for (const worker of machines.slice(0, MAX_MACHINES))
+          kit.after(random.between(0, 300_000), () => hang(worker, ids, durationUs));
       });
     },
   };
--- a/packages/simulation/src/world/scenarios/cancel-at-completion.ts
+++ b/packages/simulation/src/world/scenarios/cancel-at-completion.ts
@@ -5,124 +5,145 @@
 import type { Worker } from '../worker/worker.js';
 import { PLAIN_JOB, type ScenarioKit, type Scenario } from './scenario-kit.js';
 
-/** What became of a job's last end, and who asked about the job around it. */
-interface Ending {
-  /** The task that ends last; of a gang any. */
+/** The completion of a job's last task, and the requests about the job around that time; times in microseconds. */
+interface JobCompletion {
+  /** The task that completes last; any task of a gang. */
   readonly task: number;
   completed: number | null;
-  /** A record of the end was committed. */
+  /** When the log entry with the completion was committed. */
   durable: number | null;
-  /** A withdrawal was committed, and told. */
+  /** When the cancellation was committed. */
   withdrawn: number | null;
+  /** When the cancellation was confirmed to the user. */
   confirmed: number | null;
   readonly asked: { readonly ask: Ask; readonly began: number; readonly ended: number }[];
 }
 
-/** Ends are looked for so far ahead. */
-const AHEAD = 1.5e6;
-const CLOSE = 20_000;
-const WORDS: Readonly<Record<Ask, string>> = {
+/** How long before a task completes its completion is predicted, in microseconds. */
+const LOOKAHEAD_US = 1.5e6;
+/** Maximum interval between events that count as simultaneous, in microseconds. */
+const CLOSE_US = 20_000;
+const REQUEST_NAMES: Readonly<Record<Ask, string>> = {
   submit: 'submission',
-  poll: 'question',
-  cancel: 'cancellation',
+  poll: 'poll',
+  cancel: 'cancel request',
 };
 
-/** A cancellation, questions and repeated submissions meet the end of a job's last task: just before, as it ends, as it is recorded. */
+/**
+ * Sends cancellations, polls and repeated submissions of a job around the completion of its last task: just before, as it
+ * completes, and as the completion is committed.
+ */
 export const cancelAtCompletion = (kit: ScenarioKit): Scenario => {
   const { world } = kit;
   const { random } = world;
   let until = 0;
-  let share = 0;
-  const endings = new Map<string, Ending>();
-  const passed = new Set<string>();
+  let probability = 0;
+  const completions = new Map<string, JobCompletion>();
+  const considered = new Set<string>();
 
-  const judge = (e: Ending): void => {
-    if (e.completed === null) return;
-    if (e.withdrawn !== null && e.withdrawn < e.completed)
-      kit.record('completed after its withdrawal was durable');
-    if (e.confirmed !== null && e.confirmed < e.completed)
-      kit.record('completed after its cancellation was confirmed');
-    if (e.durable === null) return;
-    if (e.withdrawn !== null) {
-      kit.record(e.withdrawn < e.durable ? 'withdrawal before the end' : 'withdrawal after the end');
-      if (Math.abs(e.withdrawn - e.durable) <= CLOSE) kit.record('withdrawal and end within 20 ms');
+  /** Counts the orders in which the completion, the cancellation and the requests took effect. */
+  const recordEnding = (completion: JobCompletion): void => {
+    if (completion.completed === null) return;
+    if (completion.withdrawn !== null && completion.withdrawn < completion.completed)
+      kit.record('task completed after the cancellation was durable');
+    if (completion.confirmed !== null && completion.confirmed < completion.completed)
+      kit.record('task completed after the cancellation was confirmed');
+    if (completion.durable === null) return;
+    if (completion.withdrawn !== null) {
+      kit.record(
+        completion.withdrawn < completion.durable
+          ? 'cancellation committed before the completion'
+          : 'cancellation committed after the completion',
+      );
+      if (Math.abs(completion.withdrawn - completion.durable) <= CLOSE_US)
+        kit.record('cancellation and completion committed within 20 ms');
     }
-    for (const { ask, began, ended } of e.asked) {
-      if (began <= e.durable && ended >= e.durable) kit.record(`${WORDS[ask]} as the end became durable`);
-      else if (began >= e.completed && ended < e.durable)
-        kit.record(`${WORDS[ask]} before the end was durable`);
-      else if (began > e.durable && began - e.durable <= CLOSE)
-        kit.record(`${WORDS[ask]} just after the end`);
+    for (const { ask, began, ended } of completion.asked) {
+      if (began <= completion.durable && ended >= completion.durable)
+        kit.record(`${REQUEST_NAMES[ask]} while the completion became durable`);
+      else if (began >= completion.completed && ended < completion.durable)
+        kit.record(`${REQUEST_NAMES[ask]} before the completion was durable`);
+      else if (began > completion.durable && began - completion.durable <= CLOSE_US)
+        kit.record(`${REQUEST_NAMES[ask]} just after the completion was durable`);
     }
   };
 
-  const cancel = (delay: number, id: string, e: Ending): void =>
+  const cancel = (delay: number, id: string, completion: JobCompletion): void =>
     kit.after(delay, () =>
       world.cancel(
         id,
         () => world.anyNode(),
-        () => (e.confirmed ??= world.time.now),
+        () => (completion.confirmed ??= world.time.now),
       ),
     );
 
-  const meetEnd = (id: string, task: number, end: number, on: Worker): void => {
-    const e: Ending = { task, completed: null, durable: null, withdrawn: null, confirmed: null, asked: [] };
-    endings.set(id, e);
-    const to = end - world.time.now;
-    const around = (): number =>
+  /** Schedules requests around the predicted completion of a job's last task. */
+  const sendRequestsAround = (id: string, task: number, endsAt: number, worker: Worker): void => {
+    const completion: JobCompletion = {
+      task,
+      completed: null,
+      durable: null,
+      withdrawn: null,
+      confirmed: null,
+      asked: [],
+    };
+    completions.set(id, completion);
+    const delayToEnd = endsAt - world.time.now;
+    const delayAround = (): number =>
       Math.max(
         0,
-        to + [random.between(-700e3, 0), random.between(0, 5000), random.between(0, 900e3)][random.int(3)]!,
+        delayToEnd +
+          [random.between(-700e3, 0), random.between(0, 5000), random.between(0, 900e3)][random.int(3)]!,
       );
-    // Of some the stop is lost, and they are cancelled early enough for that to be confirmed before the end.
-    if (!on.deaf && random.chance(0.15)) {
-      on.deaf = true;
-      kit.after(to + 1000, () => (on.deaf = false));
-      cancel(Math.max(0, to - 1.2e6), id, e);
-    } else if (random.chance(0.7)) cancel(around(), id, e);
+    // For some jobs the stop order is lost, and the cancellation comes early enough to be confirmed before the completion.
+    if (!worker.deaf && random.chance(0.15)) {
+      worker.deaf = true;
+      kit.after(delayToEnd + 1000, () => (worker.deaf = false));
+      cancel(Math.max(0, delayToEnd - 1.2e6), id, completion);
+    } else if (random.chance(0.7)) cancel(delayAround(), id, completion);
     for (const node of world.nodes)
-      for (let i = 0; i < 4; i++) kit.after(around(), () => world.ask('poll', id, node));
-    for (let i = 0; i < 4; i++) kit.after(around(), () => world.ask('submit', id, world.anyNode()));
-    kit.after(AHEAD + 10e6, () => judge(e));
+      for (let i = 0; i < 4; i++) kit.after(delayAround(), () => world.ask('poll', id, node));
+    for (let i = 0; i < 4; i++) kit.after(delayAround(), () => world.ask('submit', id, world.anyNode()));
+    kit.after(LOOKAHEAD_US + 10e6, () => recordEnding(completion));
   };
 
-  /** Its end is durable now, and told to nobody yet. */
-  const recorded = (id: string, e: Ending): void => {
-    e.durable = world.time.now;
-    const soon = (): number => random.between(0, CLOSE / 2);
-    for (const node of world.nodes) kit.after(soon(), () => world.ask('poll', id, node));
-    kit.after(soon(), () => world.ask('submit', id, world.anyNode()));
-    if (random.chance(0.5)) cancel(soon(), id, e);
+  /** Sends requests when the completion is durable and has not been reported to any user. */
+  const completionCommitted = (id: string, completion: JobCompletion): void => {
+    completion.durable = world.time.now;
+    const shortDelay = (): number => random.between(0, CLOSE_US / 2);
+    for (const node of world.nodes) kit.after(shortDelay(), () => world.ask('poll', id, node));
+    kit.after(shortDelay(), () => world.ask('submit', id, world.anyNode()));
+    if (random.chance(0.5)) cancel(shortDelay(), id, completion);
   };
 
-  /** When the job's last task will end; null: that is far off, or not the last. */
-  const look = (): void => {
-    for (const x of world.workers.values())
-      for (const t of x.tasks.values()) {
-        const at = t.key.indexOf('/');
-        const id = t.key.slice(0, at);
+  /** Finds jobs whose last task completes soon and schedules requests around that time. */
+  const findEndingTasks = (): void => {
+    for (const worker of world.workers.values())
+      for (const task of worker.tasks.values()) {
+        const slash = task.key.indexOf('/');
+        const id = task.key.slice(0, slash);
         const job: JobTruth | undefined = world.jobs.get(id);
-        if (t.status !== 'running' || !job || job.shape === 'daemon' || passed.has(id)) continue;
-        const open = job.tasks - (world.rules.completed.get(id)?.size ?? 0);
-        if (job.shape === 'array' && open > 1) continue;
-        const n = Number(t.key.slice(at + 1));
-        const end = t.began + (job.runs?.[n] ?? job.runUs) - (job.progress.get(n) ?? 0);
-        if (end - world.time.now > AHEAD) continue;
-        passed.add(id);
-        if (random.chance(share)) meetEnd(id, n, end, x);
+        if (task.status !== 'running' || !job || job.shape === 'daemon' || considered.has(id)) continue;
+        const unfinished = job.tasks - (world.rules.completed.get(id)?.size ?? 0);
+        if (job.shape === 'array' && unfinished > 1) continue;
+        const taskIndex = Number(task.key.slice(slash + 1));
+        const endsAt = task.began + (job.runs?.[taskIndex] ?? job.runUs) - (job.progress.get(taskIndex) ?? 0);
+        if (endsAt - world.time.now > LOOKAHEAD_US) continue;
+        considered.add(id);
+        if (random.chance(probability)) sendRequestsAround(id, taskIndex, endsAt, worker);
       }
-    if (world.time.now < until) kit.after(200_000, look);
+    if (world.time.now < until) kit.after(200_000, findEndingTasks);
   };
 
   return {
     begin: () => {
       world.strike('cancelAtCompletion');
-      const lasts = random.between(20e6, 40e6);
-      share = random.between(0.4, 1);
-      const going = world.time.now < until;
-      until = Math.max(until, world.time.now + lasts);
+      const durationUs = random.between(20e6, 40e6);
+      probability = random.between(0.4, 1);
+      const alreadyActive = world.time.now < until;
+      until = Math.max(until, world.time.now + durationUs);
       for (let i = 0; i < 8; i++)
-        kit.after(random.between(0, lasts * 0.6), () => {
+        kit.after(random.between(0, durationUs * 0.6), () => {
           const gang = random.chance(0.2);
           const tasks = gang ? 2 : 1 + random.int(2);
           const job = {
@@ -134,30 +155,33 @@
           };
           world.submit({ job, urgency: 'high', due: null }, () => world.anyNode());
         });
-      if (!going) look();
+      if (!alreadyActive) findEndingTasks();
     },
     completed: (task) => {
-      const at = task.indexOf('/');
-      const e = endings.get(task.slice(0, at));
-      if (e && e.task === Number(task.slice(at + 1))) e.completed ??= world.time.now;
+      const slash = task.indexOf('/');
+      const completion = completions.get(task.slice(0, slash));
+      if (completion && completion.task === Number(task.slice(slash + 1)))
+        completion.completed ??= world.time.now;
     },
     committed: (key, value) => {
-      if (value === undefined || endings.size === 0) return;
+      if (value === undefined || completions.size === 0) return;
       if (key.startsWith(ACTIVE_JOBS)) {
         const id = key.slice(ACTIVE_JOBS.length);
-        const e = endings.get(id);
-        if (e && decodeJob(id, JSON.parse(value), 1).cancelled) e.withdrawn ??= world.time.now;
+        const completion = completions.get(id);
+        if (completion && decodeJob(id, JSON.parse(value), 1).cancelled)
+          completion.withdrawn ??= world.time.now;
       } else if (key.startsWith(LOG_ENTRIES)) {
         const { jobs } = decodeLogEntry(Number(key.slice(LOG_ENTRIES.length)), JSON.parse(value), 1);
-        for (const [id, c] of jobs) {
-          const e = endings.get(id);
-          if (e?.durable === null && c.completed?.includes(e.task)) recorded(id, e);
+        for (const [id, change] of jobs) {
+          const completion = completions.get(id);
+          if (completion?.durable === null && change.completed?.includes(completion.task))
+            completionCommitted(id, completion);
         }
       }
     },
-    answered: (asked: Asked, a) => {
-      if (a?.status === 200)
-        endings.get(asked.id)?.asked.push({ ask: asked.ask, began: asked.began, ended: world.time.now });
+    answered: (asked: Asked, response) => {
+      if (response?.status === 200)
+        completions.get(asked.id)?.asked.push({ ask: asked.ask, began: asked.began, ended: world.time.now });
     },
   };
 };
--- a/packages/simulation/src/world/scenarios/cancel-during-handover.ts
+++ b/packages/simulation/src/world/scenarios/cancel-during-handover.ts
@@ -1,35 +1,43 @@
 import { PLAIN_JOB, type ScenarioKit, type Scenario } from './scenario-kit.js';
 
-const WAYS = ['in order', 'by crash', 'by a lapsed lease', 'with answers on their way'] as const;
-type Way = (typeof WAYS)[number];
+const HANDOVER_KINDS = [
+  'by stepping down',
+  'by crash',
+  'by lease expiry',
+  'with responses in flight',
+] as const;
+type HandoverKind = (typeof HANDOVER_KINDS)[number];
 
-interface Confirmed {
+/** A confirmed cancellation: the label of the controller that confirmed it, and the time in microseconds. */
+interface Confirmation {
   readonly by: string;
   readonly at: number;
 }
-/** A confirmation counts for a hand-over until so long after it. */
-const AFTER = 2e6;
+/** How long after a handover a confirmation is attributed to it, in microseconds. */
+const ATTRIBUTION_US = 2e6;
 
-/** Users cancel what runs, and what is being started, in the seconds in which the lead changes hands. */
+/** Users cancel running and starting jobs during the seconds in which the leadership is handed over. */
 export const cancelDuringHandover = (kit: ScenarioKit): Scenario => {
   const { world } = kit;
   const cancelled = new Set<string>();
-  let strikes = 0;
+  let injections = 0;
 
-  const hand = (way: Way, old: string): void => {
+  const handOver = (kind: HandoverKind, old: string): void => {
     const { random } = world;
-    if (way === 'in order') world.stepDown(old, random.between(0, 3e6));
-    else if (way === 'by crash') world.crash(old, random.between(500_000, 8e6));
-    else if (way === 'by a lapsed lease') {
-      // Refused, or it stands still and goes on as if nothing had been.
-      const lasts = random.between(4e6, 10e6);
-      if (random.chance(0.5)) kit.refuseFor(old, lasts);
-      else world.freeze(old, lasts);
+    if (kind === 'by stepping down') world.stepDown(old, random.between(0, 3e6));
+    else if (kind === 'by crash') world.crash(old, random.between(500_000, 8e6));
+    else if (kind === 'by lease expiry') {
+      // The state service refuses the leader, or the leader freezes and resumes without noticing.
+      const durationUs = random.between(4e6, 10e6);
+      if (random.chance(0.5)) kit.refuseFor(old, durationUs);
+      else world.freeze(old, durationUs);
     } else {
-      // Reports, relayed ones and their answers are held, and arrive when another leads.
-      const lasts = random.between(1.5e6, 3.6e6);
-      for (const z of world.zones) if (random.chance(0.7)) world.cut(old, `zone:${z}`, 'held', lasts);
-      for (const n of world.nodes) if (n !== old && random.chance(0.7)) world.cut(old, n, 'held', lasts);
+      // Heartbeats, relayed heartbeats and their responses are delayed until another controller leads.
+      const durationUs = random.between(1.5e6, 3.6e6);
+      for (const zone of world.zones)
+        if (random.chance(0.7)) world.cut(old, `zone:${zone}`, 'held', durationUs);
+      for (const controller of world.nodes)
+        if (controller !== old && random.chance(0.7)) world.cut(old, controller, 'held', durationUs);
       kit.after(random.between(0, 700_000), () =>
         random.chance(0.5)
           ? world.stepDown(old, random.between(0, 3e6))
@@ -38,28 +46,39 @@
     }
   };
 
-  /** Once another term has begun: who confirmed what, as its tasks were running. */
-  const tell = (way: Way, old: string, before: number | null, confirmed: readonly Confirmed[]): void => {
-    let since: number | null = null;
-    let next = '';
-    const met = new Set<Confirmed>();
-    const look = (times: number): void => {
+  /** After another term has begun, counts which controllers confirmed cancellations of jobs whose tasks were running. */
+  const recordConfirmations = (
+    kind: HandoverKind,
+    old: string,
+    before: number | null,
+    confirmed: readonly Confirmation[],
+  ): void => {
+    let newTermAt: number | null = null;
+    let newLeader = '';
+    const recorded = new Set<Confirmation>();
+    const check = (remainingChecks: number): void => {
       const { now } = world.time;
-      if (since === null && (world.term() ?? 0) > (before ?? 0)) {
-        since = now;
-        next = world.leader()!;
+      if (newTermAt === null && (world.term() ?? 0) > (before ?? 0)) {
+        newTermAt = now;
+        newLeader = world.leader()!;
       }
-      if (since !== null)
-        for (const c of confirmed) {
-          if (c.at > since + AFTER || met.has(c)) continue;
-          met.add(c);
-          const by = c.by === next ? 'new' : c.by === old ? 'old' : 'third';
-          kit.record(`cancelled while it ran, handed over ${way}`);
-          kit.record(`cancelled while it ran, confirmed by the ${by}`);
+      if (newTermAt !== null)
+        for (const confirmation of confirmed) {
+          if (confirmation.at > newTermAt + ATTRIBUTION_US || recorded.has(confirmation)) continue;
+          recorded.add(confirmation);
+          const by =
+            confirmation.by === newLeader
+              ? 'new leader'
+              : confirmation.by === old
+                ? 'old leader'
+                : 'third controller';
+          kit.record(`running job cancelled, leadership handed over ${kind}`);
+          kit.record(`running job cancelled, confirmed by the ${by}`);
         }
-      if (times > 0 && (since === null || now < since + 2 * AFTER)) kit.after(200_000, () => look(times - 1));
+      if (remainingChecks > 0 && (newTermAt === null || now < newTermAt + 2 * ATTRIBUTION_US))
+        kit.after(200_000, () => check(remainingChecks - 1));
     };
-    look(100);
+    check(100);
   };
 
   return {
@@ -72,10 +91,10 @@
         if (old === undefined) return;
         world.strike('cancelDuringHandover');
         const before = world.term();
-        const way = WAYS[strikes++ % WAYS.length]!;
-        const confirmed: Confirmed[] = [];
+        const kind = HANDOVER_KINDS[injections++ % HANDOVER_KINDS.length]!;
+        const confirmed: Confirmation[] = [];
         const cancel = (id: string): void => {
-          // The old one, any other, or whoever leads by then.
+          // The request goes to the old leader, to any other controller, or to the leader at that time.
           const draw = random.next();
           const other = kit.anyOther(old);
           const via = draw < 0.3 ? () => old : draw < 0.6 ? other : () => world.leader() ?? other();
@@ -85,7 +104,7 @@
           });
         };
         for (const id of ids) if (random.chance(0.8)) kit.after(random.between(0, 5e6), () => cancel(id));
-        // Some whose starts are durable, sent or on their way.
+        // Further jobs are cancelled while their starts are durable, dispatched or in flight.
         for (let i = 0; i < 4; i++)
           kit.after(random.between(0, 2e6), () => {
             const job = { ...PLAIN_JOB, tasks: 2, cpus: 1, runUs: random.between(40e6, 60e6) };
@@ -93,12 +112,13 @@
             if (id !== undefined) kit.after(random.between(500_000, 4e6), () => cancel(id));
           });
         world.disturbed(6e6);
-        kit.after(random.between(500_000, 1.5e6), () => hand(way, old));
-        tell(way, old, before, confirmed);
+        kit.after(random.between(500_000, 1.5e6), () => handOver(kind, old));
+        recordConfirmations(kind, old, before, confirmed);
       });
     },
     started: (task) => {
-      if (cancelled.has(task.slice(0, task.indexOf('/')))) kit.record('started after the confirmation');
+      if (cancelled.has(task.slice(0, task.indexOf('/'))))
+        kit.record('task started after its cancellation was confirmed');
     },
   };
 };
--- a/packages/simulation/src/world/scenarios/fast-boots.ts
+++ b/packages/simulation/src/world/scenarios/fast-boots.ts
@@ -1,50 +1,53 @@
 import { activeJobKey, LOG_ENTRIES } from '@lilacvalve/controller/jobs/keys';
 import { PLAIN_JOB, type ScenarioKit, type Scenario } from './scenario-kit.js';
 
-/** New machines are up within two seconds; rentals are answered late or never, some carried out late; writes lag. */
+/**
+ * New machines boot within two seconds, while rental requests are answered late or never, some of them are carried out
+ * late, and the state service may be slow.
+ */
 export const fastBoots = (kit: ScenarioKit): Scenario => {
   const { world } = kit;
   const { random } = world;
   let until = 0;
-  /** When the answer to its rental is there, and whether the rental was carried out late. */
+  /** By machine: when the response to its rental request arrives, and whether the request was carried out late. */
   const rented = new Map<string, { readonly answerAt: number; readonly late: boolean }>();
   const listed = new Set<string>();
-  const seen = new Set<string>();
+  const reported = new Set<string>();
 
-  /** The state service has a start on it. */
-  const durable = (machine: string): boolean => {
+  /** Whether the state service holds a task start on the machine. */
+  const hasDurableStart = (machine: string): boolean => {
     for (const [key, { value }] of world.state.keys)
       if ((key.startsWith(LOG_ENTRIES) || key.startsWith(activeJobKey(''))) && value.includes(machine))
         return true;
     return false;
   };
-  /** The leader ends between the first report of a machine and the durable start there; the next one starts something. */
-  const endAt = (machine: string, delay: number): void =>
+  /** Crashes the leader between a machine's first heartbeat and the first durable start on it; the next leader uses it. */
+  const crashLeaderAfterReport = (machine: string, delay: number): void =>
     kit.after(delay, () => {
       const leader = world.leader();
-      if (leader === undefined || !world.heardFrom(machine) || durable(machine)) return;
-      const before = world.term();
+      if (leader === undefined || !world.heardFrom(machine) || hasDurableStart(machine)) return;
+      const previousTerm = world.term();
       world.crash(leader, random.between(1e6, 6e6));
       world.disturbed(5e6);
-      const look = (times: number): void => {
-        const now = world.term();
+      const check = (remainingChecks: number): void => {
+        const term = world.term();
         const used = (world.workers.get(machine)?.held().length ?? 0) > 0;
-        if (used && now !== null && before !== null && now > before)
-          return kit.record('leader ended between the report and the durable start');
-        if (times > 0) kit.after(500_000, () => look(times - 1));
+        if (used && term !== null && previousTerm !== null && term > previousTerm)
+          return kit.record('leader crashed between the first heartbeat and the durable start');
+        if (remainingChecks > 0) kit.after(500_000, () => check(remainingChecks - 1));
       };
-      look(80);
+      check(80);
     });
 
   return {
     begin: () => {
       world.strike('fastBoots');
-      const lasts = random.between(20e6, 40e6);
-      until = world.cloud.fastUntil = world.time.now + lasts;
-      world.disturbed(lasts + 16e6);
-      if (random.chance(0.6)) world.state.slowUntil = world.time.now + lasts * random.between(0.2, 0.7);
+      const durationUs = random.between(20e6, 40e6);
+      until = world.cloud.fastUntil = world.time.now + durationUs;
+      world.disturbed(durationUs + 16e6);
+      if (random.chance(0.6)) world.state.slowUntil = world.time.now + durationUs * random.between(0.2, 0.7);
       for (let i = 0; i < 8; i++)
-        kit.after(random.between(0, lasts * 0.8), () => {
+        kit.after(random.between(0, durationUs * 0.8), () => {
           const runs = random.between(10e6, 40e6);
           const job = { ...PLAIN_JOB, tasks: 1 + random.int(4), cpus: 4 + random.int(4), runUs: runs };
           world.submit({ job, urgency: 'high', due: null }, () => world.anyNode());
@@ -52,10 +55,10 @@
     },
     rentalWay: () => {
       if (world.time.now >= until || random.chance(0.3)) return null;
-      const kind = random.next();
-      // Only the answer is lost; it comes late; the request itself does.
-      if (kind < 0.35) return { late: 0, answer: null };
-      if (kind < 0.75) return { late: 0, answer: random.between(500_000, 3.7e6) };
+      const draw = random.next();
+      // Either only the response is lost, or the response is late, or the request is carried out late.
+      if (draw < 0.35) return { late: 0, answer: null };
+      if (draw < 0.75) return { late: 0, answer: random.between(500_000, 3.7e6) };
       return { late: random.between(4e6, 14e6), answer: null };
     },
     rented: (machine, { late, answer }) =>
@@ -66,15 +69,16 @@
     listed: (machines) => {
       if (rented.size > 0) for (const id of machines) listed.add(id);
     },
-    heartbeatSent: (by) => {
-      const { id } = by.place;
-      const how = rented.get(id);
-      if (how === undefined || seen.has(id)) return;
-      seen.add(id);
-      if (world.time.now < how.answerAt) kit.record('reported before the answer to its rental');
-      if (!listed.has(id)) kit.record('reported before any list');
-      if (how.late) kit.record('machine of a late rental');
-      if (world.time.now < until && random.chance(0.4)) endAt(id, random.between(20_000, 1.5e6));
+    heartbeatSent: (worker) => {
+      const { id } = worker.place;
+      const rental = rented.get(id);
+      if (rental === undefined || reported.has(id)) return;
+      reported.add(id);
+      if (world.time.now < rental.answerAt) kit.record('heartbeat before the response to the rental');
+      if (!listed.has(id)) kit.record('heartbeat before any machine list');
+      if (rental.late) kit.record('machine of a delayed rental request');
+      if (world.time.now < until && random.chance(0.4))
+        crashLeaderAfterReport(id, random.between(20_000, 1.5e6));
     },
   };
 };
--- a/packages/simulation/src/world/scenarios/isolated-leader.ts
+++ b/packages/simulation/src/world/scenarios/isolated-leader.ts
@@ -1,8 +1,8 @@
 import { PLAIN_JOB, type ScenarioKit, type Scenario } from './scenario-kit.js';
 
-/** The leader is cut from state service and peers, while workers and users still reach it. */
+/** The leader is cut off from the state service and its peers, while workers and users still reach it. */
 export const isolatedLeader = (kit: ScenarioKit): Scenario => {
-  let alone: string | null = null;
+  let isolated: string | null = null;
   return {
     begin: () => {
       const { world } = kit;
@@ -11,31 +11,32 @@
       world.disturbed(15e6);
       kit.after(random.between(10e6, 15e6), () => {
         const old = world.leader();
-        if (old === undefined || alone !== null) return;
+        if (old === undefined || isolated !== null) return;
         world.strike('isolatedLeader');
-        alone = old;
-        const lasts = random.between(12e6, 50e6);
-        const mode = random.chance(0.5) ? 'held' : 'reset';
-        for (const end of ['state', ...world.nodes.filter((n) => n !== old)])
-          world.cut(old, end, mode, lasts);
-        for (const id of ids.filter((x) => world.rules.isOn(x) && random.chance(0.7)))
-          kit.after(random.between(1e6, lasts), () =>
-            world.cancel(id, kit.anyOther(old), (by) => {
-              if (alone === old && by !== old && world.rules.isOn(id))
-                kit.record('cancelled beside a leader alone');
+        isolated = old;
+        const durationUs = random.between(12e6, 50e6);
+        const linkState = random.chance(0.5) ? 'held' : 'reset';
+        for (const peer of ['state', ...world.nodes.filter((controller) => controller !== old)])
+          world.cut(old, peer, linkState, durationUs);
+        for (const id of ids.filter((jobId) => world.rules.isOn(jobId) && random.chance(0.7)))
+          kit.after(random.between(1e6, durationUs), () =>
+            world.cancel(id, kit.anyOther(old), (confirmedBy) => {
+              if (isolated === old && confirmedBy !== old && world.rules.isOn(id))
+                kit.record('running job cancelled beside an isolated leader');
             }),
           );
         for (let i = 0; i < 2; i++)
-          kit.after(random.between(5e6, lasts), () => {
+          kit.after(random.between(5e6, durationUs), () => {
             const job = { ...PLAIN_JOB, tasks: 2, cpus: 1, runUs: random.between(5e6, 40e6) };
             world.submit({ job, urgency: 'high', due: null }, kit.anyOther(old));
           });
-        kit.after(lasts, () => (alone = null));
+        kit.after(durationUs, () => (isolated = null));
       });
     },
-    heartbeatReceived: (node) => {
-      const leader = alone === node ? kit.world.leader() : undefined;
-      if (leader !== undefined && leader !== node) kit.record('heard by a leader alone, beside the new one');
+    heartbeatReceived: (controller) => {
+      const leader = isolated === controller ? kit.world.leader() : undefined;
+      if (leader !== undefined && leader !== controller)
+        kit.record('heartbeat received by an isolated leader beside a new leader');
     },
   };
 };
--- a/packages/simulation/src/world/scenarios/late-writes.ts
+++ b/packages/simulation/src/world/scenarios/late-writes.ts
@@ -7,7 +7,7 @@
 } from '@lilacvalve/controller/jobs/keys';
 import type { ScenarioKit, Scenario } from './scenario-kit.js';
 
-/** What is neither a job's nor a record. */
+/** The kind of a key that belongs neither to a job nor to the log; null: it belongs to one of them. */
 const kindOf = (key: string): string | null =>
   key === LEADER
     ? 'campaign'
@@ -17,36 +17,38 @@
         ? 'calendar'
         : null;
 
-/** Transactions get no answer and are carried out 2 to 12 s later, after newer ones of the same controller. */
+/**
+ * Transactions get no response and are committed 2 to 12 s later, after newer transactions of the same controller.
+ */
 export const lateWrites = (kit: ScenarioKit): Scenario => {
   kit.world.state.onLate = (key) => {
     const { world } = kit;
-    const then = world.term();
-    const record = key.startsWith(LOG_ENTRIES);
+    const termAtSend = world.term();
+    const isLogEntry = key.startsWith(LOG_ENTRIES);
     const leader = world.leader();
-    // It ends before it knows what became of its record, and the next one writes its own first.
-    if (record && leader !== undefined && world.random.chance(0.1))
+    // The leader may change before it learns whether its log entry was committed; the next leader's entry comes first then.
+    if (isLogEntry && leader !== undefined && world.random.chance(0.1))
       kit.after(world.random.between(0, 1e6), () => kit.changeLeader(leader));
     const kind = kindOf(key);
     return () => {
-      const now = world.term();
+      const termAtCommit = world.term();
       if (kind !== null) kit.record(`late ${kind}`);
-      if (then !== null && now !== null && now > then)
-        kit.record(record ? 'record after a change of leader' : 'write after a change of leader');
+      if (termAtSend !== null && termAtCommit !== null && termAtCommit > termAtSend)
+        kit.record(isLogEntry ? 'log entry after a change of leader' : 'write after a change of leader');
     };
   };
   return {
     begin: () => {
       const { world } = kit;
       world.strike('lateWrites');
-      const lasts = world.random.between(8e6, 30e6);
+      const durationUs = world.random.between(8e6, 30e6);
       world.state.lateShare = world.random.between(0.05, 0.4);
-      world.disturbed(lasts + 12e6);
-      kit.after(lasts, () => (world.state.lateShare = 0));
-      // What the old leader has sent is carried out under the new one.
+      world.disturbed(durationUs + 12e6);
+      kit.after(durationUs, () => (world.state.lateShare = 0));
+      // Transactions of the old leader are committed under the new leader.
       const leader = world.leader();
       if (leader !== undefined && world.random.chance(0.7))
-        kit.after(world.random.between(2e6, lasts), () => kit.changeLeader(leader));
+        kit.after(world.random.between(2e6, durationUs), () => kit.changeLeader(leader));
     },
   };
 };
--- a/packages/simulation/src/world/scenarios/lost-responses.ts
+++ b/packages/simulation/src/world/scenarios/lost-responses.ts
@@ -12,62 +12,71 @@
 import type { Condition, Write } from '@lilacvalve/controller/state-store/client';
 import { PLAIN_JOB, type ScenarioKit, type Scenario } from './scenario-kit.js';
 
-const PAGES = 's/a/p/';
+const ACCOUNTS_PAGES = 's/a/p/';
 
-/** What a change is, by the keys that it sets and deletes. */
+/** The kind of a transaction, by the keys that it sets and deletes. */
 export const kindOf = (when: readonly Condition[], then: readonly Write[]): string => {
-  const sets = (prefix: string): boolean => then.some((w) => 'set' in w && w.set.startsWith(prefix));
-  const drops = (prefix: string): boolean => then.some((w) => 'delete' in w && w.delete.startsWith(prefix));
+  const sets = (prefix: string): boolean =>
+    then.some((write) => 'set' in write && write.set.startsWith(prefix));
+  const deletes = (prefix: string): boolean =>
+    then.some((write) => 'delete' in write && write.delete.startsWith(prefix));
   if (sets(INCARNATION)) return 'incarnation';
   if (sets(LEADER)) return 'campaign';
-  if (sets(LOG_ENTRIES)) return /"l":|"r":|"y":/.test(JSON.stringify(then)) ? 'record with loans' : 'record';
-  if (sets(FINAL_STATES)) return sets(CALENDAR) ? 'closing of tied jobs' : 'closing';
-  if (drops(LOG_ENTRIES)) return 'folding';
-  if (sets(PAGES)) return 'page of the accounts';
+  if (sets(LOG_ENTRIES))
+    return /"l":|"r":|"y":/.test(JSON.stringify(then)) ? 'log entry with loans' : 'log entry';
+  if (sets(FINAL_STATES)) return sets(CALENDAR) ? 'final state of jobs with cutoff bindings' : 'final state';
+  if (deletes(LOG_ENTRIES)) return 'compaction';
+  if (sets(ACCOUNTS_PAGES)) return 'accounts page';
   if (sets(ACTIVE_JOBS))
-    return when.some((c) => c.key.startsWith(ACTIVE_JOBS) && c.revision > 0) ? 'withdrawal' : 'submission';
-  if (sets(CLASS_DURATIONS)) return 'what classes have shown';
+    return when.some((condition) => condition.key.startsWith(ACTIVE_JOBS) && condition.revision > 0)
+      ? 'cancellation'
+      : 'submission';
+  if (sets(CLASS_DURATIONS)) return 'class durations';
   if (sets(CALENDAR)) return 'calendar';
   if (sets(MACHINE_TYPES)) return 'hint';
-  return sets(STORE_STATUS) ? 'calm or settled' : 'other';
+  return sets(STORE_STATUS) ? 'store status' : 'other';
 };
 
-/** Transactions are carried out at once and nothing is heard of them; the lead changes, so that campaigns are among them. */
+/**
+ * Transactions are committed immediately, but their responses are lost. The leader changes repeatedly, so that campaigns are
+ * among these transactions.
+ */
 export const lostResponses = (kit: ScenarioKit): Scenario => {
   const { world } = kit;
-  /** By revision: what its sender does not know of yet. */
-  const unheard = new Map<number, { readonly by: string; readonly kind: string }>();
-  world.state.onUnanswered = (by, when, then, revision) => {
+  /** By revision: committed transactions that their senders have not read yet. */
+  const unanswered = new Map<number, { readonly sender: string; readonly kind: string }>();
+  world.state.onUnanswered = (sender, when, then, revision) => {
     const kind = kindOf(when, then);
-    kit.record(`${kind} unheard`);
-    unheard.set(revision, { by, kind });
+    kit.record(`${kind} without a response`);
+    unanswered.set(revision, { sender, kind });
     if (kind !== 'campaign') return;
-    // Some time-outs later it leads by that very campaign.
-    const term = then.flatMap((x) =>
-      'set' in x && x.set === LEADER ? (x.value as { term: number }).term : [],
+    // After some timeouts the sender leads the term of this campaign.
+    const term = then.flatMap((write) =>
+      'set' in write && write.set === LEADER ? (write.value as { term: number }).term : [],
     )[0];
-    const look = (times: number): void => {
-      if (world.leader() === by && world.term() === term) return kit.record('lead taken up');
-      if (times > 0) kit.after(100_000, () => look(times - 1));
+    const check = (remainingChecks: number): void => {
+      if (world.leader() === sender && world.term() === term)
+        return kit.record('leadership begun by the unanswered campaign');
+      if (remainingChecks > 0) kit.after(100_000, () => check(remainingChecks - 1));
     };
-    kit.after(100_000, () => look(25));
+    kit.after(100_000, () => check(25));
   };
-  world.state.onRead = (by, revision) => {
-    for (const [at, one] of unheard) {
-      if (at > revision) continue;
-      if (one.by !== by) kit.record(`${one.kind} read by another first`);
-      unheard.delete(at);
+  world.state.onRead = (sender, revision) => {
+    for (const [committedAt, transaction] of unanswered) {
+      if (committedAt > revision) continue;
+      if (transaction.sender !== sender) kit.record(`${transaction.kind} read by another controller first`);
+      unanswered.delete(committedAt);
     }
   };
   return {
     begin: () => {
       world.strike('lostResponses');
-      const lasts = world.random.between(10e6, 30e6);
+      const durationUs = world.random.between(10e6, 30e6);
       world.state.unansweredShare = world.random.between(0.1, 0.4);
-      world.disturbed(lasts + 5e6);
-      kit.after(lasts, () => (world.state.unansweredShare = 0));
-      for (let n = 0; n < 6; n++)
-        kit.after(world.random.between(0, lasts), () => {
+      world.disturbed(durationUs + 5e6);
+      kit.after(durationUs, () => (world.state.unansweredShare = 0));
+      for (let i = 0; i < 6; i++)
+        kit.after(world.random.between(0, durationUs), () => {
           const job = {
             ...PLAIN_JOB,
             tasks: 1 + world.random.int(2),
@@ -78,8 +87,12 @@
           if (id !== undefined && world.random.chance(0.5))
             kit.after(world.random.between(1e6, 10e6), () => world.cancel(id, () => world.anyNode(), () => undefined)); // prettier-ignore
         });
-      for (let at = world.random.between(1e6, 4e6); at < lasts; at += world.random.between(5e6, 12e6))
-        kit.after(at, () => {
+      for (
+        let delay = world.random.between(1e6, 4e6);
+        delay < durationUs;
+        delay += world.random.between(5e6, 12e6)
+      )
+        kit.after(delay, () => {
           const leader = world.leader();
           if (leader !== undefined) kit.changeLeader(leader);
         });
--- a/packages/simulation/src/world/scenarios/overload.ts
+++ b/packages/simulation/src/world/scenarios/overload.ts
@@ -1,32 +1,32 @@
-/** More work than all machines that can be had take, urgent and not, over links that are slow or lose a part. */
+/** Submits more work, normal and urgent, than all machines that can be rented hold, over slow or lossy links. */
 import { ZONES } from '@lilacvalve/controller/support/settings';
 import { PLAIN_JOB, type ScenarioKit, type Scenario } from './scenario-kit.js';
 
 export const overload = (kit: ScenarioKit): Scenario => {
   const { world } = kit;
   const { random } = world;
-  let on = false;
+  let active = false;
   return {
     begin() {
-      if (on) return;
-      on = true;
+      if (active) return;
+      active = true;
       world.strike('overload');
-      const lasts = random.between(40e6, 70e6);
-      let slow = 0;
-      const ends = ['state', 'users', ...world.nodes, ...ZONES.map((z) => `zone:${z}`)];
-      for (const a of world.nodes)
-        for (const b of ends)
-          if (a !== b && random.chance(0.6)) {
+      const durationUs = random.between(40e6, 70e6);
+      let degradedLinks = 0;
+      const endpoints = ['state', 'users', ...world.nodes, ...ZONES.map((zone) => `zone:${zone}`)];
+      for (const from of world.nodes)
+        for (const to of endpoints)
+          if (from !== to && random.chance(0.6)) {
             const state = random.chance(0.6) ? 'slow' : 'lossy';
-            world.link(a, b, state, lasts);
-            if (random.chance(0.7)) world.link(b, a, state, lasts);
-            slow++;
+            world.link(from, to, state, durationUs);
+            if (random.chance(0.7)) world.link(to, from, state, durationUs);
+            degradedLinks++;
           }
-      const some = (n: number, urgency: 'normal' | 'high', within: number): string[] => {
+      const submitJobs = (count: number, urgency: 'normal' | 'high', withinUs: number): string[] => {
         const ids: string[] = [];
-        for (let i = 0; i < n; i++)
-          kit.after(random.between(0, within), () => {
-            // One team has a limit, and must not get beyond it as its less urgent work is being stopped.
+        for (let i = 0; i < count; i++)
+          kit.after(random.between(0, withinUs), () => {
+            // Team `red` has a limit, which it must not exceed while its less urgent tasks are being preempted.
             const limited = random.chance(0.25);
             const job = {
               ...PLAIN_JOB,
@@ -42,48 +42,51 @@
           });
         return ids;
       };
-      const first = some(12, 'normal', 6e6);
-      let urgent: string[] = [];
+      const normalIds = submitJobs(12, 'normal', 6e6);
+      let urgentIds: string[] = [];
       kit.after(random.between(18e6, 26e6), () => {
-        urgent = some(5, 'high', 4e6);
+        urgentIds = submitJobs(5, 'high', 4e6);
       });
-      const met = new Set<string>();
-      const once = (what: string): void => {
-        if (!met.has(what)) kit.record(what);
-        met.add(what);
+      const recorded = new Set<string>();
+      const recordOnce = (name: string): void => {
+        if (!recorded.has(name)) kit.record(name);
+        recorded.add(name);
       };
-      const until = world.time.now + lasts;
-      const look = (): void => {
-        const there = new Set<string>();
-        const stopped = new Set<string>();
-        let used = 0;
-        for (const x of world.workers.values())
-          for (const t of x.tasks.values()) {
-            const id = t.key.slice(0, t.key.indexOf('/'));
-            if (t.status === 'flushing' || t.cause === 'stopped') stopped.add(id);
-            if (t.status === 'ended') continue;
-            there.add(t.key);
-            used += world.jobs.get(id)?.cpus ?? 0;
+      const until = world.time.now + durationUs;
+      const check = (): void => {
+        const placedTasks = new Set<string>();
+        const preempted = new Set<string>();
+        let usedCpus = 0;
+        for (const worker of world.workers.values())
+          for (const task of worker.tasks.values()) {
+            const id = task.key.slice(0, task.key.indexOf('/'));
+            if (task.status === 'flushing' || task.cause === 'stopped') preempted.add(id);
+            if (task.status === 'ended') continue;
+            placedTasks.add(task.key);
+            usedCpus += world.jobs.get(id)?.cpus ?? 0;
           }
-        let waiting = 0;
-        for (const id of [...first, ...urgent]) {
+        let waitingCpus = 0;
+        for (const id of [...normalIds, ...urgentIds]) {
           const job = world.jobs.get(id);
           if (job === undefined || world.rules.state(id) !== 'accepted') continue;
           for (let i = 0; i < job.tasks; i++)
-            if (!job.finished.has(i) && !there.has(`${id}/${i}`)) waiting += job.cpus;
+            if (!job.finished.has(i) && !placedTasks.has(`${id}/${i}`)) waitingCpus += job.cpus;
         }
-        const room = world.workers.size * 8;
-        if (slow > 0 && world.workers.size >= 6 && waiting > room - used + 16)
-          once('more work than room, over slow links');
-        if (first.some((id) => stopped.has(id))) once('stopped for an urgent one');
-        const began = (id: string): boolean => [...there].some((key) => key.startsWith(`${id}/`));
-        if (urgent.some(began) && first.some((id) => !began(id) && world.jobs.get(id)!.finished.size === 0))
-          once('urgent before what came earlier');
-        if (world.time.now < until) kit.after(500_000, look);
-        else end();
+        const totalCpus = world.workers.size * 8;
+        if (degradedLinks > 0 && world.workers.size >= 6 && waitingCpus > totalCpus - usedCpus + 16)
+          recordOnce('more work than capacity, over slow links');
+        if (normalIds.some((id) => preempted.has(id))) recordOnce('task preempted for urgent work');
+        const hasStarted = (id: string): boolean => [...placedTasks].some((key) => key.startsWith(`${id}/`));
+        if (
+          urgentIds.some(hasStarted) &&
+          normalIds.some((id) => !hasStarted(id) && world.jobs.get(id)!.finished.size === 0)
+        )
+          recordOnce('urgent job started before an earlier normal job');
+        if (world.time.now < until) kit.after(500_000, check);
+        else finish();
       };
-      const end = (): void => void (on = false);
-      look();
+      const finish = (): void => void (active = false);
+      check();
     },
   };
 };
--- a/packages/simulation/src/world/scenarios/scenario-kit.ts
+++ b/packages/simulation/src/world/scenarios/scenario-kit.ts
@@ -1,4 +1,4 @@
-/** What the scenarios of compound faults see of the simulation, and what several of them do. */
+/** The view of the simulation that the scenarios of compound faults have, and the actions that several of them share. */
 import type { HttpResponse } from '@lilacvalve/runtime/http-server';
 import type { RandomSource } from '@lilacvalve/controller/support/random-source';
 import type { Arrival } from '../load-burst.js';
@@ -11,20 +11,22 @@
 import type { Worker } from '../worker/worker.js';
 import type { ScenarioName } from './scenario-names.js';
 
-/** How machines boot, as long as a scenario says so. */
+/** Temporary faults of booting machines; times in microseconds. */
 export interface BootWays {
-  /** Up within two seconds until then. */
+  /** Until when new machines boot within two seconds. */
   fastUntil: number;
-  /** Up, and reaching no controller, until then. */
+  /** Until when new machines may boot without reaching any controller. */
   muteUntil: number;
 }
-/** A request to rent: carried out so late, and answered so long after that, or never (null). */
+/** Delays of a rental request, in microseconds. */
 export interface RentalWay {
+  /** How late the cloud carries the request out. */
   readonly late: number;
+  /** How long after that the cloud responds; null: it never responds. */
   readonly answer: number | null;
 }
 
-/** What scenarios look at and act on. Times in microseconds. */
+/** Everything of the simulation that scenarios observe and act on. Times in microseconds. */
 export interface ScenarioWorld {
   readonly cloud: BootWays;
   readonly time: Time;
@@ -35,45 +37,55 @@
   readonly workers: Map<string, Worker>;
   readonly nodes: readonly string[];
   readonly zones: readonly string[];
+  /** Duration of a worker lease. */
   readonly lease: number;
+  /** Maximum duration from a cancellation request to the stop of all tasks of the job. */
   readonly cancelWithin: number;
-  strike(what: ScenarioName): true;
-  disturbed(lasts: number): void;
+  /** Counts an injection of the scenario's fault. */
+  strike(name: ScenarioName): true;
+  /** Marks a disruption of this duration, from now on. */
+  disturbed(durationUs: number): void;
+  /** The label of the acting leader; undefined: no controller leads. */
   leader(): string | undefined;
-  /** The term of whoever acts; null: nobody does. */
+  /** The term of the acting leader; null: no controller leads. */
   term(): number | null;
-  /** The process behind a label, to tell one life from another. */
+  /** The current process of a controller, which differs after a restart; undefined: the controller is down. */
   process(node: string): object | undefined;
-  /** It answers reports, by its right or in a hold. */
+  /** Whether the controller responds to heartbeats, under its leader lease or under a read lease. */
   answering(node: string): boolean;
-  /** The acting leader has had a report of the machine. */
+  /** Whether the acting leader has received a heartbeat of the machine. */
   heardFrom(machine: string): boolean;
-  /** What the acting leader counts against the team's limit: the attempt of each task; null: nobody acts. */
+  /** By task that the acting leader counts against the team's limit: the attempt; null: no controller leads. */
   countedAgainstLimit(team: string): ReadonlyMap<string, number> | null;
-  /** By its view, the controller has a task of the job placed. */
+  /** Whether a task of the job is placed according to the controller's view. */
   hasPlaced(node: string, job: string): boolean;
-  /** What the acting leader has placed on the machine. */
+  /** The tasks that the acting leader has placed on the machine. */
   placedOn(machine: string): readonly string[];
-  /** The cloud has answered the machine's delete. */
+  /** Whether the cloud has confirmed the machine's deletion. */
   isDeleted(machine: string): boolean;
+  /** A controller drawn at random. */
   anyNode(): string;
-  /** What the controllers that are up keep in memory. */
+  /** The sizes of the in-memory state of each running controller. */
   cacheSizes(): readonly { readonly jobs: number; readonly tail: number; readonly finals: number }[];
-  crash(node: string, back: number): void;
-  /** It stands still while its clocks run on. */
-  freeze(node: string, lasts: number): void;
+  /** Crashes a controller, which restarts after the delay. */
+  crash(node: string, restartDelayUs: number): void;
+  /** Suspends a controller while its clocks run on. */
+  freeze(node: string, durationUs: number): void;
+  /** Makes a controller give up the leadership and not campaign for the given time. */
   stepDown(node: string, forMicros: number): void;
-  cut(a: string, b: string, state: 'held' | 'reset', lasts: number): void;
-  /** One direction alone. */
-  link(from: string, to: string, state: LinkState, lasts: number): void;
-  /** A machine is gone without a word. */
+  /** Cuts the links between two endpoints in both directions. */
+  cut(a: string, b: string, state: 'held' | 'reset', durationUs: number): void;
+  /** Sets the state of a link in one direction. */
+  link(from: string, to: string, state: LinkState, durationUs: number): void;
+  /** Removes a machine without notice. */
   loseMachine(machine: string): void;
+  /** Submits a job for a user; returns its ID, or undefined if the user submits nothing. */
   submit(job: Arrival, via: () => string): string | undefined;
-  /** One request about a job to one controller, beside those of its user. */
-  ask(what: Ask, id: string, node: string, then?: (asked: Asked, a: Answered | null) => void): void;
-  /** What users have submitted, by job. */
+  /** Sends one request about a job to one controller, besides the requests of its user. */
+  ask(request: Ask, id: string, node: string, then?: (asked: Asked, a: Answered | null) => void): void;
+  /** The bodies that users have submitted, by job. */
   readonly submissions: ReadonlyMap<string, string>;
-  /** One request of a user; null: no answer. */
+  /** Sends one request of a user; `then` receives the response, or null if there is none. */
   call(
     node: string,
     method: string,
@@ -81,76 +93,79 @@
     body: string | null,
     then: (a: HttpResponse | null, got: Observation | undefined) => void,
   ): void;
+  /** Cancels a job for a user, who retries until a controller confirms the cancellation. */
   cancel(id: string, via: () => string, confirmed: (by: string) => void): void;
 }
 
-/** One scenario: how it begins, and what it observes meanwhile. */
+/** One scenario: an action that injects its faults, and optional observers of the simulation. */
 export interface Scenario {
+  /** Injects the faults of the scenario. */
   begin(): void;
-  /** A worker has sent a report. */
-  heartbeatSent?(by: Worker, node: string, body: Buffer): void;
-  /** For how long the machine stands still before it acts on what it got. */
-  stallFor?(by: Worker): number;
-  /** It has gone on; `order`: with a direct order, else with an answer. */
-  resumed?(lapsed: boolean, order: boolean): void;
-  /** A controller gets a worker's report. */
+  /** Called when a worker has sent a heartbeat. */
+  heartbeatSent?(worker: Worker, node: string, body: Buffer): void;
+  /** Returns how long the machine stalls before it acts on the response or order that it has just received. */
+  stallFor?(worker: Worker): number;
+  /** Called when a stalled machine has resumed; `order`: with a direct order, otherwise with a response. */
+  resumed?(leaseExpired: boolean, order: boolean): void;
+  /** Called when a controller receives a worker's heartbeat. */
   heartbeatReceived?(node: string): void;
-  /** An order to its address has stopped a task of a machine. */
-  stoppedDirectly?(by: Worker, task: string): void;
-  /** A task has its image and is on a machine. */
+  /** Called when an order sent directly to a worker has stopped one of its tasks. */
+  stoppedDirectly?(worker: Worker, task: string): void;
+  /** Called when a task starts on a machine, after its image was fetched. */
   started?(task: string, machine: string): void;
-  /** A request to rent is on its way to the cloud; null: as usual. */
+  /** Returns the delays of a rental request that is being sent to the cloud; null: the usual ones. */
   rentalWay?(): RentalWay | null;
-  /** A machine was rented in this way. */
-  rented?(machine: string, how: RentalWay): void;
-  /** A controller is given a list with these machines. */
+  /** Called when a machine was rented by a request with these delays. */
+  rented?(machine: string, timing: RentalWay): void;
+  /** Called when a controller receives a list of these machines from the cloud. */
   listed?(machines: readonly string[]): void;
-  /** A worker has begun. */
+  /** Called when a worker has started. */
   workerStarted?(machine: Worker): void;
-  /** A machine is deleted. */
+  /** Called when a machine is deleted. */
   deleted?(machine: Worker | undefined, id: string): void;
-  /** A task has completed. */
+  /** Called when a task has completed. */
   completed?(task: string): void;
-  /** An answer to a user's request, or none in time. Not on days on which the state service loses data. */
+  /** Called with the response to a user's request, null: none in time. Not called on days with data losses. */
   answered?(asked: Asked, answer: Answered | null): void;
-  /** The state service has this now; undefined: the key is deleted. */
+  /** Called when the state service has committed a value; undefined: the key is deleted. */
   committed?(key: string, value: string | undefined): void;
-  /** A machine has executed the order to start a task. */
+  /** Called when a machine has executed the order to start a task. */
   ordered?(task: string): void;
-  /** A machine was told to forget a task. */
+  /** Called when a machine executes the order to forget a task. */
   reaped?(task: string, done: boolean): void;
 }
 
-/** What a scenario is made with: the simulation, its observations, and actions that several scenarios share. */
+/** The dependencies of a scenario: the simulation, counters of its observations, and actions that several scenarios share. */
 export class ScenarioKit {
-  /** What has happened, and how often: a day on which a scenario did not bring its situation about shows nothing. */
+  /** Counters of observed situations. A day whose scenario did not cause its situation proves nothing about it. */
   readonly occurred: Record<string, number> = {};
+  /** By situation: the longest duration, in microseconds. */
   readonly longest: Record<string, number> = {};
 
   constructor(readonly world: ScenarioWorld) {}
 
-  /** Something that the scenario is about has happened. */
-  record(what: string): void {
-    this.occurred[what] = (this.occurred[what] ?? 0) + 1;
+  /** Counts a situation that the scenario is meant to cause. */
+  record(name: string): void {
+    this.occurred[name] = (this.occurred[name] ?? 0) + 1;
   }
 
-  /** The longest time that something took. */
-  recordDuration(what: string, micros: number): void {
-    this.longest[what] = Math.max(this.longest[what] ?? 0, micros);
+  /** Updates the longest duration of a situation. */
+  recordDuration(name: string, micros: number): void {
+    this.longest[name] = Math.max(this.longest[name] ?? 0, micros);
   }
 
-  /** As `Time.after`, without a way to cancel. */
-  after(delay: number, go: () => void): void {
-    this.world.time.after(delay, go);
+  /** Runs an action after a delay in microseconds; unlike `Time.after`, it cannot be cancelled. */
+  after(delay: number, action: () => void): void {
+    this.world.time.after(delay, action);
   }
 
-  /** Leaders and others, in the shares that scenarios use. */
+  /** Draws a controller: the leader with a probability of at least 0.75. */
   mostlyLeader(): string {
     const { world } = this;
     return world.random.chance(0.75) ? (world.leader() ?? world.anyNode()) : world.anyNode();
   }
 
-  /** A user cancels, through any controller. */
+  /** Cancels a job for a user through controllers drawn at random. */
   cancel(id: string): void {
     this.world.cancel(
       id,
@@ -159,16 +174,16 @@
     );
   }
 
-  /** Draws one of the other controllers at each call. */
+  /** Returns a function that draws one of the other controllers at each call. */
   anyOther(than: string): () => string {
-    const rest = this.world.nodes.filter((n) => n !== than);
+    const rest = this.world.nodes.filter((controller) => controller !== than);
     return () => rest[this.world.random.int(rest.length)]!;
   }
 
-  /** Some that run for long, so that there is something to cancel. */
-  longJobs(n: number): string[] {
+  /** Submits jobs that run long enough to be cancelled; returns their IDs. */
+  longJobs(count: number): string[] {
     const { random } = this.world;
-    return Array.from({ length: n }, () => {
+    return Array.from({ length: count }, () => {
       const job = {
         ...PLAIN_JOB,
         tasks: 1 + random.int(3),
@@ -179,26 +194,26 @@
     }).flatMap((id) => id ?? []);
   }
 
-  /** The leader crashes, or steps down. */
+  /** Crashes the leader or makes it step down. */
   changeLeader(leader: string): void {
     const { random } = this.world;
     if (random.chance(0.5)) this.world.crash(leader, random.between(200_000, 8e6));
     else this.world.stepDown(leader, random.between(0, 3e6));
   }
 
-  /** The state service refuses a controller for so long. */
-  refuseFor(node: string, lasts: number): void {
+  /** Makes the state service refuse a controller's requests for a duration in microseconds. */
+  refuseFor(node: string, durationUs: number): void {
     const { world } = this;
     world.state.refusedTo.add(node);
-    world.disturbed(lasts);
-    this.after(lasts, () => {
+    world.disturbed(durationUs);
+    this.after(durationUs, () => {
       world.state.refusedTo.delete(node);
       world.state.served();
     });
   }
 }
 
-/** What the jobs that a scenario submits have in common. */
+/** Common properties of the jobs that scenarios submit. */
 export const PLAIN_JOB = {
   jobClass: 'x',
   team: 'blue',
--- a/packages/simulation/src/world/scenarios/scenario-names.ts
+++ b/packages/simulation/src/world/scenarios/scenario-names.ts
@@ -1,4 +1,4 @@
-/** The scenarios of compound faults, by name. Their order is part of what a seed means: faults are drawn by it. */
+/** Names of the scenarios of compound faults. Faults are drawn in this order, so changing it changes every seeded day. */
 export const SCENARIO_NAMES = [
   'lateWrites',
   'lateHeartbeats',
@@ -28,5 +28,5 @@
   'invalidRequests',
 ] as const;
 
-/** One of them. */
+/** The name of a scenario. */
 export type ScenarioName = (typeof SCENARIO_NAMES)[number];
--- a/packages/simulation/src/world/scenarios/scenarios.ts
+++ b/packages/simulation/src/world/scenarios/scenarios.ts
@@ -1,6 +1,6 @@
 /**
- * The scenarios of compound faults: what is late, stalled, cut off, slow or refused while leaders change and users cancel.
- * Each is drawn with the day's other faults, or laid over them by `scheduleCompound`. Only the simulation imports this list.
+ * The scenarios of compound faults: messages and machines that are late, stalled, cut off, slow or refused while leaders change
+ * and users cancel jobs. A scenario begins among the day's other randomly drawn faults or is added by `scheduleCompound`.
  */
 import type { Worker } from '../worker/worker.js';
 import type { Answered, Asked } from '../history.js';
@@ -33,8 +33,8 @@
 import { zoneMachineLoss } from './zone-machine-loss.js';
 import { overload } from './overload.js';
 
-/** How each scenario is made. */
-const SCENARIOS: Readonly<Record<ScenarioName, (kit: ScenarioKit) => Scenario>> = {
+/** The factory of each scenario. */
+const SCENARIO_FACTORIES: Readonly<Record<ScenarioName, (kit: ScenarioKit) => Scenario>> = {
   lateWrites,
   lateHeartbeats,
   inboundLoss,
@@ -63,82 +63,81 @@
   invalidRequests,
 };
 
-/** The scenarios of one simulated day: begins them, and tells all of them what happens. */
+/** The scenarios of one simulated day: begins them and notifies all of them of events. */
 export class Scenarios {
   private readonly kit: ScenarioKit;
   private readonly all: readonly Scenario[];
-  private readonly over = new Set<string>();
-  /** Begins a scenario now, by name. */
+  private readonly reportedFinished = new Set<string>();
+  /** By name: a function that begins the scenario. */
   readonly begin: Readonly<Record<ScenarioName, () => void>>;
 
   constructor(private readonly world: ScenarioWorld) {
     this.kit = new ScenarioKit(world);
-    world.state.onOccurred = (what) => this.kit.record(what);
+    world.state.onOccurred = (situation) => this.kit.record(situation);
     world.state.watchesWait = true;
-    const made = SCENARIO_NAMES.map((name) => [name, SCENARIOS[name](this.kit)] as const);
-    this.all = made.map(([, scenario]) => scenario);
-    this.begin = Object.fromEntries(made.map(([name, scenario]) => [name, () => scenario.begin()])) as Record<
-      ScenarioName,
-      () => void
-    >;
+    const scenariosByName = SCENARIO_NAMES.map((name) => [name, SCENARIO_FACTORIES[name](this.kit)] as const);
+    this.all = scenariosByName.map(([, scenario]) => scenario);
+    this.begin = Object.fromEntries(
+      scenariosByName.map(([name, scenario]) => [name, () => scenario.begin()]),
+    ) as Record<ScenarioName, () => void>;
   }
 
-  /** How often each thing that scenarios are about has happened. */
+  /** How often each situation that scenarios are meant to cause has occurred. */
   get occurred(): Readonly<Record<string, number>> {
     return this.kit.occurred;
   }
 
-  /** The longest that what was measured took, microseconds. */
+  /** By measured situation: the longest duration, in microseconds. */
   get longest(): Readonly<Record<string, number>> {
     return this.kit.longest;
   }
 
-  /** Called at each answer that says that the job is over. */
+  /** Notes a response with a job's final state; returns whether an earlier response had it too. */
   reportedOverBefore(id: string): boolean {
-    const before = this.over.has(id);
-    this.over.add(id);
+    const before = this.reportedFinished.has(id);
+    this.reportedFinished.add(id);
     return before;
   }
 
-  /** Two to four kinds, overlapping, twice in the day. */
-  scheduleCompound(troubled: number): void {
+  /** Schedules two to four scenarios that overlap, twice in the day. */
+  scheduleCompound(faultyDurationUs: number): void {
     const { random } = this.world;
     const chosen = [...SCENARIO_NAMES].sort(() => random.next() - 0.5).slice(0, 2 + random.int(3));
-    for (const base of [random.between(0.12, 0.25), random.between(0.55, 0.7)])
-      for (const kind of chosen) {
-        const at = Math.max(10e6, base * troubled + random.between(-6e6, 20e6));
-        this.world.rules.quiescentAt = Math.max(this.world.rules.quiescentAt, at);
-        this.kit.after(at, this.begin[kind]);
+    for (const fraction of [random.between(0.12, 0.25), random.between(0.55, 0.7)])
+      for (const name of chosen) {
+        const beginsAt = Math.max(10e6, fraction * faultyDurationUs + random.between(-6e6, 20e6));
+        this.world.rules.quiescentAt = Math.max(this.world.rules.quiescentAt, beginsAt);
+        this.kit.after(beginsAt, this.begin[name]);
       }
   }
 
-  heartbeatSent(by: Worker, node: string, body: Buffer): void {
-    for (const scenario of this.all) scenario.heartbeatSent?.(by, node, body);
+  heartbeatSent(worker: Worker, node: string, body: Buffer): void {
+    for (const scenario of this.all) scenario.heartbeatSent?.(worker, node, body);
   }
-  stallFor(by: Worker): number {
-    return Math.max(0, ...this.all.map((scenario) => scenario.stallFor?.(by) ?? 0));
+  stallFor(worker: Worker): number {
+    return Math.max(0, ...this.all.map((scenario) => scenario.stallFor?.(worker) ?? 0));
   }
-  resumed(lapsed: boolean, order: boolean): void {
-    for (const scenario of this.all) scenario.resumed?.(lapsed, order);
+  resumed(leaseExpired: boolean, order: boolean): void {
+    for (const scenario of this.all) scenario.resumed?.(leaseExpired, order);
   }
   heartbeatReceived(node: string): void {
     for (const scenario of this.all) scenario.heartbeatReceived?.(node);
   }
-  stoppedDirectly(by: Worker, task: string): void {
-    for (const scenario of this.all) scenario.stoppedDirectly?.(by, task);
+  stoppedDirectly(worker: Worker, task: string): void {
+    for (const scenario of this.all) scenario.stoppedDirectly?.(worker, task);
   }
   started(task: string, machine: string): void {
     for (const scenario of this.all) scenario.started?.(task, machine);
   }
   rentalWay(): RentalWay | null {
     for (const scenario of this.all) {
-      const way = scenario.rentalWay?.() ?? null;
-      if (way !== null) return way;
+      const timing = scenario.rentalWay?.() ?? null;
+      if (timing !== null) return timing;
     }
     return null;
   }
-  rented(machine: string, how: RentalWay): void {
-    for (const scenario of this.all) scenario.rented?.(machine, how);
+  rented(machine: string, timing: RentalWay): void {
+    for (const scenario of this.all) scenario.rented?.(machine, timing);
   }
   listed(machines: readonly string[]): void {
     for (const scenario of this.all) scenario.listed?.(machines);
--- a/packages/simulation/src/world/scenarios/state-refuses.ts
+++ b/packages/simulation/src/world/scenarios/state-refuses.ts
@@ -1,13 +1,13 @@
 import type { ScenarioKit, Scenario } from './scenario-kit.js';
 
-/** One controller, mostly the leader, is refused by the state service. */
+/** The state service refuses one controller, usually the leader. */
 export const stateRefuses = (kit: ScenarioKit): Scenario => ({
   begin: () => {
     const { world } = kit;
-    const node = kit.mostlyLeader();
-    if (world.state.refusedTo.has(node)) return;
+    const controller = kit.mostlyLeader();
+    if (world.state.refusedTo.has(controller)) return;
     world.strike('stateRefuses');
-    if (node === world.leader()) kit.record('leader refused');
-    kit.refuseFor(node, world.random.between(2e6, 30e6));
+    if (controller === world.leader()) kit.record('state service refused the leader');
+    kit.refuseFor(controller, world.random.between(2e6, 30e6));
   },
 });
--- a/packages/simulation/src/world/scenarios/total-outage.ts
+++ b/packages/simulation/src/world/scenarios/total-outage.ts
@@ -1,83 +1,88 @@
-/** All controllers are away for longer than a lease, and come back one by one; users cancel in the second before. */
+/** All controllers are down for longer than a worker lease and restart one by one; users cancel jobs just before. */
 import type { Worker } from '../worker/worker.js';
 import type { ScenarioKit, Scenario } from './scenario-kit.js';
 
 export const totalOutage = (kit: ScenarioKit): Scenario => {
   const { world } = kit;
   const { random } = world;
-  let on = false;
+  let active = false;
 
-  const away = (ids: readonly string[]): void => {
+  const crashAll = (ids: readonly string[]): void => {
     world.strike('totalOutage');
-    const order = [...world.nodes].sort(() => random.next() - 0.5);
-    // For longer than `cancel_s`, too, now and then.
-    let back = random.chance(0.3)
+    const restartOrder = [...world.nodes].sort(() => random.next() - 0.5);
+    // Some outages are longer than the setting `cancel_s`.
+    let restartDelayUs = random.chance(0.3)
       ? world.cancelWithin + random.between(1e6, 5e6)
       : world.lease * random.between(1.2, 2.6);
-    world.disturbed(back);
-    const fall = random.between(1000, 30_000);
-    for (const n of order) {
-      if (random.chance(0.2)) world.stepDown(n, 0);
-      const until = back;
-      kit.after(fall, () => world.crash(n, until));
-      back += random.between(3e6, 12e6);
+    world.disturbed(restartDelayUs);
+    const crashDelayUs = random.between(1000, 30_000);
+    for (const controller of restartOrder) {
+      if (random.chance(0.2)) world.stepDown(controller, 0);
+      const thisDelayUs = restartDelayUs;
+      kit.after(crashDelayUs, () => world.crash(controller, thisDelayUs));
+      restartDelayUs += random.between(3e6, 12e6);
     }
-    const gone = (): boolean => world.nodes.every((n) => world.process(n) === undefined);
-    const ran = new Map<string, { readonly on: Worker; readonly incarnation: number }>();
+    const allDown = (): boolean => world.nodes.every((controller) => world.process(controller) === undefined);
+    const tasksBefore = new Map<string, { readonly worker: Worker; readonly incarnation: number }>();
     kit.after(500_000, () => {
-      if (!gone()) return void (on = false);
-      for (const x of world.workers.values())
-        for (const t of x.tasks.values())
-          if (t.status === 'running') ran.set(t.key, { on: x, incarnation: x.incarnation });
+      if (!allDown()) return void (active = false);
+      for (const worker of world.workers.values())
+        for (const task of worker.tasks.values())
+          if (task.status === 'running')
+            tasksBefore.set(task.key, { worker: worker, incarnation: worker.incarnation });
       for (const id of ids)
         if (world.rules.state(id) === 'aborted' && world.rules.isOn(id))
-          kit.record('cancelled as all went away');
+          kit.record('running job cancelled as all controllers crashed');
       kit.after(world.lease * 1.01, () => {
-        if (!gone()) return;
-        kit.record('all away beyond the lease');
-        if ([...ran.values()].some((r) => r.on.incarnation > r.incarnation))
-          kit.record('leases lapsed with all away');
+        if (!allDown()) return;
+        kit.record('all controllers down beyond the lease');
+        if ([...tasksBefore.values()].some((previous) => previous.worker.incarnation > previous.incarnation))
+          kit.record('worker leases expired with all controllers down');
       });
-      const met = new Set<string>();
-      const once = (what: string): void => {
-        if (!met.has(what)) kit.record(what);
-        met.add(what);
+      const recorded = new Set<string>();
+      const recordOnce = (situation: string): void => {
+        if (!recorded.has(situation)) kit.record(situation);
+        recorded.add(situation);
       };
-      const ends = world.time.now + back + 10e6;
-      const look = (): void => {
-        const up = world.nodes.filter((n) => world.process(n) !== undefined);
+      const endsAt = world.time.now + restartDelayUs + 10e6;
+      const check = (): void => {
+        const running = world.nodes.filter((controller) => world.process(controller) !== undefined);
         const leader = world.leader();
-        if (up.length === 1 && leader === up[0]) {
-          once('one leads alone, the first one back');
-          for (const x of world.workers.values())
-            for (const t of x.tasks.values()) {
-              const r = ran.get(t.key);
-              if (r !== undefined && t.status === 'running' && (x !== r.on || x.incarnation > r.incarnation))
-                once('started again by the one that is back');
+        if (running.length === 1 && leader === running[0]) {
+          recordOnce('first restarted controller leads alone');
+          for (const worker of world.workers.values())
+            for (const task of worker.tasks.values()) {
+              const previous = tasksBefore.get(task.key);
+              if (
+                previous !== undefined &&
+                task.status === 'running' &&
+                (worker !== previous.worker || worker.incarnation > previous.incarnation)
+              )
+                recordOnce('task restarted by the first restarted controller');
             }
         }
-        if (world.time.now < ends) kit.after(200_000, look);
-        else on = false;
+        if (world.time.now < endsAt) kit.after(200_000, check);
+        else active = false;
       };
-      look();
+      check();
     });
   };
   return {
     begin() {
-      if (on) return;
-      on = true;
+      if (active) return;
+      active = true;
       const ids = kit.longJobs(10);
-      const begins = random.between(18e6, 24e6);
-      world.disturbed(begins + 10e6);
-      kit.after(begins, () => {
-        // As the first cancellations are confirmed, mostly.
-        let fallen = false;
-        const fall = (): void => {
-          if (!fallen) away(ids);
-          fallen = true;
+      const beginsAfterUs = random.between(18e6, 24e6);
+      world.disturbed(beginsAfterUs + 10e6);
+      kit.after(beginsAfterUs, () => {
+        // Crashes all controllers as the first cancellation is confirmed, or after two seconds.
+        let crashed = false;
+        const crashOnce = (): void => {
+          if (!crashed) crashAll(ids);
+          crashed = true;
         };
-        for (const id of ids) if (random.chance(0.6)) world.cancel(id, () => world.anyNode(), fall);
-        kit.after(2e6, fall);
+        for (const id of ids) if (random.chance(0.6)) world.cancel(id, () => world.anyNode(), crashOnce);
+        kit.after(2e6, crashOnce);
       });
     },
   };
--- a/packages/simulation/src/world/scenarios/zone-machine-loss.ts
+++ b/packages/simulation/src/world/scenarios/zone-machine-loss.ts
@@ -1,4 +1,7 @@
-/** Jobs bound to one zone, arrays too, lose machines: by their end, by a new session, or to stand still, inside and beyond a lease. */
+/**
+ * Arrays and gangs bound to one zone lose machines: a machine disappears, its worker restarts, or the worker hangs for less or
+ * more than its lease.
+ */
 import { ZONES } from '@lilacvalve/controller/support/settings';
 import type { Worker } from '../worker/worker.js';
 import { PLAIN_JOB, type ScenarioKit, type Scenario } from './scenario-kit.js';
@@ -6,65 +9,80 @@
 export const zoneMachineLoss = (kit: ScenarioKit): Scenario => {
   const { world } = kit;
   const { random } = world;
-  let on = false;
+  let active = false;
 
-  interface On {
-    readonly x: Worker;
+  /** A task that has its image and has not exited, with its attempt and worker. */
+  interface PlacedTask {
+    readonly worker: Worker;
     readonly key: string;
     readonly attempt: number;
   }
-  const onOf = (id: string): On[] =>
-    [...world.workers.values()].flatMap((x) =>
-      x.alive
-        ? [...x.tasks.values()].flatMap((t) =>
-            t.status !== 'ended' && t.status !== 'fetching' && t.key.startsWith(`${id}/`)
-              ? [{ x, key: t.key, attempt: t.attempt }]
+  const placedTasks = (id: string): PlacedTask[] =>
+    [...world.workers.values()].flatMap((worker) =>
+      worker.alive
+        ? [...worker.tasks.values()].flatMap((task) =>
+            task.status !== 'ended' && task.status !== 'fetching' && task.key.startsWith(`${id}/`)
+              ? [{ worker: worker, key: task.key, attempt: task.attempt }]
               : [],
           )
         : [],
     );
-  const stand = (x: Worker, lasts: number): void => {
-    if (x.hanging) return;
-    x.hanging = true;
-    world.disturbed(lasts);
-    kit.after(lasts, () => (x.hanging = false));
+  const hang = (worker: Worker, durationUs: number): void => {
+    if (worker.hanging) return;
+    worker.hanging = true;
+    world.disturbed(durationUs);
+    kit.after(durationUs, () => (worker.hanging = false));
   };
-  /** Once all of it is gone from `from`, a job that names no zone may go to another; one that has not may not. */
-  const watch = (id: string, lost: ReadonlyMap<string, number>, from: string, shape: string): void => {
+  /**
+   * Records where the lost tasks restart. A job that names no zone may move to another zone only after all its tasks in
+   * `lostZone` have exited.
+   */
+  const watch = (
+    id: string,
+    lostAttempts: ReadonlyMap<string, number>,
+    lostZone: string,
+    shape: string,
+  ): void => {
     const until = world.time.now + 60e6;
-    const look = (): void => {
-      const now = onOf(id);
-      const again = now.filter((o) => o.attempt > (lost.get(o.key) ?? o.attempt));
-      if (again.some((o) => o.x.place.zone === from))
+    const check = (): void => {
+      const current = placedTasks(id);
+      const restarted = current.filter(
+        (placement) => placement.attempt > (lostAttempts.get(placement.key) ?? placement.attempt),
+      );
+      if (restarted.some((placement) => placement.worker.place.zone === lostZone))
         return kit.record(
-          `${shape}: started again in its zone${now.length > again.length ? ', beside others' : ''}`,
+          `${shape}: task restarted in its zone${current.length > restarted.length ? ', beside running tasks' : ''}`,
         );
-      if (again.some((o) => o.x.place.zone !== from))
-        return kit.record(`${shape}: moved to another zone as a whole`);
-      if (world.time.now < until) kit.after(200_000, look);
+      if (restarted.some((placement) => placement.worker.place.zone !== lostZone))
+        return kit.record(`${shape}: restarted as a whole in another zone`);
+      if (world.time.now < until) kit.after(200_000, check);
     };
-    kit.after(1e6, look);
+    kit.after(1e6, check);
   };
 
-  const lose = (ids: readonly string[]): void => {
+  const loseMachines = (ids: readonly string[]): void => {
     const id = ids[random.int(ids.length)];
     const job = id === undefined ? undefined : world.jobs.get(id);
     if (id === undefined || job === undefined) return;
-    const placed = onOf(id);
-    const machines = [...new Set(placed.map((p) => p.x))];
+    const placed = placedTasks(id);
+    const machines = [...new Set(placed.map((placement) => placement.worker))];
     if (machines.length === 0) return;
-    const all = random.chance(0.35);
-    const chosen = all ? machines : [machines[random.int(machines.length)]!];
-    const lost = new Map(placed.filter((p) => chosen.includes(p.x)).map((p) => [p.key, p.attempt]));
+    const losesAll = random.chance(0.35);
+    const chosen = losesAll ? machines : [machines[random.int(machines.length)]!];
+    const lostAttempts = new Map(
+      placed
+        .filter((placement) => chosen.includes(placement.worker))
+        .map((placement) => [placement.key, placement.attempt]),
+    );
     const shape = job.shape === 'ensemble' ? 'gang' : 'array';
-    if (all) kit.record(`${shape} of one zone lost all machines`);
-    else if (machines.length > 1) kit.record(`${shape} of one zone lost a machine of several`);
-    const how = random.int(3);
-    for (const x of chosen)
-      if (how === 0) world.loseMachine(x.place.id);
-      else if (how === 1 && !x.hanging) x.restart(random.between(50_000, 500_000));
-      else stand(x, world.lease * random.between(0.3, 2));
-    watch(id, lost, chosen[0]!.place.zone, shape);
+    if (losesAll) kit.record(`${shape} bound to one zone lost all machines`);
+    else if (machines.length > 1) kit.record(`${shape} bound to one zone lost one of several machines`);
+    const lossKind = random.int(3);
+    for (const worker of chosen)
+      if (lossKind === 0) world.loseMachine(worker.place.id);
+      else if (lossKind === 1 && !worker.hanging) worker.restart(random.between(50_000, 500_000));
+      else hang(worker, world.lease * random.between(0.3, 2));
+    watch(id, lostAttempts, chosen[0]!.place.zone, shape);
     const leader = world.leader();
     if (leader !== undefined && random.chance(0.35))
       kit.after(random.between(0, 3e6), () => kit.changeLeader(leader));
@@ -72,8 +90,8 @@
 
   return {
     begin() {
-      if (on) return;
-      on = true;
+      if (active) return;
+      active = true;
       world.strike('zoneMachineLoss');
       const ids: string[] = [];
       for (let i = 0; i < 5; i++) {
@@ -92,13 +110,13 @@
         const id = world.submit({ job, urgency: 'high', due: null }, () => world.anyNode());
         if (id !== undefined) ids.push(id);
       }
-      let at = random.between(16e6, 24e6);
-      world.disturbed(at + 10e6);
-      for (let i = 0; i < 5; i++, at += random.between(1e6, 8e6)) {
-        world.disturbed(at + 5e6);
-        kit.after(at, () => lose(ids));
+      let delay = random.between(16e6, 24e6);
+      world.disturbed(delay + 10e6);
+      for (let i = 0; i < 5; i++, delay += random.between(1e6, 8e6)) {
+        world.disturbed(delay + 5e6);
+        kit.after(delay, () => loseMachines(ids));
       }
-      kit.after(at, () => (on = false));
+      kit.after(delay, () => (active = false));
     },
   };
 };
--- a/packages/simulation/test/scenarios-cancel.test.ts
+++ b/packages/simulation/test/scenarios-cancel.test.ts
@@ -3,8 +3,8 @@
 import { playScenarios } from './support/scenario-days.js';
 
 const hung = [
-  'hung with a cancelled task, went on within its lease',
-  'hung with a cancelled task, went on beyond its lease',
+  'machine hung with a cancelled task and resumed within its lease',
+  'machine hung with a cancelled task and resumed after its lease expired',
 ];
 
 playScenarios([
@@ -12,20 +12,20 @@
   [
     'the same and a leader refused, where a cancellation must have taken effect barely after a lease',
     { cancelAndHang: true, rollingRefusal: true },
-    [...hung, 'cancelled beside a leader refused alone'],
+    [...hung, 'running job cancelled while only the leader was refused'],
     CLOSE,
   ],
   [
     'cancelled while the lead changes hands',
     { cancelDuringHandover: true },
     [
-      'cancelled while it ran, handed over in order',
-      'cancelled while it ran, handed over by crash',
-      'cancelled while it ran, handed over by a lapsed lease',
-      'cancelled while it ran, handed over with answers on their way',
-      'cancelled while it ran, confirmed by the old',
-      'cancelled while it ran, confirmed by the new',
-      'cancelled while it ran, confirmed by the third',
+      'running job cancelled, leadership handed over by stepping down',
+      'running job cancelled, leadership handed over by crash',
+      'running job cancelled, leadership handed over by lease expiry',
+      'running job cancelled, leadership handed over with responses in flight',
+      'running job cancelled, confirmed by the old leader',
+      'running job cancelled, confirmed by the new leader',
+      'running job cancelled, confirmed by the third controller',
     ],
   ],
 ]);
--- a/packages/simulation/test/scenarios-leaders-away.test.ts
+++ b/packages/simulation/test/scenarios-leaders-away.test.ts
@@ -5,7 +5,7 @@
   [
     'ten leaders in two minutes, in an outage too',
     { leaderChurn: true },
-    ['ten leaders in two minutes', 'a leader ended inside the outage'],
+    ['ten leaders in two minutes', 'leader lost during the outage'],
   ],
 ]);
 playScenarios(
@@ -14,11 +14,11 @@
       'all controllers away beyond the lease, and back one by one',
       { totalOutage: true },
       [
-        'all away beyond the lease',
-        'leases lapsed with all away',
-        'one leads alone, the first one back',
-        'started again by the one that is back',
-        'cancelled as all went away',
+        'all controllers down beyond the lease',
+        'worker leases expired with all controllers down',
+        'first restarted controller leads alone',
+        'task restarted by the first restarted controller',
+        'running job cancelled as all controllers crashed',
       ],
     ],
   ],
--- a/packages/simulation/test/scenarios-limit.test.ts
+++ b/packages/simulation/test/scenarios-limit.test.ts
@@ -6,12 +6,12 @@
     'every team at its limit, machines cut off or hung, the leader changed',
     { atLimit: true },
     [
-      'at the limit, cancelled on a machine that is cut off and that a new leader never heard',
-      'at the limit, cancelled on a machine that is hung and that a new leader never heard',
-      'the room came back by word',
-      'the room came back by its lease',
-      'the room came back by its lease, never heard',
-      'the room was used again',
+      'cancelled at the team limit on a machine that is cut off and never reported to the new leader',
+      'cancelled at the team limit on a machine that is hung and never reported to the new leader',
+      'freed capacity was recognized by heartbeat or deletion',
+      'freed capacity was recognized by lease expiry',
+      'freed capacity was recognized by lease expiry, without a heartbeat',
+      'freed capacity was used again',
     ],
   ],
 ]);
--- a/packages/simulation/test/scenarios-many-small.test.ts
+++ b/packages/simulation/test/scenarios-many-small.test.ts
@@ -17,14 +17,14 @@
   least('starts', 200);
   // Within the limits, and hardly ever refused by them: 25 a second, and a second's worth at once.
   most('writes', 100 * 25);
-  most('writes in 10 s, most', 10 * 25 + 25);
-  most('refused as too many', 20);
+  most('max writes in 10 s', 10 * 25 + 25);
+  most('writes refused by the rate limit', 20);
   // A cancellation is not behind the rest; a start waits for machines that are rented first.
   most('cancel p95 ms', 1500);
-  most('cancel worst ms', 3000);
+  most('cancel max ms', 3000);
   most('start p95 ms', 15_000);
   // Memory goes by what is under way, not by what has been.
-  most('most jobs', 150);
-  most('most tail', 320);
-  most('jobs kept at last', 10);
+  most('max jobs', 150);
+  most('max tail', 320);
+  most('jobs in memory at the end', 10);
 });
--- a/packages/simulation/test/scenarios-mute-machines.test.ts
+++ b/packages/simulation/test/scenarios-mute-machines.test.ts
@@ -6,10 +6,10 @@
     'machines that reach no controller',
     { outboundLoss: true },
     [
-      'cancelled and stopped directly on a mute machine',
-      'started again elsewhere after the lease',
-      'a mute machine was returned',
-      'a machine that came up mute was returned',
+      'cancelled task stopped by a direct order on a machine without outbound messages',
+      'task restarted on another machine after the lease expired',
+      'machine that lost outbound messages was returned',
+      'machine without outbound messages since its start was returned',
     ],
   ],
 ]);
--- a/packages/simulation/test/scenarios-new-machines.test.ts
+++ b/packages/simulation/test/scenarios-new-machines.test.ts
@@ -6,10 +6,10 @@
     'new machines within two seconds, their rentals answered late, carried out late, or never answered',
     { fastBoots: true },
     [
-      'reported before the answer to its rental',
-      'reported before any list',
-      'machine of a late rental',
-      'leader ended between the report and the durable start',
+      'heartbeat before the response to the rental',
+      'heartbeat before any machine list',
+      'machine of a delayed rental request',
+      'leader crashed between the first heartbeat and the durable start',
     ],
   ],
 ]);
--- a/packages/simulation/test/scenarios-odd.test.ts
+++ b/packages/simulation/test/scenarios-odd.test.ts
@@ -7,8 +7,8 @@
     { invalidRequests: true, nodeCrash: true },
     [
       'unfinished job submitted again',
-      'known job with an odd body',
-      'done job cancelled',
+      'known job submitted again with an invalid body',
+      'finished job cancelled',
       'unknown job cancelled',
       'refused with 400',
       'refused with 422',
--- a/packages/simulation/test/scenarios-overfull.test.ts
+++ b/packages/simulation/test/scenarios-overfull.test.ts
@@ -7,9 +7,9 @@
       'more work than room, urgent and not, over slow links',
       { overload: true },
       [
-        'more work than room, over slow links',
-        'stopped for an urgent one',
-        'urgent before what came earlier',
+        'more work than capacity, over slow links',
+        'task preempted for urgent work',
+        'urgent job started before an earlier normal job',
       ],
     ],
   ],
