--- a/packages/simulation/test/scenarios-odd.test.ts
+++ b/packages/simulation/test/scenarios-invalid-requests.test.ts
@@ -1,14 +1,14 @@
-/** Odd requests, on days of their own and with a trouble that changes leaders. */
+/** Invalid requests while controllers crash and restart. */
 import { playScenarios } from './support/scenario-days.js';
 
 playScenarios([
   [
-    'odd requests while controllers end and come back',
+    'invalid requests while controllers crash and restart',
     { invalidRequests: true, nodeCrash: true },
     [
       'unfinished job submitted again',
-      'known job with an odd body',
-      'done job cancelled',
+      'known job submitted again with an invalid body',
+      'finished job cancelled',
       'unknown job cancelled',
       'refused with 400',
       'refused with 422',
--- a/packages/simulation/test/scenarios-zones.test.ts
+++ b/packages/simulation/test/scenarios-zones.test.ts
@@ -1,17 +1,17 @@
-/** A zone that is cut off with a controller, and jobs that are bound to one and lose machines there. */
+/** A zone that is cut off together with a controller, and jobs bound to one zone that lose machines. */
 import { playScenarios } from './support/scenario-days.js';
 
-// On its first day a task runs twice where a lease counts for a third of its time.
+// With seed 4 a task runs twice if a lease is treated as expired after a third of its duration.
 playScenarios(
   [
     [
-      'a zone with workers and a controller cut off beyond the lease',
+      'a zone and a controller are cut off together for longer than the lease',
       { zonePartition: true },
       [
-        'the leader is cut off with the zone',
-        'a lease with tasks lapsed in the cut zone',
-        'tasks go on in the cut zone beside starts elsewhere',
-        'lapsed in the cut zone and started again elsewhere',
+        'leader cut off with the zone',
+        'worker lease with tasks expired in the cut-off zone',
+        'tasks run on in the cut-off zone while others start elsewhere',
+        'task lost in the cut-off zone restarted elsewhere',
       ],
     ],
   ],
@@ -23,12 +23,12 @@
       'jobs bound to one zone lose machines',
       { zoneMachineLoss: true },
       [
-        'array of one zone lost a machine of several',
-        'array of one zone lost all machines',
-        'array: started again in its zone, beside others',
-        'gang of one zone lost a machine of several',
-        'gang of one zone lost all machines',
-        'gang: moved to another zone as a whole',
+        'array bound to one zone lost one of several machines',
+        'array bound to one zone lost all machines',
+        'array: task restarted in its zone, beside running tasks',
+        'gang bound to one zone lost one of several machines',
+        'gang bound to one zone lost all machines',
+        'gang: restarted as a whole in another zone',
       ],
     ],
   ],
--- a/packages/simulation/test/scenarios.test.ts
+++ b/packages/simulation/test/scenarios.test.ts
@@ -1,47 +1,65 @@
-/** The first ten scenarios of compound faults, each on days of its own; the others have files of their own beside this one. */
+/** Scenarios of compound faults; the other scenarios have their own test files. */
 import { playScenarios } from './support/scenario-days.js';
 
 playScenarios([
   [
-    'ends far apart, the leader changed between',
+    'tasks of a job complete far apart, with a change of leader between them',
     { staggeredCompletions: true },
-    ['ends under two leaders', 'reap between ends', 'a gang told done to two leaders'],
+    [
+      'tasks of a job completed under two leaders',
+      'task reaped between two completions of its job',
+      'gang completion reported to two leaders',
+    ],
   ],
-  ['machines deaf to a new leader', { inboundLoss: true }, ['deaf machine under a new leader']],
   [
-    'old reports after newer ones',
+    'machines receive no message of a new leader',
+    { inboundLoss: true },
+    ['machine without inbound messages under a new leader'],
+  ],
+  [
+    'old heartbeats arrive after newer ones',
     { lateHeartbeats: true, machineRestart: true, nodeCrash: true },
     [
-      'report of an older tenure',
-      'report of an older term',
-      'report from before a restart',
-      'old report before any other',
+      'heartbeat of an earlier incarnation',
+      'heartbeat with an older fencing token',
+      'heartbeat from before a controller restart',
+      'old heartbeat before any other',
     ],
   ],
   [
-    'transactions after newer ones of the same controller',
+    'transactions are committed after newer transactions of the same controller',
     { lateWrites: true, nodeCrash: true },
-    ['write after newer', 'write after newer, committed', 'record after a change of leader'],
+    ['write after newer', 'write after newer, committed', 'log entry after a change of leader'],
   ],
   [
-    'machines that stand still and go on',
+    'machines stall before they act on orders and responses',
     { stalledMachine: true },
-    ['held within the lease', 'held beyond the lease', 'direct order held', 'answer held'],
+    ['stalled within the lease', 'stalled beyond the lease', 'direct order delayed', 'response delayed'],
   ],
   [
-    'the leader refused, then all, and users cancel between',
+    'the state service refuses the leader, then all controllers, and users cancel jobs in between',
     { rollingRefusal: true },
-    ['cancelled beside a hold', 'cancelled beside a hold that has its start still to send'],
+    [
+      'running job cancelled beside a read lease',
+      'job cancelled beside a read lease whose holder has not sent its start',
+    ],
   ],
   [
-    'slow, and refusing one',
+    'the state service is slow and refuses one controller',
     { stateSlow: true, stateRefuses: true },
-    ['carried out after the time-out', 'leader refused'],
+    ['carried out after the time-out', 'state service refused the leader'],
+  ],
+  [
+    'the leadership is handed over repeatedly, and one controller restarts alone',
+    { handover: true },
+    ['former leader leads again', 'first restarted controller leads alone after a crash of all'],
   ],
-  ['hand-overs and back, and one back alone', { handover: true }, ['led again', 'one back alone']],
   [
-    'a leader alone with workers and users',
+    'a leader is cut off from the state service and its peers, but not from workers and users',
     { isolatedLeader: true },
-    ['cancelled beside a leader alone', 'heard by a leader alone, beside the new one'],
+    [
+      'running job cancelled beside an isolated leader',
+      'heartbeat received by an isolated leader beside a new leader',
+    ],
   ],
 ]);
