--- a/packages/simulation/src/world/rules.ts
+++ b/packages/simulation/src/world/rules.ts
@@ -17,7 +17,7 @@
 }
 /** The latest state of a job that any user has received. */
 export interface Known {
-  readonly told: 'accepted' | 'done' | 'aborted' | undefined;
+  readonly state: 'accepted' | 'done' | 'aborted' | undefined;
   /** Number of completed tasks. */
   readonly done: number;
 }
@@ -66,7 +66,7 @@
  */
 export const FORGOTTEN_AFTER = 75e6;
 
-/** Tracks what users were told and what machines do, and records each violation of the protocol. */
+/** Tracks the responses that users receive and what machines do, and records each violation of the protocol. */
 export class Rules {
   /** Confirmed violations: the name of the rule, a colon and a description. */
   readonly broken: string[] = [];
@@ -124,25 +124,25 @@
   }
 
   /**
-   * Records that a response contradicts the fact stored under `told`. The violation stays unconfirmed where it is known
+   * Records that a response contradicts the fact stored under `factKey`. The violation stays unconfirmed where it is known
    * which controllers reported that fact.
    */
   private recordContradiction(
     rule: string,
     text: string,
-    told: string,
+    factKey: string,
     now: number,
     got: Observation | undefined,
   ): void {
-    const facts = this.facts.get(told);
+    const facts = this.facts.get(factKey);
     if (got === undefined || facts === undefined) return this.recordViolation(rule, text);
     this.doubtful.push({ what: `${rule}: ${text}`, facts, at: now, present: got.present });
   }
 
-  private recordFact(told: string, fact: Fact | undefined): void {
+  private recordFact(factKey: string, fact: Fact | undefined): void {
     if (fact === undefined) return;
-    const [first] = this.facts.get(told) ?? [];
-    this.facts.set(told, first ? [first, fact] : [fact]);
+    const [first] = this.facts.get(factKey) ?? [];
+    this.facts.set(factKey, first ? [first, fact] : [fact]);
   }
 
   /** The responses that reported the job as accepted. */
@@ -262,7 +262,7 @@
 
   /** The latest state of the job that any user has received. */
   asOf(id: string): Known {
-    return { told: this.latestState.get(id), done: this.reportedCompleted.get(id) ?? 0 };
+    return { state: this.latestState.get(id), done: this.reportedCompleted.get(id) ?? 0 };
   }
 
   /** Checks a response to a submission. `status`: the HTTP status. */
@@ -292,10 +292,10 @@
     const last = this.latestState.get(id);
     const known = got?.known ?? this.asOf(id);
     // Responses to overlapping requests may arrive in either order. Two different final states are a violation in any order.
-    const before = state === 'done' || state === 'aborted' ? last : known.told;
+    const before = state === 'done' || state === 'aborted' ? last : known.state;
     if (status === 404 && before) {
-      const told = before === 'accepted' ? 'accepted' : before;
-      this.recordContradiction('forgotten', `${id} at ${now}`, `${id} ${told}`, now, got);
+      const reported = before === 'accepted' ? 'accepted' : before;
+      this.recordContradiction('forgotten', `${id} at ${now}`, `${id} ${reported}`, now, got);
     }
     if (status === 200 && !this.specs.has(id)) this.recordViolation('invented', id);
     if (status !== 200) return;
