--- a/packages/simulation/src/world/rules.ts
+++ b/packages/simulation/src/world/rules.ts
@@ -99,7 +99,7 @@
   private readonly answeredAt = new Map<string, number>();
   /** When the last known fault ends, in microseconds. */
   quiescentAt = 0;
-  /** The longest time that a job went without an answered poll after `quiescentAt`, in microseconds. */
+  /** The longest time that a job went without an answered poll after `disruptedUntil`, in microseconds. */
   silence = 0;
   /** Number of task starts. */
   started = 0;
