--- a/packages/controller/src/api/submission.ts
+++ b/packages/controller/src/api/submission.ts
@@ -76,8 +76,8 @@
       const checked = yield* this.check(id, body);
       if (Either.isLeft(checked)) return checked.left;
       const { jobState, settings } = this.context;
-      const tie = bindToOccurrence(jobState.calendars.current, checked.right);
-      const value = encodeJob(newJob({ ...checked.right, cutoffBinding: tie }), 0);
+      const cutoffBinding = bindToOccurrence(jobState.calendars.current, checked.right);
+      const value = encodeJob(newJob({ ...checked.right, cutoffBinding }), 0);
       // Only `hostsKinds` can be too long: all other fields are short, or name an existing team or zone.
       if (Buffer.byteLength(JSON.stringify(value)) > settings.state.valueBytes)
         return json(400, { error: 'hostsKinds: too long' });
@@ -117,8 +117,8 @@
 
   /** The compare-and-swap that creates the job does not detect final states that a rebuild wrote in pages. */
   private isFinishedByRebuild(id: string): Effect.Effect<boolean, StateFailure> {
-    const { finalStates, finalStatePageSets: finalStateParts } = this.context.jobState;
-    if (finalStates.complete || finalStateParts.size === 0) return Effect.succeed(false);
+    const { finalStates, finalStatePageSets } = this.context.jobState;
+    if (finalStates.complete || finalStatePageSets.size === 0) return Effect.succeed(false);
     return Effect.map(this.lookup.rebuiltFinalState(id), (final) => final !== null);
   }
 
--- a/packages/controller/src/calendar/calendars.ts
+++ b/packages/controller/src/calendar/calendars.ts
@@ -33,13 +33,13 @@
   private latestDurations: ClassDurations = new Map();
 
   /** Applies a change of a key below `s/c/`. Throws on values that cannot be decoded. */
-  apply(key: string, value: unknown, stamp: number): void {
+  apply(key: string, value: unknown, revision: number): void {
     if (key === CALENDAR_HEAD) {
-      this.head = value === undefined ? null : { value: decodeHead(value), revision: stamp };
+      this.head = value === undefined ? null : { value: decodeHead(value), revision };
       this.adopt();
     } else if (key.startsWith(CALENDAR_PAGE)) {
       if (value === undefined) this.pages.delete(key);
-      else this.pages.set(key, { value, revision: stamp });
+      else this.pages.set(key, { value, revision });
       if (this.head?.value.pages.includes(key)) this.adopt();
     } else if (key.startsWith(OCCURRENCE)) {
       const id = key.slice(OCCURRENCE.length);
@@ -49,12 +49,11 @@
         return;
       }
       const counts = decodeOutcomeCounts(value);
-      this.outcomeCounts.set(id, { value: counts, revision: stamp });
+      this.outcomeCounts.set(id, { value: counts, revision });
       const before = this.latestOutcomeCounts.get(id);
       this.latestOutcomeCounts.set(id, before === undefined ? counts : mergeOutcomeCounts(before, counts));
     } else if (key === CLASS_DURATIONS) {
-      this.classDurations =
-        value === undefined ? null : { value: decodeClassDurations(value), revision: stamp };
+      this.classDurations = value === undefined ? null : { value: decodeClassDurations(value), revision };
       if (this.classDurations !== null) this.latestDurations = this.classDurations.value;
     }
   }
--- a/packages/controller/src/calendar/publish.ts
+++ b/packages/controller/src/calendar/publish.ts
@@ -131,12 +131,12 @@
     yield* clean(store, limits, base, stored, new Set(head.pages));
     const stamps: Condition[] = [];
     for (const page of pages) {
-      const stamp = yield* putPage(store, base, page);
-      if (stamp === null)
+      const revision = yield* putPage(store, base, page);
+      if (revision === null)
         return refuse(
           `page ${page.key} is already stored with other content, or the state service lost data`,
         );
-      stamps.push({ key: page.key, revision: stamp });
+      stamps.push({ key: page.key, revision });
     }
     const outcome = yield* store.transact(
       [...base, { key: CALENDAR_HEAD, revision: stored?.revision ?? 0 }, ...stamps],
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -239,7 +239,7 @@
    * The reason why this controller cannot serve requests; null if it can. If the state service serves no
    * controller, users gain nothing from trying another one.
    */
-  const unready = (): string | null => {
+  const unreadyReason = (): string | null => {
     if (!watcher.loaded || (lossDetector.incarnation === null && !lossDetector.suspected)) return 'starting';
     if (knownMachineTypes() === null) return 'machine types unknown';
     if (!isServed() && peers.anyServedByStore()) return 'state service refuses this node';
@@ -317,7 +317,7 @@
       dayTime: ports.dayTime,
     },
     admission,
-    unready,
+    unreadyReason,
   );
   const workerHandlers = workerListener({
     settings,
@@ -403,7 +403,7 @@
       ),
     ).pipe(Effect.zipRight(Effect.never)),
     leadership,
-    unreadyReason: unready,
+    unreadyReason,
     peers,
     lossDetector,
     jobState,
--- a/packages/controller/src/leadership/peers.ts
+++ b/packages/controller/src/leadership/peers.ts
@@ -169,8 +169,8 @@
 
   /** See `unchangedSince` in read-lease.ts. Without other controllers: the current time. */
   unchangedSince(incarnation: string, revision: number): number {
-    const { peers, controllerCount: nodes } = this.settings;
-    if (peers.length < nodes - 1) return Number.NEGATIVE_INFINITY;
+    const { peers, controllerCount } = this.settings;
+    if (peers.length < controllerCount - 1) return Number.NEGATIVE_INFINITY;
     const knowledge = peers.map((peer): PeerKnowledge | null => {
       const response = this.responses.get(peer.label);
       const store = response?.heartbeat.store;
--- a/packages/controller/src/leadership/read-lease.ts
+++ b/packages/controller/src/leadership/read-lease.ts
@@ -68,7 +68,7 @@
   readonly knownAsOf: number;
 }
 
-/** Maximum time since `AnswerBounds.knownAsOf` at which a response under a read lease may start tasks. */
+/** Maximum time since `ResponseBounds.knownAsOf` at which a response under a read lease may start tasks. */
 const MAX_VIEW_AGE_FOR_STARTS = seconds(3);
 
 /**
--- a/packages/controller/src/recovery/calendar-recovery.ts
+++ b/packages/controller/src/recovery/calendar-recovery.ts
@@ -30,15 +30,15 @@
  * samples. The merge is commutative and idempotent.
  */
 export const mergeCalendars = (a: RememberedCalendar, b: RememberedCalendar): RememberedCalendar => {
-  const tallies = new Map<string, OutcomeCounts>(a.outcomeCounts);
+  const outcomeCounts = new Map<string, OutcomeCounts>(a.outcomeCounts);
   for (const [id, counts] of b.outcomeCounts) {
-    const known = tallies.get(id);
-    tallies.set(id, known === undefined ? counts : mergeOutcomeCounts(known, counts));
+    const known = outcomeCounts.get(id);
+    outcomeCounts.set(id, known === undefined ? counts : mergeOutcomeCounts(known, counts));
   }
   const [older, newer] = (a.calendar?.version ?? 0) < (b.calendar?.version ?? 0) ? [a, b] : [b, a];
   return {
     calendar: newer.calendar ?? older.calendar,
-    outcomeCounts: tallies,
+    outcomeCounts,
     classDurations:
       sampleCount(b.classDurations) > sampleCount(a.classDurations) ? b.classDurations : a.classDurations,
   };
--- a/packages/controller/src/scheduler/draft.ts
+++ b/packages/controller/src/scheduler/draft.ts
@@ -235,14 +235,11 @@
   }
 
   /** Adds the exits of a job's tasks with their usage rows, if they fit. */
-  addExits({ job, done, gone, failed }: JobExits): void {
-    const rowBytes = this.usageRows.bytesToAdd(job, [...done, ...gone]);
-    if (
-      !this.add(job.spec.id, (present) => ({ ...present, completed: done, exited: gone, failed }), rowBytes)
-    )
-      return;
-    this.usageRows.add(job, done, 'done');
-    this.usageRows.add(job, gone, 'gone');
+  addExits({ job, done: completed, gone: exited, failed }: JobExits): void {
+    const rowBytes = this.usageRows.bytesToAdd(job, [...completed, ...exited]);
+    if (!this.add(job.spec.id, (present) => ({ ...present, completed, exited, failed }), rowBytes)) return;
+    this.usageRows.add(job, completed, 'done');
+    this.usageRows.add(job, exited, 'gone');
   }
 }
 
--- a/packages/controller/src/state-store/client.ts
+++ b/packages/controller/src/state-store/client.ts
@@ -1,7 +1,7 @@
 /**
  * Client of the state service, a consensus-backed key-value store: compare-and-swap transactions, paged reads, a watch and
  * leases. A request fails in one of two ways that callers must distinguish: after `Refused` it certainly has no effect;
- * after `NoAnswer` it may have taken effect, or may still do so later. The service's field names (`k`, `stamp`,
+ * after `NoResponse` it may have taken effect, or may still do so later. The service's field names (`k`, `stamp`,
  * `ledgerRev`, `tenancy`, ...) occur here only.
  */
 import { Data, Effect } from 'effect';
--- a/packages/controller/test/accounts.test.ts
+++ b/packages/controller/test/accounts.test.ts
@@ -245,7 +245,7 @@
 
 test('a waiting group is entitled to its weight or its guarantee, and the reason for its shortfall is reported', () => {
   const node = { id: 'm', type: 'c8', zone: 'a', spot: false, total: [8, 0, 32], images: new Set(), open: true } as const; // prettier-ignore
-  const nodes = ['a', 'b'].map((id) => ({
+  const machines = ['a', 'b'].map((id) => ({
     ...node,
     id,
     total: [8, 0, 32] as Resources,
@@ -259,7 +259,7 @@
     const teams = [{ name: 'red', guarantee: { cpus: 0, gpus: 0 }, limit: { cpus: limit, gpus: 0 } }];
     const unplaced = [{ job: mine, count: 4 }];
     return sharesOf(
-      { teams, weights: new Map(), machines: nodes, placedTasks: holders },
+      { teams, weights: new Map(), machines, placedTasks: holders },
       { unplaced, starts: [], free },
       recentPeak,
     );
--- a/packages/controller/test/data-loss-detector.test.ts
+++ b/packages/controller/test/data-loss-detector.test.ts
@@ -163,7 +163,7 @@
 
 test('the audit finds a key that vanished without a change, and no key that was written after the page was read', () => {
   const jobState = new JobState();
-  for (const [i, stamp] of [
+  for (const [i, revision] of [
     [1, 5],
     [2, 6],
     [3, 40],
@@ -171,7 +171,7 @@
     jobState.apply({
       key: activeJobKey(`job-${i}`),
       value: asStored(encodeJob(job(`job-${i}`), 0)),
-      revision: stamp,
+      revision,
     });
   jobState.apply({ key: logEntryKey(1), value: {}, revision: 7 });
   jobState.apply({
@@ -187,10 +187,10 @@
     [activeJobKey('job-1'), activeJobKey('job-2'), activeJobKey('job-3')],
     'a job that only a bundle lists has no key of its own',
   );
-  const entry = (i: number, stamp: number) => ({
+  const entry = (i: number, revision: number) => ({
     key: activeJobKey(`job-${i}`),
     value: null,
-    revision: stamp,
+    revision,
   });
   const page = (entries: ReturnType<typeof entry>[], more = false) => ({ entries, more, revision: 30 });
   assert.equal(
--- a/packages/controller/test/draft.test.ts
+++ b/packages/controller/test/draft.test.ts
@@ -54,13 +54,13 @@
 };
 /** Returns a start of all waiting tasks of the job, on random machines. */
 const startOf = (job: Job, random: RandomSource): Start => {
-  const on = new Map<string, number[]>();
+  const tasksByMachine = new Map<string, number[]>();
   for (let task = 0; task < job.spec.tasks; task++) {
     if (job.placed.has(task) || job.completed.has(task)) continue;
     const machine = `vm-${String(random.int(MACHINES)).padStart(6, '0')}`;
-    on.set(machine, [...(on.get(machine) ?? []), task]);
+    tasksByMachine.set(machine, [...(tasksByMachine.get(machine) ?? []), task]);
   }
-  return { job, attempt: job.attempt + 1, tasksByMachine: on };
+  return { job, attempt: job.attempt + 1, tasksByMachine };
 };
 const taskCount = (start: Start): number =>
   [...start.tasksByMachine.values()].reduce((sum, tasks) => sum + tasks.length, 0);
@@ -88,7 +88,7 @@
   const valueSizes = then.map((write) => JSON.stringify('set' in write ? write.value : '').length);
   for (const size of valueSizes)
     assert.ok(size <= valueBytes, `a value of ${size} bytes exceeds the limit of ${valueBytes}`);
-  const body = JSON.stringify({ when: when.map(({ key, revision: stamp }) => ({ k: key, stamp })), then });
+  const body = JSON.stringify({ when: when.map(({ key, revision }) => ({ k: key, stamp: revision })), then });
   assert.ok(
     body.length <= TRANSACTION_BYTES,
     `a transaction of ${body.length} bytes exceeds the limit of ${TRANSACTION_BYTES}`,
--- a/packages/controller/test/job-state.test.ts
+++ b/packages/controller/test/job-state.test.ts
@@ -17,15 +17,15 @@
   const started = job('job-1');
   started.attempt = 1;
   started.placed.set(0, { task: 0, attempt: 1, machine: 'm', since: 0 as Micros });
-  const completion = (stamp: number) => ({
+  const completion = (revision: number) => ({
     key: logEntryKey(1),
     value: stored(encodeLogEntry(new Map([['job-1', { completed: [0] }]]), NO_HEADER)),
-    revision: stamp,
+    revision,
   });
-  const cancellation = (stamp: number) => ({
+  const cancellation = (revision: number) => ({
     key: activeJobKey('job-1'),
     value: stored(encodeJob({ ...started, cancelled: true }, 0)),
-    revision: stamp,
+    revision,
   });
   for (const [first, expected] of [
     ['completion', 'done'],
@@ -54,7 +54,7 @@
     revision: 10 + sequence,
   });
   const damaged = (sequence: number, value: unknown) => ({ ...intact(sequence), value });
-  const incarnation = (stamp: number) => ({ key: `${INCARNATION}x`, value: { g: 0 }, revision: stamp });
+  const incarnation = (revision: number) => ({ key: `${INCARNATION}x`, value: { g: 0 }, revision });
   const missingKey = (...entries: { key: string; value: unknown; revision: number }[]): string | null => {
     const jobState = new JobState();
     jobState.load(entries, 50);
@@ -81,13 +81,13 @@
     assert.equal(updated.placementsByMachine.size, 0);
     const ids = Array.from({ length: 6 }, (_, i) => `job-${i}`);
     const runningTasks = new Map<string, Set<number>>(ids.map((id) => [id, new Set()]));
-    let stamp = 0;
+    let revision = 0;
     const apply = (key: string, value: unknown): void => {
       for (const jobState of [updated, rebuilt])
-        jobState.apply({ key, value: value && stored(value), revision: stamp });
+        jobState.apply({ key, value: value && stored(value), revision });
     };
     for (let step = 0; step < 120; step++) {
-      stamp++;
+      revision++;
       const id = ids[random.int(ids.length)]!;
       const known = updated.jobs.get(id);
       const tasks = runningTasks.get(id)!;
@@ -97,11 +97,11 @@
       } else if (random.chance(0.1)) apply(activeJobKey(id), encodeJob(known, updated.lastSequence));
       else if (random.chance(0.05)) apply(activeJobKey(id), undefined);
       else {
-        const gone = [...tasks].filter(() => random.chance(0.4));
+        const exited = [...tasks].filter(() => random.chance(0.4));
         const started = Array.from({ length: 8 }, (_, i) => i).filter(
           (i) => !tasks.has(i) && random.chance(0.3),
         );
-        for (const task of gone) tasks.delete(task);
+        for (const task of exited) tasks.delete(task);
         for (const task of started) tasks.add(task);
         const start = {
           attempt: step + 1,
@@ -109,7 +109,7 @@
         };
         apply(
           logEntryKey(updated.lastSequence + 1),
-          encodeLogEntry(new Map([[id, { exited: gone, start }]]), NO_HEADER),
+          encodeLogEntry(new Map([[id, { exited, start }]]), NO_HEADER),
         );
       }
       if (random.chance(0.1)) rebuilt.dropPlacementIndex();
--- a/packages/controller/test/late-answers.test.ts
+++ b/packages/controller/test/late-answers.test.ts
@@ -23,7 +23,7 @@
 const TERM = 5;
 
 /** Stores `job-1`, whose task 0 is placed on machine `m`, at revision `stamp`. */
-const setJob = (jobState: JobState, stamp: number, cancelled: boolean): void => {
+const setJob = (jobState: JobState, revision: number, cancelled: boolean): void => {
   const placedJob = job('job-1', { spot: false });
   placedJob.cancelled = cancelled;
   placedJob.attempt = 1;
@@ -31,7 +31,7 @@
   jobState.apply({
     key: activeJobKey('job-1'),
     value: JSON.parse(JSON.stringify(encodeJob(placedJob, 0))),
-    revision: stamp,
+    revision,
   });
 };
 /** The leader's registry: `job-1/0` is to be started on `m`. */
--- a/packages/controller/test/late-writes.test.ts
+++ b/packages/controller/test/late-writes.test.ts
@@ -244,10 +244,10 @@
     for (;;) {
       const controller = anyController();
       yield* Effect.ignore(controller.watcher.refresh);
-      const [term, stamp] = [controller.jobState.term + 1, controller.jobState.termRevision];
+      const [term, revision] = [controller.jobState.term + 1, controller.jobState.termRevision];
       const value = { term, a: controller.jobState.attemptBase + 256 };
       const result = yield* Effect.either(
-        controller.store.transact([{ key: TERM, revision: stamp }], [{ set: TERM, value }], 0 as never, 1200),
+        controller.store.transact([{ key: TERM, revision }], [{ set: TERM, value }], 0 as never, 1200),
       );
       if (result._tag === 'Left' || !result.right.ok) continue;
       while ((yield* Effect.isFailure(controller.watcher.refresh)) || controller.jobState.term < term)
--- a/packages/controller/test/lending.test.ts
+++ b/packages/controller/test/lending.test.ts
@@ -146,8 +146,8 @@
         { name: 'blue', guarantee: { cpus: 0, gpus: c.guarantees.blue }, limit: { cpus: 0, gpus: 0 } },
         { name: 'green', guarantee: { cpus: 0, gpus: 2 }, limit: { cpus: 0, gpus: 0 } },
       ];
-      const nodes = Array.from({ length: c.machines }, (_, i) => gpuNode(`m${i}`));
-      const free = nodes.flatMap((n) => [n.id, n.id, n.id, n.id]);
+      const machines = Array.from({ length: c.machines }, (_, i) => gpuNode(`m${i}`));
+      const free = machines.flatMap((n) => [n.id, n.id, n.id, n.id]);
       const placedTasks: PlacedTask[] = [];
       c.lenders.forEach((l, i) => {
         if (free.length < l.tasks) return;
@@ -161,7 +161,7 @@
       const queued = c.takers.map((s, i) =>
         queuedJob(service(`job-9${i}`, { team: s.team, tasks: s.tasks, cpus: 0 })),
       );
-      const result = schedule(cycleInput({ teams, machines: nodes, placedTasks, queued, lending: view() }));
+      const result = schedule(cycleInput({ teams, machines, placedTasks, queued, lending: view() }));
       const preempted = new Set(
         result.preemptions.map((p) => placedTasks.find((h) => h.job === p.job && h.task === p.task)!),
       );
@@ -227,8 +227,8 @@
 test('lending does not change a cycle in which no replica is missing', () => {
   fc.assert(
     fc.property(randomCluster, (c) => {
-      const nodes = Array.from({ length: c.machines }, (_, i) => gpuNode(`m${i}`));
-      const free = nodes.flatMap((n) => [n.id, n.id, n.id, n.id]);
+      const machines = Array.from({ length: c.machines }, (_, i) => gpuNode(`m${i}`));
+      const free = machines.flatMap((n) => [n.id, n.id, n.id, n.id]);
       const jobs = c.lenders.map((l, i) =>
         batch(`job-${i}`, {
           team: l.team,
@@ -247,7 +247,7 @@
             : Array.from({ length: j.spec.tasks }, (_, k) => placed(j, free.shift()!, k, at(5))),
         );
       const inputs = cycleInput({
-        machines: nodes,
+        machines,
         placedTasks,
         queued: jobs.slice(placedCount).map(queuedJob),
       });
@@ -264,8 +264,11 @@
   const warm = gpuNode('warm', { images: new Set([taker.spec.image]) });
   const busy = (id: string, from: number, loss: Micros): PlacedTask[] =>
     [0, 1, 2, 3].map((i) => placed(lender, id, from + i, loss));
-  const scheduleWith = (placedTasks: PlacedTask[], nodes: MachineView[], over: Partial<LendingView> = {}) =>
-    schedule(cycleInput({ machines: nodes, placedTasks, queued: [queuedJob(taker)], lending: view(over) }));
+  const scheduleWith = (
+    placedTasks: PlacedTask[],
+    machines: MachineView[],
+    over: Partial<LendingView> = {},
+  ) => schedule(cycleInput({ machines, placedTasks, queued: [queuedJob(taker)], lending: view(over) }));
   // With free resources on both machines, the one that holds the weights is taken.
   assert.deepEqual([...scheduleWith([], [cold, warm]).starts[0]!.tasksByMachine.keys()], ['warm']);
   // Serving 40 s sooner justifies the loss of 10 s of another job's work.
--- a/packages/controller/test/support/late-store.ts
+++ b/packages/controller/test/support/late-store.ts
@@ -306,14 +306,14 @@
     evidenceStore: { replicate } as never,
     types: () => TYPES,
   });
-  const leaderTerm = (term: number, stamp: number): CycleContext => {
+  const leaderTerm = (term: number, revision: number): CycleContext => {
     const isCurrentTerm = (): boolean => jobState.term <= term;
     return {
       ...{ settings: SETTINGS, watcher, jobState, lossDetector, clock: time.clock, dayTime: time.clock },
       store: new GuardedStore(service.port(index, term), lossDetector, time.clock),
       registry: new WorkerRegistry(SETTINGS, jobState, term, time.clock()),
       ledger: new Ledger(),
-      leaderTerm: { number: term, revision: stamp, began: time.clock() },
+      leaderTerm: { number: term, revision, began: time.clock() },
       mayAct: isCurrentTerm,
       isCurrentTerm,
       acknowledged: () => true,
--- a/packages/controller/test/support/machines.ts
+++ b/packages/controller/test/support/machines.ts
@@ -7,7 +7,7 @@
 import type { RandomSource } from './random-source.js';
 import { worldSettings } from './settings.js';
 
-const { heartbeatInterval: report, lease, gangWait, gangPeer } = worldSettings('n0').workers;
+const { heartbeatInterval, lease, gangWait, gangPeer } = worldSettings('n0').workers;
 const RESPONSE_TIMEOUT = seconds(4);
 
 /** A simulated clock that runs queued callbacks in the order of their times. */
@@ -90,7 +90,7 @@
     private readonly world: WorkerWorld,
   ) {
     this.leaseStart = world.time.now;
-    this.world.time.after(world.random.between(0, report), () => this.sendHeartbeat());
+    this.world.time.after(world.random.between(0, heartbeatInterval), () => this.sendHeartbeat());
     this.watchLease();
   }
 
@@ -278,7 +278,7 @@
           ? 1e6
           : this.fencingToken > previousToken
             ? 5e5
-            : report * random.between(0.75, 1.25);
+            : heartbeatInterval * random.between(0.75, 1.25);
       time.after(delay, () => this.sendHeartbeat());
     };
     time.after(RESPONSE_TIMEOUT, () => onResponse(null));
--- a/packages/simulation/src/sample-fleet.ts
+++ b/packages/simulation/src/sample-fleet.ts
@@ -107,7 +107,7 @@
   }
 
   /** Returns the input of a scheduling cycle on these machines. */
-  input(nodes: readonly MachineView[]): CycleInput {
+  input(machines: readonly MachineView[]): CycleInput {
     return {
       now: 1e9 as Micros,
       teams: this.teams.map((name) => ({
@@ -116,13 +116,13 @@
         limit: { cpus: 0, gpus: 0 },
       })),
       weights: new Map(),
-      machines: nodes,
+      machines,
       placedTasks: this.placedTasks,
       queued: this.queued,
       coLocatedDemand: [
         { urgency: 0, cpusPerGpu: 5, memPerGpu: 18, waiting: true, patience: 30e6 as Micros },
       ],
-      idleMachines: findIdleMachines(nodes, this.placedTasks, this.queued),
+      idleMachines: findIdleMachines(machines, this.placedTasks, this.queued),
       reservations: new Map(),
       avoid: () => null,
     };
--- a/packages/simulation/src/world/data-loss.ts
+++ b/packages/simulation/src/world/data-loss.ts
@@ -132,10 +132,10 @@
    * rules that depend on the controllers' memory do not count.
    */
   hasViolation(): boolean {
-    const { violations: broken } = this.options.rules;
+    const { violations } = this.options.rules;
     return this.unwitnessed === 0
-      ? broken.length > 0
-      : broken.some((what) => !KNOWLEDGE_DEPENDENT_RULES.test(what));
+      ? violations.length > 0
+      : violations.some((what) => !KNOWLEDGE_DEPENDENT_RULES.test(what));
   }
 
   /**
