--- a/packages/controller/src/api/admissibility.ts
+++ b/packages/controller/src/api/admissibility.ts
@@ -1,14 +1,14 @@
-/** Whether a job could ever run on this deployment. Pure. */
+/** Checks whether a job could ever run on this deployment. Pure functions. */
 import type { JobSpec } from '../jobs/model.js';
 import type { MachineType } from '../provisioning/model.js';
 import type { Settings } from '../settings/settings.js';
 
-/** Tolerance of sums of decimal fractions, in CPUs, GPUs or GB. */
+/** Tolerance for sums of decimal fractions, in CPUs, GPUs or GB. */
 const EPSILON = 1e-9;
 
 /**
- * Why a job can never run here; null if it can. Without the machine types (null) only what does not depend on them is
- * checked, and null then does not mean that the job can run.
+ * Returns the reason why a job can never run on this deployment, or null. If the machine types are not known
+ * (null), only the conditions that do not depend on them are checked.
  */
 export const rejectionReason = (
   spec: JobSpec,
@@ -18,8 +18,8 @@
   const team = settings.teams.find((candidate) => candidate.name === spec.team);
   if (!team) return 'unknown team';
   if (exceedsLimit(spec, team.limit)) return 'needs more than the limit of its team';
-  // All tasks of a gang run at once, and no zone may have more than half of them: accepted, it would wait for ever. An
-  // array or a service runs with those that may be there.
+  // All tasks of a gang run at the same time, and no zone may hold more than half of them; a gang that contradicts
+  // this would wait forever. Arrays and services run with as many tasks as can be placed.
   const mustSpread = spec.shape === 'gang' && spec.spread && spec.tasks > 1;
   if (mustSpread && (spec.oneZone || spec.zone !== null)) return 'a gang of one zone may not be in one zone';
   if (types === null) return null;
@@ -30,7 +30,7 @@
   return null;
 };
 
-/** Whether what must run at once is more than the team may have; a limit of 0 is none. */
+/** Whether the tasks that must run at the same time exceed the team's limit; a limit of 0 means no limit. */
 const exceedsLimit = (spec: JobSpec, limit: { readonly cpus: number; readonly gpus: number }): boolean => {
   const atOnce = spec.shape === 'array' ? 1 : spec.tasks;
   return (
@@ -45,7 +45,7 @@
   spec.gpus <= type.gpus + EPSILON &&
   spec.memGb <= type.memGb + EPSILON;
 
-/** Zones that offer a type on which a task fits: a type that no zone offers can't be rented. */
+/** Zones that offer a machine type on which a task fits. A type that no zone offers cannot be rented. */
 const zonesThatFit = (spec: JobSpec, types: readonly MachineType[]): ReadonlySet<string> =>
   new Set(
     types
--- a/packages/controller/src/api/api-context.ts
+++ b/packages/controller/src/api/api-context.ts
@@ -1,4 +1,6 @@
-/** What the users' handlers work on: the shared state, this controller's view of it, and how far both can be relied on. */
+/**
+ * Context of the user handlers: the shared state, this controller's view of it, and how far both can be relied on.
+ */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { JobState } from '../jobs/job-state.js';
 import type { StoreWatcher } from '../jobs/store-watcher.js';
@@ -8,24 +10,32 @@
 import type { Settings } from '../settings/settings.js';
 import type { StatePort } from '../state-store/port.js';
 
-/** Handed to every handler of the users' interface; nothing in it is changed by them but through its own methods. */
+/** Dependencies shared by all user handlers. Handlers change them only through their methods. */
 export interface ApiContext {
   readonly settings: Settings;
   readonly store: StatePort;
   readonly watcher: StoreWatcher;
   readonly jobState: JobState;
   readonly lossDetector: DataLossDetector;
-  /** Whether a job that this controller does not know may be new: not while a rebuild is still gathering what peers remember. */
+  /**
+   * Whether a job unknown to this controller may be new. This is false while a rebuild is still collecting the
+   * peers' views.
+   */
   readonly mayBeNew: (id: string) => boolean;
-  /** Replicates to the other controllers what a user is about to be told. */
+  /** Replicates committed changes to the other controllers before they are confirmed to users. */
   readonly evidenceStore: EvidenceStore;
-  /** What this controller has in memory is durable: not after a loss, until its view is part of the rebuilt store. */
+  /**
+   * Whether this controller's view is durable. After a data loss this is false until the view is part of the
+   * rebuilt store.
+   */
   readonly isDurable: () => boolean;
-  /** This controller leads: the completions it has recorded may be known to nobody else yet. */
+  /**
+   * Whether this controller leads. The other controllers may not have read the completions that it has committed.
+   */
   readonly isLeader: () => boolean;
-  /** This controller's view has been compared with a peer's since it was read. */
+  /** Whether this controller's view has been compared with a peer's since it was read. */
   readonly isVerified: () => boolean;
-  /** null: not known yet. */
+  /** The cloud's machine types; null if they are not known yet. */
   readonly types: () => readonly MachineType[] | null;
   readonly clock: () => Micros;
   /** Time of day. */
--- a/packages/controller/src/api/cancellation.ts
+++ b/packages/controller/src/api/cancellation.ts
@@ -1,4 +1,4 @@
-/** Cancellation of a job: confirmed once it is committed and read back. */
+/** Cancellation of a job. It is confirmed after it has been committed and read back. */
 import { type Answer, retryLater } from '@lilacvalve/runtime/http-server';
 import { Effect, Either, Random } from 'effect';
 import { encodeFinalState, encodeJob } from '../jobs/codec.js';
@@ -10,12 +10,12 @@
 import type { Confirmation } from './confirmation.js';
 import type { JobLookup, JobLookupResult } from './job-lookup.js';
 import { jobResponse, stateUnavailable } from './responses.js';
-import { adoption, COMMIT_TIMEOUT_MS, GIVE_UP_AFTER, isOverloaded, notOpen } from './write-policy.js';
+import { orphanRemoval, COMMIT_TIMEOUT_MS, RETRY_TIMEOUT, isOverloaded, notReady } from './write-policy.js';
 
-/** Between two tries, the shorter bound and what is drawn on top. */
-const RETRY_MS = { least: 60, spread: 80 };
+/** Delay between two attempts: a fixed part plus a random part of up to `jitter`. */
+const RETRY_DELAY_MS = { base: 60, jitter: 80 };
 
-/** A job that still can be cancelled. */
+/** The lookup result of a job that can still be cancelled. */
 type Cancellable = Extract<JobLookupResult, { readonly kind: 'active' | 'orphaned' }>;
 
 interface CompareAndSwap {
@@ -23,7 +23,7 @@
   readonly writes: Write[];
 }
 
-/** Answers cancellations: one compare-and-swap on the job's key, tried again until it is known to hold. */
+/** Handles cancellations by a compare-and-swap of the job's key, which is retried until its result is known. */
 export class CancellationHandler {
   constructor(
     private readonly context: ApiContext,
@@ -31,21 +31,22 @@
     private readonly confirmation: Confirmation,
   ) {}
 
-  /** Never fails: what goes wrong is an answer. */
+  /** Never fails: errors are turned into responses. */
   cancel(id: string): Effect.Effect<Answer> {
     return Effect.gen(this, function* () {
       const { clock, lossDetector } = this.context;
-      if (!this.lookup.isOpen()) return notOpen(lossDetector);
-      const began = clock();
+      if (!this.lookup.isReadable()) return notReady(lossDetector);
+      const startedAt = clock();
       for (;;) {
         const found = yield* this.lookup.find(id);
         if (!isCancellable(found)) return yield* this.confirmation.respondToChange(id, found);
         const result = yield* Effect.either(this.commit(id, found));
-        // A log entry may have completed the job in between: whichever was committed first holds (jobs/job-state.ts).
+        // A log entry may have completed the job in between. Whichever was committed first takes effect
+        // (jobs/job-state.ts).
         if (Either.isRight(result) && result.right.ok) return yield* this.confirm(id, result.right.revision);
-        if (clock() - began > GIVE_UP_AFTER) return retryLater('busy');
+        if (clock() - startedAt > RETRY_TIMEOUT) return retryLater('busy');
         if (Either.isLeft(result) && isOverloaded(result.left)) return yield* stateUnavailable(result.left);
-        yield* Effect.sleep(RETRY_MS.least + RETRY_MS.spread * (yield* Random.next));
+        yield* Effect.sleep(RETRY_DELAY_MS.base + RETRY_DELAY_MS.jitter * (yield* Random.next));
       }
     }).pipe(Effect.catchAll(stateUnavailable));
   }
@@ -63,11 +64,11 @@
           { key: activeJobKey(id), stamp: 0 },
           { key: finalStateKey(id), stamp: 0 },
         ],
-        writes: [{ set: finalStateKey(id), value: final }, ...adoption(this.context.jobState, id)],
+        writes: [{ set: finalStateKey(id), value: final }, ...orphanRemoval(this.context.jobState, id)],
       };
     }
     const { job } = found;
-    // What the key includes stays what it included: later log entries still apply on top.
+    // The value still includes the log entries up to `lastSequence`; later ones are applied on top of it.
     const value = encodeJob({ ...job, cancelled: true }, job.lastSequence);
     return {
       conditions: jobUnchanged(id, job.revision),
@@ -75,12 +76,13 @@
     };
   }
 
-  /** Answers a committed cancellation, `revision` being its own, from a view that has it. */
+  /** Responds to a cancellation committed at `revision`, from a view that includes it. */
   private confirm(id: string, revision: number): Effect.Effect<Answer, StateFailure> {
-    return Effect.flatMap(this.lookup.find(id), (now) => {
-      if (now.kind !== 'active' || !now.job.cancelled) return this.confirmation.respondToChange(id, now);
-      const stored = encodeJob(now.job, now.job.lastSequence);
-      return this.confirmation.replicateThenRespond(id, revision, { stored }, jobResponse(id, now));
+    return Effect.flatMap(this.lookup.find(id), (current) => {
+      if (current.kind !== 'active' || !current.job.cancelled)
+        return this.confirmation.respondToChange(id, current);
+      const stored = encodeJob(current.job, current.job.lastSequence);
+      return this.confirmation.replicateThenRespond(id, revision, { stored }, jobResponse(id, current));
     });
   }
 }
--- a/packages/controller/src/api/confirmation.ts
+++ b/packages/controller/src/api/confirmation.ts
@@ -1,6 +1,7 @@
 /**
- * Confirms to a user what was committed. Whatever a user is told must survive a loss of the newest data in the state
- * service, so what the other controllers may not have read yet is replicated to them before the answer goes out.
+ * Confirmation of committed changes to users. A confirmed change must survive a loss of the newest data in the
+ * state service, so a change that the other controllers may not have read yet is replicated to them before the
+ * response is sent.
  */
 import type { Answer } from '@lilacvalve/runtime/http-server';
 import { Effect } from 'effect';
@@ -11,11 +12,11 @@
 import type { JobLookupResult } from './job-lookup.js';
 import { jobResponse } from './responses.js';
 
-/** Turns what was found or committed into the answer that a user may get. */
+/** Builds the response to a user from what was found or committed. */
 export class Confirmation {
   constructor(private readonly context: ApiContext) {}
 
-  /** Replicates `value`, committed at `revision`, and answers then. */
+  /** Replicates `value`, committed at `revision`, and then returns the response. */
   replicateThenRespond(
     id: string,
     revision: number,
@@ -35,7 +36,10 @@
     return Effect.as(evidenceStore.replicate(evidence), response);
   }
 
-  /** Answers a question. A leader knows of a completion before the others do; whoever else knows of it has read it. */
+  /**
+   * Responds to a poll. Only the leader can know a completion that the other controllers have not read yet; any
+   * other controller has read it from the store.
+   */
   respond(id: string, found: JobLookupResult): Effect.Effect<Answer> {
     const { jobState, isLeader } = this.context;
     const completedAt = jobState.recentlyCompleted.get(id);
@@ -48,9 +52,10 @@
   }
 
   /**
-   * Answers a change with the job that was found in its place: perhaps one written by a change whose own answer was lost,
-   * of which nobody was told. Costs nothing once the others have read it. Only while no log entry mentions the job: a view
-   * that lost those must not go on from them.
+   * Responds to a submission or cancellation with the job as it was found. The job may have been written by an
+   * earlier attempt of the same change whose response was lost, so its value may not have been replicated yet;
+   * replication costs nothing if the other controllers have read it. The value is replicated only if no log entry
+   * mentions the job: a view that has lost such entries must not continue from it.
    */
   respondToChange(id: string, found: JobLookupResult): Effect.Effect<Answer> {
     if (found.kind !== 'active' || found.job.revision === 0 || found.job.lastSequence > 0)
@@ -60,7 +65,7 @@
   }
 }
 
-/** What the job has come to, null while it goes on. */
+/** The job's final state; null while the job is active. */
 const finalStateOf = (found: JobLookupResult): FinalState | null => {
   if (found.kind === 'final') return found.final;
   if (found.kind !== 'active' || found.job.cancelled || !isComplete(found.job)) return null;
--- a/packages/controller/src/api/handlers.ts
+++ b/packages/controller/src/api/handlers.ts
@@ -1,7 +1,7 @@
 /**
- * The users' interface, on every controller, directly against the state store. Accepted, cancelled and done are said only
- * after a committed compare-and-swap. Final states may come from memory; any other answer needs a view at least as new as
- * the request.
+ * The users' interface. Every controller serves it directly from the state store. A job is reported as accepted,
+ * cancelled or done only after a committed compare-and-swap. Final states may be served from memory; any other
+ * response requires a view at least as new as the request.
  */
 import type { Answer, Incoming } from '@lilacvalve/runtime/http-server';
 import { Effect } from 'effect';
@@ -11,16 +11,16 @@
 import { JobLookup } from './job-lookup.js';
 import { stateUnavailable } from './responses.js';
 import { SubmissionHandler } from './submission.js';
-import { notOpen } from './write-policy.js';
+import { notReady } from './write-policy.js';
 
-/** What users may ask; each answers every request and never fails. */
+/** The operations of users. Each responds to every request and never fails. */
 export interface UserHandlers {
   readonly submit: (request: Incoming) => Effect.Effect<Answer>;
   readonly poll: (id: string) => Effect.Effect<Answer>;
   readonly cancel: (id: string) => Effect.Effect<Answer>;
 }
 
-/** The handlers of one controller. */
+/** Creates the user handlers of one controller. */
 export const userHandlers = (context: ApiContext): UserHandlers => {
   const lookup = new JobLookup(context);
   const confirmation = new Confirmation(context);
@@ -28,12 +28,12 @@
   const cancellations = new CancellationHandler(context, lookup, confirmation);
 
   const poll = (id: string): Effect.Effect<Answer> =>
-    lookup.isOpen() || (context.jobState.finalStates.has(id) && context.isDurable())
+    lookup.isReadable() || (context.jobState.finalStates.has(id) && context.isDurable())
       ? lookup.find(id).pipe(
           Effect.flatMap((found) => confirmation.respond(id, found)),
           Effect.catchAll(stateUnavailable),
         )
-      : Effect.succeed(notOpen(context.lossDetector));
+      : Effect.succeed(notReady(context.lossDetector));
 
   return {
     submit: (request) => submissions.submit(request),
--- a/packages/controller/src/api/job-lookup.ts
+++ b/packages/controller/src/api/job-lookup.ts
@@ -1,4 +1,4 @@
-/** Finds a job as of now, for an answer to a user. */
+/** Looks up the current state of a job for a response to a user. */
 import { Effect } from 'effect';
 import { decodeFinalState, decodeFinalStates, type OrphanedJob } from '../jobs/codec.js';
 import { activeJobKey, FINAL_STATE_PAGES, finalStateKey, finalStatePageAfter } from '../jobs/keys.js';
@@ -6,31 +6,37 @@
 import { Refused, type StateFailure } from '../state-store/client.js';
 import type { ApiContext } from './api-context.js';
 
-/** A job as the store has it: over, active, named by workers only since a loss of data, or never accepted. */
+/**
+ * Result of a lookup: a finished job, an active job, a job known only from workers since a data loss, or an id
+ * that was never accepted.
+ */
 export type JobLookupResult =
   | { readonly kind: 'final'; readonly final: FinalState }
   | { readonly kind: 'active'; readonly job: Job }
   | { readonly kind: 'orphaned'; readonly orphan: OrphanedJob }
   | { readonly kind: 'unknown' };
 
-/** The job's state can't be told with certainty right now; the user comes back later. */
+/** The job's state cannot be determined with certainty now; the user should retry later. */
 export const UNCERTAIN = new Refused({ status: 503, reason: 'not certain of this job yet' });
 
-/** Looks jobs up in this controller's view, and in the store for what the view does not hold. */
+/** Looks up jobs in this controller's view, and in the store if the view does not hold them. */
 export class JobLookup {
   constructor(private readonly context: ApiContext) {}
 
-  /** The store's content can be believed, and it has been read. */
-  isOpen(): boolean {
+  /** Whether the store's content has been read and is not in doubt. */
+  isReadable(): boolean {
     const { watcher, lossDetector } = this.context;
     return watcher.loaded && !lossDetector.suspected && lossDetector.incarnation !== null;
   }
 
-  /** The job's state, from a view at least as new as this call unless the job is over. Fails with `UNCERTAIN` or as the store does. */
+  /**
+   * Returns the job's state, from a view at least as new as this call unless the job has finished. Fails with
+   * `UNCERTAIN` or with the store's failure.
+   */
   find(id: string): Effect.Effect<JobLookupResult, StateFailure> {
     return Effect.gen(this, function* () {
       const { jobState, watcher, isDurable, isVerified } = this.context;
-      // Told from memory alone, it would be lost with this controller.
+      // A final state held only in this controller's memory would be lost with the controller.
       const remembered = jobState.finalStates.get(id);
       if (remembered && isDurable()) return { kind: 'final', final: remembered };
       yield* watcher.refresh;
@@ -45,7 +51,7 @@
     });
   }
 
-  /** A final state that a rebuild wrote and this controller does not hold in memory. */
+  /** Looks up a final state that a rebuild wrote and this controller does not hold in memory. */
   rebuiltFinalState(id: string): Effect.Effect<FinalState | null, StateFailure> {
     return Effect.gen(this, function* () {
       const { jobState, store } = this.context;
@@ -59,7 +65,7 @@
     });
   }
 
-  /** A job that the view does not have: final states are not all in memory. */
+  /** Looks up a job that the view does not hold. Not all final states are in memory. */
   private findOutsideView(id: string): Effect.Effect<JobLookupResult, StateFailure> {
     return Effect.gen(this, function* () {
       const { jobState, store } = this.context;
@@ -71,15 +77,17 @@
       }
       const orphan = jobState.orphanedJobs.get(id);
       if (orphan) return { kind: 'orphaned', orphan };
-      // Never accepted, as far as the store says: that is said only once nobody could have other knowledge.
+      // The store does not contain the job. "Unknown" is returned only if no other controller can know more: after
+      // the recovery, and if the job's key was not found damaged.
       if (!jobState.recovered || jobState.damaged.has(activeJobKey(id))) return yield* Effect.fail(UNCERTAIN);
       return { kind: 'unknown' };
     });
   }
 
   /**
-   * The job is complete by a log entry of this controller's own, and what was committed just before that one is not read
-   * yet. A cancellation among it would have come first: called `done` here, the job would be `aborted` for everybody else.
+   * Whether the job is complete by a log entry committed by this controller while changes committed before that
+   * entry have not been read. A cancellation among them would take precedence: this controller would report `done`
+   * and all others `aborted`.
    */
   private hasUnreadBeforeCompletion(id: string): boolean {
     const { jobState, watcher } = this.context;
--- a/packages/controller/src/api/responses.ts
+++ b/packages/controller/src/api/responses.ts
@@ -1,4 +1,4 @@
-/** The bodies that users get; field names are the protocol's. */
+/** Response bodies for users, with the protocol's field names. */
 import { type Answer, json, retryLater } from '@lilacvalve/runtime/http-server';
 import { debug } from '@lilacvalve/runtime/log';
 import { Effect } from 'effect';
@@ -19,16 +19,16 @@
   const { id } = job.spec;
   const counts = { done: job.done.size, running: job.placed.size };
   if (job.cancelled) return json(200, { id, status: STATUS_WORDS.cancelled, ...counts });
-  // Its last completion stands in a committed log entry; moving it to its final key is only compaction.
+  // The last completion is in a committed log entry. Moving the job to its final key is only compaction.
   if (isComplete(job)) return finalResponse(id, { status: 'done', tasks: job.spec.tasks });
   const status = job.placed.size > 0 ? STATUS_WORDS.running : STATUS_WORDS.queued;
   return json(200, { id, status, ...counts });
 };
 
-/** A new job was accepted. */
+/** Response to the acceptance of a new job. */
 export const acceptedResponse = (id: string): Answer => json(201, { id, status: STATUS_WORDS.queued });
 
-/** The state of a job that was looked up. */
+/** Response with the state of a job that was looked up. */
 export const jobResponse = (id: string, found: JobLookupResult): Answer => {
   switch (found.kind) {
     case 'unknown':
@@ -42,7 +42,7 @@
   }
 };
 
-/** The state service did not serve this controller: the user is asked to come back. */
+/** Response when the state service did not serve this controller; the user should retry later. */
 export const stateUnavailable = (failure: StateFailure): Effect.Effect<Answer> =>
   debug('store unavailable', {
     reason: failure._tag === 'Refused' ? `${failure.status}` : failure.reason,
--- a/packages/controller/src/api/router.ts
+++ b/packages/controller/src/api/router.ts
@@ -1,23 +1,25 @@
-/** Paths and methods of the users' and workers' address; heartbeats are taken before they get here. */
+/**
+ * Routes requests to the address shared by users and workers. Heartbeats are handled before they reach the router.
+ */
 import { type Answer, type Incoming, json, retryLater } from '@lilacvalve/runtime/http-server';
 import { Effect } from 'effect';
 import { JOB_ID } from '../jobs/codec.js';
 import { countMetric } from '../metrics.js';
-import type { Work } from '../overload/model.js';
+import type { WorkClass } from '../overload/model.js';
 import { HEARTBEAT_PATH } from '../workers/codec.js';
 import type { UserHandlers } from './handlers.js';
 
 const READY_PATH = '/ready';
-/** Where new jobs are submitted. */
+/** Path for submissions. */
 export const SUBMIT_PATH = '/work';
-/** What a poll's path begins with; the job's id follows. */
+/** Path prefix of polls; the job's id follows. */
 export const POLL_PREFIX = '/work/';
 const JOB_PATH = /^\/work\/([^/]+)(\/withdraw)?$/;
 
-/** The kind of work that admission control counts a request as; null: it is answered whatever the load. */
-export const workOf = (request: Incoming): Work | null => {
+/** The class that admission control assigns to a request; null if it is served at any load. */
+export const workClassOf = (request: Incoming): WorkClass | null => {
   if (!request.path.startsWith(SUBMIT_PATH)) return null;
-  // A cancellation is a change like a submission, and stops work that is of no use to anybody.
+  // A cancellation writes like a submission, and stops tasks whose results are no longer needed.
   return request.method === 'POST' ? 'submission' : 'poll';
 };
 
@@ -32,7 +34,10 @@
   return reason === null ? json(200, { ready: true }) : retryLater(reason);
 };
 
-/** Answers requests by path. `unready`: why this controller can't take requests, null if it can. */
+/**
+ * Routes requests by path. `unready` returns the reason why this controller cannot serve requests, or null if it
+ * can.
+ */
 export const route =
   (users: UserHandlers, unready: () => string | null) =>
   (request: Incoming): Effect.Effect<Answer> => {
@@ -45,7 +50,7 @@
     return routeJob(users, method, path);
   };
 
-/** The paths below a job: its state, and its cancellation. */
+/** Routes the paths of a job: its state and its cancellation. */
 const routeJob = (users: UserHandlers, method: string, path: string): Effect.Effect<Answer> => {
   const match = JOB_PATH.exec(path);
   if (!match?.[1]) return Effect.succeed(json(404, { error: 'no such path' }));
--- a/packages/controller/src/api/submission.ts
+++ b/packages/controller/src/api/submission.ts
@@ -1,4 +1,7 @@
-/** Submission of a job: an idempotent request, which creates the job's key if neither it nor a final state is there. */
+/**
+ * Submission of a job. The request is idempotent: it creates the job's key if neither that key nor a final state
+ * exists.
+ */
 import { type Answer, type Incoming, json, retryLater } from '@lilacvalve/runtime/http-server';
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { Effect, Either, Random } from 'effect';
@@ -13,17 +16,17 @@
 import { Confirmation } from './confirmation.js';
 import { JobLookup, UNCERTAIN } from './job-lookup.js';
 import { acceptedResponse, stateUnavailable } from './responses.js';
-import { adoption, COMMIT_TIMEOUT_MS, GIVE_UP_AFTER, isOverloaded, notOpen } from './write-policy.js';
+import { orphanRemoval, COMMIT_TIMEOUT_MS, RETRY_TIMEOUT, isOverloaded, notReady } from './write-policy.js';
 
-/** Between two tries, the shorter bound and what is drawn on top. */
-const RETRY_MS = { least: 100, spread: 150 };
+/** Delay between two attempts: a fixed part plus a random part of up to `jitter`. */
+const RETRY_DELAY_MS = { base: 100, jitter: 150 };
 
 interface SubmissionBody {
   readonly id: string;
   readonly body: object;
 }
 
-/** The request's body with a usable id, or the answer to a body that has none. */
+/** Parses the body and its job id; returns an error response if that fails. */
 const parseBody = (request: Incoming): Either.Either<SubmissionBody, Answer> => {
   if (request.body === null) return Either.left(json(400, { error: 'body over 64 KiB' }));
   let body: unknown;
@@ -40,7 +43,7 @@
   return Either.right({ id, body });
 };
 
-/** A job as it is accepted: nothing has become of it yet. */
+/** The initial state of an accepted job. */
 const newJob = (spec: JobSpec): Job => ({
   spec,
   cancelled: false,
@@ -55,7 +58,7 @@
   lastSequence: 0,
 });
 
-/** Answers submissions. */
+/** Handles submissions. */
 export class SubmissionHandler {
   constructor(
     private readonly context: ApiContext,
@@ -63,48 +66,48 @@
     private readonly confirmation: Confirmation,
   ) {}
 
-  /** Never fails: what goes wrong is an answer. */
+  /** Never fails: errors are turned into responses. */
   submit(request: Incoming): Effect.Effect<Answer> {
     return Effect.gen(this, function* () {
       const parsed = parseBody(request);
       if (Either.isLeft(parsed)) return parsed.left;
       const { id, body } = parsed.right;
-      const began = this.context.clock();
+      const startedAt = this.context.clock();
       const checked = yield* this.check(id, body);
       if (Either.isLeft(checked)) return checked.left;
       const { jobState, settings } = this.context;
       const tie = tieOf(jobState.calendars.current, checked.right);
       const value = encodeJob(newJob({ ...checked.right, tie }), 0);
-      // All other fields are short, or name a team or a zone that exists.
+      // Only this field can be too long: all others are short, or name an existing team or zone.
       if (Buffer.byteLength(JSON.stringify(value)) > settings.state.valueBytes)
         return json(400, { error: 'hostsKinds: too long' });
-      return yield* this.create(id, value, began);
+      return yield* this.create(id, value, startedAt);
     }).pipe(Effect.catchAll(stateUnavailable));
   }
 
-  /** The specification of a job that is to be created, or the answer where none is. */
+  /** Returns the specification of the job to create, or the response if none is to be created. */
   private check(id: string, body: object): Effect.Effect<Either.Either<JobSpec, Answer>, StateFailure> {
     return Effect.gen(this, function* () {
       const { jobState, settings, lossDetector } = this.context;
-      if (!this.lookup.isOpen()) return Either.left(notOpen(lossDetector));
-      // A job that is known gets its state, whatever its body says now.
+      if (!this.lookup.isReadable()) return Either.left(notReady(lossDetector));
+      // A known job gets its state as the response, whatever the request's body contains.
       if (jobState.finalStates.has(id) || jobState.jobs.has(id))
         return Either.left(yield* this.respondAsKnown(id));
-      const read = readSubmission(body, this.context.dayTime());
+      const decoded = readSubmission(body, this.context.dayTime());
       const types = this.context.types();
-      const rejection = Either.isLeft(read) ? null : rejectionReason(read.right, settings, types);
-      if (Either.isLeft(read) || rejection !== null) {
+      const rejection = Either.isLeft(decoded) ? null : rejectionReason(decoded.right, settings, types);
+      if (Either.isLeft(decoded) || rejection !== null) {
         const found = yield* this.lookup.find(id);
         if (found.kind !== 'unknown') return Either.left(yield* this.confirmation.respondToChange(id, found));
         return Either.left(
-          Either.isLeft(read) ? json(400, { error: read.left }) : json(422, { error: rejection }),
+          Either.isLeft(decoded) ? json(400, { error: decoded.left }) : json(422, { error: rejection }),
         );
       }
       if (types === null) return Either.left(retryLater('machine types unknown'));
       if (!this.context.mayBeNew(id) || jobState.damaged.has(activeJobKey(id)))
         return Either.left(retryLater(UNCERTAIN.reason));
-      if (yield* this.isOverByRebuild(id)) return Either.left(yield* this.respondAsKnown(id));
-      return Either.right(read.right);
+      if (yield* this.isFinishedByRebuild(id)) return Either.left(yield* this.respondAsKnown(id));
+      return Either.right(decoded.right);
     });
   }
 
@@ -112,15 +115,15 @@
     return Effect.flatMap(this.lookup.find(id), (found) => this.confirmation.respondToChange(id, found));
   }
 
-  /** The compare-and-swap that creates the job does not see final states that a rebuild wrote in pages. */
-  private isOverByRebuild(id: string): Effect.Effect<boolean, StateFailure> {
+  /** The compare-and-swap that creates the job does not detect final states that a rebuild wrote in pages. */
+  private isFinishedByRebuild(id: string): Effect.Effect<boolean, StateFailure> {
     const { finalStates, finalStateParts } = this.context.jobState;
     if (finalStates.complete || finalStateParts.size === 0) return Effect.succeed(false);
     return Effect.map(this.lookup.rebuiltFinalState(id), (final) => final !== null);
   }
 
-  /** Tries until it is committed, found to be there already, or out of time. */
-  private create(id: string, value: unknown, began: Micros): Effect.Effect<Answer, StateFailure> {
+  /** Retries until the job is committed, found to exist, or the time is up. */
+  private create(id: string, value: unknown, startedAt: Micros): Effect.Effect<Answer, StateFailure> {
     return Effect.gen(this, function* () {
       const { store, jobState, clock } = this.context;
       for (;;) {
@@ -130,7 +133,7 @@
               { key: activeJobKey(id), stamp: 0 },
               { key: finalStateKey(id), stamp: 0 },
             ],
-            [{ set: activeJobKey(id), value }, ...adoption(jobState, id)],
+            [{ set: activeJobKey(id), value }, ...orphanRemoval(jobState, id)],
             Priority.Commit,
             COMMIT_TIMEOUT_MS,
           ),
@@ -145,10 +148,10 @@
             acceptedResponse(id),
           );
         }
-        // Refused or unanswered: the conditions make another try safe either way.
-        if (clock() - began > GIVE_UP_AFTER || isOverloaded(result.left))
+        // The request was refused or got no response. The conditions make a retry safe in both cases.
+        if (clock() - startedAt > RETRY_TIMEOUT || isOverloaded(result.left))
           return yield* stateUnavailable(result.left);
-        yield* Effect.sleep(RETRY_MS.least + RETRY_MS.spread * (yield* Random.next));
+        yield* Effect.sleep(RETRY_DELAY_MS.base + RETRY_DELAY_MS.jitter * (yield* Random.next));
       }
     });
   }
--- a/packages/controller/src/api/write-policy.ts
+++ b/packages/controller/src/api/write-policy.ts
@@ -1,4 +1,4 @@
-/** What users' changes have in common: how long they are tried, and what goes with them. */
+/** Common rules for users' changes: how long they are retried, and which writes accompany them. */
 import { type Answer, retryLater } from '@lilacvalve/runtime/http-server';
 import { seconds } from '@lilacvalve/runtime/micros';
 import { orphanedJobKey } from '../jobs/keys.js';
@@ -7,19 +7,22 @@
 import type { StateFailure, Write } from '../state-store/client.js';
 import { UNCERTAIN } from './job-lookup.js';
 
-/** Users wait 5 s for a change; past this they are told when to come back. */
-export const GIVE_UP_AFTER = seconds(2.5);
-/** For one transaction. */
+/**
+ * Time after which a change is not retried. Users wait 5 s for a response, so this leaves time for one with
+ * `Retry-After`.
+ */
+export const RETRY_TIMEOUT = seconds(2.5);
+/** Timeout of one transaction, in milliseconds. */
 export const COMMIT_TIMEOUT_MS = 1200;
 
-/** The state service refuses work: another try would only add to it. */
+/** Whether the state service refused the request because of overload. A retry would add to the load. */
 export const isOverloaded = (failure: StateFailure): boolean =>
   failure._tag === 'Refused' && failure.status === 503;
 
-/** Why no change is taken while the store is not read, or can't be believed. */
-export const notOpen = (lossDetector: Pick<DataLossDetector, 'suspected'>): Answer =>
+/** Response to a change while the store has not been read or a data loss is suspected. */
+export const notReady = (lossDetector: Pick<DataLossDetector, 'suspected'>): Answer =>
   retryLater(lossDetector.suspected ? UNCERTAIN.reason : 'starting');
 
-/** What workers already run of a job that was orphaned becomes the submitted job's. */
-export const adoption = (jobState: JobState, id: string): Write[] =>
+/** Deletes the key of an orphaned job, whose running tasks then belong to the submitted or cancelled job. */
+export const orphanRemoval = (jobState: JobState, id: string): Write[] =>
   jobState.orphanedJobs.has(id) ? [{ delete: orphanedJobKey(id) }] : [];
--- a/packages/controller/src/health-check.ts
+++ b/packages/controller/src/health-check.ts
@@ -1,4 +1,7 @@
-/** What a node does whether it leads or not, to know how it stands: its pulse, its counts, its tie to the state service. */
+/**
+ * Health checks that every controller runs, whether it leads or not: event-loop lag, memory, metrics and the
+ * connection to the state service.
+ */
 import { supervise } from '@lilacvalve/runtime/supervise';
 import { debug, info } from '@lilacvalve/runtime/log';
 import { type Micros, millis, toMillis } from '@lilacvalve/runtime/micros';
@@ -8,16 +11,18 @@
 import type { Admission } from './overload/admission.js';
 import { MEMORY_LIMITS } from './overload/memory.js';
 import type { StatePort } from './state-store/port.js';
-import { listenToAnomalies, takeMetrics } from './metrics.js';
+import { setAnomalyListener, takeMetrics } from './metrics.js';
 
-const CHECK_EVERY = millis(500);
-const QUICK_CHECK_EVERY = millis(100);
-const LATE = millis(300);
-/** A pulse so much too late is worth a line in the log. */
-const STILL_MS = 1500;
-const LOAD_EVERY_MS = 10_000;
+/** Interval between two checks. */
+const CHECK_INTERVAL = millis(500);
+/** Interval after a check that found a lag above `RECHECK_LAG`. */
+const LAG_RECHECK_INTERVAL = millis(100);
+const RECHECK_LAG = millis(300);
+/** Event-loop lag from which a log line is written. */
+const STALL_LOG_MS = 1500;
+const LOAD_INTERVAL_MS = 10_000;
 
-/** Whether the state service serves this node, as far as its own requests tell. */
+/** Whether the state service serves this controller, judged by the results of the controller's own requests. */
 export const isServedBy =
   (store: Pick<StatePort, 'lastServed' | 'lastRefused'>, clock: () => Micros) => (): boolean => {
     const at = clock();
@@ -25,7 +30,10 @@
     return store.lastServed >= store.lastRefused || at - store.lastServed < 1e6;
   };
 
-/** Keeps that true to the moment, also when no user asks for anything. */
+/**
+ * Sends a request to the state service when no other has been served for a second, so that `isServedBy` is up to
+ * date even without users' requests.
+ */
 export const storeProbe = (
   store: Pick<StatePort, 'lastServed'>,
   watcher: StoreWatcher,
@@ -38,60 +46,65 @@
     ).pipe(Effect.zipRight(tick(500)), Effect.forever),
   );
 
-/** Operators should see in the log that a node nears its memory's limit and takes no more jobs, and when that is over. */
+/** Logs when the controller approaches its memory limit and refuses new jobs, and when it accepts them again. */
 export const memoryCheck = (admission: Admission) => {
-  let short = false;
+  let memoryShort = false;
   return supervise(
     'memory',
     Effect.suspend(() => {
-      const part = admission.lookAtMemory();
-      const now = part >= MEMORY_LIMITS.submissions;
-      const said =
-        now === short
+      const usageRatio = admission.sampleMemory();
+      const isShort = usageRatio >= MEMORY_LIMITS.submissions;
+      const logged =
+        isShort === memoryShort
           ? Effect.void
-          : info(now ? 'memory short' : 'memory suffices', { part: part.toFixed(2) });
-      short = now;
-      return said;
-    }).pipe(Effect.zipRight(tick(toMillis(CHECK_EVERY))), Effect.forever),
+          : info(isShort ? 'memory short' : 'memory suffices', { part: usageRatio.toFixed(2) });
+      memoryShort = isShort;
+      return logged;
+    }).pipe(Effect.zipRight(tick(toMillis(CHECK_INTERVAL))), Effect.forever),
   );
 };
 
-/** Operators should see in the log that this node stood still: its clocks ran on, and its right may be gone. */
-export const eventLoopCheck = (admission: Admission, leads: () => boolean) =>
+/**
+ * Logs stalls of the event loop. During a stall the controller's clocks advance, so its leader lease may have
+ * expired.
+ */
+export const eventLoopCheck = (admission: Admission, isLeader: () => boolean) =>
   supervise(
     'event-loop-check',
     Effect.suspend(() => {
-      // One that was late is looked at again soon: the node may have caught up at once.
-      const beat = admission.lag() > LATE ? QUICK_CHECK_EVERY : CHECK_EVERY;
+      // After a lag, the next check follows sooner, because the controller may have recovered immediately.
+      const interval = admission.lag() > RECHECK_LAG ? LAG_RECHECK_INTERVAL : CHECK_INTERVAL;
       return Effect.flatMap(Clock.currentTimeMillis, (at) => {
-        const ms = untilTick(at, toMillis(beat));
-        admission.sleeps(millis(ms));
+        const ms = untilTick(at, toMillis(interval));
+        admission.timerArmed(millis(ms));
         return Effect.sleep(ms);
       }).pipe(
         Effect.zipRight(
           Effect.suspend(() => {
-            const gap = toMillis(admission.woke());
-            return gap < STILL_MS ? Effect.void : info('event loop stalled', { ms: gap, leads: leads() });
+            const lagMs = toMillis(admission.timerFired());
+            return lagMs < STALL_LOG_MS
+              ? Effect.void
+              : info('event loop stalled', { ms: lagMs, leads: isLeader() });
           }),
         ),
       );
     }).pipe(Effect.forever),
   );
 
-/** One line for each odd message, where the log's level asks for it. */
-const oddLines = Effect.gen(function* () {
+/** Logs each malformed or unexpected message, if the log level is debug. */
+const logAnomalies = Effect.gen(function* () {
   if (LogLevel.greaterThan(yield* FiberRef.get(FiberRef.currentMinimumLogLevel), LogLevel.Debug)) return;
   const runtime = yield* Effect.runtime();
-  listenToAnomalies((event, fields) => void Runtime.runFork(runtime)(debug(event, fields)));
+  setAnomalyListener((event, fields) => void Runtime.runFork(runtime)(debug(event, fields)));
 });
 
-/** What this node did, whether it leads or not. */
-export const loadReport = (leads: () => boolean) =>
+/** Periodically logs the controller's metrics. */
+export const loadReport = (isLeader: () => boolean) =>
   supervise(
     'load',
-    oddLines.pipe(
-      Effect.zipRight(Effect.sleep(LOAD_EVERY_MS)),
-      Effect.zipRight(Effect.suspend(() => info('load', { leads: leads(), ...takeMetrics() }))),
+    logAnomalies.pipe(
+      Effect.zipRight(Effect.sleep(LOAD_INTERVAL_MS)),
+      Effect.zipRight(Effect.suspend(() => info('load', { leads: isLeader(), ...takeMetrics() }))),
       Effect.forever,
     ),
   );
--- a/packages/controller/src/listeners.ts
+++ b/packages/controller/src/listeners.ts
@@ -1,10 +1,10 @@
-/** The three addresses that a controller answers: users, workers, and the other controllers. */
+/** Request handlers of a controller's listeners: for users and workers, and for the other controllers. */
 import { type Answer, type Incoming, json, type Quick, retryLater } from '@lilacvalve/runtime/http-server';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { Effect } from 'effect';
 import type { ApiContext } from './api/api-context.js';
 import { userHandlers } from './api/handlers.js';
-import { POLL_PREFIX, route, SUBMIT_PATH, workOf } from './api/router.js';
+import { POLL_PREFIX, route, SUBMIT_PATH, workClassOf } from './api/router.js';
 import type { Contacts } from './leadership/contacts.js';
 import type { Leadership } from './leadership/leadership.js';
 import { respondToHeartbeat, type Peers } from './leadership/peers.js';
@@ -17,28 +17,31 @@
 import { HeartbeatRouting } from './workers/heartbeat-routing.js';
 import { HeartbeatRelay, relayHandler, type RelayPort } from './workers/heartbeat-relay.js';
 
-/** No leader is known, or it does not answer: the worker tries the next node. */
-const leaderless = retryLater('no leader');
-/** In its first seconds a leader answers all who come: being sent on would cost them time twice. */
-const NEW_LEADER = seconds(10);
+/** No leader is known or reachable: the worker tries the next controller. */
+const noLeaderResponse = retryLater('no leader');
+/**
+ * Duration at the start of a term in which the leader redirects no workers: a redirect would cost them time twice.
+ */
+const NO_REDIRECT_AFTER_TERM_START = seconds(10);
 
-/** Users: work is taken on as far as the node keeps up with it. */
+/** Handles users' requests, as far as admission control admits them. */
 export const userListener = (context: ApiContext, admission: Admission, unready: () => string | null) => {
-  const answer = route(userHandlers(context), unready);
-  return (r: Incoming): Effect.Effect<Answer> => {
-    const work = workOf(r);
-    if (work === null) return answer(r);
-    const job = work === 'poll' ? r.path.slice(POLL_PREFIX.length) : null;
-    const refusal = admission.enter(work, job, r.path === SUBMIT_PATH);
+  const respond = route(userHandlers(context), unready);
+  return (request: Incoming): Effect.Effect<Answer> => {
+    const workClass = workClassOf(request);
+    if (workClass === null) return respond(request);
+    const job = workClass === 'poll' ? request.path.slice(POLL_PREFIX.length) : null;
+    const refusal = admission.enter(workClass, job, request.path === SUBMIT_PATH);
     if (refusal !== null) return Effect.succeed(refusal);
     return Effect.ensuring(
-      answer(r),
-      Effect.sync(() => admission.leave(work)),
+      respond(request),
+      Effect.sync(() => admission.leave(workClass)),
     );
   };
 };
 
-export interface WorkerListenerParts {
+/** Dependencies of the workers' listener. */
+export interface WorkerListenerDependencies {
   readonly settings: Settings;
   readonly leadership: Leadership;
   readonly sessions: LeaderSessions;
@@ -50,80 +53,92 @@
   readonly clock: () => Micros;
 }
 
-/** Workers: reports are answered here, passed to the leader, or sent to a better node. */
+/**
+ * Handles workers' heartbeats: responds, forwards them to the leader, or redirects the worker to another
+ * controller.
+ */
 export const workerListener = (
-  p: WorkerListenerParts,
+  dependencies: WorkerListenerDependencies,
 ): { readonly quick: Quick; readonly run: Effect.Effect<never> } => {
-  const { settings, peers, leadership, admission, clock } = p;
-  const places = new HeartbeatRouting(
+  const { settings, peers, leadership, admission, clock } = dependencies;
+  const routing = new HeartbeatRouting(
     settings.label,
-    [settings.label, ...settings.peers.map((x) => x.label)].sort(),
+    [settings.label, ...settings.peers.map((peer) => peer.label)].sort(),
   );
-  const leader = (): Peer | null => {
+  const reachableLeader = (): Peer | null => {
     const label = leadership.knownLeader();
-    const peer = settings.peers.find((x) => x.label === label);
+    const peer = settings.peers.find((candidate) => candidate.label === label);
     return peer !== undefined && peers.isReachable(peer.label) ? peer : null;
   };
-  const relay = new HeartbeatRelay(p.relay, leader, (label) => peers.recordResponse(label), clock);
-  const reports = heartbeatHandler(
-    p.receive,
-    () => p.sessions.heartbeatService !== null && leadership.answeringTerm() !== null,
-    (report, reply) => (leader() === null ? reply(leaderless) : relay.forward(report, reply)),
+  const relay = new HeartbeatRelay(
+    dependencies.relay,
+    reachableLeader,
+    (label) => peers.recordResponse(label),
+    clock,
+  );
+  const handleHeartbeat = heartbeatHandler(
+    dependencies.receive,
+    () => dependencies.sessions.heartbeatService !== null && leadership.answeringTerm() !== null,
+    (heartbeat, reply) =>
+      reachableLeader() === null ? reply(noLeaderResponse) : relay.forward(heartbeat, reply),
     (machine) => {
       const leaderTerm = leadership.currentTerm();
       const at = clock();
-      if (leaderTerm !== null && at - leaderTerm.began < NEW_LEADER) return null;
-      const leads = leaderTerm !== null ? settings.label : (leader()?.label ?? null);
-      return places.redirect(machine, leads, (n) => peers.isReachable(n), at);
+      if (leaderTerm !== null && at - leaderTerm.began < NO_REDIRECT_AFTER_TERM_START) return null;
+      const leaderLabel = leaderTerm !== null ? settings.label : (reachableLeader()?.label ?? null);
+      return routing.redirect(machine, leaderLabel, (label) => peers.isReachable(label), at);
     },
-    (machine) => p.contacts.recordContact(machine, clock()),
+    (machine) => dependencies.contacts.recordContact(machine, clock()),
     new HeartbeatReader(),
   );
-  const quick: Quick = (r, reply) => {
-    if (r.path !== HEARTBEAT_PATH || r.method !== 'POST') return false;
+  const quick: Quick = (request, reply) => {
+    if (request.path !== HEARTBEAT_PATH || request.method !== 'POST') return false;
     const refusal = admission.enter('report');
     if (refusal !== null) {
       reply(refusal);
       return true;
     }
-    let inside = true;
+    let admitted = true;
     const leave = (): void => {
-      if (inside) admission.leave('report');
-      inside = false;
+      if (admitted) admission.leave('report');
+      admitted = false;
     };
     try {
-      return reports(r, (a) => {
+      return handleHeartbeat(request, (response) => {
         leave();
-        reply(a);
+        reply(response);
       });
-    } catch (e) {
+    } catch (error) {
       leave();
-      throw e;
+      throw error;
     }
   };
   return { quick, run: relay.run };
 };
 
-/** Other controllers: beats, reports that they pass on, and what a rebuild asks. */
+/**
+ * Handles requests of other controllers: peer heartbeats, relayed workers' heartbeats, and the requests of a
+ * rebuild.
+ */
 export const peerListener = (
   peers: Peers,
   receive: ReceiveHeartbeats,
-  views: (r: Incoming) => Answer | null,
+  views: (request: Incoming) => Answer | null,
 ) => {
-  const relayed = relayHandler(receive, new HeartbeatReader());
-  const answer = (r: Incoming): Answer => {
-    if (r.method !== 'POST') return json(405, {}, { Allow: 'POST' });
-    if (r.path !== '/beat') return views(r) ?? json(404, {});
+  const handleRelayed = relayHandler(receive, new HeartbeatReader());
+  const respond = (request: Incoming): Answer => {
+    if (request.method !== 'POST') return json(405, {}, { Allow: 'POST' });
+    if (request.path !== '/beat') return views(request) ?? json(404, {});
     countMetric('beats');
-    return respondToHeartbeat(peers, r.body);
+    return respondToHeartbeat(peers, request.body);
   };
   return {
-    quick: ((r, reply) => {
-      if (r.method === 'POST' && r.path === '/relay') return relayed(r, reply);
-      if (r.path !== '/beat') return false;
-      reply(answer(r));
+    quick: ((request, reply) => {
+      if (request.method === 'POST' && request.path === '/relay') return handleRelayed(request, reply);
+      if (request.path !== '/beat') return false;
+      reply(respond(request));
       return true;
     }) as Quick,
-    handle: (r: Incoming): Effect.Effect<Answer> => Effect.sync(() => answer(r)),
+    handle: (request: Incoming): Effect.Effect<Answer> => Effect.sync(() => respond(request)),
   };
 };
--- a/packages/controller/src/main.ts
+++ b/packages/controller/src/main.ts
@@ -1,4 +1,4 @@
-/** The controller's entry: flags, checked settings, wiring, orderly stop. */
+/** Entry point of the controller: command line, settings, wiring and orderly shutdown. */
 import { Command, InvalidArgumentError } from 'commander';
 import { Effect, Either, Fiber } from 'effect';
 import { DiskFiles } from '@lilacvalve/snapshot/files';
@@ -10,7 +10,7 @@
 import { CloudClient } from './provisioning/cloud.js';
 import { Links } from './links.js';
 import { makeNode } from './node.js';
-import { heapFigures, memoryPart } from './overload/memory.js';
+import { heapStatistics, memoryUsageRatio } from './overload/memory.js';
 import { readSettings, type Settings } from './settings/settings.js';
 import { StateStore } from './state-store/client.js';
 import { WorkerClient } from './workers/worker-client.js';
@@ -30,13 +30,15 @@
         relay: links,
         clock: now,
         dayTime: () => micros(Date.now() * 1000),
-        memory: () => memoryPart(heapFigures(), settings.limits.memoryMb),
+        memory: () => memoryUsageRatio(heapStatistics(), settings.limits.memoryMb),
         snapshots: snapshots === undefined ? null : new DiskFiles(snapshots),
         ...(balance === undefined ? {} : { balance: seconds(balance) }),
       });
-      const max = settings.limits.maxConnections;
-      yield* serve(parseAddress(settings.listen), Math.floor(max * 0.8), node.handle, { quick: node.quick });
-      const peerSockets = Math.max(16, Math.floor(max * 0.05));
+      const maxConnections = settings.limits.maxConnections;
+      yield* serve(parseAddress(settings.listen), Math.floor(maxConnections * 0.8), node.handle, {
+        quick: node.quick,
+      });
+      const peerSockets = Math.max(16, Math.floor(maxConnections * 0.05));
       yield* serveLinks(parseAddress(settings.peerListen), peerSockets, node.handlePeer, node.quickPeer);
       yield* info('listening', { node: settings.label, listen: settings.listen, version });
       yield* Effect.addFinalizer(() => node.leadership.release);
@@ -46,17 +48,17 @@
 
 const cli = new Command()
   .name('lilacvalve')
-  .description('Controller node of the lilacvalve cluster scheduler')
+  .description('Controller of the lilacvalve cluster scheduler')
   .version(version)
   .requiredOption('--config <file>', "the platform's settings file (TOML)")
-  .option('--snapshots <dir>', 'keep snapshots of the state service there, and rebuild from them')
+  .option('--snapshots <dir>', 'keep snapshots of the state service in this directory, and rebuild from them')
   .option(
     '--balance <seconds>',
-    'lean on the order between teams by what they were owed, halved every so many seconds',
+    'prefer teams by the fair share owed to them, with this half-life of the owed amount',
     (text) => {
-      const n = Number(text);
-      if (!Number.isFinite(n) || n < 60) throw new InvalidArgumentError('at least 60 seconds');
-      return n;
+      const halfLife = Number(text);
+      if (!Number.isFinite(halfLife) || halfLife < 60) throw new InvalidArgumentError(`expected at least 60 seconds, got ${JSON.stringify(text)}`);
+      return halfLife;
     },
   )
   .option('--check', 'only check the settings file, then exit')
--- a/packages/controller/src/metrics.ts
+++ b/packages/controller/src/metrics.ts
@@ -1,9 +1,10 @@
 /**
- * Counts of what a node did, by kind of message, since last asked: where its processor time goes is a question of
- * how many of each. One counter a kind, so that counting costs next to nothing.
+ * Counts a controller's messages by kind. The counts show what its processor time is spent on. There is one
+ * counter per kind, so that counting costs next to nothing.
  */
 import type { Fields } from '@lilacvalve/runtime/log';
 
+/** Name of a counter, as it appears in the log line `load`. */
 export type MetricName =
   | 'reports'
   | 'relayed'
@@ -17,37 +18,39 @@
   | 'changes'
   | 'orders'
   | 'turns'
-  /** Reports and batches that can't be read, or contradict themselves. */
+  /** Heartbeats and batches that cannot be decoded or contradict themselves. */
   | 'malformed'
-  /** Reports older than what is known, repeated, or of machines that are gone. */
+  /** Heartbeats that are older than the latest one, repeated, or sent by removed machines. */
   | 'late'
-  /** Reported tasks that nobody should be running. */
+  /** Reported tasks that the committed state places nowhere. */
   | 'strange'
-  /** Direct orders that a worker did not carry out: of an older token or another session. */
+  /** Direct orders that a worker refused because of an older token or another incarnation. */
   | 'unheeded';
 
 const counts = new Map<MetricName, number>();
 
-export const countMetric = (kind: MetricName, n = 1): void => {
-  counts.set(kind, (counts.get(kind) ?? 0) + n);
+/** Adds to a counter. */
+export const countMetric = (metric: MetricName, amount = 1): void => {
+  counts.set(metric, (counts.get(metric) ?? 0) + amount);
 };
 
-let say: ((event: string, fields: Fields) => void) | null = null;
-/** Whoever writes the log, at its `debug` level only; null: nobody. */
-export const listenToAnomalies = (to: typeof say): void => void (say = to);
+let anomalyListener: ((event: string, fields: Fields) => void) | null = null;
+/** Sets the listener that logs anomalies at the log level `debug`; null removes it. */
+export const setAnomalyListener = (listener: typeof anomalyListener): void =>
+  void (anomalyListener = listener);
 
-/** Counts a message that is not as it should be; put into words only for whoever listens. */
-export const recordAnomaly = (kind: MetricName, event: string, fields: () => Fields): void => {
-  countMetric(kind);
-  say?.(event, fields());
+/** Counts a malformed or unexpected message. Its fields are built only if a listener is set. */
+export const recordAnomaly = (metric: MetricName, event: string, fields: () => Fields): void => {
+  countMetric(metric);
+  anomalyListener?.(event, fields());
 };
 
-/** The counts since the last call, and the processor time the process used meanwhile. */
-let cpu = process.cpuUsage();
+let lastCpuUsage = process.cpuUsage();
+/** Returns and resets the counts, with the processor time used since the previous call. */
 export const takeMetrics = (): Record<string, number> => {
-  const used = process.cpuUsage(cpu);
-  cpu = process.cpuUsage();
-  const out = { ...Object.fromEntries(counts), cpuMs: Math.round((used.user + used.system) / 1000) };
+  const used = process.cpuUsage(lastCpuUsage);
+  lastCpuUsage = process.cpuUsage();
+  const metrics = { ...Object.fromEntries(counts), cpuMs: Math.round((used.user + used.system) / 1000) };
   counts.clear();
-  return out;
+  return metrics;
 };
--- a/packages/controller/src/node.ts
+++ b/packages/controller/src/node.ts
@@ -1,4 +1,4 @@
-/** One controller node: wires the slices together. Effects of the outside world come in as ports. */
+/** One controller: connects its modules. All external effects are passed in as ports. */
 import { supervise } from '@lilacvalve/runtime/supervise';
 import type { Answer, Incoming, Quick } from '@lilacvalve/runtime/http-server';
 import { type Micros, plus } from '@lilacvalve/runtime/micros';
@@ -35,6 +35,7 @@
 import type { WorkerPort } from './workers/worker-client.js';
 import type { RelayPort } from './workers/heartbeat-relay.js';
 
+/** The interfaces through which a controller reaches its surroundings. */
 export interface Ports {
   readonly store: StatePort;
   readonly cloud: CloudPort;
@@ -44,25 +45,26 @@
   readonly relay: RelayPort;
   readonly clock: () => Micros;
   readonly dayTime: () => Micros;
-  /** The part of its memory that the process uses; left out: not known. */
+  /** Returns the fraction of its memory that the process uses; absent if unknown. */
   readonly memory?: () => number;
-  /** Where snapshots are kept; null: nowhere. */
+  /** Directory of the snapshots; null if none are kept. */
   readonly snapshots: Files | null;
-  /** Half-life of the balance between teams (docs/accounts.md); off if left out. */
+  /** Half-life of the balance between teams (docs/accounts.md); absent if the balance is off. */
   readonly balance?: Micros;
 }
 
+/** One controller process. */
 export interface Node {
-  readonly handle: (r: Incoming) => Effect.Effect<Answer>;
-  /** Reports of workers, before `handle`. */
+  readonly handle: (request: Incoming) => Effect.Effect<Answer>;
+  /** Handles workers' heartbeats; called before `handle`. */
   readonly quick: Quick;
-  /** What other controllers ask. */
-  readonly handlePeer: (r: Incoming) => Effect.Effect<Answer>;
-  /** Reports that other controllers pass on, before `handlePeer`. */
+  /** Handles requests of other controllers. */
+  readonly handlePeer: (request: Incoming) => Effect.Effect<Answer>;
+  /** Handles peer heartbeats and relayed workers' heartbeats; called before `handlePeer`. */
   readonly quickPeer: Quick;
   readonly run: Effect.Effect<never>;
   readonly leadership: Leadership;
-  /** Why this node can't take requests; null: it can. */
+  /** The reason why this controller cannot serve requests; null if it can. */
   readonly unready: () => string | null;
   readonly peers: Peers;
   readonly lossDetector: DataLossDetector;
@@ -70,6 +72,7 @@
   readonly registry: () => WorkerRegistry | null;
 }
 
+/** Creates a controller; nothing runs before `run` is started. */
 export const makeNode = (settings: Settings, ports: Ports): Node => {
   const { clock } = ports;
   const jobState = new JobState();
@@ -86,23 +89,23 @@
   );
   const lossDetector: DataLossDetector = new DataLossDetector(clock, () => leadership.currentTermNumber());
   const store = new GuardedStore(ports.store, lossDetector, clock);
-  const leads = (): boolean => leadership.currentTerm() !== null;
+  const isLeader = (): boolean => leadership.currentTerm() !== null;
   const watcher: StoreWatcher = new StoreWatcher(
     jobState,
     store,
     clock,
-    leads,
+    isLeader,
     lossDetector,
     maxViewAge(settings.workers),
   );
   const contacts = new Contacts(settings);
-  const served = isServedBy(store, clock);
+  const isServed = isServedBy(store, clock);
   const peers: Peers = new Peers(
     settings,
     ports.peers,
     () => ({
       term: jobState.term,
-      servedByStore: served() && !lossDetector.suspected,
+      servedByStore: isServed() && !lossDetector.suspected,
       viewLoaded: watcher.loaded,
       reachableWorkers: contacts.recentCount(clock()),
       store:
@@ -120,15 +123,19 @@
     }),
     clock,
   );
-  peers.onHeartbeat = (b) => {
-    if (b.term > 0) lossDetector.noteTerm(b.term, b.from);
-    if (b.store)
-      lossDetector.notePeerRevision(b.store.incarnation, b.store.generation, b.store.highestRevision);
+  peers.onHeartbeat = (heartbeat) => {
+    if (heartbeat.term > 0) lossDetector.noteTerm(heartbeat.term, heartbeat.from);
+    if (heartbeat.store)
+      lossDetector.notePeerRevision(
+        heartbeat.store.incarnation,
+        heartbeat.store.generation,
+        heartbeat.store.highestRevision,
+      );
   };
-  peers.onResponse = (b, asked) => {
-    // It has seen the key itself, at most so long before it answered.
-    if (b.store && b.store.incarnation === lossDetector.incarnation?.id)
-      lossDetector.incarnationSeen(plus(asked, -b.store.seenAgo));
+  peers.onResponse = (response, requestedAt) => {
+    // The peer itself has read the incarnation's key, at most `seenAgo` before it responded.
+    if (response.store && response.store.incarnation === lossDetector.incarnation?.id)
+      lossDetector.incarnationSeen(plus(requestedAt, -response.store.seenAgo));
   };
   const admission = new Admission(
     settings.limits.maxConnections,
@@ -138,11 +145,17 @@
     ports.dayTime,
     ports.memory,
   );
-  /** This node's view has been held against a peer's since it was read, or all have been asked in vain. */
+  /**
+   * Whether this controller's view has been compared with a peer's since it was read, or all peers were asked
+   * without a result.
+   */
   let verified = false;
-  /** Not in vain: one has compared it, or none that lives has a view of its own. */
+  /**
+   * Whether that had a result: a peer has compared the view with its own, or no reachable peer has a view of its
+   * own.
+   */
   let compared = false;
-  const verify = supervise(
+  const verifyTask = supervise(
     'verify',
     Effect.gen(function* () {
       if (
@@ -165,33 +178,34 @@
         yield* verified ? tick(1500) : Effect.sleep(watcher.loaded ? 300 : 40);
         return;
       }
-      const parts = { lossDetector, store, watcher, jobState, port: ports.views };
-      const told = yield* Effect.forEach(settings.peers, (peer) => verifyWith(parts, peer), {
+      const verification = { lossDetector, store, watcher, jobState, port: ports.views };
+      const outcomes = yield* Effect.forEach(settings.peers, (peer) => verifyWith(verification, peer), {
         concurrency: 'unbounded',
       });
-      // None could tell, or all have been asked in vain: nobody who answers knows better.
+      // No response made a data loss suspected: no reachable peer knows more than this controller.
       verified = watcher.loaded && !lossDetector.suspected;
-      compared = verified && (told.includes('compared') || !told.includes('silent'));
-      // Those who were silent may know better once they can be reached.
+      compared = verified && (outcomes.includes('compared') || !outcomes.includes('silent'));
+      // A peer that did not respond may know more once it is reachable.
       if (verified && !compared) yield* tick(1500);
     }).pipe(Effect.forever),
   );
   /**
-   * This node's view has all that it should have: a peer has compared it with its own since it was read, no value was found
-   * damaged, no peer has shown a key to be lost. One that was read after records were lost looks like the latest, and says
-   * what has ended to be placed still: joined as such, it would be placed, and booked, a second time.
+   * Whether this controller's view is complete: a peer has compared it with its own since it was read, no value
+   * was found damaged, and no peer has shown that a key was lost. A view read after log entries were lost looks
+   * like the latest one but still contains placements of tasks that have exited. If it were merged as complete,
+   * these tasks would be placed, and charged, a second time.
    */
-  const whole = (): boolean =>
+  const isViewComplete = (): boolean =>
     compared && lossDetector.suspicion?.proven !== true && jobState.missingRecord() === null;
-  /** This node's view is of an incarnation that is over. */
-  const leaveView = (): void => {
+  /** Retires this controller's view when its store incarnation has ended. */
+  const retireView = (): void => {
     if (lossDetector.incarnation !== null && (jobState.jobs.size > 0 || jobState.finalStates.size > 0))
       preLossViews.add(
         preLossViews.viewOf(
           jobState,
           lossDetector.incarnation.generation,
           lossDetector.suspicion?.ledTerm ?? null,
-          whole(),
+          isViewComplete(),
         ),
       );
     leadership.abandonIncarnation();
@@ -206,48 +220,53 @@
     store,
     ports.store,
     lossDetector,
-    leaveView,
+    retireView,
     watcher,
     jobState,
     peers,
     contacts,
     clock,
   );
-  let types: readonly MachineType[] | null = null;
-  const knownTypes = (): readonly MachineType[] | null =>
-    types ?? (jobState.types as readonly MachineType[] | null);
+  let machineTypes: readonly MachineType[] | null = null;
+  const knownMachineTypes = (): readonly MachineType[] | null =>
+    machineTypes ?? (jobState.types as readonly MachineType[] | null);
 
-  /** Why this node can't take requests; null: it can. With the state service out for all, leaving helps nobody. */
+  /**
+   * The reason why this controller cannot serve requests; null if it can. If the state service serves no
+   * controller, users gain nothing from trying another one.
+   */
   const unready = (): string | null => {
     if (!watcher.loaded || (lossDetector.incarnation === null && !lossDetector.suspected)) return 'starting';
-    if (knownTypes() === null) return 'machine types unknown';
-    if (!served() && peers.anyServedByStore()) return 'state service refuses this node';
-    // Neither the state service nor any other controller: whoever of them is served answers users better.
-    if (!served() && peers.isolated()) return 'cut off from the state service and the others';
+    if (knownMachineTypes() === null) return 'machine types unknown';
+    if (!isServed() && peers.anyServedByStore()) return 'state service refuses this node';
+    // The controller reaches neither the state service nor any other controller, so a controller that is served
+    // should handle the users' requests.
+    if (!isServed() && peers.isolated()) return 'cut off from the state service and the others';
     return null;
   };
 
-  const learnTypes = supervise(
+  const machineTypesTask = supervise(
     'types',
     Effect.gen(function* () {
       const read = yield* Effect.option(ports.cloud.types());
       if (read._tag === 'Some') {
-        types = read.value;
+        machineTypes = read.value;
         const leaderTerm = leadership.currentTerm();
-        const fixed = types.map((t) => ({ ...t, spotPrice: 0 }));
-        const kept = (jobState.types as MachineType[] | null)?.map((t) => ({ ...t, spotPrice: 0 })) ?? null;
-        if (leaderTerm && JSON.stringify(fixed) !== JSON.stringify(kept)) {
+        const withoutSpotPrice = machineTypes.map((type) => ({ ...type, spotPrice: 0 }));
+        const storedWithoutSpotPrice =
+          (jobState.types as MachineType[] | null)?.map((type) => ({ ...type, spotPrice: 0 })) ?? null;
+        if (leaderTerm && JSON.stringify(withoutSpotPrice) !== JSON.stringify(storedWithoutSpotPrice)) {
           yield* Effect.ignore(
             store.transact(
               [{ key: TERM, stamp: leaderTerm.stamp }],
-              [{ set: MACHINE_TYPES, value: types }],
+              [{ set: MACHINE_TYPES, value: machineTypes }],
               Priority.Commit,
               1500,
             ),
           );
         }
       }
-      yield* Effect.sleep(knownTypes() === null ? 2000 : leads() ? 20_000 : 60_000);
+      yield* Effect.sleep(knownMachineTypes() === null ? 2000 : isLeader() ? 20_000 : 60_000);
     }).pipe(Effect.forever),
   );
 
@@ -265,7 +284,7 @@
     peers,
     leadership,
     admission,
-    types: knownTypes,
+    types: knownMachineTypes,
     clock,
     dayTime: ports.dayTime,
     balance: ports.balance ?? null,
@@ -277,7 +296,7 @@
     contacts,
     lossDetector,
   );
-  const users = userListener(
+  const userHandler = userListener(
     {
       settings,
       store,
@@ -287,16 +306,16 @@
       evidenceStore,
       isVerified: () => verified,
       isDurable: () => !lossDetector.suspected && preLossViews.all.length === 0,
-      isLeader: leads,
+      isLeader,
       mayBeNew: (id) => sessions.mayBeNew(id),
-      types: knownTypes,
+      types: knownMachineTypes,
       clock,
       dayTime: ports.dayTime,
     },
     admission,
     unready,
   );
-  const workers = workerListener({
+  const workerHandlers = workerListener({
     settings,
     leadership,
     sessions,
@@ -316,7 +335,7 @@
             jobState,
             lossDetector.incarnation.generation,
             lossDetector.suspicion?.ledTerm ?? leadership.currentTermNumber(),
-            whole(),
+            isViewComplete(),
           ),
     jobState,
     evidenceStore,
@@ -328,8 +347,8 @@
         lossDetector.revisionFloor(),
       ),
   );
-  const others = peerListener(peers, receive, views);
-  const snapshots =
+  const peerHandlers = peerListener(peers, receive, views);
+  const snapshotWriter =
     ports.snapshots === null
       ? null
       : snapshotTask({
@@ -340,40 +359,40 @@
           lossDetector,
           preLossViews,
         });
-  const parts: DetectionParts = {
+  const detection: DetectionParts = {
     lossDetector,
     unguardedStore: ports.store,
     store,
     watcher,
     jobState,
     refoundStore: leadership.refoundStore,
-    retireView: leaveView,
-    isLeader: leads,
+    retireView,
+    isLeader,
     clock,
   };
   return {
-    handle: users,
-    quick: workers.quick,
-    quickPeer: others.quick,
-    handlePeer: others.handle,
+    handle: userHandler,
+    quick: workerHandlers.quick,
+    quickPeer: peerHandlers.quick,
+    handlePeer: peerHandlers.handle,
     run: Effect.zipRight(
-      snapshots?.first ?? Effect.void,
+      snapshotWriter?.first ?? Effect.void,
       Effect.all(
         [
-          ...(snapshots === null ? [] : [snapshots.run]),
-          loadReport(leads),
+          ...(snapshotWriter === null ? [] : [snapshotWriter.run]),
+          loadReport(isLeader),
           watcher.run,
           watcher.loadFinalStates,
-          verify,
-          dataLossTask(parts),
-          auditTask(parts),
+          verifyTask,
+          dataLossTask(detection),
+          auditTask(detection),
           leadership.run,
           peers.run,
-          workers.run,
+          workerHandlers.run,
           storeProbe(store, watcher, clock),
-          eventLoopCheck(admission, leads),
+          eventLoopCheck(admission, isLeader),
           memoryCheck(admission),
-          learnTypes,
+          machineTypesTask,
           sessions.run,
         ],
         { concurrency: 'unbounded' },
--- a/packages/controller/src/overload/admission.ts
+++ b/packages/controller/src/overload/admission.ts
@@ -1,66 +1,72 @@
-/** Keeps the counts and the lag that `admit` decides from. */
+/** Maintains the counts and the event-loop lag that `admit` decides by. */
 import { type Answer, retryLater } from '@lilacvalve/runtime/http-server';
 import { type Micros, plus } from '@lilacvalve/runtime/micros';
 import { countMetric } from '../metrics.js';
 import { admit } from './admit.js';
 import { MEMORY_LIMITS } from './memory.js';
-import { type Limits, limitsOf, type Load, type Work } from './model.js';
-import { SHARES, turnOf } from './turns.js';
+import { type Limits, limitsOf, type Load, type WorkClass } from './model.js';
+import { SLOT_PERIOD, pollSlotOf } from './poll-slots.js';
 
 const SECOND = 1e6;
 
-/** Successive multiples of it, taken modulo 1, lie as evenly as can be however many there are. */
-const GOLDEN = 0.6180339887498949;
+/**
+ * Fractional part of the golden ratio. Its successive multiples modulo 1 are spread evenly over [0, 1), however
+ * many there are.
+ */
+const GOLDEN_RATIO_FRACTION = 0.6180339887498949;
 
-/** Admission control of one controller: counts what is in flight and measures how late its event loop runs. */
+/** Admission control of one controller: counts the requests in flight and measures the lag of the event loop. */
 export class Admission {
-  private readonly inFlight: Record<Work, number> = { poll: 0, submission: 0, order: 0, report: 0 };
+  private readonly inFlight: Record<WorkClass, number> = { poll: 0, submission: 0, order: 0, report: 0 };
   private readonly limits: Limits;
   private refusals = 0;
-  /** When the pulse is due, and how late the last one was. */
-  private due = Number.POSITIVE_INFINITY;
-  private last = 0;
-  private memoryPart = 0;
-  /** The second that is counted; polls offered in it and in the one before, and taken in it by right of their turn. */
-  private second = { at: Number.NEGATIVE_INFINITY, offered: 0, before: 0, turns: 0 };
+  /** When the lag timer is due, and the delay with which it last fired. */
+  private timerDue = Number.POSITIVE_INFINITY;
+  private lastLag = 0;
+  private memoryRatio = 0;
+  /**
+   * Counts of the current second: its start, the polls offered in it and in the second before, and the polls
+   * admitted in it because their job's slot was open.
+   */
+  private currentSecond = { startedAt: Number.NEGATIVE_INFINITY, polls: 0, previousPolls: 0, slotPolls: 0 };
 
   constructor(
     maxConnections: number,
     private readonly clock: () => Micros,
     private readonly writeWait: () => Micros,
-    /** The node's share of a core. */
+    /** The controller's share of a core. */
     cores = 1,
     private readonly dayTime: () => Micros = clock,
-    /** The part of its memory that the node uses. */
-    private readonly memory: () => number = () => 0,
+    /** Returns the fraction of its memory that the controller uses. */
+    private readonly memoryUsage: () => number = () => 0,
   ) {
     this.limits = limitsOf(maxConnections, cores);
   }
 
-  /** The pulse sleeps: how late it is when it wakes is how late everything is. */
-  sleeps(forMicros: Micros): void {
-    this.due = plus(this.clock(), forMicros);
+  /** Called when the lag timer is armed: the delay with which it fires is the lag of the event loop. */
+  timerArmed(delay: Micros): void {
+    this.timerDue = plus(this.clock(), delay);
   }
 
-  /** Looks at the memory; what it answers holds until it is asked again. */
-  lookAtMemory(): number {
-    return (this.memoryPart = this.memory());
+  /** Measures the memory usage. The result is used until the next call. */
+  sampleMemory(): number {
+    return (this.memoryRatio = this.memoryUsage());
   }
 
-  /** The leader must not let more tasks run than it has memory for. */
+  /** Whether the leader may start more tasks: the state of each running task takes memory. */
   get mayStart(): boolean {
-    return this.memoryPart < MEMORY_LIMITS.starts;
+    return this.memoryRatio < MEMORY_LIMITS.starts;
   }
 
-  /** How late it woke. */
-  woke(): Micros {
-    this.last = Math.max(0, this.clock() - this.due);
-    return this.last as Micros;
+  /** Called when the lag timer fires; returns its delay. */
+  timerFired(): Micros {
+    this.lastLag = Math.max(0, this.clock() - this.timerDue);
+    return this.lastLag as Micros;
   }
 
-  /** A pulse that is overdue says more than the one before it. */
+  /** Current lag of the event loop. An overdue timer shows a lag before it fires. */
   lag(): Micros {
-    return Math.max(this.last, this.clock() - this.due, 0) as Micros;
+    return Math.max(this.lastLag, this.clock() - this.timerDue, 0) as Micros;
   }
 
   load(): Load {
@@ -68,47 +74,57 @@
       lag: this.lag(),
       inFlight: this.inFlight,
       writeWait: this.writeWait(),
-      turns: this.second.turns,
-      memory: this.memoryPart,
+      slotPolls: this.currentSecond.slotPolls,
+      memory: this.memoryRatio,
     };
   }
 
-  private count(): void {
-    const passed = this.clock() - this.second.at;
-    if (passed >= SECOND)
-      this.second = {
-        at: this.clock(),
-        offered: 0,
-        before: passed < 2 * SECOND ? this.second.offered : 0,
-        turns: 0,
+  private countPoll(): void {
+    const elapsed = this.clock() - this.currentSecond.startedAt;
+    if (elapsed >= SECOND)
+      this.currentSecond = {
+        startedAt: this.clock(),
+        polls: 0,
+        previousPolls: elapsed < 2 * SECOND ? this.currentSecond.polls : 0,
+        slotPolls: 0,
       };
-    this.second.offered++;
+    this.currentSecond.polls++;
   }
 
   /**
-   * null: taken on, and `leave` must be called once it is answered; else what to answer instead. `job`: whom a poll asks
-   * about. `grows`: a new job.
+   * Decides on admitting a piece of work. null: it is admitted, and the caller must call `leave` when it is done;
+   * otherwise the response to send instead. `jobId` is the job that a poll asks for. `createsJob`: the request
+   * submits a new job.
    */
-  enter(work: Work, job: string | null = null, grows = false): Answer | null {
-    if (work === 'poll') this.count();
+  enter(work: WorkClass, jobId: string | null = null, createsJob = false): Answer | null {
+    if (work === 'poll') this.countPoll();
     const load = this.load();
-    const storm = Math.max(this.second.offered, this.second.before) > this.limits.turns.storm;
-    const turn =
-      work === 'poll' && job !== null
-        ? turnOf(job, this.dayTime(), storm ? SHARES.storm : SHARES.behind)
+    const crowded =
+      Math.max(this.currentSecond.polls, this.currentSecond.previousPolls) >
+      this.limits.slotPolls.crowdedPerSecond;
+    const slot =
+      work === 'poll' && jobId !== null
+        ? pollSlotOf(jobId, this.dayTime(), crowded ? SLOT_PERIOD.crowded : SLOT_PERIOD.lagging)
         : null;
-    const afterS = admit(work, load, this.limits, (this.refusals * GOLDEN) % 1, turn, grows);
-    if (afterS === null) {
-      if (turn?.mine && load.lag >= this.limits.lag.poll) this.second.turns++;
+    const retryAfterS = admit(
+      work,
+      load,
+      this.limits,
+      (this.refusals * GOLDEN_RATIO_FRACTION) % 1,
+      slot,
+      createsJob,
+    );
+    if (retryAfterS === null) {
+      if (slot?.isOpen && load.lag >= this.limits.lag.poll) this.currentSecond.slotPolls++;
       this.inFlight[work]++;
       return null;
     }
     this.refusals++;
     countMetric('refused');
-    return retryLater('overloaded', afterS);
+    return retryLater('overloaded', retryAfterS);
   }
 
-  leave(work: Work): void {
+  leave(work: WorkClass): void {
     this.inFlight[work]--;
   }
 }
--- a/packages/controller/src/overload/admit.ts
+++ b/packages/controller/src/overload/admit.ts
@@ -1,40 +1,50 @@
 /**
- * Whether to take work on: a pure decision from measured lag and counts (docs/overload.md). Refused work is told at
- * once when to come back, spread over a time that grows with what there is too much of, so that the refused do not
- * come back together. A poll is refused only out of its job's turn (turns.ts), up to a bound on what turns may cost.
+ * Admission decision: a pure function of measured lag and counts (docs/overload.md). Refused clients are told
+ * immediately when to retry. The retries are spread over a time that grows with the backlog, so that they do not
+ * arrive together. A poll is refused only outside its job's slot (poll-slots.ts), except that the number of polls
+ * admitted because of their slot is bounded.
  */
 import { toSeconds } from '@lilacvalve/runtime/micros';
 import { MEMORY_LIMITS } from './memory.js';
-import type { Limits, Load, Work } from './model.js';
-import type { Turn } from './turns.js';
+import type { Limits, Load, WorkClass } from './model.js';
+import type { PollSlot } from './poll-slots.js';
 
-/** Protocol, "Users": a longer `Retry-After` than this is not waited for. */
-const LONGEST_S = 30;
-/** The refused come back over so many times what the node is behind. */
-const SPREAD = 3;
+/** Maximum `Retry-After`, in seconds. By the protocol for users, clients do not wait longer than this. */
+const MAX_RETRY_AFTER_S = 30;
+/** Retries are spread over this many times the current backlog. */
+const RETRY_SPREAD_FACTOR = 3;
 
 /**
- * Whole seconds after which to come back; null: the work is taken on. `luck` in [0, 1) spreads the refused. `turn`: of the
- * job that a poll asks about. `grows`: a new job, which is kept until it is over.
+ * Returns the number of seconds after which to retry, or null if the work is admitted. `random` in [0, 1) spreads
+ * the retries. `slot` is the slot of the job that a poll asks for. `createsJob`: the request submits a new job,
+ * which takes memory until it has finished.
  */
 export const admit = (
-  work: Work,
+  work: WorkClass,
   load: Load,
   limits: Limits,
-  luck: number,
-  turn: Turn | null = null,
-  grows = false,
+  random: number,
+  slot: PollSlot | null = null,
+  createsJob = false,
 ): number | null => {
-  const late = load.lag >= limits.lag[work];
+  const lagging = load.lag >= limits.lag[work];
   const full = load.inFlight[work] >= limits.inFlight[work];
-  const writes = work === 'submission' && load.writeWait >= limits.writeWait;
-  const short = grows && load.memory >= MEMORY_LIMITS.submissions;
-  if (!late && !full && !writes && !short) return null;
-  if (turn?.mine && load.inFlight.poll < limits.turns.inFlight && load.turns < limits.turns.aSecond)
+  const writesDelayed = work === 'submission' && load.writeWait >= limits.writeWait;
+  const memoryShort = createsJob && load.memory >= MEMORY_LIMITS.submissions;
+  if (!lagging && !full && !writesDelayed && !memoryShort) return null;
+  if (
+    slot?.isOpen &&
+    load.inFlight.poll < limits.slotPolls.inFlight &&
+    load.slotPolls < limits.slotPolls.perSecond
+  )
     return null;
-  const behind = toSeconds(Math.max(load.lag, writes ? load.writeWait : 0));
-  // Behind for a moment only, it answers whoever comes next; else a poll is worth its while in its own turn.
-  if (turn !== null && load.lag >= limits.lag.submission)
-    return Math.min(LONGEST_S, Math.max(1, Math.ceil(toSeconds(turn.after + luck * turn.lasts))));
-  return Math.min(LONGEST_S, 1 + Math.floor(luck * (1 + SPREAD * behind)));
+  const backlogS = toSeconds(Math.max(load.lag, writesDelayed ? load.writeWait : 0));
+  // With a short lag, any poll may be served after a retry; with a longer lag, a retry makes sense only in the
+  // job's own slot.
+  if (slot !== null && load.lag >= limits.lag.submission)
+    return Math.min(
+      MAX_RETRY_AFTER_S,
+      Math.max(1, Math.ceil(toSeconds(slot.opensIn + random * slot.duration))),
+    );
+  return Math.min(MAX_RETRY_AFTER_S, 1 + Math.floor(random * (1 + RETRY_SPREAD_FACTOR * backlogS)));
 };
--- a/packages/controller/src/overload/memory.ts
+++ b/packages/controller/src/overload/memory.ts
@@ -1,32 +1,36 @@
-/** How near this process is to the memory that its settings give it (docs/overload.md). */
+/** Measures how close the process is to the memory limit of its settings (docs/overload.md). */
 import * as v8 from 'node:v8';
 
-/** The garbage collector's figures, in bytes. */
-export interface HeapFigures {
-  /** Bytes that the garbage collector's heap has reserved, those of them in use, and the most in use before it gives up. */
+/** Statistics of the garbage-collected heap, in bytes. */
+export interface HeapStatistics {
+  /** Bytes reserved by the heap, bytes in use, and the size at which the process runs out of heap. */
   readonly reserved: number;
   readonly used: number;
   readonly limit: number;
-  /** Bytes of buffers outside that heap. */
+  /** Bytes of buffers outside the heap. */
   readonly external: number;
 }
 
 const MB = 1024 * 1024;
-/** What a process holds beside its heap: the interpreter's code, stacks, sockets. Measured at 50 to 66 MB. */
-const BESIDE_HEAP_MB = 60;
+/**
+ * Memory of the process outside the heap: code of the interpreter, stacks and sockets. Processes show 50 to 66 MB.
+ */
+const NON_HEAP_MB = 60;
 
-/** From this part on no more jobs are accepted, and from the other one on nothing more is started. */
+/**
+ * Fractions of the memory limit from which no new jobs are accepted and no more tasks are started, respectively.
+ */
 export const MEMORY_LIMITS = { submissions: 0.9, starts: 0.95 } as const;
 
-/** The part of its memory that a process uses: 1 is all of what the settings give it, or of what its heap may grow to. */
-export const memoryPart = (figures: HeapFigures, memoryMb: number): number =>
-  Math.max(
-    (figures.reserved + figures.external + BESIDE_HEAP_MB * MB) / (memoryMb * MB),
-    figures.used / figures.limit,
-  );
+/**
+ * Fraction of the available memory in use: of the limit in the settings or of the maximum heap size, whichever is
+ * larger.
+ */
+export const memoryUsageRatio = (heap: HeapStatistics, memoryMb: number): number =>
+  Math.max((heap.reserved + heap.external + NON_HEAP_MB * MB) / (memoryMb * MB), heap.used / heap.limit);
 
-/** The figures of this process. */
-export const heapFigures = (): HeapFigures => {
+/** Heap statistics of this process. */
+export const heapStatistics = (): HeapStatistics => {
   const statistics = v8.getHeapStatistics();
   return {
     reserved: statistics.total_heap_size,
--- a/packages/controller/src/workers/cycle-gate.ts
+++ b/packages/controller/src/workers/cycle-gate.ts
@@ -1,56 +1,61 @@
-/** Holds heartbeats' responses back until the next scheduling cycle has run. */
+/** Delays heartbeat responses until the next scheduling cycle has run. */
 import type { Micros } from '@lilacvalve/runtime/micros';
 
 interface Waiter {
-  readonly since: Micros;
-  readonly then: () => void;
+  readonly waitingSince: Micros;
+  readonly callback: () => void;
 }
 
 /**
- * Those that wait for the next cycle; whoever asks during a cycle waits for the one after it. As many as there are heartbeats
- * on their way to this controller, which their senders bound.
+ * Callbacks that wait for the next scheduling cycle. A callback registered during a cycle waits for the cycle
+ * after it. The number of callbacks is bounded by the heartbeats that senders have in flight to this controller.
  */
 export class CycleGate {
-  private next: Waiter[] = [];
-  private current: Waiter[] = [];
+  private waitingForNext: Waiter[] = [];
+  private waitingForCurrent: Waiter[] = [];
 
   constructor(private readonly clock: () => Micros) {}
 
-  /** Calls `then` once a cycle that begins after this has ended. */
-  wait(then: () => void): void {
-    this.next.push({ since: this.clock(), then });
+  /** Calls `callback` when the first cycle that begins after this call has ended. */
+  wait(callback: () => void): void {
+    this.waitingForNext.push({ waitingSince: this.clock(), callback });
   }
 
-  /** A cycle begins. */
+  /** Marks the start of a cycle. */
   cycleBegan(): void {
-    this.current.push(...this.next.splice(0));
+    this.waitingForCurrent.push(...this.waitingForNext.splice(0));
   }
 
-  /** It has ended. */
+  /** Marks the end of a cycle and releases the callbacks that waited for it. */
   cycleEnded(): void {
-    release(this.current.splice(0));
+    release(this.waitingForCurrent.splice(0));
   }
 
-  /** Releases those that have waited for `longest`: a cycle's record may wait for the state service. */
-  releaseOverdue(longest: Micros): void {
-    const limit = this.clock() - longest;
-    const overdue = [...this.current, ...this.next].filter((w) => w.since <= limit);
+  /**
+   * Releases callbacks that have waited for at least `maxWait`: the log entry of a cycle may itself wait for the
+   * state service.
+   */
+  releaseOverdue(maxWait: Micros): void {
+    const oldestAllowed = this.clock() - maxWait;
+    const overdue = [...this.waitingForCurrent, ...this.waitingForNext].filter(
+      (waiter) => waiter.waitingSince <= oldestAllowed,
+    );
     if (overdue.length === 0) return;
-    this.current = this.current.filter((w) => w.since > limit);
-    this.next = this.next.filter((w) => w.since > limit);
+    this.waitingForCurrent = this.waitingForCurrent.filter((waiter) => waiter.waitingSince > oldestAllowed);
+    this.waitingForNext = this.waitingForNext.filter((waiter) => waiter.waitingSince > oldestAllowed);
     release(overdue);
   }
 }
 
-/** One that fails must not keep the others waiting; the first failure is thrown to the supervised task. */
+/** Runs all callbacks even if some throw, then rethrows the first failure to the supervised task. */
 const release = (waiters: readonly Waiter[]): void => {
-  let failed: { readonly reason: unknown } | null = null;
+  let firstFailure: { readonly reason: unknown } | null = null;
   for (const waiter of waiters) {
     try {
-      waiter.then();
+      waiter.callback();
     } catch (reason) {
-      failed ??= { reason };
+      firstFailure ??= { reason };
     }
   }
-  if (failed !== null) throw failed.reason;
+  if (firstFailure !== null) throw firstFailure.reason;
 };
--- a/packages/controller/src/workers/heartbeat-handler.ts
+++ b/packages/controller/src/workers/heartbeat-handler.ts
@@ -1,4 +1,4 @@
-/** Answers workers' heartbeats: the leader itself, a follower by forwarding them to the leader. */
+/** Responds to workers' heartbeats. The leader processes them; a follower forwards them to the leader. */
 import { type Answer, json, type Quick } from '@lilacvalve/runtime/http-server';
 import { type Micros, seconds } from '@lilacvalve/runtime/micros';
 import { recordAnomaly, countMetric } from '../metrics.js';
@@ -19,16 +19,16 @@
 import type { Machine } from './machine.js';
 import type { WorkerRegistry } from './worker-registry.js';
 
-/** What the leader's session offers to the heartbeat handler. */
+/** What a leader's session provides to the heartbeat handler. */
 export interface HeartbeatService {
   readonly registry: WorkerRegistry;
-  /** Calls back when the next scheduling cycle has run, or soon after. */
-  readonly afterNextCycle: (then: () => void) => void;
+  /** Calls `callback` after the next scheduling cycle has run, or after a short maximum wait. */
+  readonly afterNextCycle: (callback: () => void) => void;
 }
 
 /**
- * What it offers before a rebuild is durable: leases are renewed, and what users cancelled is stopped; nothing else is
- * ordered.
+ * What a leader's session provides before a rebuild of the store is durable: leases are renewed and tasks of
+ * cancelled jobs are stopped, but no other orders are sent.
  */
 export interface LeaseRenewalService {
   readonly term: number;
@@ -36,18 +36,20 @@
 }
 
 /**
- * In a term's first seconds responses don't wait for a cycle: all leases are to be renewed then, and the first cycles are the
- * longest.
+ * Duration at the start of a term in which responses do not wait for a scheduling cycle: all leases must be
+ * renewed then, and the first cycles take longest.
  */
-const NEW_TERM = seconds(3);
-const AT_ONCE = 0 as Micros;
+const NO_WAIT_AFTER_TERM_START = seconds(3);
+const NO_GRACE = 0 as Micros;
 
-/** The response while only leases are renewed. */
+/** Response body of a heartbeat while only leases are renewed. */
 const renewalResponse = (heartbeat: Heartbeat | null, service: LeaseRenewalService): string | null => {
   if (heartbeat === null) return null;
   const orders = heartbeat.tasks
-    .filter((t) => t.status !== 'exited' && service.isCancelled(t.key.slice(0, t.key.indexOf('/'))))
-    .map((t): Order => ({ op: 'stop', key: t.key, attempt: t.attempt, grace: AT_ONCE }));
+    .filter(
+      (task) => task.status !== 'exited' && service.isCancelled(task.key.slice(0, task.key.indexOf('/'))),
+    )
+    .map((task): Order => ({ op: 'stop', key: task.key, attempt: task.attempt, grace: NO_GRACE }));
   return orders.length === 0 ? '' : encodeOrders(service.term, orders);
 };
 
@@ -56,11 +58,15 @@
   service: LeaseRenewalService,
 ): HeartbeatResponses => ({
   term: service.term,
-  bodies: heartbeats.map((h) => renewalResponse(h, service)),
+  bodies: heartbeats.map((heartbeat) => renewalResponse(heartbeat, service)),
 });
 
-/** Takes a heartbeat in; null: it is malformed or stale. */
-const apply = (registry: WorkerRegistry, heartbeat: Heartbeat | null, at: Micros): Machine | null => {
+/** Applies a heartbeat to the registry; null if it is malformed or stale. */
+const applyHeartbeat = (
+  registry: WorkerRegistry,
+  heartbeat: Heartbeat | null,
+  at: Micros,
+): Machine | null => {
   if (heartbeat === null) return null;
   const machine = registry.applyHeartbeat(heartbeat, at);
   if (machine === null)
@@ -77,21 +83,22 @@
   registry: WorkerRegistry,
   heartbeat: Heartbeat | null,
   machine: Machine | null,
-  starts: boolean,
+  includeStarts: boolean,
 ): string | null => {
   if (heartbeat === null) return null;
-  // Older than what is known by now: this response must not carry what belongs to a newer heartbeat's.
+  // The registry has a newer heartbeat of this worker by now, so orders derived from it must not go out with this
+  // response.
   if (
     machine === null ||
     machine.sequence !== heartbeat.sequence ||
     machine.incarnation !== heartbeat.incarnation
   )
     return '';
-  const orders = registry.ordersFor(machine, starts);
+  const orders = registry.ordersFor(machine, includeStarts);
   return orders.length === 0 ? '' : encodeOrders(registry.term, orders);
 };
 
-/** Takes heartbeats in, whichever controller they came to, and says what the responses are. */
+/** Processes heartbeats, whether they came directly or through another controller, and builds their responses. */
 export const heartbeatReceiver =
   (
     leadership: Pick<Leadership, 'answeringTerm' | 'currentTerm' | 'mayStart' | 'depose'>,
@@ -100,7 +107,7 @@
     contacts: Contacts,
     lossDetector: Pick<DataLossDetector, 'noteToken' | 'suspected'>,
   ): ReceiveHeartbeats =>
-  (heartbeats, answer) => {
+  (heartbeats, sendResponses) => {
     const at = clock();
     for (const heartbeat of heartbeats) {
       if (heartbeat === null) continue;
@@ -110,43 +117,48 @@
     }
     const leaderTerm = leadership.answeringTerm();
     const service = currentService();
-    if (leaderTerm === null || service === null) return answer(null);
+    if (leaderTerm === null || service === null) return sendResponses(null);
     const term = leaderTerm.number;
     if (!('registry' in service))
-      return answer(service.term === term ? renewalResponses(heartbeats, service) : null);
+      return sendResponses(service.term === term ? renewalResponses(heartbeats, service) : null);
     const { registry } = service;
-    if (registry.term !== term) return answer(null);
-    // What was durable may not be any more: only the lease is renewed until that is known. What users cancelled is stopped
-    // all the same: its time runs on, and whoever renews leases must not carry it past that.
+    if (registry.term !== term) return sendResponses(null);
+    // While a data loss is suspected, committed state may be gone, so only leases are renewed. Tasks of cancelled
+    // jobs are still stopped: they must exit within a fixed time, and renewing their worker's lease must not
+    // extend it.
     if (lossDetector.suspected) {
       for (const heartbeat of heartbeats) if (heartbeat !== null) registry.renewLeaseOnly(heartbeat, at);
       const isCancelled = (id: string): boolean => registry.isCancelled(id);
-      return answer(renewalResponses(heartbeats, { term, isCancelled }));
+      return sendResponses(renewalResponses(heartbeats, { term, isCancelled }));
     }
-    const machines = heartbeats.map((h) => apply(registry, h, at));
-    const respond = (): void => {
-      if (leadership.answeringTerm()?.number !== term) return answer(null);
-      const starts = leadership.mayStart();
-      const bodies = heartbeats.map((h, i) => responseTo(registry, h, machines[i] ?? null, starts));
-      answer({ term, bodies });
+    const machines = heartbeats.map((heartbeat) => applyHeartbeat(registry, heartbeat, at));
+    const respondWithOrders = (): void => {
+      if (leadership.answeringTerm()?.number !== term) return sendResponses(null);
+      const includeStarts = leadership.mayStart();
+      const bodies = heartbeats.map((heartbeat, index) =>
+        responseTo(registry, heartbeat, machines[index] ?? null, includeStarts),
+      );
+      sendResponses({ term, bodies });
     };
-    // A cycle that a heartbeat calls for is waited for, shortly: the freed room's new start then goes out at once instead of
-    // a heartbeat later.
-    const waits =
-      registry.needsCycle && at - leaderTerm.began > NEW_TERM && leadership.currentTerm() !== null;
-    if (waits) service.afterNextCycle(respond);
-    else respond();
+    // If a heartbeat triggers a scheduling cycle, its response waits briefly for that cycle: a start on the freed
+    // resources is then dispatched with this response instead of the next one.
+    const waitForCycle =
+      registry.needsCycle &&
+      at - leaderTerm.began > NO_WAIT_AFTER_TERM_START &&
+      leadership.currentTerm() !== null;
+    if (waitForCycle) service.afterNextCycle(respondWithOrders);
+    else respondWithOrders();
   };
 
 /**
- * The workers' address. The leader answers by itself, a follower forwards the heartbeat; a worker that another controller
- * should answer is redirected (421).
+ * Handles requests to the workers' address. The leader responds itself, a follower forwards the heartbeat, and a
+ * worker that should talk to another controller is redirected (status 421).
  */
 export const heartbeatHandler =
   (
     receive: ReceiveHeartbeats,
     isLeader: () => boolean,
-    forward: (heartbeat: Buffer, reply: (a: Answer) => void) => void,
+    forward: (heartbeat: Buffer, reply: (response: Answer) => void) => void,
     redirect: (machine: string) => string | null,
     noteContact: (machine: string) => void,
     reader: HeartbeatReader,
--- a/packages/controller/src/workers/heartbeat-relay.ts
+++ b/packages/controller/src/workers/heartbeat-relay.ts
@@ -1,12 +1,12 @@
 /**
- * Heartbeats that reach a follower. It forwards them to the leader as they came, several in one message, and gives the
- * worker the leader's own response with its fencing token. So a worker need not find the leader: a controller that stalls,
- * fails or can't be reached costs only the workers that talk to it, and a new leader is not met by all workers' connections
- * at once.
+ * Relays heartbeats from followers to the leader. A follower forwards heartbeats unchanged, in batches, and
+ * returns the leader's response with the leader's fencing token to the worker. Workers therefore do not have to
+ * find the leader: a controller that stalls, fails or is unreachable affects only the workers connected to it, and
+ * a new leader does not receive connections from all workers at once.
  *
- * Only a heartbeat and its response are forwarded: if a follower holds either for too long, the registry drops it as stale
- * or the worker has given up waiting (4 s). A follower decodes nothing of a heartbeat but its sender: decoding it here and
- * encoding it again cost more than all that the leader does with it.
+ * Delays are harmless: if a follower holds a heartbeat for too long, the registry drops it as stale, and if it
+ * holds a response for too long, the worker has already timed out (4 s). A follower reads nothing from a heartbeat
+ * but its sender, because decoding and encoding it again costs more than all of the leader's work on it.
  */
 import { Effect, Queue } from 'effect';
 import { pack, unpack } from 'msgpackr';
@@ -24,104 +24,124 @@
   senderOf,
 } from './codec.js';
 
-/** Carries a batch of heartbeats to the leader and its responses back. */
+/** Transport of heartbeat batches to the leader and of their responses back. */
 export interface RelayPort {
   relay(peer: Peer, batch: Buffer): Effect.Effect<Buffer, NoAnswer>;
 }
 
-/** Heartbeats are gathered for so long before they are forwarded: longer where many come, which saves messages. */
-const GATHER_MS = { few: 80, many: 160, most: 240 };
-const MANY = 4;
-const VERY_MANY = 12;
-const gatherMs = (last: number): number =>
-  last > VERY_MANY ? GATHER_MS.most : last > MANY ? GATHER_MS.many : GATHER_MS.few;
-/** A leader may wait for its next scheduling cycle before it answers; past this it has stalled. */
+/**
+ * Delay before collected heartbeats are forwarded, in milliseconds. It grows with the size of the previous batch,
+ * to save messages.
+ */
+const BATCHING_DELAY_MS = { low: 80, medium: 160, high: 240 };
+/** Batch sizes above which the medium and the high delay apply. */
+const MEDIUM_BATCH = 4;
+const LARGE_BATCH = 12;
+const batchingDelayMs = (lastBatchSize: number): number =>
+  lastBatchSize > LARGE_BATCH
+    ? BATCHING_DELAY_MS.high
+    : lastBatchSize > MEDIUM_BATCH
+      ? BATCHING_DELAY_MS.medium
+      : BATCHING_DELAY_MS.low;
+/**
+ * Timeout of a batch. A leader may wait for its next scheduling cycle before it responds; after this time it has
+ * stalled.
+ */
 export const RELAY_TIMEOUT_MS = 2500;
-/** Batches in flight at once; what comes meanwhile is gathered. */
+/** Maximum number of batches in flight. Heartbeats that arrive meanwhile are collected. */
 const MAX_BATCHES_IN_FLIGHT = 6;
-/** Heartbeats in one batch: a large one would keep the leader from others. */
+/** Maximum number of heartbeats in a batch. A larger batch would delay the leader's other requests. */
 const MAX_BATCH = 60;
-/** Heartbeats waiting to be forwarded: as many as all batches in flight hold. Past it the worker tries another controller. */
-const MAX_WAITING = MAX_BATCHES_IN_FLIGHT * MAX_BATCH;
-/** A heartbeat that has waited here for longer would reach its worker's timeout before its response does. */
-const MAX_WAIT = millis(1200);
+/**
+ * Maximum number of heartbeats waiting to be forwarded, equal to the capacity of all batches in flight. Beyond it,
+ * workers are refused and try another controller.
+ */
+const MAX_PENDING = MAX_BATCHES_IN_FLIGHT * MAX_BATCH;
+/**
+ * Maximum time a heartbeat waits to be forwarded. After a longer wait, the worker would time out before the
+ * response arrives.
+ */
+const MAX_QUEUE_TIME = millis(1200);
 
-interface Waiting {
+interface PendingHeartbeat {
   readonly heartbeat: Buffer;
   readonly since: Micros;
-  readonly reply: (a: Answer) => void;
+  readonly reply: (response: Answer) => void;
 }
 
-/** A follower's side. */
+/** Forwards heartbeats from a follower to the leader. */
 export class HeartbeatRelay {
-  private waiting: Waiting[] = [];
+  private pending: PendingHeartbeat[] = [];
   private inFlight = 0;
-  /** How many heartbeats were gathered last. */
-  private gathered = 0;
+  /** Number of heartbeats collected before the previous flush. */
+  private lastBatchSize = 0;
   private readonly wake = Effect.runSync(Queue.sliding<void>(1));
 
   constructor(
     private readonly port: RelayPort,
     private readonly leader: () => Peer | null,
-    private readonly noteAnswer: (label: string) => void,
+    private readonly noteResponse: (label: string) => void,
     private readonly clock: () => Micros,
   ) {}
 
-  /** Replies with the leader's response to a heartbeat; with 503, at once, when it can't be had. */
-  forward(heartbeat: Buffer, reply: (a: Answer) => void): void {
-    if (this.waiting.length >= MAX_WAITING) return reply(retryLater('too many reports'));
-    this.waiting.push({ heartbeat, since: this.clock(), reply });
-    if (this.waiting.length === 1) Queue.unsafeOffer(this.wake, undefined);
+  /**
+   * Forwards a heartbeat and replies with the leader's response, or immediately with status 503 if too many
+   * heartbeats are waiting.
+   */
+  forward(heartbeat: Buffer, reply: (response: Answer) => void): void {
+    if (this.pending.length >= MAX_PENDING) return reply(retryLater('too many reports'));
+    this.pending.push({ heartbeat, since: this.clock(), reply });
+    if (this.pending.length === 1) Queue.unsafeOffer(this.wake, undefined);
   }
 
-  /** Forwards what is waiting, for ever. */
+  /** Forwards collected heartbeats; never ends. */
   readonly run: Effect.Effect<never> = supervise(
     'heartbeat-relay',
     Effect.suspend(() => Queue.take(this.wake)).pipe(
-      Effect.zipRight(Effect.suspend(() => Effect.sleep(gatherMs(this.gathered)))),
+      Effect.zipRight(Effect.suspend(() => Effect.sleep(batchingDelayMs(this.lastBatchSize)))),
       Effect.zipRight(Effect.suspend(() => this.flush())),
       Effect.forever,
     ),
   );
 
   private flush(): Effect.Effect<void> {
-    this.gathered = this.waiting.length;
+    this.lastBatchSize = this.pending.length;
     const peer = this.leader();
     if (peer === null) {
-      for (const w of this.waiting.splice(0)) w.reply(retryLater('leader unknown'));
+      for (const waiter of this.pending.splice(0)) waiter.reply(retryLater('leader unknown'));
       return Effect.void;
     }
-    const batches: Waiting[][] = [];
-    while (this.waiting.length > 0 && this.inFlight < MAX_BATCHES_IN_FLIGHT) {
+    const batches: PendingHeartbeat[][] = [];
+    while (this.pending.length > 0 && this.inFlight < MAX_BATCHES_IN_FLIGHT) {
       this.inFlight++;
-      batches.push(this.waiting.splice(0, MAX_BATCH));
+      batches.push(this.pending.splice(0, MAX_BATCH));
     }
-    const limit = this.clock() - MAX_WAIT;
-    if (this.waiting.length > 0 && this.waiting[0]!.since < limit) {
-      const late = this.waiting.filter((w) => w.since < limit);
-      this.waiting = this.waiting.filter((w) => w.since >= limit);
-      for (const w of late) w.reply(retryLater('too many reports'));
+    const oldestAllowed = this.clock() - MAX_QUEUE_TIME;
+    if (this.pending.length > 0 && this.pending[0]!.since < oldestAllowed) {
+      const overdue = this.pending.filter((waiter) => waiter.since < oldestAllowed);
+      this.pending = this.pending.filter((waiter) => waiter.since >= oldestAllowed);
+      for (const waiter of overdue) waiter.reply(retryLater('too many reports'));
     }
     return Effect.forEach(batches, (batch) => Effect.forkDaemon(this.send(peer, batch)), { discard: true });
   }
 
-  private send(peer: Peer, batch: readonly Waiting[]): Effect.Effect<void> {
-    return this.port.relay(peer, pack(batch.map((w) => w.heartbeat))).pipe(
+  private send(peer: Peer, batch: readonly PendingHeartbeat[]): Effect.Effect<void> {
+    return this.port.relay(peer, pack(batch.map((waiter) => waiter.heartbeat))).pipe(
       Effect.map((body) => {
-        this.noteAnswer(peer.label);
+        this.noteResponse(peer.label);
         return decodeResponses(body, batch.length);
       }),
       Effect.orElseSucceed(() => null),
       Effect.map((responses) => {
         this.inFlight--;
-        batch.forEach((w, i) => w.reply(responseAt(responses, i)));
-        if (this.waiting.length > 0) Queue.unsafeOffer(this.wake, undefined);
+        batch.forEach((waiter, index) => waiter.reply(responseAt(responses, index)));
+        if (this.pending.length > 0) Queue.unsafeOffer(this.wake, undefined);
       }),
     );
   }
 }
 
-/** The HTTP response to the heartbeat at `index`; `responses` is null where the leader has not answered. */
+/** Builds the HTTP response to the heartbeat at `index`. `responses` is null if the leader did not respond. */
 export const responseAt = (responses: HeartbeatResponses | null, index: number): Answer => {
   if (responses === null) return retryLater('leader not reached');
   const body = responses.bodies[index]!;
@@ -129,14 +149,14 @@
   return { status: 200, body: body === '' ? emptyResponse(responses.term) : body };
 };
 
-/** null: not a leader's responses to so many heartbeats. */
+/** Decodes a leader's responses; null if the body is not a list of exactly `count` responses. */
 const decodeResponses = (body: Buffer, count: number): HeartbeatResponses | null => {
   try {
     const [term, bodies] = unpack(body) as [number, (string | null)[]];
     return Number.isSafeInteger(term) &&
       Array.isArray(bodies) &&
       bodies.length === count &&
-      bodies.every((x) => x === null || typeof x === 'string')
+      bodies.every((item) => item === null || typeof item === 'string')
       ? { term, bodies }
       : null;
   } catch {
@@ -144,18 +164,21 @@
   }
 };
 
-/** null: not a batch of heartbeats. */
+/** Decodes a batch of heartbeats; null if the body is not one. */
 const decodeBatch = (body: Buffer): Buffer[] | null => {
   try {
     const batch: unknown = unpack(body);
-    const isBatch = Array.isArray(batch) && batch.every((b) => b instanceof Uint8Array);
+    const isBatch = Array.isArray(batch) && batch.every((item) => item instanceof Uint8Array);
     return isBatch ? (batch as Buffer[]) : null;
   } catch {
     return null;
   }
 };
 
-/** The leader's side: a batch comes in, its responses go back; 503 if this controller does not lead. */
+/**
+ * Handles batches on the leader: decodes each heartbeat and returns all responses in one message, or status 503 if
+ * this controller does not lead.
+ */
 export const relayHandler =
   (receive: ReceiveHeartbeats, reader: HeartbeatReader): Quick =>
   (request, reply) => {
--- a/packages/controller/src/workers/machine.ts
+++ b/packages/controller/src/workers/machine.ts
@@ -1,60 +1,72 @@
-/** What the leader knows of one machine and its worker. */
+/** The leader's record of one machine and its worker. */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { ListedMachine } from '../provisioning/model.js';
 import type { Heartbeat, ReportedTask } from './codec.js';
 
-/** A machine as the cloud and its worker's heartbeats describe it, in this leader's term. */
+/** A machine as described by the cloud and by its worker's heartbeats in this leader's term. */
 export interface Machine {
   readonly id: string;
   addr: string;
   type: string;
   zone: string;
   spot: boolean;
-  /** The worker's epoch: it grows when the worker restarts or its lease expires. */
+  /** The worker's epoch; it grows with each restart and each expiry of the worker's lease. */
   incarnation: number;
-  /** Number of its latest heartbeat within the incarnation. */
+  /** Number of the latest heartbeat within the incarnation. */
   sequence: number;
-  /** When a heartbeat of it was last answered: its lease may run from there. */
+  /** Time of the last response to one of the worker's heartbeats; its lease may run from there. */
   lastAnswered: Micros;
+  /** Whether a heartbeat has been processed in this term. */
   reported: boolean;
-  /** A heartbeat has carried this term's fencing token: no older leader's response can reach the worker any more. */
+  /**
+   * Whether a heartbeat has carried this term's fencing token. If so, the worker accepts no response of an older
+   * leader any more.
+   */
   confirmed: boolean;
-  /** When the cloud reclaims the machine; null: not announced. */
+  /** Time at which the cloud reclaims the machine; null if no recall is announced. */
   recallAt: Micros | null;
   readonly tasks: Map<string, ReportedTask>;
-  /** The list that `tasks` was made from. */
+  /** The decoded list that `tasks` was built from, compared by identity. */
   lastTaskList: readonly ReportedTask[];
-  /** Since when it has sent heartbeats without being confirmed; once its lease has expired, from the last response on. */
+  /**
+   * Since when the worker has sent heartbeats without being confirmed. After its lease has expired: the time of
+   * the last response.
+   */
   unconfirmedSince: Micros;
   /**
-   * The latest heartbeat carried this term's token, or no older leader's orders can count any more: what the heartbeat
-   * lacks is surely not there, and what has exited there is not started there again.
+   * Whether the latest heartbeat is authoritative: it carried this term's token, or no order of an older leader
+   * can take effect any more. A task that is missing from an authoritative heartbeat does not run on the machine,
+   * and a task reported as exited is not started on it again.
    */
   authoritative: boolean;
-  /** Tasks reported in this term and incarnation, with the attempt: a later attempt here has not been seen yet. */
+  /**
+   * Attempts of tasks reported in this term and incarnation, by task. A later attempt has not been seen on this
+   * machine yet.
+   */
   readonly seenAttempts: Map<string, number>;
-  /** It reports running tasks that the recorded state does not place there. */
+  /** Whether the machine reports running tasks that the committed state does not place on it. */
   hasUnknownTasks: boolean;
-  /** Status in the cloud's list; null: not listed yet. */
+  /** Status in the cloud's list of machines; null if the machine has not been listed yet. */
   cloudStatus: ListedMachine['status'] | null;
-  /** When the machine became known or was rented; it is charged from there. */
+  /** Time at which the machine became known or was rented; it is charged from then on. */
   since: Micros;
-  /** Since when the cloud's list has called it running in this term. */
+  /** Time from which the cloud has listed the machine as running in this term; null if it has not. */
   runningSince: Micros | null;
+  /** Since when the machine has been idle; null while it has tasks. */
   emptySince: Micros | null;
-  /** Why it gets no new tasks; null: it is not cordoned. */
+  /** Reason why the machine gets no new tasks; null if it is not cordoned. */
   cordonReason: string | null;
-  /** Images that its tasks have fetched. */
+  /** Images that the machine's tasks have fetched. */
   images: Set<string>;
-  /** It gets no new tasks before. */
+  /** The machine gets no new tasks before this time. */
   cooldownUntil: Micros;
-  /** Tasks that the response to its latest heartbeat starts. */
+  /** Tasks that the response to the latest heartbeat starts. */
   dispatched: readonly string[];
-  /** How many responses with starts in a row have not reached it. */
+  /** Number of consecutive responses with starts that did not reach the worker. */
   unacknowledged: number;
 }
 
-/** What the cloud or a heartbeat says of a machine when it is first heard of. */
+/** What the cloud or a heartbeat states about a machine when it first becomes known. */
 export interface MachineInfo {
   readonly addr: string;
   readonly type: string;
@@ -62,14 +74,17 @@
   readonly spot: boolean;
 }
 
-/** The machines of the registry, for modules that change a machine but neither add nor remove one. */
+/** The registry's machines, for modules that may change a machine but not add or remove one. */
 export type Machines = ReadonlyMap<string, Machine>;
 
-/** Nothing was dispatched. One shared list: it is compared by identity. */
+/**
+ * The value of `dispatched` if the latest response starts nothing. One shared list, because it is compared by
+ * identity.
+ */
 export const NONE_DISPATCHED: readonly string[] = [];
 const NO_TASKS: readonly ReportedTask[] = [];
 
-/** A machine that became known at `at`, in a term that began at `termBegan`. */
+/** Creates the record of a machine that became known at `at`, in a term that began at `termBegan`. */
 export const newMachine = (
   id: string,
   at: Micros,
@@ -105,7 +120,7 @@
   unacknowledged: 0,
 });
 
-/** A repetition of the latest heartbeat, or older than it. */
+/** Whether a heartbeat is older than the machine's latest heartbeat or a repetition of it. */
 export const isStale = (heartbeat: Heartbeat, machine: Machine): boolean =>
   heartbeat.incarnation < machine.incarnation ||
   (heartbeat.incarnation === machine.incarnation && heartbeat.sequence <= machine.sequence);
--- a/packages/controller/src/workers/observed-exits.ts
+++ b/packages/controller/src/workers/observed-exits.ts
@@ -1,42 +1,45 @@
 /**
- * Exits of tasks that the leader has observed and no durable record states yet, and since when the others have run. A
- * scheduling cycle records the exits; they are dropped here once the record is committed.
+ * Task exits that the leader has observed and that are not committed yet, and the start times of running tasks. A
+ * scheduling cycle writes the exits to a log entry; they are dropped here once that entry is committed.
  */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import { Phases } from '../accounts/phases.js';
 import { type Job, taskKey } from '../jobs/model.js';
 
-/** Observed exits of one job, by task. */
+/** Observed exits of one job's tasks, by task number. */
 export interface TaskExits {
-  /** Completed. */
+  /** Tasks that completed. */
   readonly done: Set<number>;
-  /** Exited without completing, or lost with the machine. */
+  /** Tasks that exited without completing or were lost with their machine. */
   readonly gone: Set<number>;
-  /** Those of `gone` that failed by themselves. */
+  /** The subset of `gone` that failed by themselves. */
   readonly failed: Set<number>;
 }
 
-/** Where a task runs. */
+/** A running attempt of a task. */
 export interface Running {
   /** When this attempt was first seen running. */
   readonly since: Micros;
   readonly machine: string;
 }
 
-/** Whether an exit of `task` stands in `exits`. */
+/** Whether `exits` contains an exit of `task`. */
 export const hasExited = (exits: TaskExits, task: number): boolean =>
   exits.done.has(task) || exits.gone.has(task);
 
-/** Exits that workers have reported and no log entry has yet. */
+/** Exits that workers have reported and that are in no committed log entry yet. */
 export class ObservedExits {
-  /** By job. */
+  /** Observed exits by job id. */
   readonly byJob = new Map<string, TaskExits>();
-  /** By task. */
+  /** Running tasks by task key. */
   readonly running = new Map<string, Running>();
   /** Times of the placements' phases, for the accounts. */
   readonly phases = new Phases();
 
-  /** `stopping`: an exit ends a task's stop as well. `requestCycle`: an exit is recorded by the next scheduling cycle. */
+  /**
+   * `stopping` holds the pending stops by task key; an exit removes the task's stop. `requestCycle` makes a
+   * scheduling cycle run, which records the exit.
+   */
   constructor(
     private readonly stopping: Pick<Map<string, unknown>, 'delete'>,
     private readonly requestCycle: () => void,
@@ -49,14 +52,17 @@
     return exits !== undefined && hasExited(exits, task);
   }
 
-  /** A gang that lost a member of its attempt: the others must go before a fresh attempt. */
+  /**
+   * Whether a gang has lost a member of its current attempt. The other members must exit before the gang can be
+   * started again.
+   */
   isBrokenGang(job: Job): boolean {
     if (job.spec.shape !== 'gang' || job.placed.size === 0) return false;
     return job.placed.size < job.spec.tasks || (this.byJob.get(job.spec.id)?.gone.size ?? 0) > 0;
   }
 
-  /** A task completed; a gang completes as a whole. */
-  recordDone(job: Job, task: number): void {
+  /** Records the completion of a task. The completion of one member completes the whole gang. */
+  recordCompletion(job: Job, task: number): void {
     const exits = this.exitsOf(job);
     if (job.spec.shape === 'gang')
       for (let member = 0; member < job.spec.tasks; member++) exits.done.add(member);
@@ -64,8 +70,11 @@
     this.requestCycle();
   }
 
-  /** A task is gone: `failed` by itself, or stopped or lost. */
-  recordGone(job: Job, task: number, failed = false): void {
+  /**
+   * Records that a task has exited without completing. `failed`: it failed by itself, rather than being stopped or
+   * lost.
+   */
+  recordExit(job: Job, task: number, failed = false): void {
     this.forgetProgress(taskKey(job.spec.id, task));
     const exits = this.exitsOf(job);
     if (!exits.done.has(task)) exits.gone.add(task);
@@ -73,18 +82,18 @@
     this.requestCycle();
   }
 
-  /** The task runs and is stopped no more. */
+  /** Drops the task's start time and its pending stop. */
   forgetProgress(key: string): void {
     this.running.delete(key);
     this.stopping.delete(key);
   }
 
-  /** Drops what a committed record has made durable. */
+  /** Drops the exits that a committed log entry contains. */
   dropDurable(jobId: string, done: readonly number[], gone: readonly number[]): void {
     const exits = this.byJob.get(jobId);
     if (!exits) return;
     for (const task of done) exits.done.delete(task);
-    // Of a gang that completed, also what its members reported before one of them reported that.
+    // A completed gang may also have exits that its members reported before one of them reported the completion.
     for (const task of [...done, ...gone]) {
       exits.gone.delete(task);
       exits.failed.delete(task);
--- a/packages/controller/src/workers/order-queue.ts
+++ b/packages/controller/src/workers/order-queue.ts
@@ -1,6 +1,7 @@
 /**
- * What workers are told: the orders in the response to a heartbeat, and stops that also go out directly, without waiting for
- * the next heartbeat. Orders are derived from the recorded state each time, so a lost one is repeated by itself.
+ * Orders for workers: those in the response to a heartbeat, and stops that are also sent directly, without waiting
+ * for the next heartbeat. Orders are derived from the committed state for each response, so a lost order is
+ * repeated automatically.
  */
 import { type Micros, plus, seconds } from '@lilacvalve/runtime/micros';
 import type { JobState } from '../jobs/job-state.js';
@@ -11,15 +12,15 @@
 import type { ObservedExits } from './observed-exits.js';
 import type { OrphanedTasks } from './orphaned-tasks.js';
 
-/** A stop that a task was told of and has not exited for yet. */
-export interface Stopping {
+/** A stop that a task has been ordered and has not exited for yet. */
+export interface PendingStop {
   readonly attempt: number;
-  /** For saving; a later stop may shorten it. */
+  /** Time for saving; a later stop may shorten it. */
   grace: Micros;
   readonly at: Micros;
 }
 
-/** An order that should also go out directly. */
+/** An order that is also sent directly to the worker. */
 export interface UrgentOrder {
   readonly machine: Machine;
   readonly order: Order;
@@ -27,37 +28,46 @@
 
 type PlacedTask = Placement & { readonly job: Job };
 
-const AT_ONCE = 0 as Micros;
-/** For the other members' stops to arrive and their saves to end. */
+const NO_GRACE = 0 as Micros;
+/** Added to a gang's save time, so that the other members' stops can arrive and their saves can end. */
 const GANG_SAVE_MARGIN = seconds(2);
-/** A save before a recall takes this many times as long as stated, and so much more, at the most. */
+/**
+ * Upper bound of the duration of a save before a recall: its stated duration times `SAVE_FACTOR` plus
+ * `SAVE_MARGIN`.
+ */
 const SAVE_FACTOR = 1.2;
 const SAVE_MARGIN = seconds(3);
 const RECALL_SAVE_MARGIN = seconds(1);
-/** A task that must run for more than this part of the time to the recall is not expected to complete. */
-const ESTIMATE_FACTOR = 1.5;
+/**
+ * A task is not expected to complete before a recall if its remaining estimate exceeds the remaining time by this
+ * factor.
+ */
+const ESTIMATE_TOLERANCE = 1.5;
 
-/** What each worker is to be told. */
+/** Derives the orders for each worker. */
 export class OrderQueue {
-  /** Stops that should also go out directly. */
+  /** Stops that are also sent directly; emptied by the sender. */
   readonly urgent: UrgentOrder[] = [];
 
-  /** `stopping`: by task; the queue adds and exits remove. `orphaned`: what is left alone for now. */
+  /**
+   * `stopping` holds the pending stops by task key: the queue adds them and exits remove them. `orphaned` knows
+   * the tasks that must neither be stopped nor forgotten for now.
+   */
   constructor(
     private readonly jobState: JobState,
     private readonly machines: Machines,
     private readonly exits: Pick<ObservedExits, 'has' | 'isBrokenGang' | 'running'>,
     private readonly orphaned: Pick<OrphanedTasks, 'isRetained'>,
-    private readonly stopping: Map<string, Stopping>,
+    private readonly stopping: Map<string, PendingStop>,
   ) {}
 
-  /** Whether a placed task that the worker does not have should be started there. */
+  /** Whether a placed task that the worker does not hold should be started on it. */
   isWanted(placement: PlacedTask, machine: Machine): boolean {
     const key = taskKey(placement.job.spec.id, placement.task);
     return (
       machine.recallAt === null &&
       !placement.job.cancelled &&
-      // Of a generation before: it may have exited and been forgotten, and is never started again.
+      // An attempt from before a data loss may have exited and been forgotten, and is never started again.
       placement.attempt > this.jobState.attemptFloor &&
       this.stopping.get(key)?.attempt !== placement.attempt &&
       !this.exits.isBrokenGang(placement.job)
@@ -65,14 +75,14 @@
   }
 
   /**
-   * What the response to the machine's latest heartbeat should say; without `starts`, what is to start waits for a later
-   * one.
+   * Orders for the response to the machine's latest heartbeat. Without `includeStarts`, starts wait for a later
+   * response.
    */
-  ordersFor(machine: Machine, starts: boolean): Order[] {
+  ordersFor(machine: Machine, includeStarts: boolean): Order[] {
     const placed = this.jobState.placementsByMachine.get(machine.id);
     const orders: Order[] = [];
     this.addStops(machine, placed, orders);
-    if (starts && machine.authoritative) this.addStarts(machine, placed, orders);
+    if (includeStarts && machine.authoritative) this.addStarts(machine, placed, orders);
     return orders;
   }
 
@@ -86,7 +96,8 @@
       const placement = placed?.get(key);
       if (!placement || placement.attempt !== attempt) {
         if (this.orphaned.isRetained(machine, reported)) continue;
-        // Unknown to the record, or of an attempt that is over: a completion is durable by now, so it may go.
+        // The committed state does not place this attempt here. If it exited, a possible completion is durable by
+        // now, so the worker can forget it.
         if (status === 'exited') orders.push({ op: 'forget', key, attempt });
         else {
           recordAnomaly('strange', 'unknown task reported', () => ({
@@ -94,14 +105,14 @@
             task: key,
             attempt,
           }));
-          orders.push({ op: 'stop', key, attempt, grace: AT_ONCE });
+          orders.push({ op: 'stop', key, attempt, grace: NO_GRACE });
         }
         continue;
       }
       if (status === 'exited') continue;
       const stop = this.stopping.get(key);
       if (placement.job.cancelled || this.exits.isBrokenGang(placement.job)) {
-        orders.push({ op: 'stop', key, attempt, grace: AT_ONCE });
+        orders.push({ op: 'stop', key, attempt, grace: NO_GRACE });
       } else if (stop && stop.attempt === attempt && status !== 'saving') {
         orders.push({ op: 'stop', key, attempt, grace: stop.grace });
       }
@@ -128,24 +139,30 @@
     if (dispatched.length > 0) machine.dispatched = dispatched;
   }
 
-  /** Asks a task to stop, saving within `grace` if it can. Goes out directly and with the next responses. */
+  /**
+   * Orders a task to stop, with `grace` as the time for saving. The stop is sent directly and with the next
+   * responses.
+   */
   stop(job: Job, task: number, grace: Micros, at: Micros): void {
     const placement = job.placed.get(task);
     if (!placement) return;
     const key = taskKey(job.spec.id, task);
-    const before = this.stopping.get(key);
-    if (before && before.attempt === placement.attempt && before.grace <= grace) return;
+    const previous = this.stopping.get(key);
+    if (previous && previous.attempt === placement.attempt && previous.grace <= grace) return;
     this.stopping.set(key, { attempt: placement.attempt, grace, at });
     this.stopDirectly(placement, key, grace);
   }
 
-  /** Sends stops directly that jobs' own states call for: cancelled jobs and what is left of broken gangs. */
+  /**
+   * Sends stops directly for tasks whose job's state requires them to exit: tasks of cancelled jobs and the
+   * remaining members of broken gangs.
+   */
   stopRemainingTasks(job: Job): void {
     for (const placement of job.placed.values()) {
       const key = taskKey(job.spec.id, placement.task);
       if (this.exits.has(job.spec.id, placement.task)) continue;
       const reported = this.machines.get(placement.machine)?.tasks.get(key);
-      if (reported && reported.status !== 'exited') this.stopDirectly(placement, key, AT_ONCE);
+      if (reported && reported.status !== 'exited') this.stopDirectly(placement, key, NO_GRACE);
     }
   }
 
@@ -155,8 +172,9 @@
   }
 
   /**
-   * Gangs that an earlier leader has preempted partially: it told some members to save. The others are told too, in time if
-   * it is still possible, since without them the save fails. Returns the jobs, one entry for each member that saves.
+   * Completes partial preemptions of gangs by an earlier leader, which ordered only some of the members to save.
+   * The other members are stopped too, since the save fails without them; this may still be in time. Returns the
+   * job's id once for each saving member.
    */
   completePartialPreemptions(at: Micros): string[] {
     const preempted: string[] = [];
@@ -174,21 +192,24 @@
     return preempted;
   }
 
-  /** Drains machines that the cloud is about to reclaim: saves what can be saved, as late as is safe. */
+  /**
+   * Drains machines that the cloud is about to reclaim: stops tasks with checkpoints as late as they can still be
+   * saved safely.
+   */
   drainRecalledMachines(at: Micros): void {
     for (const machine of this.machines.values()) {
       if (machine.recallAt === null) continue;
-      const left = machine.recallAt - at;
+      const remaining = machine.recallAt - at;
       for (const { job, task } of this.jobState.placementsByMachine.get(machine.id)?.values() ?? []) {
         const { id, checkpoint, save, shape, estimate } = job.spec;
         const run = this.exits.running.get(taskKey(id, task));
         if (checkpoint > 0) {
-          if (left > save * SAVE_FACTOR + SAVE_MARGIN) continue;
+          if (remaining > save * SAVE_FACTOR + SAVE_MARGIN) continue;
           const members = shape === 'gang' ? [...job.placed.keys()] : [task];
           for (const member of members) this.stop(job, member, plus(save, RECALL_SAVE_MARGIN), at);
-        } else if (run && estimate - (at - run.since) > left * ESTIMATE_FACTOR) {
-          // It can't complete there and saves nothing: better started again elsewhere at once.
-          this.stop(job, task, AT_ONCE, at);
+        } else if (run && estimate - (at - run.since) > remaining * ESTIMATE_TOLERANCE) {
+          // The task cannot complete on this machine and saves nothing, so it is started elsewhere immediately.
+          this.stop(job, task, NO_GRACE, at);
         }
       }
     }
--- a/packages/controller/src/workers/orphaned-tasks.ts
+++ b/packages/controller/src/workers/orphaned-tasks.ts
@@ -1,6 +1,7 @@
 /**
- * Tasks from before a loss of durable state that workers report and no record knows of. Those of a known job are adopted,
- * a gang only whole; those of an unknown job are left alone until the job is brought back or aborted.
+ * Orphaned tasks: tasks from before a data loss that workers report and no log entry contains. Tasks of a known
+ * job are adopted, those of a gang only if the whole gang runs. Tasks of an unknown job keep running until the job
+ * is restored or aborted.
  */
 import type { Micros } from '@lilacvalve/runtime/micros';
 import type { JobState } from '../jobs/job-state.js';
@@ -10,51 +11,54 @@
 import type { Machine } from './machine.js';
 import type { ObservedExits } from './observed-exits.js';
 
-/** Tasks that workers run and no log entry knows, after a loss of data. */
+/** Tracks tasks that workers run and no log entry contains after a data loss. */
 export class OrphanedTasks {
-  /** Tasks of known jobs, by job and task: where they run and as which attempt. */
+  /** Orphaned tasks of known jobs with their machine and attempt, by job id and task number. */
   readonly byJob = new Map<string, Map<number, Placement>>();
-  /** Jobs that workers name and nobody knows, with their tasks as `task@machine`. */
+  /** Jobs that workers report but no controller knows, with their tasks as `task@machine`. */
   readonly unknownJobs = new Map<string, Set<string>>();
-  /** Of these, those that have been left alone for long enough: their tasks are stopped. */
+  /** The subset of `unknownJobs` whose waiting time has passed: their tasks are stopped. */
   readonly abortedUnknownJobs = new Set<string>();
-  /** Known jobs whose orphaned tasks can't be adopted. */
+  /** Known jobs whose orphaned tasks cannot be adopted. */
   private readonly unadoptable = new Set<string>();
 
   constructor(
     private readonly jobState: JobState,
-    private readonly exits: Pick<ObservedExits, 'byJob' | 'has' | 'recordDone'>,
+    private readonly exits: Pick<ObservedExits, 'byJob' | 'has' | 'recordCompletion'>,
     private readonly requestCycle: () => void,
   ) {}
 
-  /** A heartbeat reports a task whose attempt is from before the loss and that no record places there. */
-  note(machine: Machine, reported: ReportedTask): void {
+  /**
+   * Records a reported task whose attempt is from before the data loss and that the committed state does not place
+   * on the machine.
+   */
+  recordReported(machine: Machine, reported: ReportedTask): void {
     const slash = reported.key.indexOf('/');
     const id = reported.key.slice(0, slash);
     const task = Number(reported.key.slice(slash + 1));
     const job = this.jobState.jobs.get(id);
     if (job === undefined) {
-      const isOver = reported.status === 'exited' && reported.cause !== 'done';
-      if (isOver || this.jobState.finalStates.has(id)) return;
-      const known = this.unknownJobs.get(id);
-      if (known) known.add(`${task}@${machine.id}`);
+      const exitedIncomplete = reported.status === 'exited' && reported.cause !== 'done';
+      if (exitedIncomplete || this.jobState.finalStates.has(id)) return;
+      const knownTasks = this.unknownJobs.get(id);
+      if (knownTasks) knownTasks.add(`${task}@${machine.id}`);
       else this.unknownJobs.set(id, new Set([`${task}@${machine.id}`]));
       return;
     }
     if (job.cancelled || job.done.has(task) || task >= job.spec.tasks) return;
-    // Its result is kept there: it completed, whichever attempt that was.
+    // The worker keeps the result of a completed task, so the task counts as completed whatever its attempt was.
     if (reported.status === 'exited') {
-      if (reported.cause === 'done' && !this.exits.has(id, task)) this.exits.recordDone(job, task);
+      if (reported.cause === 'done' && !this.exits.has(id, task)) this.exits.recordCompletion(job, task);
       return;
     }
     let tasks = this.byJob.get(id);
     if (!tasks) this.byJob.set(id, (tasks = new Map()));
-    // The record that adopts it says since when.
+    // The log entry that adopts the task determines its start time.
     tasks.set(task, { task, attempt: reported.attempt, machine: machine.id, since: 0 as Micros });
     this.requestCycle();
   }
 
-  /** Drops what the machine has reported. */
+  /** Drops the tasks that the machine has reported. */
   forgetMachine(machine: string): void {
     for (const [id, tasks] of this.byJob) {
       for (const [task, placement] of tasks) if (placement.machine === machine) tasks.delete(task);
@@ -66,7 +70,7 @@
     }
   }
 
-  /** Whether a reported task that no record knows of is left alone for now: neither stopped nor forgotten. */
+  /** Whether a reported task that no log entry contains is retained for now: neither stopped nor forgotten. */
   isRetained(machine: Machine, reported: ReportedTask): boolean {
     if (reported.attempt > this.jobState.attemptFloor) return false;
     const slash = reported.key.indexOf('/');
@@ -84,40 +88,45 @@
   }
 
   /**
-   * Starts that have happened already, as a record adopts them: what runs from before a loss and has no other place. A gang
-   * is adopted whole; one that is not whole can't be, and is stopped once all leases from before have expired.
+   * Starts by which a log entry adopts tasks that already run: those from before the data loss that are placed
+   * nowhere. A gang is adopted only as a whole; the tasks of an incomplete gang are stopped once all leases from
+   * before have expired.
    */
   adoptions(): Start[] {
     const starts: Start[] = [];
     for (const [id, tasks] of this.byJob) {
       const job = this.jobState.jobs.get(id);
       if (job === undefined) continue;
-      const free = [...tasks.values()].filter((p) => !job.placed.has(p.task) && !this.exits.has(id, p.task));
-      const attempt = Math.max(...free.map((p) => p.attempt));
-      const adopted = free.filter((p) => p.attempt === attempt);
+      const unplaced = [...tasks.values()].filter(
+        (placement) => !job.placed.has(placement.task) && !this.exits.has(id, placement.task),
+      );
+      const attempt = Math.max(...unplaced.map((placement) => placement.attempt));
+      const adopted = unplaced.filter((placement) => placement.attempt === attempt);
       if (adopted.length === 0) continue;
       if (job.spec.shape === 'gang') {
-        const placed = [...job.placed.values()].filter((p) => p.attempt === attempt).length;
-        if (placed + adopted.length < job.spec.tasks) continue;
+        const placedCount = [...job.placed.values()].filter(
+          (placement) => placement.attempt === attempt,
+        ).length;
+        if (placedCount + adopted.length < job.spec.tasks) continue;
       }
-      const on = new Map<string, number[]>();
+      const tasksByMachine = new Map<string, number[]>();
       for (const { machine, task } of adopted) {
-        const list = on.get(machine);
-        if (list) list.push(task);
-        else on.set(machine, [task]);
+        const machineTasks = tasksByMachine.get(machine);
+        if (machineTasks) machineTasks.push(task);
+        else tasksByMachine.set(machine, [task]);
       }
-      starts.push({ job, attempt, on });
+      starts.push({ job, attempt, on: tasksByMachine });
     }
     return starts;
   }
 
   /**
-   * Gives up the jobs whose orphaned tasks can't be adopted (a gang of which a part is gone), once nothing more of them can
-   * appear, and returns those newly given up.
+   * Gives up jobs whose orphaned tasks cannot be adopted (gangs with missing members), once all earlier leases
+   * have expired and no further tasks can be reported. Returns the jobs newly given up.
    */
   abandonUnadoptable(priorLeasesExpired: () => boolean): string[] {
     if (this.byJob.size === 0 || !priorLeasesExpired()) return [];
-    const adopted = new Set(this.adoptions().map((s) => s.job.spec.id));
+    const adopted = new Set(this.adoptions().map((start) => start.job.spec.id));
     const abandoned = [...this.byJob.keys()].filter((id) => !adopted.has(id) && !this.unadoptable.has(id));
     for (const id of abandoned) this.unadoptable.add(id);
     return abandoned;
--- a/packages/controller/src/workers/quarantine.ts
+++ b/packages/controller/src/workers/quarantine.ts
@@ -1,6 +1,6 @@
 /**
- * What follows from failures: machines that the evidence speaks against are quarantined, suspect jobs are retried seldom,
- * and no job is started again too soon where its task could not run.
+ * Reactions to failures: faulty machines are quarantined, suspect jobs are retried rarely, and a job whose task a
+ * worker could not run is not started again immediately.
  */
 import { type Micros, plus, seconds } from '@lilacvalve/runtime/micros';
 import type { JobState } from '../jobs/job-state.js';
@@ -10,22 +10,25 @@
 import type { Machine, Machines } from './machine.js';
 import type { ObservedExits } from './observed-exits.js';
 
-/** The cordon's reason of a quarantined machine. */
-const FAULTY = 'faulty';
-/** A machine without room, or a worker that does not know the job yet, is asked again after so long. */
+/** Cordon reason of a quarantined machine. */
+const QUARANTINE_REASON = 'faulty';
+/**
+ * Delay before a machine without free resources gets new tasks, or a job that its worker could not run yet is
+ * started again.
+ */
 const RETRY_DELAY = seconds(2);
 
-/** A machine whose quarantine began or was lifted. */
+/** The start or the end of a machine's quarantine. */
 export interface QuarantineDecision {
   readonly machine: string;
   readonly quarantined: boolean;
 }
 
-/** Machines and jobs that are kept from each other after failures. */
+/** Keeps suspect jobs and faulty machines from getting new tasks after failures. */
 export class Quarantine {
-  private readonly faults: FaultAttribution;
+  private readonly attribution: FaultAttribution;
   private readonly reportedSuspects = new Set<string>();
-  /** Jobs whose tasks a worker has turned away: not started again before. */
+  /** Earliest next start of jobs whose tasks were refused by a worker. */
   private readonly retryAfter = new Map<string, Micros>();
 
   constructor(
@@ -33,38 +36,38 @@
     private readonly exits: Pick<ObservedExits, 'byJob' | 'running'>,
     termBegan: Micros,
   ) {
-    this.faults = new FaultAttribution(termBegan);
+    this.attribution = new FaultAttribution(termBegan);
   }
 
-  /** A task completed: both its job and its machine are sound. */
+  /** Records that a task completed, which shows that both its job and its machine are sound. */
   recordCompletion(job: Job, machine: string): void {
-    this.faults.recordCompletion(job, machine);
+    this.attribution.recordCompletion(job, machine);
   }
 
-  /** A task exited without completing after it had run for `ranFor` microseconds. */
+  /** Records that a task exited without completing after running for `ranFor` microseconds. */
   recordExit(job: Job, machine: Machine, cause: ExitCause | null, ranFor: number, at: Micros): void {
-    if (cause === 'error') this.faults.recordFailure(job, machine.id, ranFor, at);
+    if (cause === 'error') this.attribution.recordFailure(job, machine.id, ranFor, at);
     else if (cause === 'no-room') machine.cooldownUntil = plus(at, RETRY_DELAY);
     else if (cause === 'unknown' || cause === 'busy') this.retryAfter.set(job.spec.id, plus(at, RETRY_DELAY));
   }
 
-  /** The machine is gone: nothing is held against it. */
+  /** Drops the evidence against a machine that has been returned. */
   forgetMachine(machine: string): void {
-    this.faults.forgetMachine(machine);
+    this.attribution.forgetMachine(machine);
   }
 
-  /** It failed wherever it ran: retried, but seldom and little of it. */
+  /** Whether the job has failed wherever it ran. A suspect job is retried rarely and with few tasks. */
   isSuspect(job: Job, at: Micros): boolean {
-    if (!this.faults.isSuspect(job, 0)) return false;
+    if (!this.attribution.isSuspect(job, 0)) return false;
     let ranFor = 0;
     for (const task of job.placed.keys()) {
       const run = this.exits.running.get(taskKey(job.spec.id, task));
       if (run) ranFor = Math.max(ranFor, at - run.since);
     }
-    return this.faults.isSuspect(job, ranFor);
+    return this.attribution.isSuspect(job, ranFor);
   }
 
-  /** Jobs that have become suspect since this was last called. */
+  /** Jobs that have become suspect since the previous call. */
   newSuspects(at: Micros): string[] {
     const suspects: string[] = [];
     for (const [id, exits] of this.exits.byJob) {
@@ -77,24 +80,30 @@
     return suspects;
   }
 
-  /** Not before this time should the job be started again. */
+  /** Earliest time at which the job should be started again. */
   retryNotBefore(job: Job, at: Micros): Micros {
-    const after = this.retryAfter.get(job.spec.id) ?? (0 as Micros);
-    return this.isSuspect(job, at) ? (Math.max(after, this.faults.retryNotBefore(job)) as Micros) : after;
+    const notBefore = this.retryAfter.get(job.spec.id) ?? (0 as Micros);
+    return this.isSuspect(job, at)
+      ? (Math.max(notBefore, this.attribution.retryNotBefore(job)) as Micros)
+      : notBefore;
   }
 
-  /** Machines a job should avoid, because it failed there; null: none. */
+  /** Machines that the job should avoid because it failed there; null if there are none. */
   avoidedMachines(job: Job): ReadonlySet<string> | null {
-    return this.faults.avoidedMachines(job);
+    return this.attribution.avoidedMachines(job);
   }
 
-  /** Cordons machines that the evidence speaks against, and frees those it no longer does. */
+  /**
+   * Cordons machines that are faulty by the evidence so far and lifts the quarantine of those that no longer are.
+   * Returns the changes.
+   */
   update(machines: Machines, at: Micros): QuarantineDecision[] {
-    const faulty = this.faults.faultyMachines(at, (job) => this.isSuspect(job, at));
+    const faulty = this.attribution.faultyMachines(at, (job) => this.isSuspect(job, at));
     const decisions: QuarantineDecision[] = [];
     for (const machine of machines.values()) {
-      if (machine.cordonReason === null && faulty.has(machine.id)) machine.cordonReason = FAULTY;
-      else if (machine.cordonReason === FAULTY && !faulty.has(machine.id)) machine.cordonReason = null;
+      if (machine.cordonReason === null && faulty.has(machine.id)) machine.cordonReason = QUARANTINE_REASON;
+      else if (machine.cordonReason === QUARANTINE_REASON && !faulty.has(machine.id))
+        machine.cordonReason = null;
       else continue;
       decisions.push({ machine: machine.id, quarantined: machine.cordonReason !== null });
     }
--- a/packages/controller/src/workers/start-confirmation.ts
+++ b/packages/controller/src/workers/start-confirmation.ts
@@ -1,34 +1,41 @@
 /**
- * Whether the starts in responses arrive. A worker whose heartbeats come but whose responses are lost would hold its
- * tasks' room for ever: after a few lost responses its tasks go elsewhere, and it gets none for a while.
+ * Confirms that the starts in heartbeat responses reach the worker. A worker whose heartbeats arrive but whose
+ * responses are lost would hold its tasks' resources forever. After a few lost responses its tasks are placed
+ * elsewhere, and it gets no new tasks for a while.
  */
 import { type Micros, plus, seconds } from '@lilacvalve/runtime/micros';
 import type { Machine } from './machine.js';
 
-/** A worker is unreachable once so many responses in a row that start something have been lost. */
-const LOST_RESPONSES = 3;
-/** Heartbeats that come closer together were held up together: nobody waited for the responses between them. */
-const HELD_UP = seconds(1);
-/** An unreachable worker gets nothing for so long; doubles while it turns out to be unreachable still. */
-const COOLDOWN = seconds(10);
+/** Number of consecutive lost responses with starts after which a worker counts as unreachable. */
+const MAX_LOST_RESPONSES = 3;
+/**
+ * Heartbeats that arrive closer together than this were delayed together: the worker could not use the responses
+ * between them, so these do not count as lost.
+ */
+const MIN_HEARTBEAT_GAP = seconds(1);
+/**
+ * Time in which an unreachable worker gets no new tasks; it doubles with each further lost response, up to
+ * `MAX_COOLDOWN`.
+ */
+const INITIAL_COOLDOWN = seconds(10);
 const MAX_COOLDOWN = seconds(60);
 
-/** Whether the starts that were sent have arrived. */
+/** Tracks whether dispatched starts reach their workers. */
 export class StartConfirmation {
-  /** Workers found unreachable since this was last emptied. */
+  /** Workers found to be unreachable since the caller last emptied this list. */
   readonly unreachable: string[] = [];
 
   /**
-   * Checks, `elapsed` after the heartbeat before, that the worker has what the last response told it to start. True: that
-   * has failed so often that its tasks should go elsewhere.
+   * Checks whether the worker holds the tasks that the previous response started, `elapsed` microseconds after the
+   * previous heartbeat. Returns true if starts have failed so often that the tasks should be placed elsewhere.
    */
-  failed(machine: Machine, elapsed: number, at: Micros): boolean {
+  startsFailed(machine: Machine, elapsed: number, at: Micros): boolean {
     if (machine.dispatched.every((key) => machine.tasks.has(key))) {
       machine.unacknowledged = 0;
       return false;
     }
-    if (elapsed < HELD_UP || ++machine.unacknowledged < LOST_RESPONSES) return false;
-    const cooldown = COOLDOWN * 2 ** (machine.unacknowledged - LOST_RESPONSES);
+    if (elapsed < MIN_HEARTBEAT_GAP || ++machine.unacknowledged < MAX_LOST_RESPONSES) return false;
+    const cooldown = INITIAL_COOLDOWN * 2 ** (machine.unacknowledged - MAX_LOST_RESPONSES);
     machine.cooldownUntil = plus(at, Math.min(MAX_COOLDOWN, cooldown));
     this.unreachable.push(machine.id);
     return true;
--- a/packages/controller/src/workers/worker-client.ts
+++ b/packages/controller/src/workers/worker-client.ts
@@ -1,4 +1,4 @@
-/** Sends orders to workers directly, for what must not wait for the next heartbeat. */
+/** Sends orders directly to workers if they must not wait for the next heartbeat. */
 import * as http from 'node:http';
 import { Effect } from 'effect';
 import { HttpClient } from '@lilacvalve/runtime/http-client';
@@ -8,35 +8,38 @@
 import { encodeOrders, type Order } from './codec.js';
 import type { WorkerRegistry } from './worker-registry.js';
 
-/** How a controller reaches workers. */
+/** Connection from a controller to the workers. */
 export interface WorkerPort {
-  /** Sends encoded orders to a worker's address. Never fails: the worker's next heartbeats tell what came of it. */
+  /**
+   * Sends encoded orders to a worker's address. Never fails: the worker's next heartbeats show whether the orders
+   * took effect.
+   */
   sendOrders(addr: string, body: string): Effect.Effect<void>;
 }
 
 const ORDERS_PATH = '/orders';
-const TIMEOUT_MS = 3000;
-/** The part of a controller's sockets that direct orders may take; the rest is for heartbeats and users. */
-const ORDER_SOCKETS = 0.1;
+const ORDER_TIMEOUT_MS = 3000;
+/** Fraction of a controller's sockets available to direct orders; the others serve heartbeats and users. */
+const ORDER_SOCKET_FRACTION = 0.1;
 const MIN_ORDER_SOCKETS = 8;
 
-/** The workers' HTTP interface. */
+/** HTTP client of the workers. */
 export class WorkerClient implements WorkerPort {
   private readonly agent: http.Agent;
 
   constructor(settings: Settings) {
-    // One connection an order: a worker gets one seldom, and a thousand idle connections would fill the node.
-    // What is over the bound waits its turn; nobody's connection is cut for another's.
+    // Each order uses its own connection: a worker rarely gets one, and a thousand idle connections would exceed
+    // the controller's limit. Orders beyond the limit are queued, so that no other connection has to be closed.
     this.agent = new http.Agent({
       maxTotalSockets: Math.max(
         MIN_ORDER_SOCKETS,
-        Math.floor(settings.limits.maxConnections * ORDER_SOCKETS),
+        Math.floor(settings.limits.maxConnections * ORDER_SOCKET_FRACTION),
       ),
     });
   }
 
   sendOrders(addr: string, body: string): Effect.Effect<void> {
-    return new HttpClient(addr, this.agent).request('POST', ORDERS_PATH, body, TIMEOUT_MS).pipe(
+    return new HttpClient(addr, this.agent).request('POST', ORDERS_PATH, body, ORDER_TIMEOUT_MS).pipe(
       Effect.map(({ status }) => {
         if (status !== 200) recordAnomaly('unheeded', 'order refused', () => ({ addr, status }));
       }),
@@ -51,7 +54,7 @@
   readonly orders: Order[];
 }
 
-/** Sends the urgent orders, one message a worker, each in a fiber of its own, and empties the list. */
+/** Sends the urgent orders and empties their list: one message per worker, each in its own fiber. */
 export const sendUrgentOrders = (
   registry: Pick<WorkerRegistry, 'term' | 'urgentOrders'>,
   port: WorkerPort,
@@ -71,13 +74,13 @@
     return Effect.forEach(
       byMachine.values(),
       ({ addr, incarnation, orders }) => {
-        // What is shed here goes with the response to the worker's next heartbeat all the same.
+        // An order refused by admission control still goes out with the response to the worker's next heartbeat.
         if (admission.enter('order') !== null) return Effect.void;
         countMetric('orders');
-        const sent = port.sendOrders(addr, encodeOrders(registry.term, orders, incarnation));
+        const send = port.sendOrders(addr, encodeOrders(registry.term, orders, incarnation));
         return Effect.forkDaemon(
           Effect.ensuring(
-            sent,
+            send,
             Effect.sync(() => admission.leave('order')),
           ),
         );
--- a/packages/controller/src/workers/worker-leases.ts
+++ b/packages/controller/src/workers/worker-leases.ts
@@ -1,18 +1,18 @@
 /**
- * When a worker's lease has surely expired. An older leader that still answers heartbeats may renew it, until enough
- * controllers know this term.
+ * Computes when a worker's lease has certainly expired. Until enough controllers have acknowledged this term, an
+ * older leader that still responds to heartbeats may renew leases.
  */
 import { DRIFT, type Micros, plus, seconds } from '@lilacvalve/runtime/micros';
 import { CONFIRMATION_VALID } from '../leadership/peers.js';
 import type { Settings } from '../settings/settings.js';
 import type { Machine } from './machine.js';
 
-/** Spared for messages that were on their way when the lease ended. */
-const MARGIN = seconds(1);
+/** Covers messages that were in flight when the lease ended. */
+const IN_FLIGHT_MARGIN = seconds(1);
 
-/** Until when each worker's lease may run. */
+/** Upper bounds of the workers' lease expiry. */
 export class WorkerLeases {
-  /** Until when an older leader may have renewed leases; null: not known yet. */
+  /** Latest time at which an older leader may have renewed leases; null if not known yet. */
   private olderLeaderUntil: Micros | null = null;
 
   constructor(
@@ -20,24 +20,31 @@
     private readonly termBegan: Micros,
   ) {}
 
-  /** Enough controllers have acknowledged this term: what they granted an older leader still counts for a while. */
+  /**
+   * Called when enough controllers have acknowledged this term. Confirmations that they gave an older leader
+   * before remain valid for a limited time.
+   */
   termAcknowledged(at: Micros): void {
     this.olderLeaderUntil ??= plus(at, CONFIRMATION_VALID);
   }
 
   /**
-   * After this a worker's lease has surely expired, counted from the response that may have renewed it last. Until the
-   * worker has shown this term's token, that may be an older leader's. `undefined`: a worker never heard of.
+   * Time after which the worker's lease has certainly expired, counted from the latest response that may have
+   * renewed it. Until the worker has shown this term's token, an older leader may have sent that response.
+   * `undefined` stands for a machine that has never been known in this term.
    */
   expiryOf(machine: Machine | undefined): Micros {
-    const from = machine?.confirmed
+    const lastRenewal = machine?.confirmed
       ? machine.lastAnswered
       : Math.max(machine?.lastAnswered ?? this.termBegan, this.olderLeaderUntil ?? Number.POSITIVE_INFINITY);
-    return plus(from as Micros, this.settings.lease * (1 + 2 * DRIFT) + MARGIN);
+    return plus(lastRenewal as Micros, this.settings.lease * (1 + 2 * DRIFT) + IN_FLIGHT_MARGIN);
   }
 
-  /** Whatever an earlier leader knew of has sent this one a heartbeat, or its lease has surely expired. */
-  priorExpired(at: Micros): boolean {
+  /**
+   * Whether each worker known to an earlier leader has sent this leader a heartbeat or has certainly lost its
+   * lease.
+   */
+  priorLeasesExpired(at: Micros): boolean {
     return at > this.expiryOf(undefined);
   }
 }
--- a/packages/controller/src/workers/worker-registry.ts
+++ b/packages/controller/src/workers/worker-registry.ts
@@ -1,10 +1,10 @@
 /**
- * The leader's registry of machines and what may run on them. Deterministic: heartbeats, the cloud's answers and the time go
- * in; orders and observed exits come out. Nothing here is durable: the starts and exits that count stand in the state
- * service, and each term begins with an empty registry.
+ * The leader's registry of machines and the tasks on them. It is deterministic: heartbeats, the cloud's responses
+ * and the time are its input; orders and observed exits are its output. It holds no durable state: committed
+ * starts and exits are kept in the state service, and each term begins with an empty registry.
  *
- * The registry owns the machines and takes heartbeats in. Beside it: observed exits, worker leases, start confirmation, the
- * order queue, orphaned tasks, quarantine and service readiness, each with its own state.
+ * The registry owns the machines and processes heartbeats. It delegates to modules with their own state: observed
+ * exits, worker leases, start confirmation, the order queue, orphaned tasks, quarantine and service readiness.
  */
 import { type Micros, plus } from '@lilacvalve/runtime/micros';
 import type { ProvisioningNews, ListedMachine, Offer } from '../provisioning/model.js';
@@ -24,36 +24,42 @@
   NONE_DISPATCHED,
 } from './machine.js';
 import { ObservedExits, type Running, type TaskExits } from './observed-exits.js';
-import { type Stopping, OrderQueue, type UrgentOrder } from './order-queue.js';
+import { type PendingStop, OrderQueue, type UrgentOrder } from './order-queue.js';
 import { OrphanedTasks } from './orphaned-tasks.js';
 import { Quarantine, type QuarantineDecision } from './quarantine.js';
 import { ServiceReadiness } from './service-readiness.js';
 import { StartConfirmation } from './start-confirmation.js';
 import { WorkerLeases } from './worker-leases.js';
 
-/** What exits on a machine is recorded within a few cycles after the machine has gone. */
-const DEPARTED_KEPT = 2000;
-/** A machine may have been rented so shortly before the term that its leader saw it as the last. */
-const RENTED_MARGIN = 1e6;
-/** A worker that has missed heartbeats for this many intervals, and for a margin, gets no new tasks. */
-const SILENT_INTERVALS = 2.5;
-const SILENT_MARGIN = 1e6;
+/**
+ * Number of removed machines whose kind is remembered. Exits on a machine are committed within a few cycles after
+ * its removal.
+ */
+const MAX_REMOVED_KINDS = 2000;
+/**
+ * A machine rented less than this time before the start of the term, in microseconds, may have been seen by the
+ * previous leader just before its end, and does not count as a machine from before the term.
+ */
+const RENTAL_MARGIN_US = 1e6;
+/** A worker gets no new tasks if it has sent no heartbeat for this many report intervals plus a margin. */
+const MAX_MISSED_INTERVALS = 2.5;
+const MISSED_INTERVALS_MARGIN_US = 1e6;
 
 type PlacedTask = Placement & { readonly job: Job };
 
-/** The leader's machines and all that is observed of them in its term. */
+/** The leader's machines and everything observed on them in its term. */
 export class WorkerRegistry {
   private readonly byId = new Map<string, Machine>();
   readonly machines: Machines = this.byId;
   private readonly removedIds = new Set<string>();
-  /** What machines were that are gone, the latest ones. */
-  private readonly departed = new Map<string, KindOf>();
-  /** By task: stops that it has been told of. */
-  readonly stopping = new Map<string, Stopping>();
-  /** Something that a scheduling cycle should look at has changed. */
+  /** Kinds of recently removed machines, the latest last. */
+  private readonly removedKinds = new Map<string, KindOf>();
+  /** Pending stops by task key. */
+  readonly stopping = new Map<string, PendingStop>();
+  /** Whether something has changed that a scheduling cycle should process. */
   needsCycle = true;
 
-  private readonly observed: ObservedExits;
+  private readonly observedExits: ObservedExits;
   private readonly leases: WorkerLeases;
   private readonly startConfirmation = new StartConfirmation();
   private readonly orphaned: OrphanedTasks;
@@ -70,12 +76,12 @@
     const requestCycle = (): void => {
       this.needsCycle = true;
     };
-    this.observed = new ObservedExits(this.stopping, requestCycle);
+    this.observedExits = new ObservedExits(this.stopping, requestCycle);
     this.leases = new WorkerLeases(settings.workers, termBegan);
-    this.orphaned = new OrphanedTasks(jobState, this.observed, requestCycle);
-    this.orders = new OrderQueue(jobState, this.machines, this.observed, this.orphaned, this.stopping);
-    this.quarantine = new Quarantine(jobState, this.observed, termBegan);
-    this.services = new ServiceReadiness(jobState, this.observed.running);
+    this.orphaned = new OrphanedTasks(jobState, this.observedExits, requestCycle);
+    this.orders = new OrderQueue(jobState, this.machines, this.observedExits, this.orphaned, this.stopping);
+    this.quarantine = new Quarantine(jobState, this.observedExits, termBegan);
+    this.services = new ServiceReadiness(jobState, this.observedExits.running);
   }
 
   // Machines
@@ -89,7 +95,10 @@
     return machine;
   }
 
-  /** The cloud's answer to a rental names it, perhaps long after it has reported, or gone; false: it is gone. */
+  /**
+   * Adds a machine named in the cloud's response to a rental. The response may arrive long after the machine's
+   * first heartbeat, or after its removal; returns false in the latter case.
+   */
   addRentedMachine(id: string, at: Micros, offer: Offer): boolean {
     if (this.removedIds.has(id)) return false;
     const machine = this.ensureMachine(id, at, { addr: '', ...offer });
@@ -97,16 +106,16 @@
     return true;
   }
 
-  /** What an earlier leader has said of machines that the cloud's list does not show yet, or still shows. */
-  applyProvisioningNews(news: ProvisioningNews, at: Micros): void {
-    for (const id of news.removed) this.removeMachine(id);
-    for (const { id, age, type, zone, spot } of news.rented) {
+  /** Applies an earlier leader's update on machines that the cloud's list does not show yet or still shows. */
+  applyProvisioningNews(update: ProvisioningNews, at: Micros): void {
+    for (const id of update.removed) this.removeMachine(id);
+    for (const { id, age, type, zone, spot } of update.rented) {
       if (this.byId.has(id)) continue;
       this.addRentedMachine(id, plus(at, -age), { type, zone, spot });
     }
   }
 
-  /** Takes the cloud's list in. */
+  /** Applies the cloud's list of machines. */
   applyListing(list: readonly ListedMachine[], at: Micros): void {
     for (const listed of list) {
       if (this.removedIds.has(listed.id)) continue;
@@ -122,14 +131,17 @@
     }
   }
 
-  /** The cloud has answered the deletion: the machine and everything on it are gone. */
+  /**
+   * Removes a machine after the cloud has confirmed its deletion: the machine and all of its tasks no longer
+   * exist.
+   */
   removeMachine(id: string): void {
-    this.loseTasksOn(id);
+    this.recordTasksLost(id);
     const machine = this.byId.get(id);
-    if (machine) this.departed.set(id, { type: machine.type, spot: machine.spot });
-    if (this.departed.size > DEPARTED_KEPT)
-      for (const oldest of this.departed.keys()) {
-        this.departed.delete(oldest);
+    if (machine) this.removedKinds.set(id, { type: machine.type, spot: machine.spot });
+    if (this.removedKinds.size > MAX_REMOVED_KINDS)
+      for (const oldest of this.removedKinds.keys()) {
+        this.removedKinds.delete(oldest);
         break;
       }
     this.byId.delete(id);
@@ -139,12 +151,12 @@
     this.needsCycle = true;
   }
 
-  /** What a machine is, or was; null: this leader has never known. */
+  /** The machine's kind, also if it was removed recently; null if it has not been known in this term. */
   kindOf(id: string): KindOf | null {
-    return this.byId.get(id) ?? this.departed.get(id) ?? null;
+    return this.byId.get(id) ?? this.removedKinds.get(id) ?? null;
   }
 
-  /** May get new tasks now. */
+  /** Whether the machine may get new tasks now. */
   isSchedulable(machine: Machine, at: Micros): boolean {
     return (
       machine.confirmed &&
@@ -153,17 +165,18 @@
       machine.cloudStatus !== 'failed' &&
       !machine.hasUnknownTasks &&
       at >= machine.cooldownUntil &&
-      at - machine.lastAnswered < this.settings.workers.report * SILENT_INTERVALS + SILENT_MARGIN
+      at - machine.lastAnswered <
+        this.settings.workers.report * MAX_MISSED_INTERVALS + MISSED_INTERVALS_MARGIN_US
     );
   }
 
-  /** Every machine that was there before this term has sent this leader a heartbeat with its token. */
+  /** Whether each machine that existed before this term has sent a heartbeat with this term's token. */
   allMachinesConfirmed(): boolean {
     for (const machine of this.byId.values())
       if (
         !machine.confirmed &&
         machine.cloudStatus !== 'failed' &&
-        machine.since < this.termBegan - RENTED_MARGIN
+        machine.since < this.termBegan - RENTAL_MARGIN_US
       )
         return false;
     return true;
@@ -172,8 +185,9 @@
   // Heartbeats
 
   /**
-   * A heartbeat was answered, and nothing else was made of it: while a loss of durable state is suspected. The worker's lease
-   * counts from here, and what the heartbeat says is unknown; an older one must not pass for the latest.
+   * Records that a heartbeat was answered by a lease renewal only, as is done while a data loss is suspected. The
+   * worker's lease counts from here and the heartbeat's content is ignored, but its number is kept so that older
+   * heartbeats are recognised as stale.
    */
   renewLeaseOnly(heartbeat: Heartbeat, at: Micros): void {
     if (this.removedIds.has(heartbeat.machine)) return;
@@ -185,13 +199,13 @@
     machine.lastAnswered = at;
   }
 
-  /** Takes a heartbeat in. null: it is older than what is known, or the machine is gone. */
+  /** Applies a heartbeat. Returns null if it is stale or its machine has been removed. */
   applyHeartbeat(heartbeat: Heartbeat, at: Micros): Machine | null {
     if (this.removedIds.has(heartbeat.machine)) return null;
     const machine = this.ensureMachine(heartbeat.machine, at, heartbeat);
     if (isStale(heartbeat, machine)) return null;
-    // Once prior leases have expired, an incarnation that this leader has not heard of has ended, and what it has heard of
-    // only it can change.
+    // Once all leases from earlier terms have expired, incarnations that this leader has not heard from have
+    // ended, and only this leader can change the others.
     const authoritative = heartbeat.fencingToken === this.term || this.priorLeasesExpired(at);
     if (machine.reported && heartbeat.incarnation > machine.incarnation)
       this.endIncarnation(machine, heartbeat, authoritative);
@@ -204,25 +218,26 @@
     const placed = this.jobState.placementsByMachine.get(machine.id);
     this.observeTasks(machine, heartbeat.tasks, placed, at);
     const startsFailed =
-      machine.dispatched !== NONE_DISPATCHED && this.startConfirmation.failed(machine, elapsed, at);
+      machine.dispatched !== NONE_DISPATCHED && this.startConfirmation.startsFailed(machine, elapsed, at);
     machine.dispatched = NONE_DISPATCHED;
     if (authoritative) this.recordMissing(machine, placed, startsFailed);
-    const isEmpty = heartbeat.tasks.every((t) => t.status === 'exited') && (placed?.size ?? 0) === 0;
-    if (!isEmpty) machine.emptySince = null;
+    const isIdle = heartbeat.tasks.every((task) => task.status === 'exited') && (placed?.size ?? 0) === 0;
+    if (!isIdle) machine.emptySince = null;
     else machine.emptySince ??= at;
     return machine;
   }
 
   /**
-   * The worker's incarnation before has ended, and everything it held with it. But an older leader that had not seen the start
-   * may have repeated it in this one: it may be here, or still come in a response that the worker takes, until it knows this
-   * term or that leader's responses count no more.
+   * Handles the end of the worker's previous incarnation, with which all of its tasks ended. An older leader that
+   * did not see the start of a task may however have repeated it in the new incarnation. The task may then run
+   * there already or arrive with a response that the worker still accepts, until the worker knows this term or the
+   * older leader's responses have become invalid.
    */
   private endIncarnation(machine: Machine, heartbeat: Heartbeat, authoritative: boolean): void {
-    const reported = new Map(heartbeat.tasks.map((t) => [t.key, t.attempt]));
+    const reported = new Map(heartbeat.tasks.map((task) => [task.key, task.attempt]));
     for (const [key, attempt] of machine.seenAttempts) {
       if (reported.get(key) === attempt) continue;
-      if (authoritative) this.loseAttempt(machine, key, attempt);
+      if (authoritative) this.recordAttemptLost(machine, key, attempt);
       machine.seenAttempts.delete(key);
     }
   }
@@ -244,7 +259,7 @@
     const recallAt = heartbeat.recall === null ? null : plus(at, heartbeat.recall);
     if ((recallAt === null) !== (machine.recallAt === null)) this.needsCycle = true;
     machine.recallAt = recallAt;
-    // The very list of its last heartbeat: it says the same again.
+    // The same list object as in the previous heartbeat means unchanged tasks.
     if (machine.lastTaskList !== heartbeat.tasks) {
       machine.tasks.clear();
       for (const reported of heartbeat.tasks) machine.tasks.set(reported.key, reported);
@@ -252,7 +267,10 @@
     }
   }
 
-  /** Records placed tasks as gone that an authoritative heartbeat lacks and that will not be there. */
+  /**
+   * Records the exit of placed tasks that are missing from an authoritative heartbeat and will not be started on
+   * the machine.
+   */
   private recordMissing(
     machine: Machine,
     placed: ReadonlyMap<string, PlacedTask> | undefined,
@@ -260,13 +278,14 @@
   ): void {
     for (const [key, placement] of placed ?? []) {
       if (machine.tasks.has(key) || this.hasObservedExit(placement.job.spec.id, placement.task)) continue;
-      // Seen before and not there any more, or: never arrived, and only our own next response could still bring it.
+      // Either the task was seen before and is missing now, or it never arrived and only this leader's next
+      // response could still start it.
       if (
         startsFailed ||
         machine.seenAttempts.get(key) === placement.attempt ||
         !this.orders.isWanted(placement, machine)
       )
-        this.observed.recordGone(placement.job, placement.task);
+        this.observedExits.recordExit(placement.job, placement.task);
     }
   }
 
@@ -284,7 +303,7 @@
       if (placement && placement.attempt === reported.attempt)
         this.observeTask(machine, placement, reported, at);
       else {
-        if (reported.attempt <= this.jobState.attemptFloor) this.orphaned.note(machine, reported);
+        if (reported.attempt <= this.jobState.attemptFloor) this.orphaned.recordReported(machine, reported);
         if (reported.status !== 'exited') machine.hasUnknownTasks = true;
       }
     }
@@ -294,7 +313,7 @@
   private observeTask(machine: Machine, placement: PlacedTask, reported: ReportedTask, at: Micros): void {
     const { job, task } = placement;
     const { key, attempt, status, cause } = reported;
-    const { running, phases } = this.observed;
+    const { running, phases } = this.observedExits;
     machine.seenAttempts.set(key, attempt);
     if (status !== 'exited') {
       const phase = status === 'fetching' ? 'fetching' : status === 'waiting' ? 'gathering' : 'running';
@@ -305,53 +324,59 @@
     }
     phases.ended(key, attempt, reported.saved);
     if (this.hasObservedExit(job.spec.id, task)) return;
-    // Should the incarnation end, an older leader that has not heard of this may start the same attempt in the next one.
-    // What is done is done.
+    // If the incarnation ends, an older leader that has not seen this exit may start the same attempt in the next
+    // incarnation. A completion counts in any case.
     if (cause !== 'done' && !machine.authoritative) return;
     const since = running.get(key)?.since;
     if (cause === 'done') {
-      this.observed.forgetProgress(key);
-      this.observed.recordDone(job, task);
+      this.observedExits.forgetProgress(key);
+      this.observedExits.recordCompletion(job, task);
       this.quarantine.recordCompletion(job, machine.id);
       return;
     }
-    this.observed.recordGone(job, task, cause === 'error');
+    this.observedExits.recordExit(job, task, cause === 'error');
     this.quarantine.recordExit(job, machine, cause, since === undefined ? 0 : at - since, at);
   }
 
   // Exits
 
-  /** Observed exits that are not durable yet, by job. */
+  /** Observed exits that are not durable yet, by job id. */
   get exits(): Map<string, TaskExits> {
-    return this.observed.byJob;
+    return this.observedExits.byJob;
   }
 
-  /** By task. */
+  /** Running tasks by task key. */
   get running(): ReadonlyMap<string, Running> {
-    return this.observed.running;
+    return this.observedExits.running;
   }
 
   /** Times of the placements' phases, for the accounts. */
   get phases(): Phases {
-    return this.observed.phases;
+    return this.observedExits.phases;
   }
 
   /** Whether an exit of the task was observed that is not durable yet. */
   hasObservedExit(jobId: string, task: number): boolean {
-    return this.observed.has(jobId, task);
+    return this.observedExits.has(jobId, task);
   }
 
-  /** Drops what a committed record has made durable. */
+  /** Drops the exits that a committed log entry contains. */
   dropDurableExits(jobId: string, done: readonly number[], gone: readonly number[]): void {
-    this.observed.dropDurable(jobId, done, gone);
+    this.observedExits.dropDurable(jobId, done, gone);
   }
 
-  /** A gang that lost a member of its attempt: the others must go before a fresh attempt. */
+  /**
+   * Whether a gang has lost a member of its current attempt. The other members must exit before the gang can be
+   * started again.
+   */
   isBrokenGang(job: Job): boolean {
-    return this.observed.isBrokenGang(job);
+    return this.observedExits.isBrokenGang(job);
   }
 
-  /** A task of it is being stopped, or has exited or may be exiting without a record of that. */
+  /**
+   * Whether a task of the job is being stopped, or has exited or may be exiting without a committed log entry of
+   * it.
+   */
   hasUnsettledTasks(job: Job): boolean {
     const { id } = job.spec;
     if (this.exits.has(id) || this.orphanedTasks.has(id)) return true;
@@ -365,47 +390,51 @@
     return false;
   }
 
-  /** Records all that is placed on the machine as gone; false: there was nothing. */
-  private loseTasksOn(id: string): boolean {
-    let any = false;
+  /** Records the exit of all tasks placed on the machine; returns false if there were none. */
+  private recordTasksLost(id: string): boolean {
+    let foundTasks = false;
     for (const placement of this.jobState.placementsByMachine.get(id)?.values() ?? []) {
       if (this.hasObservedExit(placement.job.spec.id, placement.task)) continue;
-      this.observed.recordGone(placement.job, placement.task);
-      any = true;
+      this.observedExits.recordExit(placement.job, placement.task);
+      foundTasks = true;
     }
-    return any;
+    return foundTasks;
   }
 
-  private loseAttempt(machine: Machine, key: string, attempt: number): void {
+  private recordAttemptLost(machine: Machine, key: string, attempt: number): void {
     const placement = this.jobState.placementsByMachine.get(machine.id)?.get(key);
     if (placement?.attempt !== attempt) return;
     const { job, task } = placement;
-    if (!this.hasObservedExit(job.spec.id, task)) this.observed.recordGone(job, task);
+    if (!this.hasObservedExit(job.spec.id, task)) this.observedExits.recordExit(job, task);
   }
 
   // Leases
 
-  /** After this the worker's lease has surely expired. */
+  /** Time after which the worker's lease has certainly expired. */
   leaseExpiry(machine: Machine): Micros {
     return this.leases.expiryOf(machine);
   }
 
-  /** Whatever an earlier leader knew of has sent this one a heartbeat, or its lease has surely expired. */
+  /**
+   * Whether each worker known to an earlier leader has sent this leader a heartbeat or has certainly lost its
+   * lease.
+   */
   priorLeasesExpired(at: Micros): boolean {
-    return this.leases.priorExpired(at);
+    return this.leases.priorLeasesExpired(at);
   }
 
   /**
-   * Records as gone what surely ended with expired leases, and returns the machines. `acknowledged`: enough controllers know
-   * this term.
+   * Records the exit of tasks whose worker's lease has certainly expired, and returns their machines.
+   * `acknowledged`: enough controllers have acknowledged this term.
    */
   expireLeases(at: Micros, acknowledged: boolean): string[] {
     const expired: string[] = [];
     if (acknowledged) this.leases.termAcknowledged(at);
     for (const id of this.jobState.placementsByMachine.keys()) {
-      // Also for machines this leader has never heard of: an older one that holds on may still renew them.
+      // This includes machines that are unknown in this term: an older leader that has not stepped down may still
+      // renew their leases.
       if (at <= this.leases.expiryOf(this.byId.get(id))) continue;
-      if (this.loseTasksOn(id)) expired.push(id);
+      if (this.recordTasksLost(id)) expired.push(id);
     }
     for (const machine of this.byId.values()) {
       if (!machine.reported || at <= this.leases.expiryOf(machine)) continue;
@@ -419,37 +448,48 @@
 
   // Orders
 
-  /** What the response to the machine's latest heartbeat should say; without `starts`, starts wait for a later one. */
+  /**
+   * Orders for the response to the machine's latest heartbeat. Without `starts`, starts wait for a later response.
+   */
   ordersFor(machine: Machine, starts = true): Order[] {
     return this.orders.ordersFor(machine, starts);
   }
 
-  /** Stops that should also go out directly. */
+  /** Stops that are also sent directly. */
   get urgentOrders(): UrgentOrder[] {
     return this.orders.urgent;
   }
 
-  /** Asks a task to stop, saving within `grace` if it can. Goes out directly and with the next responses. */
+  /**
+   * Orders a task to stop, with `grace` as the time for saving. The stop is sent directly and with the next
+   * responses.
+   */
   stop(job: Job, task: number, grace: Micros, at: Micros): void {
     this.orders.stop(job, task, grace, at);
   }
 
-  /** Sends stops directly that jobs' own states call for: cancelled jobs and what is left of broken gangs. */
+  /**
+   * Sends stops directly for tasks whose job's state requires them to exit: tasks of cancelled jobs and the
+   * remaining members of broken gangs.
+   */
   stopRemainingTasks(job: Job): void {
     this.orders.stopRemainingTasks(job);
   }
 
-  /** Tells the other members of gangs that an earlier leader has preempted partially; returns these jobs. */
+  /** Stops the remaining members of gangs that an earlier leader preempted only partially; returns the jobs. */
   completePartialPreemptions(at: Micros): string[] {
     return this.orders.completePartialPreemptions(at);
   }
 
-  /** Drains machines that the cloud is about to reclaim: saves what can be saved, as late as is safe. */
+  /**
+   * Drains machines that the cloud is about to reclaim: stops tasks with checkpoints as late as they can still be
+   * saved safely.
+   */
   drainRecalledMachines(at: Micros): void {
     this.orders.drainRecalledMachines(at);
   }
 
-  /** Workers whose responses were found lost since this was last emptied. */
+  /** Workers whose responses were found to be lost since the caller last emptied this list. */
   get unreachableWorkers(): string[] {
     return this.startConfirmation.unreachable;
   }
@@ -461,59 +501,68 @@
     return this.jobState.jobs.get(job)?.cancelled === true;
   }
 
-  /** Services with GPUs that have become complete since last asked, with a replica that started since `day`. */
-  newlyCompleteServices(day: Micros): Job[] {
-    return this.services.newlyComplete(day);
+  /**
+   * Services with GPUs that have become complete since the previous call, and of which at least one replica
+   * started at or after `since`.
+   */
+  newlyCompleteServices(since: Micros): Job[] {
+    return this.services.newlyComplete(since);
   }
 
-  /** Tasks of known jobs that run from before a loss and that no record knows of, by job and task. */
+  /**
+   * Tasks of known jobs that have run since before a data loss and that no log entry contains, by job id and task
+   * number.
+   */
   get orphanedTasks(): ReadonlyMap<string, ReadonlyMap<number, Placement>> {
     return this.orphaned.byJob;
   }
 
-  /** Jobs that workers name and nobody knows, with their tasks. */
+  /** Jobs that workers report but no controller knows, with their tasks. */
   get unknownJobs(): Map<string, Set<string>> {
     return this.orphaned.unknownJobs;
   }
 
-  /** Of these, those that have been left alone for long enough: their tasks are stopped. */
+  /** The subset of `unknownJobs` whose waiting time has passed: their tasks are stopped. */
   get abortedUnknownJobs(): Set<string> {
     return this.orphaned.abortedUnknownJobs;
   }
 
-  /** Starts that have happened already, before a loss, as a record adopts them. */
+  /** Starts by which a log entry adopts tasks that have run since before a data loss. */
   adoptions(): Start[] {
     return this.orphaned.adoptions();
   }
 
-  /** Gives up the jobs whose orphaned tasks can't be adopted, and returns those newly given up. */
+  /** Gives up jobs whose orphaned tasks cannot be adopted, and returns those newly given up. */
   abandonUnadoptableJobs(at: Micros): string[] {
     return this.orphaned.abandonUnadoptable(() => this.priorLeasesExpired(at));
   }
 
   // Faults
 
-  /** The job failed wherever it ran: retried, but seldom and little of it. */
+  /** Whether the job has failed wherever it ran. A suspect job is retried rarely and with few tasks. */
   isSuspect(job: Job, at: Micros): boolean {
     return this.quarantine.isSuspect(job, at);
   }
 
-  /** Jobs that have become suspect since this was last called. */
+  /** Jobs that have become suspect since the previous call. */
   newSuspects(at: Micros): string[] {
     return this.quarantine.newSuspects(at);
   }
 
-  /** Not before this time should the job be started again. */
+  /** Earliest time at which the job should be started again. */
   retryNotBefore(job: Job, at: Micros): Micros {
     return this.quarantine.retryNotBefore(job, at);
   }
 
-  /** Machines a job should avoid, because it failed there; null: none. */
+  /** Machines that the job should avoid because it failed there; null if there are none. */
   avoidedMachines(job: Job): ReadonlySet<string> | null {
     return this.quarantine.avoidedMachines(job);
   }
 
-  /** Quarantines machines that the evidence speaks against, and lifts the quarantine of others. */
+  /**
+   * Quarantines machines that are faulty by the evidence so far, and lifts the quarantine of those that no longer
+   * are.
+   */
   updateQuarantine(at: Micros): QuarantineDecision[] {
     return this.quarantine.update(this.machines, at);
   }
