--- a/packages/controller/src/main.ts
+++ b/packages/controller/src/main.ts
@@ -57,7 +57,8 @@
     'prefer teams by the fair share owed to them, with this half-life of the owed amount',
     (text) => {
       const halfLife = Number(text);
-      if (!Number.isFinite(halfLife) || halfLife < 60) throw new InvalidArgumentError(`expected at least 60 seconds, got ${JSON.stringify(text)}`);
+      if (!Number.isFinite(halfLife) || halfLife < 60)
+        throw new InvalidArgumentError(`expected at least 60 seconds, got ${JSON.stringify(text)}`);
       return halfLife;
     },
   )
