--- a/packages/scale-test/src/capacity/capacity.ts
+++ b/packages/scale-test/src/capacity/capacity.ts
@@ -1,6 +1,6 @@
 /**
- * Prints the capacity table from the size file and the measured slopes; `--write` puts it into its page. Run by
- * `npm run capacity`. Exit status 2 where a file can't be read or is wrong.
+ * Prints the capacity table, computed from the size file and the measured slopes; `--write` inserts it into a page. Run
+ * by `npm run capacity`. The exit status is 2 if a file cannot be read or is invalid.
  */
 import { readFileSync, writeFileSync } from 'node:fs';
 import { exitOnClosedPipe } from '@lilacvalve/runtime/closed-pipe';
@@ -11,10 +11,10 @@
 exitOnClosedPipe();
 const cli = new Command()
   .name('capacity')
-  .description('What each role has to carry at the size to come, from measured slopes')
-  .option('--size <file>', 'the size', 'docs/capacity/size.toml')
-  .option('--slopes <file>', 'what was measured', 'docs/capacity/slopes.toml')
-  .option('--write <page>', 'put the tables into this page instead of printing them')
+  .description('Compute the load of each role at the planned size from measured slopes')
+  .option('--size <file>', 'file with the planned size', 'docs/capacity/size.toml')
+  .option('--slopes <file>', 'file with the measured slopes', 'docs/capacity/slopes.toml')
+  .option('--write <page>', 'insert the tables into this page instead of printing them')
   .parse();
 const options = cli.opts<{ size: string; slopes: string; write?: string }>();
 try {
--- a/packages/scale-test/src/capacity/rows.ts
+++ b/packages/scale-test/src/capacity/rows.ts
@@ -1,63 +1,63 @@
-/** The rows of the capacity table: what each role of one region has to carry at the size's peak, and its limit. */
+/** The rows of the capacity table: load of each role of one region at the peak of the planned size, and its limit. */
 import type { CapacityInput } from './model.js';
 
-/** One thing that a role has to carry. */
+/** The load of a role on one resource. */
 export interface CapacityRow {
   readonly role: string;
-  readonly what: string;
+  readonly quantity: string;
   readonly formula: string;
-  /** null: not measured. */
+  /** The load at the planned size; null if it was not measured. */
   readonly value: number | null;
   readonly unit: string;
-  /** null: none is stated. */
+  /** The limit of the load; null if none is specified. */
   readonly limit: number | null;
   readonly mechanism: string;
   readonly state: 'there' | 'missing';
 }
 
-const SECONDS_A_DAY = 86_400;
-/** The protocol lets a worker report a change this often. */
-const MOST_REPORTS_A_WORKER = 2;
-/** What a turn's computing may take of the leader's time, and the gap after one that left something. */
-const TURN_PART = 0.25;
-const TURN_GAP_S = 0.25;
-/** A transaction's part that records may fill, and a value's. */
-const TRANSACTION_BYTES = 64 * 1024 * 0.92;
-const VALUE_PART = 0.85;
-const BYTES_A_KB = 1024;
-/** Changes of a job that is not a record's: accepted, and moved to its final key. */
-const CHANGES_A_JOB = 3;
-/** Of a controller's sockets, what users and workers may have. */
-const SOCKETS_FOR_USERS = 0.8;
-/** The leader lists the cloud's machines so often, so many at a time. */
-const LIST_EVERY_S = 3;
-const LIST_PAGE = 500;
-const CORES_A_POLL = 0.00035;
-const POLL_EVERY_S = 5;
-/** A job at the peak is open for about three runs of its tasks: an assumption. */
-const JOB_OPEN_S = 60;
+const SECONDS_PER_DAY = 86_400;
+/** Maximum heartbeats per second of one worker that the protocol allows when its tasks change. */
+const MAX_HEARTBEATS_PER_WORKER = 2;
+/** Maximum fraction of the leader's time for scheduling cycles, and the interval after a cycle that left work. */
+const MAX_CYCLE_FRACTION = 0.25;
+const CYCLE_INTERVAL_S = 0.25;
+/** Bytes of a transaction, and fraction of a value, that log entries may fill. */
+const MAX_ENTRY_BYTES_PER_TRANSACTION = 64 * 1024 * 0.92;
+const VALUE_FILL_FRACTION = 0.85;
+const BYTES_PER_KB = 1024;
+/** Changes of the state service per job apart from log entries: its acceptance, and the move to its final key. */
+const CHANGES_PER_JOB = 3;
+/** Fraction of a controller's sockets that users and workers may use. */
+const CLIENT_SOCKET_FRACTION = 0.8;
+/** Interval at which the leader lists the cloud's machines, and the number of machines per page. */
+const LIST_INTERVAL_S = 3;
+const LIST_PAGE_SIZE = 500;
+const CORES_PER_POLL = 0.00035;
+const POLL_INTERVAL_S = 5;
+/** Assumed time from a job's submission to its end at the peak: about three times the run time of its tasks. */
+const JOB_DURATION_S = 60;
 
-/** One region's part at the peak, worked out from the size. */
-const regionOf = ({ size }: CapacityInput) => {
+/** Returns the load of one region at the peak. */
+const regionLoad = ({ size }: CapacityInput) => {
   const workers = size('workers') / size('regions');
   const starts = size('starts_a_second') / size('regions');
   const tasks = size('running_tasks') / size('regions');
-  const jobs = ((size('jobs_a_day') / SECONDS_A_DAY) * size('peak_of_jobs')) / size('regions');
+  const jobs = ((size('jobs_a_day') / SECONDS_PER_DAY) * size('peak_of_jobs')) / size('regions');
   return { workers, starts, tasks, jobs };
 };
 
 const leaderRows = (input: CapacityInput): CapacityRow[] => {
   const { size, slope } = input;
-  const { workers, starts, tasks } = regionOf(input);
-  const reports = workers * slope('reports_a_worker');
+  const { workers, starts, tasks } = regionLoad(input);
+  const heartbeats = workers * slope('reports_a_worker');
   return [
     {
       role: 'leader',
-      what: 'processor time',
+      quantity: 'processor time',
       formula: 'rest + workers x reports_a_worker x a_report + starts x a_start',
       value:
         slope('leader_cores_at_rest') +
-        reports * slope('leader_cores_a_report') +
+        heartbeats * slope('leader_cores_a_report') +
         starts * slope('leader_cores_a_start'),
       unit: 'cores',
       limit: size('controller_cores'),
@@ -66,9 +66,9 @@
     },
     {
       role: 'leader',
-      what: 'reports taken in',
+      quantity: 'reports taken in',
       formula: 'workers x reports_a_worker x a_report',
-      value: reports * slope('leader_cores_a_report'),
+      value: heartbeats * slope('leader_cores_a_report'),
       unit: 'cores',
       limit: size('controller_cores'),
       mechanism: 'reports passed on in batches; the same again is read once (ReportReader)',
@@ -76,17 +76,17 @@
     },
     {
       role: 'leader',
-      what: 'a cycle',
+      quantity: 'a cycle',
       formula: 'turn_ms, each second of starts in turns of a quarter of a core',
       value: slope('turn_ms'),
       unit: 'ms',
-      limit: ((TURN_GAP_S * TURN_PART) / (1 - TURN_PART)) * 1000,
+      limit: ((CYCLE_INTERVAL_S * MAX_CYCLE_FRACTION) / (1 - MAX_CYCLE_FRACTION)) * 1000,
       mechanism: 'teams in a heap, machines ranked by what changed, evicted tasks in columns',
       state: 'there',
     },
     {
       role: 'leader',
-      what: 'memory',
+      quantity: 'memory',
       formula: 'rest + tasks x a_task',
       value: slope('leader_mb_at_rest') + tasks * slope('leader_mb_a_task'),
       unit: 'MB',
@@ -99,26 +99,26 @@
 
 const stateServiceRows = (input: CapacityInput): CapacityRow[] => {
   const { size, slope } = input;
-  const { starts, jobs } = regionOf(input);
-  const turnS = TURN_GAP_S + slope('turn_ms') / 1000;
-  const valueBytes = size('state_value_kb') * BYTES_A_KB * VALUE_PART;
-  const recordsATurn = Math.ceil((starts * turnS * slope('record_bytes_a_start')) / valueBytes);
+  const { starts, jobs } = regionLoad(input);
+  const cycleS = CYCLE_INTERVAL_S + slope('turn_ms') / 1000;
+  const valueBytes = size('state_value_kb') * BYTES_PER_KB * VALUE_FILL_FRACTION;
+  const entriesPerCycle = Math.ceil((starts * cycleS * slope('record_bytes_a_start')) / valueBytes);
   return [
     {
       role: 'state service',
-      what: 'bytes of one turn',
+      quantity: 'bytes of one turn',
       formula: 'starts x turn x record_bytes_a_start',
-      value: starts * turnS * slope('record_bytes_a_start'),
+      value: starts * cycleS * slope('record_bytes_a_start'),
       unit: 'bytes',
-      limit: TRANSACTION_BYTES,
+      limit: MAX_ENTRY_BYTES_PER_TRANSACTION,
       mechanism: 'several records in one transaction, arrays started in part',
       state: 'there',
     },
     {
       role: 'state service',
-      what: 'changes',
+      quantity: 'changes',
       formula: 'records of a turn / turn + 3 x jobs',
-      value: recordsATurn / turnS + CHANGES_A_JOB * jobs,
+      value: entriesPerCycle / cycleS + CHANGES_PER_JOB * jobs,
       unit: 'a second',
       limit: size('state_writes_a_second'),
       mechanism: 'one record for thousands of tasks; folding when the rate has room',
@@ -126,7 +126,7 @@
     },
     {
       role: 'state service',
-      what: 'requests',
+      quantity: 'requests',
       formula: 'state_requests',
       value: slope('state_requests'),
       unit: 'a second',
@@ -136,7 +136,7 @@
     },
     {
       role: 'state service',
-      what: 'bytes of watches',
+      quantity: 'bytes of watches',
       formula: 'starts x follow_bytes_a_start',
       value: starts * slope('follow_bytes_a_start'),
       unit: 'bytes a second',
@@ -149,13 +149,13 @@
 
 const cloudRows = (input: CapacityInput): CapacityRow[] => {
   const { size } = input;
-  const { workers } = regionOf(input);
+  const { workers } = regionLoad(input);
   return [
     {
       role: 'cloud',
-      what: 'calls for the list',
+      quantity: 'calls for the list',
       formula: 'workers / 500 / 3 s',
-      value: Math.ceil(workers / LIST_PAGE) / LIST_EVERY_S,
+      value: Math.ceil(workers / LIST_PAGE_SIZE) / LIST_INTERVAL_S,
       unit: 'a second',
       limit: size('cloud_calls_a_second'),
       mechanism: 'pages of 500, every 3 s',
@@ -166,17 +166,17 @@
 
 const followerRows = (input: CapacityInput): CapacityRow[] => {
   const { size, slope } = input;
-  const { workers, tasks, jobs } = regionOf(input);
+  const { workers, tasks, jobs } = regionLoad(input);
   const followers = size('controllers_a_region') - 1;
-  const reports = workers * slope('reports_a_worker');
+  const heartbeats = workers * slope('reports_a_worker');
   return [
     {
       role: 'other controllers',
-      what: 'processor time of each',
+      quantity: 'processor time of each',
       formula: '(rest + reports x a_report) / others',
       value:
-        (slope('followers_cores_at_rest') + reports * slope('followers_cores_a_report')) / followers +
-        (CORES_A_POLL * jobs * JOB_OPEN_S) / POLL_EVERY_S / followers,
+        (slope('followers_cores_at_rest') + heartbeats * slope('followers_cores_a_report')) / followers +
+        (CORES_PER_POLL * jobs * JOB_DURATION_S) / POLL_INTERVAL_S / followers,
       unit: 'cores',
       limit: size('controller_cores'),
       mechanism: 'reports as raw bytes, answers as the leader gave them',
@@ -184,7 +184,7 @@
     },
     {
       role: 'other controllers',
-      what: 'memory',
+      quantity: 'memory',
       formula: 'rest + tasks x a_task',
       value: slope('follower_mb_at_rest') + tasks * slope('follower_mb_a_task'),
       unit: 'MB',
@@ -194,11 +194,11 @@
     },
     {
       role: 'other controllers',
-      what: 'sockets, one away',
+      quantity: 'sockets, one away',
       formula: 'workers / (others - 1) + open jobs',
-      value: workers / (followers - 1) + jobs * JOB_OPEN_S,
+      value: workers / (followers - 1) + jobs * JOB_DURATION_S,
       unit: 'sockets',
-      limit: size('controller_sockets') * SOCKETS_FOR_USERS,
+      limit: size('controller_sockets') * CLIENT_SOCKET_FRACTION,
       mechanism: 'workers spread over the controllers by name',
       state: 'there',
     },
@@ -208,9 +208,9 @@
 const workerRows = ({ size, slope }: CapacityInput): CapacityRow[] => [
   {
     role: 'worker',
-    what: 'bytes at most',
+    quantity: 'bytes at most',
     formula: '2 a second x report_bytes',
-    value: MOST_REPORTS_A_WORKER * slope('report_bytes'),
+    value: MAX_HEARTBEATS_PER_WORKER * slope('report_bytes'),
     unit: 'bytes a second',
     limit: size('worker_bytes_a_second'),
     mechanism: 'one connection, one report in flight',
@@ -218,7 +218,7 @@
   },
   {
     role: 'worker',
-    what: 'bytes, tasks of 80 s',
+    quantity: 'bytes, tasks of 80 s',
     formula: 'worker_bytes_calm',
     value: slope('worker_bytes_calm'),
     unit: 'bytes a second',
@@ -228,7 +228,7 @@
   },
   {
     role: 'worker',
-    what: 'processor time and memory',
+    quantity: 'processor time and memory',
     formula: 'not measured: workers are not ours',
     value: null,
     unit: 'cores, MB',
@@ -241,7 +241,7 @@
 const regionRows = ({ size }: CapacityInput): CapacityRow[] => [
   {
     role: 'regions',
-    what: 'limits of teams over regions',
+    quantity: 'limits of teams over regions',
     formula: 'not measured: there is one region',
     value: null,
     unit: '',
@@ -251,7 +251,7 @@
   },
   {
     role: 'regions',
-    what: 'changes of configuration',
+    quantity: 'changes of configuration',
     formula: 'configuration_changes_a_day',
     value: null,
     unit: 'in force within 4 s',
@@ -261,12 +261,12 @@
   },
 ];
 
-/** How many times the limit; null: that is not known. */
-export const timesOver = ({ value, limit }: CapacityRow): number | null =>
+/** Returns the load divided by its limit; null if either is unknown. */
+export const limitRatio = ({ value, limit }: CapacityRow): number | null =>
   value === null || limit === null ? null : value / limit;
 
-/** All rows, those that are furthest over their limit first; then what has no figure. */
+/** Returns all rows, sorted by the ratio of load to limit in descending order; rows without a ratio are last. */
 export const capacityRows = (input: CapacityInput): CapacityRow[] =>
   [leaderRows, stateServiceRows, cloudRows, followerRows, workerRows, regionRows]
-    .flatMap((rowsOf) => rowsOf(input))
-    .sort((a, b) => (timesOver(b) ?? -1) - (timesOver(a) ?? -1));
+    .flatMap((createRows) => createRows(input))
+    .sort((first, second) => (limitRatio(second) ?? -1) - (limitRatio(first) ?? -1));
--- a/packages/scale-test/src/capacity/table.ts
+++ b/packages/scale-test/src/capacity/table.ts
@@ -1,62 +1,69 @@
-/** The capacity table as Markdown, and its place in a page. */
+/** Formats the capacity table as Markdown and inserts it into a page. */
 import { Data } from 'effect';
 import type { CapacityInput } from './model.js';
-import { type CapacityRow, capacityRows, timesOver } from './rows.js';
+import { type CapacityRow, capacityRows, limitRatio } from './rows.js';
 
-const BEGIN = '<!-- npm run capacity: begin -->';
-const END = '<!-- npm run capacity: end -->';
+const BEGIN_MARKER = '<!-- npm run capacity: begin -->';
+const END_MARKER = '<!-- npm run capacity: end -->';
 
-const figure = (value: number): string => {
+const formatFigure = (value: number): string => {
   if (value >= 100) return Math.round(value).toLocaleString('en-US');
   return value >= 10 ? value.toFixed(1) : value.toFixed(2);
 };
 
-const cells = (row: CapacityRow): string[] => {
-  const times = timesOver(row);
+const formatCells = (row: CapacityRow): string[] => {
+  const ratio = limitRatio(row);
   return [
     row.role,
-    row.what,
+    row.quantity,
     row.formula,
-    row.value === null ? 'not measured' : `${figure(row.value)} ${row.unit}`,
-    row.limit === null ? '' : figure(row.limit),
-    times === null ? '' : figure(times),
+    row.value === null ? 'not measured' : `${formatFigure(row.value)} ${row.unit}`,
+    row.limit === null ? '' : formatFigure(row.limit),
+    ratio === null ? '' : formatFigure(ratio),
     row.mechanism,
     row.state,
   ];
 };
 
-const HEAD = ['role', 'what', 'formula', 'at the size', 'limit', 'times', 'carried by', ''];
+const HEADINGS = ['role', 'what', 'formula', 'at the size', 'limit', 'times', 'carried by', ''];
 
-const markdown = (rows: readonly (readonly string[])[]): string => {
-  const widths = rows[0]!.map((_, i) => Math.max(3, ...rows.map((r) => r[i]!.length)));
-  const line = (r: readonly string[]): string => `| ${r.map((c, i) => c.padEnd(widths[i]!)).join(' | ')} |\n`;
-  const rule = `| ${widths.map((w) => '-'.repeat(w)).join(' | ')} |\n`;
-  return line(rows[0]!) + rule + rows.slice(1).map(line).join('');
+const formatTable = (rows: readonly (readonly string[])[]): string => {
+  const widths = rows[0]!.map((_, column) => Math.max(3, ...rows.map((row) => row[column]!.length)));
+  const formatLine = (line: readonly string[]): string =>
+    `| ${line.map((cell, column) => cell.padEnd(widths[column]!)).join(' | ')} |\n`;
+  const separator = `| ${widths.map((width) => '-'.repeat(width)).join(' | ')} |\n`;
+  return formatLine(rows[0]!) + separator + rows.slice(1).map(formatLine).join('');
 };
 
-/** The rows, then the slopes that they were worked out from. */
+/** Returns the capacity table, followed by the table of the slopes that it was computed from. */
 export const capacityTables = (input: CapacityInput): string => {
-  const slopes = input.slopes.map((s) => [s.name, `${s.value} ${s.unit}`, `\`${s.command}\``, s.points]);
+  const slopes = input.slopes.map((slope) => [
+    slope.name,
+    `${slope.value} ${slope.unit}`,
+    `\`${slope.command}\``,
+    slope.points,
+  ]);
   return (
-    `${markdown([HEAD, ...capacityRows(input).map(cells)])}\nSlopes:\n\n` +
-    markdown([['slope', 'value', 'measured by', 'from'], ...slopes])
+    `${formatTable([HEADINGS, ...capacityRows(input).map(formatCells)])}\nSlopes:\n\n` +
+    formatTable([['slope', 'value', 'measured by', 'from'], ...slopes])
   );
 };
 
-/** A page has no place for the tables. */
-export class MissingTablePlace extends Data.TaggedError('MissingTablePlace')<{
+/** Thrown when a page lacks the markers between which the tables are inserted. */
+export class MissingTableMarkers extends Data.TaggedError('MissingTableMarkers')<{
   readonly begin: string;
   readonly end: string;
 }> {
   override get message(): string {
-    return `the page lacks "${this.begin}" and "${this.end}"`;
+    return `the page lacks the markers "${this.begin}" and "${this.end}" in this order`;
   }
 }
 
-/** The page with the tables in their place. Throws `MissingTablePlace`. */
+/** Returns the page with the tables between the markers. Throws `MissingTableMarkers`. */
 export const withTables = (page: string, tables: string): string => {
-  const from = page.indexOf(BEGIN);
-  const to = page.indexOf(END);
-  if (from < 0 || to < from) throw new MissingTablePlace({ begin: BEGIN, end: END });
-  return `${page.slice(0, from + BEGIN.length)}\n\n${tables}\n${page.slice(to)}`;
+  const beginIndex = page.indexOf(BEGIN_MARKER);
+  const endIndex = page.indexOf(END_MARKER);
+  if (beginIndex < 0 || endIndex < beginIndex)
+    throw new MissingTableMarkers({ begin: BEGIN_MARKER, end: END_MARKER });
+  return `${page.slice(0, beginIndex + BEGIN_MARKER.length)}\n\n${tables}\n${page.slice(endIndex)}`;
 };
--- a/packages/scale-test/src/child-handle.ts
+++ b/packages/scale-test/src/child-handle.ts
@@ -1,15 +1,15 @@
-/** The parent's end of a child process of a run. */
+/** The parent process's handle of a child process. */
 import { type ChildProcess, fork } from 'node:child_process';
 import { CHILD_ENVIRONMENT_KEY, type ChildSetup, type FromChild, type ToChild } from './messages.js';
 
-/** Kinds of messages of children. */
+/** The kind of a message from a child process. */
 export type FromChildKind = FromChild['kind'];
 
-/** Forks its process at construction; the process ends with `end`, or with its parent. */
+/** Forks a child process, which exits after `end` or with its parent. */
 export class ChildHandle {
   private readonly process: ChildProcess;
-  private readonly waiting = new Map<FromChildKind, ((message: FromChild) => void)[]>();
-  /** Messages that nobody waits for. */
+  private readonly waitersByKind = new Map<FromChildKind, ((message: FromChild) => void)[]>();
+  /** Receives the messages that are not a response to a request. */
   onMessage: (message: FromChild) => void = () => undefined;
 
   constructor(program: string) {
@@ -25,9 +25,11 @@
     return this.process.pid ?? 0;
   }
 
-  /** Its first message: it is ready. */
+  /**
+   * Sends the setup message and waits until the child is ready. Returns the address of its server; null if it has none.
+   */
   async setUp(setup: ChildSetup): Promise<string | null> {
-    const ready = this.next('ready');
+    const ready = this.nextOfKind('ready');
     this.send({ kind: 'setup', setup });
     return (await ready).address;
   }
@@ -36,30 +38,30 @@
     if (this.process.connected) this.process.send(message);
   }
 
-  /** The answer to a message. */
-  async ask<K extends FromChildKind>(
+  /** Sends a message and returns the response, which is the next message of the given kind. */
+  async request<K extends FromChildKind>(
     message: ToChild,
     kind: K,
   ): Promise<Extract<FromChild, { readonly kind: K }>> {
-    const answer = this.next(kind);
+    const response = this.nextOfKind(kind);
     this.send(message);
-    return answer;
+    return response;
   }
 
   end(): void {
     this.send({ kind: 'end' });
   }
 
-  private next<K extends FromChildKind>(kind: K): Promise<Extract<FromChild, { readonly kind: K }>> {
-    return new Promise((done) => {
-      const list = this.waiting.get(kind) ?? [];
-      list.push((message) => done(message as Extract<FromChild, { readonly kind: K }>));
-      this.waiting.set(kind, list);
+  private nextOfKind<K extends FromChildKind>(kind: K): Promise<Extract<FromChild, { readonly kind: K }>> {
+    return new Promise((resolve) => {
+      const waiters = this.waitersByKind.get(kind) ?? [];
+      waiters.push((message) => resolve(message as Extract<FromChild, { readonly kind: K }>));
+      this.waitersByKind.set(kind, waiters);
     });
   }
 
   private receive(message: FromChild): void {
-    const waiter = this.waiting.get(message.kind)?.shift();
+    const waiter = this.waitersByKind.get(message.kind)?.shift();
     if (waiter === undefined) this.onMessage(message);
     else waiter(message);
   }
--- a/packages/scale-test/src/child.ts
+++ b/packages/scale-test/src/child.ts
@@ -1,4 +1,4 @@
-/** A child process of a run: hollow workers, or the state service. It ends with its parent. */
+/** A child process of a run, which runs hollow workers or the state service. It exits with its parent. */
 import { serveJson } from './json-server.js';
 import type { ChildSetup, FromChild, ToChild } from './messages.js';
 import type { WorkerEvent } from './model.js';
@@ -6,8 +6,8 @@
 import { StateService } from './state-service.js';
 import { WorkerGroup } from './worker-group.js';
 
-/** Events are gathered for so long before they are sent. */
-const EVENTS_EVERY_MS = 50;
+/** Interval at which buffered events are sent. */
+const SEND_EVENTS_EVERY_MS = 50;
 
 interface Child {
   receive(message: ToChild): void;
@@ -17,7 +17,7 @@
   process.send?.(message);
 };
 
-const workersChild = (setup: ChildSetup & { readonly role: 'workers' }): Child => {
+const createWorkersChild = (setup: ChildSetup & { readonly role: 'workers' }): Child => {
   let events: WorkerEvent[] = [];
   const group = new WorkerGroup({
     kinds: setup.kinds,
@@ -31,7 +31,7 @@
     if (events.length === 0) return;
     send({ kind: 'events', events });
     events = [];
-  }, EVENTS_EVERY_MS);
+  }, SEND_EVENTS_EVERY_MS);
   send({ kind: 'ready', address: null });
   return {
     receive: (message) => {
@@ -42,7 +42,7 @@
   };
 };
 
-const stateChild = async (setup: ChildSetup & { readonly role: 'state' }): Promise<Child> => {
+const createStateChild = async (setup: ChildSetup & { readonly role: 'state' }): Promise<Child> => {
   const service = new StateService(setup.limits);
   const { address } = await serveJson((request, respond) => service.handle(request, respond));
   send({ kind: 'ready', address });
@@ -53,7 +53,7 @@
   };
 };
 
-/** Serves the parent until it says so or goes away. */
+/** Serves the parent process until it sends `end` or disconnects. */
 export const serveParent = (): void => {
   let child: Child | null = null;
   process.on('disconnect', () => process.exit(0));
@@ -61,7 +61,7 @@
     if (message.kind === 'end') process.exit(0);
     if (message.kind !== 'setup') return child?.receive(message);
     const { setup } = message;
-    if (setup.role === 'workers') child = workersChild(setup);
-    else void stateChild(setup).then((made) => (child = made));
+    if (setup.role === 'workers') child = createWorkersChild(setup);
+    else void createStateChild(setup).then((createdChild) => (child = createdChild));
   });
 };
--- a/packages/scale-test/src/clock.ts
+++ b/packages/scale-test/src/clock.ts
@@ -1,5 +1,5 @@
-/** Time of the stand-ins: milliseconds since the epoch, the same for all processes of one machine. */
+/** Returns the current time in milliseconds since the epoch, comparable between all processes of one machine. */
 export const nowMs = (): number => performance.timeOrigin + performance.now();
 
-/** Resolves after so many milliseconds; nothing interrupts it. */
-export const sleepMs = (ms: number): Promise<void> => new Promise((done) => setTimeout(done, ms));
+/** Resolves after `ms` milliseconds and cannot be interrupted. */
+export const sleepMs = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
--- a/packages/scale-test/src/cloud.ts
+++ b/packages/scale-test/src/cloud.ts
@@ -1,11 +1,11 @@
-/** Stand-in for the cloud: rents machines, which come up as hollow workers, and lists them. */
+/** Stand-in for the cloud: rents machines, on which hollow workers start after the boot time, and lists them. */
 import type { JsonRequest, Respond } from './json-server.js';
 import { IMAGE_CACHE_GB, IMAGE_FETCH_GB_PER_S, type MachineDescription, type MachineKind } from './model.js';
 import type { Random } from './random.js';
 
-const PAGE = 500;
-const BOOT_SPREAD = { least: 0.6, most: 1.5 };
-/** No worker listens there: direct orders reach workers at the address of their reports. */
+const PAGE_SIZE = 500;
+const BOOT_TIME_FACTOR = { min: 0.6, max: 1.5 };
+/** Placeholder on which no worker listens; controllers send direct orders to the address in a worker's heartbeats. */
 const UNKNOWN_ADDRESS = '127.0.0.1:9';
 
 interface RentedMachine extends MachineDescription {
@@ -21,8 +21,8 @@
   readonly howMany: number;
 }
 
-/** What the cloud rents, and who is told of machines that come and go. */
-export interface CloudParts {
+/** Machine types of the cloud, and callbacks for machines that have booted or were returned. */
+export interface CloudDependencies {
   readonly kinds: readonly MachineKind[];
   readonly bootMs: number;
   readonly random: Random;
@@ -30,7 +30,7 @@
   readonly down: (id: string) => void;
 }
 
-/** Machines by id, in the order in which they were rented. */
+/** A cloud that keeps its machines by id, in the order in which they were rented. */
 export class Cloud {
   calls = 0;
   private readonly machines = new Map<string, RentedMachine>();
@@ -38,8 +38,8 @@
   private readonly available: Map<string, number>;
   private nextId = 0;
 
-  constructor(private readonly parts: CloudParts) {
-    this.available = new Map(parts.kinds.map((k) => [k.label, k.count]));
+  constructor(private readonly dependencies: CloudDependencies) {
+    this.available = new Map(dependencies.kinds.map((kind) => [kind.label, kind.count]));
   }
 
   get size(): number {
@@ -48,7 +48,7 @@
 
   handle({ method, url, body }: JsonRequest, respond: Respond): void {
     this.calls++;
-    if (url.pathname === '/flavors') return void respond(200, { hostsKinds: this.offers() });
+    if (url.pathname === '/flavors') return void respond(200, { hostsKinds: this.machineTypes() });
     if (url.pathname === '/hosts/delete') {
       for (const id of (body as { hosts: readonly string[] }).hosts) this.remove(id);
       return void respond(200, {});
@@ -61,8 +61,8 @@
     for (const machine of this.machines.values()) clearTimeout(machine.timer ?? undefined);
   }
 
-  private offers(): unknown[] {
-    return this.parts.kinds.map(({ label, vcpus, accelerators, memGb, hourly, zones }) => ({
+  private machineTypes(): unknown[] {
+    return this.dependencies.kinds.map(({ label, vcpus, accelerators, memGb, hourly, zones }) => ({
       label,
       vcpus,
       accelerators,
@@ -72,13 +72,13 @@
       cacheGb: IMAGE_CACHE_GB,
       pullGbPerS: IMAGE_FETCH_GB_PER_S,
       spotPrice: 0,
-      startupS: this.parts.bootMs / 1000,
+      startupS: this.dependencies.bootMs / 1000,
     }));
   }
 
   private rent(rental: WireRental, respond: Respond): void {
-    const known = this.rentals.get(rental.hire);
-    if (known !== undefined) return void respond(200, { hosts: known });
+    const existing = this.rentals.get(rental.hire);
+    if (existing !== undefined) return void respond(200, { hosts: existing });
     const left = this.available.get(rental.hostKind) ?? 0;
     const count = rental.borrowed ? 0 : Math.min(rental.howMany, left);
     if (count === 0) return void respond(503, { error: 'no capacity' });
@@ -98,13 +98,13 @@
       up: false,
       timer: null,
     };
-    const { bootMs, random } = this.parts;
+    const { bootMs, random } = this.dependencies;
     machine.timer = setTimeout(
       () => {
         machine.up = true;
-        this.parts.up({ id, kind: hostKind, zone: room });
+        this.dependencies.up({ id, kind: hostKind, zone: room });
       },
-      bootMs * random.between(BOOT_SPREAD.least, BOOT_SPREAD.most),
+      bootMs * random.between(BOOT_TIME_FACTOR.min, BOOT_TIME_FACTOR.max),
     );
     this.machines.set(id, machine);
     return id;
@@ -116,13 +116,13 @@
     clearTimeout(machine.timer ?? undefined);
     this.machines.delete(id);
     this.available.set(machine.kind, (this.available.get(machine.kind) ?? 0) + 1);
-    if (machine.up) this.parts.down(id);
+    if (machine.up) this.dependencies.down(id);
   }
 
   private page(after: string): unknown {
-    const later = [...this.machines.values()].filter((m) => m.id > after);
+    const later = [...this.machines.values()].filter((machine) => machine.id > after);
     return {
-      hosts: later.slice(0, PAGE).map((machine) => ({
+      hosts: later.slice(0, PAGE_SIZE).map((machine) => ({
         id: machine.id,
         addr: UNKNOWN_ADDRESS,
         hostKind: machine.kind,
@@ -131,7 +131,7 @@
         status: machine.up ? 'running' : 'booting',
         heldS: (performance.now() - machine.rentedAt) / 1000,
       })),
-      more: later.length > PAGE,
+      more: later.length > PAGE_SIZE,
     };
   }
 }
--- a/packages/scale-test/src/controllers.ts
+++ b/packages/scale-test/src/controllers.ts
@@ -1,4 +1,4 @@
-/** The real controller processes of a run: their settings files, their starts and ends, and what they spend. */
+/** The real controller processes of a run: settings files, addresses, starting and stopping. */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { mkdtempSync, readFileSync, writeFileSync } from 'node:fs';
 import * as net from 'node:net';
@@ -7,25 +7,25 @@
 import { parse, stringify } from 'smol-toml';
 import type { ControllerAddress, Timing } from './model.js';
 
-/** A team as the settings files name it: without guarantees and limits. */
-export interface TeamOfSettings {
+/** A team in the settings file, without guarantees and limits. */
+export interface TeamSettings {
   readonly name: string;
 }
-/** A team with what it is guaranteed of CPUs and GPUs and what it may use of them at most. */
-export interface LimitedTeamOfSettings extends TeamOfSettings {
+/** A team in the settings file, with its guaranteed and maximum numbers of CPUs and GPUs. */
+export interface LimitedTeamSettings extends TeamSettings {
   readonly cpus: number;
   readonly cpus_max: number;
   readonly gpus: number;
   readonly gpus_max: number;
 }
-/** A service-level objective as the settings files have it. */
-export interface ObjectiveOfSettings {
+/** A service-level objective in the settings file. */
+export interface ObjectiveSettings {
   readonly kind: string;
   readonly class: string;
   readonly within_s: number;
   readonly share: number;
 }
-/** What the state service takes, and what each controller may use of its machine. */
+/** Rate and size limits of the state service, and resource limits of each controller. */
 export interface ClusterLimits {
   readonly requestsPerS: number;
   readonly writesPerS: number;
@@ -35,22 +35,25 @@
   readonly memoryMb: number;
   readonly connections: number;
 }
-/** What the settings files say, beside the controllers' addresses. */
+/** Settings that all controllers of a run share, apart from their addresses. */
 export interface ClusterSettings {
   readonly cloud: string;
   readonly state: string;
   readonly zones: readonly string[];
-  readonly teams: readonly TeamOfSettings[];
-  readonly objectives: readonly ObjectiveOfSettings[];
+  readonly teams: readonly TeamSettings[];
+  readonly objectives: readonly ObjectiveSettings[];
   readonly timing: Timing;
   readonly limits: ClusterLimits;
 }
 
 const CLOUD_CALLS_PER_S = 12;
 const CLOUD_LIST_LAG_S = 4;
-const SKEW_MS = 5;
+const MAX_CLOCK_SKEW_MS = 5;
 
-/** The settings file of one controller. TOML writes a whole number as an integer; the platform writes amounts as decimals, which are read alike. */
+/**
+ * Returns the settings file of one controller. Whole numbers are written as TOML integers; the deployment platform
+ * writes decimals, which controllers read the same way.
+ */
 export const settingsText = (
   self: ControllerAddress,
   all: readonly ControllerAddress[],
@@ -68,7 +71,7 @@
     cluster: {
       nodes: all.length,
       zones,
-      skew_ms: SKEW_MS,
+      skew_ms: MAX_CLOCK_SKEW_MS,
       teams,
       objectives,
       workers: {
@@ -93,28 +96,34 @@
     },
   });
 
-/** Below the ports that systems give to outgoing connections: a hollow worker's must not take a controller's. */
-const PORTS = { from: 12_000, to: 32_000 };
+/**
+ * Port range below the ephemeral ports, so that an outgoing connection of a hollow worker cannot occupy a controller's
+ * port.
+ */
+const PORT_RANGE = { from: 12_000, to: 32_000 };
 
 const isFree = (port: number): Promise<boolean> =>
-  new Promise((done) => {
+  new Promise((resolve) => {
     const server = net.createServer();
-    server.on('error', () => done(false));
-    server.listen(port, '127.0.0.1', () => server.close(() => done(true)));
+    server.on('error', () => resolve(false));
+    server.listen(port, '127.0.0.1', () => server.close(() => resolve(true)));
   });
 
-/** Ports that nobody listens on, other ones in each run at the same time. */
+/**
+ * Returns free ports. The search starts at a port that depends on the process id, so that concurrent runs get different
+ * ones.
+ */
 const freePorts = async (count: number): Promise<number[]> => {
-  const out: number[] = [];
-  const span = PORTS.to - PORTS.from;
-  for (let port = PORTS.from + ((process.pid * 61) % span); out.length < count; port++) {
-    const candidate = PORTS.from + ((port - PORTS.from) % span);
-    if (await isFree(candidate)) out.push(candidate);
+  const ports: number[] = [];
+  const span = PORT_RANGE.to - PORT_RANGE.from;
+  for (let port = PORT_RANGE.from + ((process.pid * 61) % span); ports.length < count; port++) {
+    const candidate = PORT_RANGE.from + ((port - PORT_RANGE.from) % span);
+    if (await isFree(candidate)) ports.push(candidate);
   }
-  return out;
+  return ports;
 };
 
-/** So many controllers, in the zones by turns. */
+/** Returns the addresses of `count` controllers, assigned to the zones round-robin. */
 export const controllerAddresses = async (
   count: number,
   zones: readonly string[],
@@ -128,34 +137,37 @@
   }));
 };
 
-/** The interpreter's flags with which a platform starts the program: they decide as much as the code does. */
+/**
+ * Returns the interpreter flags from the deploy file: they affect the controllers' CPU time and memory as much as the
+ * code does.
+ */
 export const deployedFlags = (deployFile: string): string[] => {
   const { run } = parse(readFileSync(deployFile, 'utf8')) as { run: string };
-  const words = run.split(' ');
-  return words.slice(
+  const commandWords = run.split(' ');
+  return commandWords.slice(
     1,
-    words.findIndex((word) => word.startsWith('target/')),
+    commandWords.findIndex((word) => word.startsWith('target/')),
   );
 };
 
-/** How a controller process is started. */
+/** Options of a controller process. */
 export interface ControllerOptions {
   readonly program: string;
   readonly flags: readonly string[];
   readonly logLevel: string;
-  /** Where processor profiles are written; undefined: none are. */
+  /** Directory for CPU profiles; undefined: no profiles are written. */
   readonly profileDir?: string;
-  /** Of the program, before its settings file. */
+  /** Arguments of the program before its settings file. */
   readonly arguments?: readonly string[];
-  /** A controller has ended without having been told to. */
-  readonly onUnexpectedEnd: (label: string, code: number | null) => void;
+  /** Called when a controller has exited although it was not killed. */
+  readonly onUnexpectedExit: (label: string, code: number | null) => void;
 }
 
-/** One controller; it can be started, killed and started again. */
+/** A controller process that can be started, killed and restarted. */
 export class ControllerProcess {
   private process: ChildProcess | null = null;
-  private readonly file: string;
-  private ending = false;
+  private readonly settingsFile: string;
+  private exitExpected = false;
 
   constructor(
     readonly address: ControllerAddress,
@@ -163,8 +175,8 @@
     directory: string,
     private readonly options: ControllerOptions,
   ) {
-    this.file = join(directory, `${address.label}.toml`);
-    writeFileSync(this.file, settings);
+    this.settingsFile = join(directory, `${address.label}.toml`);
+    writeFileSync(this.settingsFile, settings);
   }
 
   get isUp(): boolean {
@@ -175,7 +187,7 @@
     return this.process?.pid ?? null;
   }
 
-  /** Starts it; a former process of it that still ends is not told of any more. */
+  /** Starts the controller. The exit of its previous process, if still running, is no longer reported. */
   start(): void {
     const { program, flags, profileDir, logLevel } = this.options;
     const { label } = this.address;
@@ -183,36 +195,43 @@
       profileDir === undefined
         ? []
         : ['--cpu-prof', `--cpu-prof-dir=${profileDir}`, `--cpu-prof-name=${label}.cpuprofile`];
-    const args = [...profile, ...flags, program, ...(this.options.arguments ?? []), '--config', this.file];
+    const args = [
+      ...profile,
+      ...flags,
+      program,
+      ...(this.options.arguments ?? []),
+      '--config',
+      this.settingsFile,
+    ];
     const child = spawn(process.execPath, args, {
       stdio: ['ignore', 'ignore', 'inherit'],
       env: { ...process.env, LOG_LEVEL: logLevel },
     });
-    this.ending = false;
+    this.exitExpected = false;
     this.process = child;
     child.on('exit', (code) => {
       if (this.process !== child) return;
       this.process = null;
-      if (!this.ending) this.options.onUnexpectedEnd(label, code);
+      if (!this.exitExpected) this.options.onUnexpectedExit(label, code);
     });
   }
 
-  /** Its end is expected from here on. */
+  /** Sends a signal; the exit of the process is expected from now on. */
   kill(signal: NodeJS.Signals): void {
-    this.ending = true;
+    this.exitExpected = true;
     this.process?.kill(signal);
   }
 
-  /** Resolves once it has ended; it is killed where that takes more than `withinMs`. */
-  async ended(withinMs: number): Promise<void> {
+  /** Resolves once the process has exited; it is killed with SIGKILL after `timeoutMs`. */
+  async waitForExit(timeoutMs: number): Promise<void> {
     const child = this.process;
     if (child === null) return;
-    const over = new Promise<void>((done) => child.once('exit', () => done()));
-    const late = setTimeout(() => child.kill('SIGKILL'), withinMs);
-    await over;
-    clearTimeout(late);
+    const exited = new Promise<void>((resolve) => child.once('exit', () => resolve()));
+    const killTimer = setTimeout(() => child.kill('SIGKILL'), timeoutMs);
+    await exited;
+    clearTimeout(killTimer);
   }
 }
 
-/** A directory for the settings files of one run. */
+/** Creates a temporary directory for the settings files of one run. */
 export const settingsDirectory = (): string => mkdtempSync(join(tmpdir(), 'scale-'));
--- a/packages/scale-test/src/gang-coordinator.ts
+++ b/packages/scale-test/src/gang-coordinator.ts
@@ -1,28 +1,29 @@
 /**
- * What the members of gangs see of one another, whichever processes their hollow workers are in: they run once all of an
- * attempt have their images, complete together, notice a lost member, and save together.
+ * Simulates the communication between members of a gang, whose hollow workers may be in different processes: the
+ * members of an attempt run once all have fetched their images, complete together, notice a lost member and checkpoint
+ * together.
  */
 import type { GangEnd, JobDescription, WorkerCommand, WorkerEvent } from './model.js';
 
 interface GangAttempt {
   readonly job: JobDescription;
   readonly attempt: number;
-  readonly present: Set<number>;
-  /** Since when it runs, by the clock of the events; null: it does not run. */
+  readonly presentMembers: Set<number>;
+  /** When the attempt began to run, by `performance.now()`; null if it is not running. */
   runningSince: number | null;
-  /** Members told to save, and when the first one was; null: none. */
-  readonly told: Set<number>;
-  toldSince: number | null;
+  /** Members that were ordered to write a checkpoint, and when the first of them was; null if none was. */
+  readonly checkpointingMembers: Set<number>;
+  checkpointSince: number | null;
   timer: NodeJS.Timeout | null;
 }
 
-/** Lost members are noticed within a part of `gang_peer_s`. */
-const NOTICE_PART = 0.5;
+/** Delay after which the members notice a lost member, as a fraction of `gang_peer_s`. */
+const LOSS_NOTICE_FRACTION = 0.5;
 
-/** Decides when gangs run and end, and tells all hollow workers. */
+/** Decides when gangs run and end, and broadcasts these decisions to all hollow workers. */
 export class GangCoordinator {
   private readonly attempts = new Map<string, GangAttempt>();
-  /** Saved progress of gangs, milliseconds. */
+  /** Checkpointed progress of each gang, in milliseconds, by job. */
   private readonly progressMs = new Map<string, number>();
 
   constructor(
@@ -34,9 +35,10 @@
   handleEvent(event: WorkerEvent): void {
     const job = this.jobOf(event.job);
     if (job?.shape !== 'ensemble') return;
-    if (event.kind === 'started') this.memberArrived(this.attemptOf(job, event.attempt), event.task);
-    else if (event.kind === 'told-to-save') this.memberToldToSave(this.attemptOf(job, event.attempt), event);
-    else if (event.kind === 'left') this.memberLeft(this.attemptOf(job, event.attempt), event);
+    if (event.kind === 'started') this.handleMemberStarted(this.attemptOf(job, event.attempt), event.task);
+    else if (event.kind === 'told-to-save')
+      this.handleCheckpointOrder(this.attemptOf(job, event.attempt), event);
+    else if (event.kind === 'left') this.handleMemberLeft(this.attemptOf(job, event.attempt), event);
   }
 
   end(): void {
@@ -50,10 +52,10 @@
       gang = {
         job,
         attempt,
-        present: new Set(),
+        presentMembers: new Set(),
         runningSince: null,
-        told: new Set(),
-        toldSince: null,
+        checkpointingMembers: new Set(),
+        checkpointSince: null,
         timer: null,
       };
       this.attempts.set(key, gang);
@@ -61,51 +63,51 @@
     return gang;
   }
 
-  private memberArrived(gang: GangAttempt, task: number): void {
-    gang.present.add(task);
-    if (gang.present.size < gang.job.tasks || gang.runningSince !== null) return;
+  private handleMemberStarted(gang: GangAttempt, task: number): void {
+    gang.presentMembers.add(task);
+    if (gang.presentMembers.size < gang.job.tasks || gang.runningSince !== null) return;
     gang.runningSince = performance.now();
     this.broadcast({ kind: 'gang-runs', job: gang.job.id, attempt: gang.attempt });
-    const leftMs = Math.max(1, gang.job.runMs - (this.progressMs.get(gang.job.id) ?? 0));
-    gang.timer = setTimeout(() => this.finish(gang, 'done'), leftMs);
+    const remainingMs = Math.max(1, gang.job.runMs - (this.progressMs.get(gang.job.id) ?? 0));
+    gang.timer = setTimeout(() => this.finish(gang, 'done'), remainingMs);
   }
 
-  private memberLeft(gang: GangAttempt, event: WorkerEvent & { readonly kind: 'left' }): void {
-    gang.present.delete(event.task);
-    const runs = gang.runningSince !== null;
-    if (!runs || event.completed) return;
-    this.keepCheckpoint(gang);
+  private handleMemberLeft(gang: GangAttempt, event: WorkerEvent & { readonly kind: 'left' }): void {
+    gang.presentMembers.delete(event.task);
+    const isRunning = gang.runningSince !== null;
+    if (!isRunning || event.completed) return;
+    this.recordCheckpoint(gang);
     gang.runningSince = null;
     clearTimeout(gang.timer ?? undefined);
-    gang.timer = setTimeout(() => this.finish(gang, 'peers'), this.gangPeerMs * NOTICE_PART);
+    gang.timer = setTimeout(() => this.finish(gang, 'peers'), this.gangPeerMs * LOSS_NOTICE_FRACTION);
   }
 
-  private memberToldToSave(gang: GangAttempt, event: WorkerEvent): void {
-    gang.told.add(event.task);
-    if (gang.toldSince === null) {
-      gang.toldSince = performance.now();
+  private handleCheckpointOrder(gang: GangAttempt, event: WorkerEvent): void {
+    gang.checkpointingMembers.add(event.task);
+    if (gang.checkpointSince === null) {
+      gang.checkpointSince = performance.now();
       clearTimeout(gang.timer ?? undefined);
       gang.timer = setTimeout(() => this.finish(gang, 'peers'), this.gangPeerMs);
     }
-    if (gang.told.size < gang.job.tasks || gang.present.size < gang.job.tasks) return;
+    if (gang.checkpointingMembers.size < gang.job.tasks || gang.presentMembers.size < gang.job.tasks) return;
     clearTimeout(gang.timer ?? undefined);
     gang.timer = setTimeout(() => {
-      this.progressMs.set(gang.job.id, this.progressOf(gang, gang.toldSince!));
+      this.progressMs.set(gang.job.id, this.progressOf(gang, gang.checkpointSince!));
       this.finish(gang, 'stopped');
     }, gang.job.saveTakesMs);
   }
 
   private progressOf(gang: GangAttempt, until: number): number {
-    const before = this.progressMs.get(gang.job.id) ?? 0;
-    return gang.runningSince === null ? before : before + (until - gang.runningSince);
+    const savedMs = this.progressMs.get(gang.job.id) ?? 0;
+    return gang.runningSince === null ? savedMs : savedMs + (until - gang.runningSince);
   }
 
-  /** A gang that loses a member goes on from its last checkpoint. */
-  private keepCheckpoint(gang: GangAttempt): void {
-    const every = gang.job.saveEveryMs;
-    if (every === 0) return;
-    const reached = Math.floor(this.progressOf(gang, performance.now()) / every) * every;
-    this.progressMs.set(gang.job.id, Math.max(reached, this.progressMs.get(gang.job.id) ?? 0));
+  /** Records the last periodic checkpoint, from which a gang that lost a member continues. */
+  private recordCheckpoint(gang: GangAttempt): void {
+    const intervalMs = gang.job.saveEveryMs;
+    if (intervalMs === 0) return;
+    const checkpointMs = Math.floor(this.progressOf(gang, performance.now()) / intervalMs) * intervalMs;
+    this.progressMs.set(gang.job.id, Math.max(checkpointMs, this.progressMs.get(gang.job.id) ?? 0));
   }
 
   private finish(gang: GangAttempt, cause: GangEnd): void {
--- a/packages/scale-test/src/hollow-worker.ts
+++ b/packages/scale-test/src/hollow-worker.ts
@@ -1,32 +1,32 @@
 /**
- * A worker without work: it speaks the workers' protocol over a connection of its own and keeps its incarnation, fencing
- * token and lease as the protocol has them; its tasks are `WorkerTasks`. Spot notices are not played.
+ * A hollow worker: it implements the workers' protocol over a connection of its own, with incarnation, fencing token
+ * and lease, but its tasks (`WorkerTasks`) do no work. Spot notices are not simulated.
  */
 import { nowMs } from './clock.js';
-import { type ByteCount, HttpConnection, type HttpReply } from './http-connection.js';
+import { type ByteCount, HttpConnection, type HttpResponse } from './http-connection.js';
 import { type JsonServer, serveJson } from './json-server.js';
 import type { GangEnd, MachineDescription } from './model.js';
 import type { WorkerHost } from './worker-host.js';
 import { type WireOrder, WorkerTasks } from './worker-tasks.js';
 
-/** How long a worker waits for an answer, and before it tries the next controller. */
-const ANSWER_TIMEOUT_MS = 4000;
-const NEXT_CONTROLLER_MS = 1000;
-/** After a change it sends a heartbeat no earlier than this after its last one. */
-const CHANGE_GAP_MS = 500;
-const REPORT_SPREAD = 0.25;
-/** A redirected worker goes on at once or after up to this. */
-const REDIRECT_MS = 500;
+/** Timeout of a heartbeat's response, and delay before the next controller is tried. */
+const RESPONSE_TIMEOUT_MS = 4000;
+const NEXT_CONTROLLER_DELAY_MS = 1000;
+/** Minimum interval between a heartbeat that a change triggers and the heartbeat before it. */
+const MIN_CHANGE_INTERVAL_MS = 500;
+const HEARTBEAT_JITTER = 0.25;
+/** Maximum delay before a redirected worker contacts the other controller. */
+const MAX_REDIRECT_DELAY_MS = 500;
 
-/** Reported until the worker listens for orders. */
-const NO_ADDRESS = '127.0.0.1:9';
+/** Placeholder address in heartbeats until the worker's server for orders listens. */
+const PLACEHOLDER_ADDRESS = '127.0.0.1:9';
 
-interface WireAnswer {
+interface WireOrders {
   readonly warrant?: number;
   readonly orders?: readonly WireOrder[];
 }
 
-/** Reports from its construction on until it is ended. */
+/** Sends heartbeats from its construction until `end` is called. */
 export class HollowWorker {
   readonly bytes: ByteCount = { sent: 0, received: 0 };
   private readonly connection = new HttpConnection(this.bytes);
@@ -34,25 +34,28 @@
   private incarnation = 1;
   private sequence = 0;
   private fencingToken = 0;
-  private controller: number;
-  /** When the last answered heartbeat was sent, or the session began. */
-  private leaseFrom = nowMs();
+  private controllerIndex: number;
+  /** When the heartbeat that last renewed the lease was sent, or when the session began if that is later. */
+  private leaseRenewedAt = nowMs();
   private heartbeatAt = 0;
   private tokenChangedAt = Number.NEGATIVE_INFINITY;
   private inFlight = false;
-  private heartbeatAgain = false;
+  private heartbeatPending = false;
   private alive = true;
   private heartbeatTimer: NodeJS.Timeout;
   private leaseTimer: NodeJS.Timeout;
-  private orders: JsonServer | null = null;
+  private ordersServer: JsonServer | null = null;
 
   constructor(
     private readonly host: WorkerHost,
     readonly machine: MachineDescription,
   ) {
-    this.tasks = new WorkerTasks(host, machine, () => this.changed());
-    this.controller = host.random.below(host.controllers.length);
-    this.heartbeatTimer = setTimeout(() => void this.sendHeartbeat(), host.random.between(0, CHANGE_GAP_MS));
+    this.tasks = new WorkerTasks(host, machine, () => this.scheduleChangeHeartbeat());
+    this.controllerIndex = host.random.below(host.controllers.length);
+    this.heartbeatTimer = setTimeout(
+      () => void this.sendHeartbeat(),
+      host.random.between(0, MIN_CHANGE_INTERVAL_MS),
+    );
     this.leaseTimer = setTimeout(() => this.checkLease(), host.timing.leaseMs);
     void this.listen();
   }
@@ -61,59 +64,59 @@
     return this.tasks.size;
   }
 
-  /** It holds an attempt of the task that has not ended. */
+  /** Whether the worker holds an attempt of the task that has not exited. */
   holds(task: string): boolean {
     return this.tasks.holds(task);
   }
 
-  /** All members of a gang's attempt have their images. */
+  /** Handles that all members of a gang's attempt have fetched their images. */
   gangRuns(job: string, attempt: number): void {
     this.tasks.gangRuns(job, attempt);
   }
 
-  /** A gang's attempt is over on all its machines. */
+  /** Handles that a gang's attempt ends on all its machines. */
   gangEnds(job: string, attempt: number, cause: GangEnd): void {
     this.tasks.gangEnds(job, attempt, cause);
   }
 
-  /** The machine is gone, with all that is on it. */
+  /** Simulates the loss of the machine: all tasks are dropped, and no further heartbeat is sent. */
   end(): void {
     this.alive = false;
     clearTimeout(this.heartbeatTimer);
     clearTimeout(this.leaseTimer);
     this.tasks.drop();
     this.connection.close();
-    this.orders?.close();
+    this.ordersServer?.close();
   }
 
-  /** The machine restarts: its tasks are gone and a new session begins. */
+  /** Simulates a restart of the machine: all tasks are dropped and a new session begins. */
   restart(): void {
     this.connection.close();
     this.newSession();
-    this.changed();
+    this.scheduleChangeHeartbeat();
   }
 
   private async listen(): Promise<void> {
     const server = await serveJson(({ url, body }, respond) => {
-      const { warrant, tenure, orders } = body as WireAnswer & { tenure?: number };
+      const { warrant, tenure, orders } = body as WireOrders & { tenure?: number };
       if (url.pathname !== '/orders') return void respond(200, this.heartbeat());
       if (warrant === undefined || tenure === undefined) return void respond(400, {});
       if (warrant < this.fencingToken || tenure !== this.incarnation)
         return void respond(409, this.heartbeat());
-      this.learnToken(warrant);
+      this.updateToken(warrant);
       this.tasks.execute(orders ?? []);
       respond(200, this.heartbeat());
     });
-    if (this.alive) this.orders = server;
+    if (this.alive) this.ordersServer = server;
     else server.close();
   }
 
-  /** The wire form of a heartbeat; each has a sequence number of its own. */
+  /** Returns a heartbeat with the next sequence number. */
   private heartbeat(): object {
     this.sequence++;
     return {
       host: this.machine.id,
-      addr: this.orders?.address ?? NO_ADDRESS,
+      addr: this.ordersServer?.address ?? PLACEHOLDER_ADDRESS,
       hostKind: this.machine.kind,
       room: this.machine.zone,
       borrowed: false,
@@ -125,13 +128,13 @@
     };
   }
 
-  private changed(): void {
+  private scheduleChangeHeartbeat(): void {
     if (!this.alive) return;
     if (this.inFlight) {
-      this.heartbeatAgain = true;
+      this.heartbeatPending = true;
       return;
     }
-    this.schedule(Math.max(5, this.heartbeatAt + CHANGE_GAP_MS - nowMs()));
+    this.schedule(Math.max(5, this.heartbeatAt + MIN_CHANGE_INTERVAL_MS - nowMs()));
   }
 
   private schedule(ms: number): void {
@@ -142,72 +145,82 @@
   private async sendHeartbeat(): Promise<void> {
     const { host } = this;
     this.inFlight = true;
-    this.heartbeatAgain = false;
+    this.heartbeatPending = false;
     const sentAt = nowMs();
     this.heartbeatAt = sentAt;
     const { incarnation } = this;
-    const to = host.controllers[this.controller % host.controllers.length]!;
+    const controller = host.controllers[this.controllerIndex % host.controllers.length]!;
     host.counters.reports++;
     const body = JSON.stringify(this.heartbeat());
-    const reply = await this.connection.request(to.listen, 'POST', '/agent/beat', body, ANSWER_TIMEOUT_MS);
+    const response = await this.connection.request(
+      controller.listen,
+      'POST',
+      '/agent/beat',
+      body,
+      RESPONSE_TIMEOUT_MS,
+    );
     if (!this.alive) return;
     this.inFlight = false;
-    const wait = this.handleReply(reply, sentAt, incarnation);
-    this.schedule(this.heartbeatAgain ? Math.max(5, sentAt + CHANGE_GAP_MS - nowMs()) : wait);
+    const delayMs = this.handleResponse(response, sentAt, incarnation);
+    this.schedule(this.heartbeatPending ? Math.max(5, sentAt + MIN_CHANGE_INTERVAL_MS - nowMs()) : delayMs);
   }
 
-  /** Acts on the answer to a heartbeat; returns after how many milliseconds to send the next. */
-  private handleReply(reply: HttpReply | null, sentAt: number, incarnation: number): number {
+  /** Handles the response to a heartbeat; returns the delay in milliseconds until the next heartbeat. */
+  private handleResponse(response: HttpResponse | null, sentAt: number, incarnation: number): number {
     const { host } = this;
-    if (reply?.status === 200) {
-      host.answered(nowMs() - sentAt);
-      const { warrant, orders } = JSON.parse(reply.body) as WireAnswer;
+    if (response?.status === 200) {
+      host.recordResponseTime(nowMs() - sentAt);
+      const { warrant, orders } = JSON.parse(response.body) as WireOrders;
       if (warrant !== undefined && warrant >= this.fencingToken && incarnation === this.incarnation) {
-        this.learnToken(warrant);
-        this.leaseFrom = Math.max(this.leaseFrom, sentAt);
+        this.updateToken(warrant);
+        this.leaseRenewedAt = Math.max(this.leaseRenewedAt, sentAt);
         host.counters.renewed++;
         this.tasks.execute(orders ?? []);
       }
       const { reportMs } = host.timing;
-      return reportMs * host.random.between(1 - REPORT_SPREAD, 1 + REPORT_SPREAD);
+      return reportMs * host.random.between(1 - HEARTBEAT_JITTER, 1 + HEARTBEAT_JITTER);
     }
-    if (reply === null) host.counters.unanswered++;
+    if (response === null) host.counters.unanswered++;
     else host.counters.refused++;
-    const named = reply?.status === 421 ? this.redirectOf(reply.body) : -1;
-    const same = named < 0 || named === this.controller % host.controllers.length;
-    this.controller = same ? this.controller + 1 : named;
-    return same ? NEXT_CONTROLLER_MS : host.random.between(0, REDIRECT_MS);
+    const redirectIndex = response?.status === 421 ? this.redirectTarget(response.body) : -1;
+    const isSameController =
+      redirectIndex < 0 || redirectIndex === this.controllerIndex % host.controllers.length;
+    this.controllerIndex = isSameController ? this.controllerIndex + 1 : redirectIndex;
+    return isSameController ? NEXT_CONTROLLER_DELAY_MS : host.random.between(0, MAX_REDIRECT_DELAY_MS);
   }
 
-  /** The index of the controller that a 421 names; -1: none that is known. */
-  private redirectOf(body: string): number {
+  /** Returns the index of the controller named by a response with status 421; -1 if it names no known controller. */
+  private redirectTarget(body: string): number {
     const { answerTo } = JSON.parse(body) as { answerTo?: string };
-    return this.host.controllers.findIndex((c) => c.label === answerTo);
+    return this.host.controllers.findIndex((controller) => controller.label === answerTo);
   }
 
-  private learnToken(token: number): void {
+  private updateToken(token: number): void {
     if (token <= this.fencingToken) return;
     this.fencingToken = token;
     const now = nowMs();
     if (now - this.tokenChangedAt < this.host.timing.leaseMs / 2) return;
     this.tokenChangedAt = now;
-    this.changed();
+    this.scheduleChangeHeartbeat();
   }
 
   private checkLease(): void {
-    const left = this.leaseFrom + this.host.timing.leaseMs - nowMs();
-    if (left <= 0) {
+    const remainingMs = this.leaseRenewedAt + this.host.timing.leaseMs - nowMs();
+    if (remainingMs <= 0) {
       this.host.counters.leasesLost++;
       this.newSession();
-      this.changed();
+      this.scheduleChangeHeartbeat();
     }
-    this.leaseTimer = setTimeout(() => this.checkLease(), left > 0 ? left : this.host.timing.leaseMs);
+    this.leaseTimer = setTimeout(
+      () => this.checkLease(),
+      remainingMs > 0 ? remainingMs : this.host.timing.leaseMs,
+    );
   }
 
   private newSession(): void {
     this.host.counters.tasksKilled += this.tasks.size;
     this.tasks.drop();
     this.incarnation++;
-    this.leaseFrom = nowMs();
+    this.leaseRenewedAt = nowMs();
   }
 }
--- a/packages/scale-test/src/http-connection.ts
+++ b/packages/scale-test/src/http-connection.ts
@@ -1,32 +1,32 @@
 /**
- * One kept HTTP connection that carries one request after another. Raw sockets: a thousand of them cost a stand-in little,
- * and their bytes are counted as they pass, headers included.
+ * A persistent HTTP connection that carries one request at a time. It uses a raw socket, so that a thousand connections
+ * cost little CPU time and all bytes, including headers, can be counted.
  */
 import * as net from 'node:net';
 
-/** A whole reply. */
-export interface HttpReply {
+/** A complete HTTP response. */
+export interface HttpResponse {
   readonly status: number;
   readonly body: string;
-  /** Seconds; 0: not stated. */
+  /** Value of the `Retry-After` header in seconds; 0 if there is none. */
   readonly retryAfterS: number;
 }
 
-/** Bytes that have passed through sockets. */
+/** Bytes sent and received through sockets. */
 export interface ByteCount {
   sent: number;
   received: number;
 }
 
-const HEAD_END = '\r\n\r\n';
-const STATUS_FROM = 'HTTP/1.1 '.length;
+const HEADER_END = '\r\n\r\n';
+const STATUS_OFFSET = 'HTTP/1.1 '.length;
 const STATUS_DIGITS = 3;
 
-/** Connects at the first request, and anew when the address changes or the connection failed. */
+/** Connects at the first request, and reconnects when the address changes or the connection has failed. */
 export class HttpConnection {
   private socket: net.Socket | null = null;
   private address: string | null = null;
-  private waiting: ((reply: HttpReply | null) => void) | null = null;
+  private onResponse: ((response: HttpResponse | null) => void) | null = null;
   private received: Buffer = Buffer.alloc(0);
 
   constructor(private readonly bytes: ByteCount = { sent: 0, received: 0 }) {}
@@ -38,27 +38,27 @@
     this.finish(null);
   }
 
-  /** The reply; null: the connection failed, or none came within `timeoutMs`. One request at a time. */
+  /** Returns the response; null if the connection failed or `timeoutMs` elapsed. Only one request may be in flight. */
   request(
     address: string,
     method: string,
     path: string,
     body: string,
     timeoutMs: number,
-  ): Promise<HttpReply | null> {
-    return new Promise((done) => {
+  ): Promise<HttpResponse | null> {
+    return new Promise((resolve) => {
       if (this.address !== address) this.close();
       this.address = address;
       const socket = this.socket ?? this.connect(address);
       const timer = setTimeout(() => this.close(), timeoutMs);
-      this.waiting = (reply) => {
+      this.onResponse = (response) => {
         clearTimeout(timer);
-        done(reply);
+        resolve(response);
       };
       const length = Buffer.byteLength(body);
       const request =
         `${method} ${path} HTTP/1.1\r\nHost: node\r\nContent-Type: application/json\r\n` +
-        `Content-Length: ${length}${HEAD_END}${body}`;
+        `Content-Length: ${length}${HEADER_END}${body}`;
       this.bytes.sent += request.length - body.length + length;
       socket.write(request);
     });
@@ -71,7 +71,7 @@
     socket.setNoDelay(true);
     this.received = Buffer.alloc(0);
     socket.on('data', (data) => {
-      if (this.socket === socket) this.read(data);
+      if (this.socket === socket) this.receive(data);
     });
     socket.on('error', () => undefined);
     socket.on('close', () => {
@@ -82,27 +82,27 @@
     return socket;
   }
 
-  private read(data: Buffer): void {
+  private receive(data: Buffer): void {
     this.bytes.received += data.length;
     this.received = this.received.length === 0 ? data : Buffer.concat([this.received, data]);
-    const head = this.received.indexOf(HEAD_END);
-    if (head < 0) return;
-    const text = this.received.toString('latin1', 0, head);
-    const length = Number(/content-length: (\d+)/i.exec(text)?.[1] ?? 0);
-    const end = head + HEAD_END.length + length;
+    const headerLength = this.received.indexOf(HEADER_END);
+    if (headerLength < 0) return;
+    const header = this.received.toString('latin1', 0, headerLength);
+    const length = Number(/content-length: (\d+)/i.exec(header)?.[1] ?? 0);
+    const end = headerLength + HEADER_END.length + length;
     if (this.received.length < end) return;
-    const body = this.received.toString('utf8', head + HEAD_END.length, end);
+    const body = this.received.toString('utf8', headerLength + HEADER_END.length, end);
     this.received = this.received.subarray(end);
     this.finish({
-      status: Number(text.slice(STATUS_FROM, STATUS_FROM + STATUS_DIGITS)),
+      status: Number(header.slice(STATUS_OFFSET, STATUS_OFFSET + STATUS_DIGITS)),
       body,
-      retryAfterS: Number(/retry-after: (\d+)/i.exec(text)?.[1] ?? 0),
+      retryAfterS: Number(/retry-after: (\d+)/i.exec(header)?.[1] ?? 0),
     });
   }
 
-  private finish(reply: HttpReply | null): void {
-    const waiting = this.waiting;
-    this.waiting = null;
-    waiting?.(reply);
+  private finish(response: HttpResponse | null): void {
+    const onResponse = this.onResponse;
+    this.onResponse = null;
+    onResponse?.(response);
   }
 }
--- a/packages/scale-test/src/json-server.ts
+++ b/packages/scale-test/src/json-server.ts
@@ -1,25 +1,25 @@
-/** A JSON server on a loopback port, for the stand-ins. */
+/** An HTTP server with JSON bodies on a loopback port, used by the simulated services and workers. */
 import * as http from 'node:http';
 import type { AddressInfo } from 'node:net';
 
-/** A request with its parsed body. */
+/** An HTTP request with a JSON body. */
 export interface JsonRequest {
   readonly method: string;
   readonly url: URL;
-  /** The parsed body; an empty object where there is none. */
+  /** The parsed body; an empty object if the request has no body. */
   readonly body: unknown;
 }
-/** Sends the answer once, at once or later, and returns the bytes of its body. */
+/** Sends the response, immediately or later, and returns the number of bytes of its body. Must be called once. */
 export type Respond = (status: number, value: unknown) => number;
 
-/** A server that listens. */
+/** A listening server. */
 export interface JsonServer {
-  /** `127.0.0.1:port`. */
+  /** Address in the form `127.0.0.1:port`. */
   readonly address: string;
   close(): void;
 }
 
-const parse = (text: string): unknown => {
+const parseBody = (text: string): unknown => {
   if (text === '') return {};
   try {
     return JSON.parse(text) as unknown;
@@ -28,32 +28,32 @@
   }
 };
 
-/** Listens on a free port; a body that is not JSON is answered 400. */
+/** Starts a server on a free port. A request whose body is not JSON gets status 400. */
 export const serveJson = (handle: (request: JsonRequest, respond: Respond) => void): Promise<JsonServer> =>
-  new Promise((done, fail) => {
-    const server = http.createServer((req, res) => {
-      const parts: Buffer[] = [];
-      req.on('data', (part: Buffer) => parts.push(part));
-      req.on('end', () => {
+  new Promise((resolve, reject) => {
+    const server = http.createServer((request, response) => {
+      const chunks: Buffer[] = [];
+      request.on('data', (chunk: Buffer) => chunks.push(chunk));
+      request.on('end', () => {
         const respond: Respond = (status, value) => {
-          const out = Buffer.from(JSON.stringify(value));
-          res.writeHead(status, { 'Content-Type': 'application/json', 'Content-Length': out.length });
-          res.end(out);
-          return out.length;
+          const bytes = Buffer.from(JSON.stringify(value));
+          response.writeHead(status, { 'Content-Type': 'application/json', 'Content-Length': bytes.length });
+          response.end(bytes);
+          return bytes.length;
         };
-        const body = parse(Buffer.concat(parts).toString());
+        const body = parseBody(Buffer.concat(chunks).toString());
         if (body === null) return void respond(400, { error: 'not JSON' });
         handle(
-          { method: req.method ?? 'GET', url: new URL(req.url ?? '/', 'http://stand-in'), body },
+          { method: request.method ?? 'GET', url: new URL(request.url ?? '/', 'http://stand-in'), body },
           respond,
         );
       });
     });
     server.keepAliveTimeout = 0;
-    server.on('error', fail);
+    server.on('error', reject);
     server.listen(0, '127.0.0.1', () => {
       const { port } = server.address() as AddressInfo;
-      done({
+      resolve({
         address: `127.0.0.1:${port}`,
         close: () => {
           server.close();
--- a/packages/scale-test/src/losses/answer-watch.ts
+++ b/packages/scale-test/src/losses/answer-watch.ts
@@ -1,34 +1,34 @@
-/** Watches for how long nothing is answered about a job: once all faults are over, too long a silence is a violation. */
+/** Measures how long requests about a job stay unanswered. Outside faults, exceeding the maximum is a violation. */
 
-/** Seconds of a clock that only goes forward. */
+/** Returns the time of a monotonic clock, in seconds. */
 const nowS = (): number => performance.now() / 1000;
 
-/** One watch serves all users of a run. */
-export class AnswerWatch {
-  /** Seconds of the longest silence outside faults. */
-  longestS = 0;
+/** Tracks the responses about all jobs of a run. */
+export class ResponseWatch {
+  /** Longest time without a response about a job outside faults, in seconds. */
+  longestUnansweredS = 0;
   private readonly answeredAt = new Map<string, number>();
-  private faultsUntil = 0;
+  private faultEndsAt = 0;
 
-  /** A silence of more than `mostS` seconds outside faults is a violation. */
-  constructor(private readonly mostS: number) {}
+  /** Outside faults, more than `maxUnansweredS` seconds without a response about a job are a violation. */
+  constructor(private readonly maxUnansweredS: number) {}
 
-  /** A fault goes on for so many seconds more. */
-  faultLasts(seconds: number): void {
-    this.faultsUntil = Math.max(this.faultsUntil, nowS() + seconds);
+  /** Extends the current fault to at least `seconds` from now. */
+  extendFault(seconds: number): void {
+    this.faultEndsAt = Math.max(this.faultEndsAt, nowS() + seconds);
   }
 
   /**
-   * A poll has ended. `answered`: it was not refused, reset or left without an answer. Returns the violation, said once for
-   * each silence; null: there is none.
+   * Records the end of a poll. `answered`: a response with the job's state or status 404 was received. Returns a
+   * violation if the job has been unanswered for too long, else null. After a violation the measured time begins anew.
    */
-  polled(job: string, answered: boolean): string | null {
+  recordPoll(job: string, answered: boolean): string | null {
     const now = nowS();
-    const silentS = now - Math.max(this.answeredAt.get(job) ?? now, this.faultsUntil);
-    this.longestS = Math.max(this.longestS, silentS);
+    const unansweredS = now - Math.max(this.answeredAt.get(job) ?? now, this.faultEndsAt);
+    this.longestUnansweredS = Math.max(this.longestUnansweredS, unansweredS);
     if (answered || !this.answeredAt.has(job)) this.answeredAt.set(job, now);
-    if (answered || silentS <= this.mostS) return null;
+    if (answered || unansweredS <= this.maxUnansweredS) return null;
     this.answeredAt.set(job, now);
-    return `${job}: no answer for ${Math.round(silentS)} s`;
+    return `${job}: no response for ${Math.round(unansweredS)} s`;
   }
 }
--- a/packages/scale-test/src/losses/controller-faults.ts
+++ b/packages/scale-test/src/losses/controller-faults.ts
@@ -1,69 +1,74 @@
-/** Kills controllers and starts them again after a while. */
+/** Kills controllers and restarts them after a delay. */
 import type { ControllerProcess } from '../controllers.js';
 import type { Random } from '../random.js';
 
-/** Which controllers are killed near a loss. */
-export const KILLED = ['none', 'one', 'leader', 'rebuilder', 'all'] as const;
-/** One of them. */
-export type Killed = (typeof KILLED)[number];
+/** Which controllers are killed around each data loss. */
+export const KILL_TARGETS = ['none', 'one', 'leader', 'rebuilder', 'all'] as const;
+/** The controllers that are killed around each data loss. */
+export type KillTarget = (typeof KILL_TARGETS)[number];
 
-/** A controller that is killed again and again is so at most this often. */
-const MOST_AGAIN = 4;
-const BACK_AT_ONCE_S = { least: 0.005, most: 0.1 };
-const AGAIN_AFTER_S = { least: 0.05, most: 3 };
+/** Maximum number of kills in a series: the first kill and the kills repeated after each restart. */
+const MAX_KILLS_IN_SERIES = 4;
+const IMMEDIATE_RESTART_DELAY_S = { min: 0.005, max: 0.1 };
+const REPEATED_KILL_DELAY_S = { min: 0.05, max: 3 };
 
-/** What the faults act on, and who is told of them. */
-export interface ControllerFaultParts {
+/** Random source, mode and callback of the controller faults. */
+export interface ControllerFaultsDependencies {
   readonly random: Random;
-  /** Killed controllers are started again at once, and killed again a few times. */
-  readonly atOnce: boolean;
-  /** A fault begins and lasts for so many seconds. */
+  /** Whether killed controllers are restarted within 100 ms and killed again a few times. */
+  readonly restartAtOnce: boolean;
+  /** Called when a fault begins, with its duration in seconds. */
   readonly onFault: (seconds: number) => void;
 }
 
-/** How one kill differs from others. */
+/** Options of a kill. */
 export interface KillOptions {
-  /** How often it may be killed again; drawn by default. */
-  readonly again?: number;
-  /** It is spared while this is so. */
+  /** Number of repeated kills after the restart; random by default. */
+  readonly repeats?: number;
+  /** The controller is not killed if this returns true. */
   readonly unless?: () => boolean;
 }
 
-/** Kills controllers with SIGKILL until it is stopped. A controller that is down is not killed again. */
+/** Kills controllers with SIGKILL until `stop` is called. A controller that is down is not killed. */
 export class ControllerFaults {
   kills = 0;
   private stopped = false;
-  private readonly down = new Set<ControllerProcess>();
+  private readonly downControllers = new Set<ControllerProcess>();
 
-  constructor(private readonly parts: ControllerFaultParts) {}
+  constructor(private readonly dependencies: ControllerFaultsDependencies) {}
 
-  /** From here on nothing is killed and nothing is started again. */
+  /** Stops the faults: no controller is killed or restarted from now on. */
   stop(): void {
     this.stopped = true;
   }
 
-  /** A controller that has ended by itself stays down. */
-  endedByItself(controller: ControllerProcess): void {
-    this.down.add(controller);
+  /** Marks a controller that exited unexpectedly as down; it is not restarted. */
+  markExited(controller: ControllerProcess): void {
+    this.downControllers.add(controller);
   }
 
-  /** Kills a controller, which comes back after `backS` seconds, or at once where the run says so. */
-  kill(controller: ControllerProcess, backS: number, options: KillOptions = {}): void {
-    const { random, atOnce, onFault } = this.parts;
-    const { again = random.below(MOST_AGAIN), unless = () => false } = options;
-    if (this.down.has(controller) || this.stopped || unless()) return;
+  /** Kills a controller and restarts it after `restartDelayS` seconds, or within 100 ms if `restartAtOnce` is set. */
+  kill(controller: ControllerProcess, restartDelayS: number, options: KillOptions = {}): void {
+    const { random, restartAtOnce, onFault } = this.dependencies;
+    const { repeats = random.below(MAX_KILLS_IN_SERIES), unless = () => false } = options;
+    if (this.downControllers.has(controller) || this.stopped || unless()) return;
     this.kills++;
-    this.down.add(controller);
+    this.downControllers.add(controller);
     controller.kill('SIGKILL');
-    const downS = atOnce ? random.between(BACK_AT_ONCE_S.least, BACK_AT_ONCE_S.most) : backS;
-    const againAfterS = random.between(AGAIN_AFTER_S.least, AGAIN_AFTER_S.most);
-    onFault(downS);
+    const downtimeS = restartAtOnce
+      ? random.between(IMMEDIATE_RESTART_DELAY_S.min, IMMEDIATE_RESTART_DELAY_S.max)
+      : restartDelayS;
+    const repeatDelayS = random.between(REPEATED_KILL_DELAY_S.min, REPEATED_KILL_DELAY_S.max);
+    onFault(downtimeS);
     setTimeout(() => {
       if (this.stopped) return;
-      this.down.delete(controller);
+      this.downControllers.delete(controller);
       controller.start();
-      if (atOnce && again > 0)
-        setTimeout(() => this.kill(controller, backS, { again: again - 1, unless }), againAfterS * 1000);
-    }, downS * 1000);
+      if (restartAtOnce && repeats > 0)
+        setTimeout(
+          () => this.kill(controller, restartDelayS, { repeats: repeats - 1, unless }),
+          repeatDelayS * 1000,
+        );
+    }, downtimeS * 1000);
   }
 }
--- a/packages/scale-test/src/losses/job-users.ts
+++ b/packages/scale-test/src/losses/job-users.ts
@@ -1,23 +1,26 @@
-/** Users who submit jobs at a steady rate and poll them until long after they are done: what they were told must hold. */
+/**
+ * Simulated users that submit jobs at a steady rate and poll each until some time after it is done. A response that
+ * contradicts an earlier one is a violation.
+ */
 import { sleepMs } from '../clock.js';
-import { HttpConnection, type HttpReply } from '../http-connection.js';
+import { HttpConnection, type HttpResponse } from '../http-connection.js';
 import type { ControllerAddress, JobDescription } from '../model.js';
 import type { Random } from '../random.js';
 import { writeSubmission } from '../users.js';
-import type { AnswerWatch } from './answer-watch.js';
+import type { ResponseWatch } from './answer-watch.js';
 
 const SUBMIT_TIMEOUT_MS = 5000;
 const POLL_TIMEOUT_MS = 2000;
-const POLL_EVERY_MS = { least: 800, most: 2500 };
-/** Polls after a job was called done. */
+const POLL_INTERVAL_MS = { min: 800, max: 2500 };
+/** Number of polls after a job was first reported done. */
 const POLLS_AFTER_DONE = 8;
-const DUE_S = 200;
+const DEADLINE_S = 200;
 
-/** What a user was last told of a job. */
-interface ToldJob {
+/** The state of a job according to the responses that its user has received. */
+interface TrackedJob {
   readonly id: string;
-  /** null: it is not accepted yet. */
-  told: 'accepted' | 'done' | null;
+  /** null until the job is accepted. */
+  reportedState: 'accepted' | 'done' | null;
   doneTasks: number;
 }
 interface WireJob {
@@ -25,52 +28,52 @@
   readonly done?: number;
 }
 
-/** What users need. */
-export interface JobUserParts {
+/** Controllers, job parameters and callbacks of the users. */
+export interface JobUsersDependencies {
   readonly random: Random;
-  /** Users ask any of them, also one that is down. */
+  /** Each request goes to a random one of these, even if it is down. */
   readonly controllers: readonly ControllerAddress[];
   readonly tasks: number;
-  /** What users say that a task runs, milliseconds. */
+  /** Expected run time of a task that users submit, in milliseconds. */
   readonly runMs: number;
-  readonly watch: AnswerWatch;
-  /** Workers fetch the job from now on. */
+  readonly watch: ResponseWatch;
+  /** Makes the job available to workers. */
   readonly upload: (job: JobDescription) => void;
   readonly onViolation: (violation: string) => void;
 }
 
-/** All users of a run. */
+/** The simulated users of a run, one for each job. */
 export class JobUsers {
-  private readonly jobs: ToldJob[] = [];
+  private readonly jobs: TrackedJob[] = [];
   private stopped = false;
-  private submitting: NodeJS.Timeout | null = null;
+  private submitTimer: NodeJS.Timeout | null = null;
 
-  constructor(private readonly parts: JobUserParts) {}
+  constructor(private readonly dependencies: JobUsersDependencies) {}
 
   get accepted(): number {
-    return this.jobs.filter(({ told }) => told !== null).length;
+    return this.jobs.filter(({ reportedState }) => reportedState !== null).length;
   }
 
   get done(): number {
-    return this.jobs.filter(({ told }) => told === 'done').length;
+    return this.jobs.filter(({ reportedState }) => reportedState === 'done').length;
   }
 
-  /** Jobs that were accepted and not yet called done. */
+  /** Ids of the jobs that were accepted and not yet reported done. */
   get open(): readonly string[] {
-    return this.jobs.filter(({ told }) => told === 'accepted').map(({ id }) => id);
+    return this.jobs.filter(({ reportedState }) => reportedState === 'accepted').map(({ id }) => id);
   }
 
-  /** Submits so many jobs a second from now on. */
-  submitAt(jobsPerS: number): void {
-    this.submitting = setInterval(() => void this.play(), 1000 / jobsPerS);
+  /** Starts submitting jobs at a rate of `jobsPerS`. */
+  startSubmitting(jobsPerS: number): void {
+    this.submitTimer = setInterval(() => void this.play(), 1000 / jobsPerS);
   }
 
-  /** No more jobs are submitted; those that were are polled on. */
+  /** Stops submitting jobs; submitted jobs are still polled. */
   stopSubmitting(): void {
-    clearInterval(this.submitting ?? undefined);
+    clearInterval(this.submitTimer ?? undefined);
   }
 
-  /** Users ask nothing any more. */
+  /** Stops all users: no further request is sent. */
   stop(): void {
     this.stopped = true;
   }
@@ -78,68 +81,72 @@
   private async play(): Promise<void> {
     const connection = new HttpConnection();
     const id = `job-${String(this.jobs.length + 1).padStart(6, '0')}`;
-    const job: ToldJob = { id, told: null, doneTasks: 0 };
+    const job: TrackedJob = { id, reportedState: null, doneTasks: 0 };
     this.jobs.push(job);
-    const description = renderJob(id, this.parts.tasks, this.parts.runMs);
-    this.parts.upload(description);
+    const description = renderJob(id, this.dependencies.tasks, this.dependencies.runMs);
+    this.dependencies.upload(description);
     if (await this.submit(connection, description)) {
-      job.told = 'accepted';
+      job.reportedState = 'accepted';
       await this.poll(connection, job);
     }
     connection.close();
   }
 
-  private ask(
+  private request(
     connection: HttpConnection,
     method: string,
     path: string,
     body: string,
     timeoutMs: number,
-  ): Promise<HttpReply | null> {
-    const { random, controllers } = this.parts;
+  ): Promise<HttpResponse | null> {
+    const { random, controllers } = this.dependencies;
     const { listen } = controllers[random.below(controllers.length)]!;
     return connection.request(listen, method, path, body, timeoutMs);
   }
 
-  /** false: the run is over. */
+  /** Submits until the job is accepted; returns false if the run was stopped before. */
   private async submit(connection: HttpConnection, description: JobDescription): Promise<boolean> {
-    const body = writeSubmission(description, DUE_S);
+    const body = writeSubmission(description, DEADLINE_S);
     while (!this.stopped) {
-      const reply = await this.ask(connection, 'POST', '/work', body, SUBMIT_TIMEOUT_MS);
-      if (reply?.status === 201 || reply?.status === 200) return true;
-      await sleepMs(Math.max(1, reply?.retryAfterS ?? 1) * 1000);
+      const response = await this.request(connection, 'POST', '/work', body, SUBMIT_TIMEOUT_MS);
+      if (response?.status === 201 || response?.status === 200) return true;
+      await sleepMs(Math.max(1, response?.retryAfterS ?? 1) * 1000);
     }
     return false;
   }
 
-  /** Until long after it is done: what was told must not go back. */
-  private async poll(connection: HttpConnection, job: ToldJob): Promise<void> {
-    const { random, watch, onViolation } = this.parts;
+  /** Polls until some time after the job is done, and reports each response that contradicts an earlier one. */
+  private async poll(connection: HttpConnection, job: TrackedJob): Promise<void> {
+    const { random, watch, onViolation } = this.dependencies;
     let pollsLeft = POLLS_AFTER_DONE;
     while (pollsLeft > 0 && !this.stopped) {
-      await sleepMs(random.between(POLL_EVERY_MS.least, POLL_EVERY_MS.most));
-      const reply = await this.ask(connection, 'GET', `/work/${job.id}`, '', POLL_TIMEOUT_MS);
-      const silence = watch.polled(job.id, reply?.status === 200 || reply?.status === 404);
+      await sleepMs(random.between(POLL_INTERVAL_MS.min, POLL_INTERVAL_MS.max));
+      const response = await this.request(connection, 'GET', `/work/${job.id}`, '', POLL_TIMEOUT_MS);
+      const silence = watch.recordPoll(job.id, response?.status === 200 || response?.status === 404);
       if (silence !== null && !this.stopped) onViolation(silence);
-      if (reply === null || reply.status === 503) continue;
-      if (reply.status !== 200) onViolation(`${job.id}: answered ${reply.status} after ${job.told}`);
-      else if (this.take(job, JSON.parse(reply.body) as WireJob)) pollsLeft--;
+      if (response === null || response.status === 503) continue;
+      if (response.status !== 200)
+        onViolation(
+          `${job.id}: response status ${response.status} after the job was reported ${job.reportedState}`,
+        );
+      else if (this.checkResponse(job, JSON.parse(response.body) as WireJob)) pollsLeft--;
     }
   }
 
-  /** Compares an answer with what was told before; true: the job is done. */
-  private take(job: ToldJob, { status, done }: WireJob): boolean {
-    const { onViolation } = this.parts;
-    if (job.told === 'done' && status !== 'done') onViolation(`${job.id}: ${status} after done`);
+  /** Compares a response with the earlier ones and returns whether the job is done. */
+  private checkResponse(job: TrackedJob, { status, done }: WireJob): boolean {
+    const { onViolation } = this.dependencies;
+    if (job.reportedState === 'done' && status !== 'done')
+      onViolation(`${job.id}: status ${status} after the job was reported done`);
     if (done !== undefined && done < job.doneTasks)
-      onViolation(`${job.id}: ${done} done after ${job.doneTasks}`);
+      onViolation(`${job.id}: ${done} completed tasks after ${job.doneTasks} were reported`);
     job.doneTasks = Math.max(job.doneTasks, done ?? 0);
-    if (status === 'done') job.told = 'done';
+    if (status === 'done') job.reportedState = 'done';
     return status === 'done';
   }
 }
 
-/** An array of tasks of one CPU. */
+/** Returns an array job whose tasks need one CPU each. */
 const renderJob = (id: string, tasks: number, runMs: number): JobDescription => ({
   id,
   team: 'crew',
--- a/packages/scale-test/src/losses/loss-run.ts
+++ b/packages/scale-test/src/losses/loss-run.ts
@@ -1,4 +1,7 @@
-/** One run of losses: real controllers beside stand-ins, faults while users work, then the end of all accepted jobs. */
+/**
+ * One run of the losses test: injects faults into real controllers under load, then waits until all accepted jobs are
+ * done.
+ */
 import { sleepMs } from '../clock.js';
 import { Cloud } from '../cloud.js';
 import {
@@ -13,13 +16,13 @@
 import { seededRandom } from '../random.js';
 import { StateService } from '../state-service.js';
 import { WorkerGroup } from '../worker-group.js';
-import { AnswerWatch } from './answer-watch.js';
+import { ResponseWatch } from './answer-watch.js';
 import { AttemptHistory } from './attempt-history.js';
-import { ControllerFaults, type Killed } from './controller-faults.js';
+import { ControllerFaults, type KillTarget } from './controller-faults.js';
 import { JobUsers } from './job-users.js';
 import { StoreLosses } from './store-losses.js';
 
-/** The flags of a run; what each does is said where they are declared. */
+/** Flags of the `losses` command; their descriptions are in `losses.ts`. */
 export interface LossOptions {
   readonly program: string;
   readonly nodes: number;
@@ -29,7 +32,7 @@
   readonly runMs: number;
   readonly for: number;
   readonly every: number;
-  readonly kill: Killed;
+  readonly kill: KillTarget;
   readonly atOnce?: boolean;
   readonly restarts: number;
   readonly losses: boolean;
@@ -39,10 +42,10 @@
   readonly seed: number;
 }
 
-/** What a run prints, in this order. Percentiles are seconds with two digits, or `-`. */
+/** The printed result, in this order of fields. Percentiles are in seconds with two decimals, or `-` without data. */
 export interface LossResult {
   readonly nodes: number;
-  readonly kill: Killed;
+  readonly kill: KillTarget;
   readonly snapshots: boolean;
   readonly kills: number;
   readonly longestUnansweredS: number;
@@ -53,7 +56,7 @@
   readonly killedByLease: number;
   readonly doneTwice: number;
   readonly durableS: { readonly middle: string; readonly nineInTen: string; readonly longest: string };
-  /** The first ones. */
+  /** Descriptions of the violations; only the first ones are printed. */
   readonly faults: readonly string[];
 }
 
@@ -75,12 +78,12 @@
   cancelMs: 36_000,
 };
 const BOOT_MS = 1000;
-const RUN_SPREAD = { least: 0.5, most: 1.5 };
-/** Before the first loss. */
+const RUN_TIME_FACTOR = { min: 0.5, max: 1.5 };
+/** Delay before the first data loss. */
 const WARM_UP_MS = 10_000;
-/** After the last loss, all accepted jobs are done within this. */
-const DONE_WITHIN_S = 180;
-const MOST_FAULTS_SHOWN = 20;
+/** Time after the last data loss within which all accepted jobs must be done, in seconds. */
+const DONE_TIMEOUT_S = 180;
+const MAX_FAULTS_PRINTED = 20;
 
 const machineKind = (count: number): MachineKind => ({
   label: 'box',
@@ -92,30 +95,30 @@
   count,
 });
 
-/** Plays one run; it can be played once. */
+/** One run of the losses test. `play` may be called once. */
 export class LossRun {
   private readonly random;
   private readonly violations: string[] = [];
   private readonly store = new StateService(LIMITS);
   private readonly jobs = new Map<string, JobDescription>();
-  private readonly watch: AnswerWatch;
+  private readonly watch: ResponseWatch;
   private readonly faults: ControllerFaults;
 
-  /** `say` is told of each violation as it comes, and of controllers that end by themselves. */
+  /** `log` is called with each violation when it is found, and for each controller that exits unexpectedly. */
   constructor(
     private readonly options: LossOptions,
-    private readonly say: (line: string) => void,
+    private readonly log: (line: string) => void,
   ) {
     this.random = seededRandom(options.seed);
-    this.watch = new AnswerWatch(options.forgotten);
+    this.watch = new ResponseWatch(options.forgotten);
     this.faults = new ControllerFaults({
       random: this.random,
-      atOnce: options.atOnce === true,
-      onFault: (seconds) => this.watch.faultLasts(seconds),
+      restartAtOnce: options.atOnce === true,
+      onFault: (seconds) => this.watch.extendFault(seconds),
     });
   }
 
-  /** Takes about as long as the losses go on, and up to three minutes more. */
+  /** Runs the test, which takes the duration of the losses and up to three more minutes. */
   async play(): Promise<LossResult> {
     const { options, random, store } = this;
     const addresses = await controllerAddresses(options.nodes, ZONES);
@@ -125,10 +128,10 @@
       controllers: addresses,
       timing: TIMING,
       random,
-      emit: (event) => history.take(event),
-      // A lost result is not kept: its task runs again and counts as done twice.
+      emit: (event) => history.recordEvent(event),
+      // The result of a dropped task is not kept: the task runs again and is counted in `doneTwice`.
       keepResult: () => undefined,
-      jobOf: (id) => this.drawnJob(id),
+      findJob: (id) => this.jobWithRandomRunTime(id),
     });
     const history = new AttemptHistory((task) => workers.machinesWith(task));
     const cloud = new Cloud({
@@ -140,7 +143,7 @@
     });
     const stateServer = await serveJson((request, respond) => store.handle(request, respond));
     const cloudServer = await serveJson((request, respond) => cloud.handle(request, respond));
-    const controllers = this.controllersAt(addresses, cloudServer.address, stateServer.address);
+    const controllers = this.createControllers(addresses, cloudServer.address, stateServer.address);
     const users = new JobUsers({
       random,
       controllers: addresses,
@@ -155,13 +158,13 @@
       store,
       controllers,
       faults: this.faults,
-      killed: options.kill,
+      killTarget: options.kill,
       restartEveryS: options.restarts,
-      onFault: (seconds) => this.watch.faultLasts(seconds),
+      onFault: (seconds) => this.watch.extendFault(seconds),
       onViolation: (violation) => this.violate(violation),
     });
     for (const controller of controllers) controller.start();
-    users.submitAt(options.jobs);
+    users.startSubmitting(options.jobs);
     await this.injectFaults(losses);
     await this.awaitDone(users);
     this.violations.push(...history.violations);
@@ -172,14 +175,14 @@
     return result;
   }
 
-  /** A job as a worker sees it: each task runs for another time. */
-  private drawnJob(id: string): JobDescription | undefined {
+  /** Returns a job as a worker looks it up, with a random run time, so that the run times of its tasks differ. */
+  private jobWithRandomRunTime(id: string): JobDescription | undefined {
     const job = this.jobs.get(id);
     if (job === undefined) return undefined;
-    return { ...job, runMs: job.runMs * this.random.between(RUN_SPREAD.least, RUN_SPREAD.most) };
+    return { ...job, runMs: job.runMs * this.random.between(RUN_TIME_FACTOR.min, RUN_TIME_FACTOR.max) };
   }
 
-  private controllersAt(
+  private createControllers(
     addresses: Awaited<ReturnType<typeof controllerAddresses>>,
     cloud: string,
     state: string,
@@ -201,9 +204,9 @@
         flags: [],
         logLevel: options.log,
         arguments: options.snapshots === true ? ['--snapshots', `${directory}/${address.label}`] : [],
-        onUnexpectedEnd: (label, code) => {
-          this.faults.endedByItself(controller);
-          this.say(`${label} ended by itself: ${code}`);
+        onUnexpectedExit: (label, code) => {
+          this.faults.markExited(controller);
+          this.log(`${label} exited unexpectedly with status ${code}`);
         },
       });
       return controller;
@@ -214,27 +217,27 @@
     const { options, random } = this;
     await sleepMs(WARM_UP_MS);
     const until = performance.now() + options.for * 1000;
-    const isOver = (): boolean => performance.now() >= until;
-    if (options.restarts > 0) void losses.restartUntil(isOver);
-    while (!isOver()) {
+    const isFinished = (): boolean => performance.now() >= until;
+    if (options.restarts > 0) void losses.restartUntil(isFinished);
+    while (!isFinished()) {
       if (options.losses) await losses.lose();
       else await sleepMs(1000);
       await sleepMs(random.between(options.every * 0.5, options.every) * 1000);
     }
   }
 
-  /** All that was accepted must come to its end. */
+  /** Waits until all accepted jobs are done; a job that is not done in time is a violation. */
   private async awaitDone(users: JobUsers): Promise<void> {
     users.stopSubmitting();
-    for (let i = 0; i < DONE_WITHIN_S && users.open.length > 0; i++) await sleepMs(1000);
-    for (const job of users.open) this.violate(`${job}: accepted and not done`);
+    for (let i = 0; i < DONE_TIMEOUT_S && users.open.length > 0; i++) await sleepMs(1000);
+    for (const job of users.open) this.violate(`${job}: accepted, but not done in time`);
     users.stop();
     this.faults.stop();
   }
 
   private violate(violation: string): void {
     this.violations.push(violation);
-    this.say(violation);
+    this.log(violation);
   }
 
   private result(
@@ -245,14 +248,15 @@
   ): LossResult {
     const { options } = this;
     const recoveries = [...losses.recoveriesS].sort((a, b) => a - b);
-    const percentile = (part: number): string =>
-      recoveries[Math.min(recoveries.length - 1, Math.floor(part * recoveries.length))]?.toFixed(2) ?? '-';
+    const percentile = (fraction: number): string =>
+      recoveries[Math.min(recoveries.length - 1, Math.floor(fraction * recoveries.length))]?.toFixed(2) ??
+      '-';
     return {
       nodes: options.nodes,
       kill: options.kill,
       snapshots: options.snapshots === true,
       kills: this.faults.kills,
-      longestUnansweredS: Math.round(this.watch.longestS * 10) / 10,
+      longestUnansweredS: Math.round(this.watch.longestUnansweredS * 10) / 10,
       losses: recoveries.length,
       accepted: users.accepted,
       done: users.done,
@@ -265,6 +269,6 @@
   }
 }
 
-/** The line that a run prints: JSON, with the first violations. */
+/** Returns the result as one line of JSON with the first violations. */
 export const resultLine = (result: LossResult): string =>
-  JSON.stringify({ ...result, faults: result.faults.slice(0, MOST_FAULTS_SHOWN) });
+  JSON.stringify({ ...result, faults: result.faults.slice(0, MAX_FAULTS_PRINTED) });
--- a/packages/scale-test/src/losses/store-losses.ts
+++ b/packages/scale-test/src/losses/store-losses.ts
@@ -1,79 +1,84 @@
-/** Outages and losses of the state service, with kills of controllers near them, and how long recovery takes. */
+/**
+ * Injects outages and data losses of the state service, kills controllers around them, and measures the recovery time.
+ */
 import { sleepMs } from '../clock.js';
 import type { ControllerProcess } from '../controllers.js';
 import type { Random } from '../random.js';
 import type { StateService } from '../state-service.js';
-import type { ControllerFaults, Killed } from './controller-faults.js';
+import type { ControllerFaults, KillTarget } from './controller-faults.js';
 
-/** Keys that the controllers keep in the state service: the store's incarnation, a rebuild's phase, the leader lease. */
+/** Keys of the controllers in the state service: store incarnation, phase of the rebuild, leader lease. */
 const INCARNATION_PREFIX = 's/l/i/';
 const REBUILD_KEY = 's/l/rebuild';
 const LEADER_KEY = 's/leader';
-/** The phase in which no rebuild is under way, as it is written. */
-const NO_REBUILD = '"wait"';
+/** Part of the rebuild key's JSON value while no rebuild is in progress. */
+const NO_REBUILD_PHASE = '"wait"';
 
-/** What is lost: everything (null), or the changes of the last milliseconds. */
+/** What a data loss affects: all data (null), or the changes of the last milliseconds. */
 const LOST_MS = [null, 1000, 5000, 20_000] as const;
-const OUTAGE_S = { least: 0.5, most: 4 };
-const BACK_S = { least: 1, most: 5 };
-const REBUILDER_BACK_S = 3;
-const KILL_AFTER_S = { least: -1, most: 5 };
-/** While controllers are restarted between losses: before a loss, somebody must have read the store and live on. */
-const READ_WITHIN_S = 6;
-const RECOVERY_WITHIN_MS = 40_000;
-const LOOK_EVERY_MS = 100;
-const RESTARTS_WITHIN_MS = 300;
+const OUTAGE_S = { min: 0.5, max: 4 };
+const RESTART_DELAY_S = { min: 1, max: 5 };
+const REBUILDER_RESTART_DELAY_S = 3;
+const KILL_DELAY_S = { min: -1, max: 5 };
+/**
+ * Delay before a data loss if controllers are also restarted between the losses. Within it, a controller reads the
+ * store and survives until the loss; otherwise no controller remembers the lost data.
+ */
+const STORE_READ_DELAY_S = 6;
+const RECOVERY_TIMEOUT_MS = 40_000;
+const RECOVERY_CHECK_EVERY_MS = 100;
+const MAX_KILL_OFFSET_MS = 300;
 
-/** What the losses act on, and who is told of them. */
-export interface StoreLossParts {
+/** The components that the losses affect, and callbacks for faults and violations. */
+export interface StoreLossesDependencies {
   readonly random: Random;
   readonly store: StateService;
   readonly controllers: readonly ControllerProcess[];
   readonly faults: ControllerFaults;
-  readonly killed: Killed;
-  /** Between the losses some controllers are killed about every so many seconds; 0: never. */
+  readonly killTarget: KillTarget;
+  /** Average interval of controller kills between the data losses, in seconds; 0: none. */
   readonly restartEveryS: number;
   readonly onFault: (seconds: number) => void;
   readonly onViolation: (violation: string) => void;
 }
 
-/** Draws the faults of one run. */
+/** Injects the random data losses and kills of one run. */
 export class StoreLosses {
-  /** Seconds from each loss until the store was rebuilt. */
+  /** Recovery times: seconds from each data loss until the store was rebuilt. */
   readonly recoveriesS: number[] = [];
-  private isLosing = false;
+  private lossInProgress = false;
 
-  constructor(private readonly parts: StoreLossParts) {}
+  constructor(private readonly dependencies: StoreLossesDependencies) {}
 
-  /** One loss: the service is out for a moment or not at all, and comes back without everything or the last seconds. */
+  /** Injects one data loss: after an optional outage, the service is available again without all or its latest data. */
   async lose(): Promise<void> {
-    this.isLosing = true;
-    const { random, store, onFault, onViolation } = this.parts;
-    await sleepMs(this.parts.restartEveryS > 0 ? READ_WITHIN_S * 1000 : 0);
-    const outageS = random.below(2) * random.between(OUTAGE_S.least, OUTAGE_S.most);
+    this.lossInProgress = true;
+    const { random, store, onFault, onViolation } = this.dependencies;
+    await sleepMs(this.dependencies.restartEveryS > 0 ? STORE_READ_DELAY_S * 1000 : 0);
+    const outageS = random.below(2) * random.between(OUTAGE_S.min, OUTAGE_S.max);
     const lostMs = LOST_MS[random.below(LOST_MS.length)] ?? null;
-    this.killNear(outageS);
+    this.killAroundLoss(outageS);
     store.setOutage(true);
     onFault(outageS);
     await sleepMs(outageS * 1000);
-    const before = this.incarnation();
+    const previousIncarnation = this.incarnation();
     store.loseData(lostMs);
     store.setOutage(false);
-    const recoveredS = await this.recovery(before);
-    if (recoveredS !== null) this.recoveriesS.push(recoveredS);
-    // What was lost may have been nothing that anybody had seen, unless it was everything.
-    else if (lostMs === null) onViolation('no rebuild within 40 s of a loss of everything');
-    this.isLosing = false;
+    const recoveryS = await this.awaitRecovery(previousIncarnation);
+    if (recoveryS !== null) this.recoveriesS.push(recoveryS);
+    // After a partial loss no rebuild is needed if no controller had read the lost changes.
+    else if (lostMs === null) onViolation('the store was not rebuilt within 40 s after losing all data');
+    this.lossInProgress = false;
   }
 
-  /** Kills one, the leader, half or all of the controllers now and then, but not while the store loses data. */
-  async restartUntil(isOver: () => boolean): Promise<void> {
-    const { random, controllers, faults, restartEveryS } = this.parts;
-    while (!isOver()) {
+  /** Repeatedly kills one, the leader, half or all of the controllers, but not during a data loss and its recovery. */
+  async restartUntil(isFinished: () => boolean): Promise<void> {
+    const { random, controllers, faults, restartEveryS } = this.dependencies;
+    while (!isFinished()) {
       await sleepMs(random.between(restartEveryS * 0.5, restartEveryS * 1.5) * 1000);
-      if (this.isLosing) continue;
+      if (this.lossInProgress) continue;
       const choices = [
-        this.anyController(),
+        this.randomController(),
         this.leader(),
         controllers.slice(0, Math.ceil(controllers.length / 2)),
         controllers,
@@ -81,49 +86,49 @@
       for (const controller of choices[random.below(choices.length)] ?? [])
         setTimeout(
           () =>
-            faults.kill(controller, random.between(BACK_S.least, BACK_S.most), {
-              unless: () => this.isLosing,
+            faults.kill(controller, random.between(RESTART_DELAY_S.min, RESTART_DELAY_S.max), {
+              unless: () => this.lossInProgress,
             }),
-          random.between(0, RESTARTS_WITHIN_MS),
+          random.between(0, MAX_KILL_OFFSET_MS),
         );
     }
   }
 
-  private killNear(outageS: number): void {
-    const { random, faults, killed } = this.parts;
-    const earliestS = killed === 'all' ? 0 : KILL_AFTER_S.least;
-    for (const controller of this.killedNear())
+  private killAroundLoss(outageS: number): void {
+    const { random, faults, killTarget } = this.dependencies;
+    const earliestS = killTarget === 'all' ? 0 : KILL_DELAY_S.min;
+    for (const controller of this.controllersToKill())
       setTimeout(
-        () => faults.kill(controller, random.between(BACK_S.least, BACK_S.most)),
-        (random.between(earliestS, KILL_AFTER_S.most) + outageS) * 1000,
+        () => faults.kill(controller, random.between(RESTART_DELAY_S.min, RESTART_DELAY_S.max)),
+        (random.between(earliestS, KILL_DELAY_S.max) + outageS) * 1000,
       );
   }
 
-  private killedNear(): readonly ControllerProcess[] {
-    switch (this.parts.killed) {
+  private controllersToKill(): readonly ControllerProcess[] {
+    switch (this.dependencies.killTarget) {
       case 'one':
-        return this.anyController();
+        return this.randomController();
       case 'leader':
         return this.leader();
       case 'all':
-        return this.parts.controllers;
+        return this.dependencies.controllers;
       case 'none':
       case 'rebuilder':
         return [];
     }
   }
 
-  /** Seconds until the store has another incarnation and no rebuild is under way; null: that takes too long. */
-  private async recovery(before: string | null): Promise<number | null> {
+  /** Returns the seconds until the store has a new incarnation and no rebuild is in progress; null after a timeout. */
+  private async awaitRecovery(previousIncarnation: string | null): Promise<number | null> {
     const lostAt = performance.now();
     let rebuilderKilled = false;
-    while (performance.now() - lostAt < RECOVERY_WITHIN_MS) {
-      await sleepMs(LOOK_EVERY_MS);
-      const now = this.incarnation();
-      if (now === null || now === before) continue;
-      if (this.parts.killed === 'rebuilder' && !rebuilderKilled) {
+    while (performance.now() - lostAt < RECOVERY_TIMEOUT_MS) {
+      await sleepMs(RECOVERY_CHECK_EVERY_MS);
+      const current = this.incarnation();
+      if (current === null || current === previousIncarnation) continue;
+      if (this.dependencies.killTarget === 'rebuilder' && !rebuilderKilled) {
         rebuilderKilled = true;
-        for (const leader of this.leader()) this.parts.faults.kill(leader, REBUILDER_BACK_S);
+        for (const leader of this.leader()) this.dependencies.faults.kill(leader, REBUILDER_RESTART_DELAY_S);
       }
       if (this.isRebuilt()) return (performance.now() - lostAt) / 1000;
     }
@@ -131,23 +136,23 @@
   }
 
   private incarnation(): string | null {
-    return this.parts.store.keysUnder(INCARNATION_PREFIX)[0] ?? null;
+    return this.dependencies.store.keysUnder(INCARNATION_PREFIX)[0] ?? null;
   }
 
   private isRebuilt(): boolean {
-    const phase = this.parts.store.get(REBUILD_KEY);
-    return phase === undefined || JSON.stringify(phase).includes(NO_REBUILD);
+    const phase = this.dependencies.store.get(REBUILD_KEY);
+    return phase === undefined || JSON.stringify(phase).includes(NO_REBUILD_PHASE);
   }
 
-  private anyController(): readonly ControllerProcess[] {
-    const { random, controllers } = this.parts;
+  private randomController(): readonly ControllerProcess[] {
+    const { random, controllers } = this.dependencies;
     const index = random.below(controllers.length);
     return controllers.slice(index, index + 1);
   }
 
-  /** The controller that holds the leader lease; empty: there is none. */
+  /** Returns the controller that holds the leader lease; empty if there is none. */
   private leader(): readonly ControllerProcess[] {
-    const held = this.parts.store.get(LEADER_KEY) as { readonly node?: string } | undefined;
-    return this.parts.controllers.filter(({ address }) => address.label === held?.node);
+    const leaderLease = this.dependencies.store.get(LEADER_KEY) as { readonly node?: string } | undefined;
+    return this.dependencies.controllers.filter(({ address }) => address.label === leaderLease?.node);
   }
 }
--- a/packages/scale-test/src/messages.ts
+++ b/packages/scale-test/src/messages.ts
@@ -1,9 +1,9 @@
-/** What a run's processes say to each other, over Node's channel between a process and its children. */
+/** Messages between the run's main process and its child processes, sent over Node's IPC channel. */
 import type { ControllerAddress, MachineKind, Timing, WorkerCommand, WorkerEvent } from './model.js';
 import type { StateCounts, StateLimits } from './state-service.js';
 import type { WorkerFigures } from './worker-figures.js';
 
-/** A child that runs hollow workers. */
+/** Setup of a child process that runs hollow workers. */
 export interface WorkersSetup {
   readonly role: 'workers';
   readonly kinds: readonly MachineKind[];
@@ -11,15 +11,15 @@
   readonly timing: Timing;
   readonly seed: number;
 }
-/** A child that is the state service. */
+/** Setup of a child process that runs the state service. */
 export interface StateSetup {
   readonly role: 'state';
   readonly limits: StateLimits;
 }
-/** The first message to a child. */
+/** Setup in the first message to a child process. */
 export type ChildSetup = WorkersSetup | StateSetup;
 
-/** From the run to a child. */
+/** A message from the main process to a child process. */
 export type ToChild =
   | { readonly kind: 'setup'; readonly setup: ChildSetup }
   | { readonly kind: 'command'; readonly command: WorkerCommand }
@@ -27,7 +27,7 @@
   | { readonly kind: 'figures' }
   | { readonly kind: 'end' };
 
-/** From a child to the run; `…-figures` answers `figures`, `ready` answers `setup`. */
+/** A message from a child process. `…-figures` is the response to `figures`, and `ready` the response to `setup`. */
 export type FromChild =
   | { readonly kind: 'ready'; readonly address: string | null }
   | { readonly kind: 'events'; readonly events: readonly WorkerEvent[] }
@@ -35,5 +35,5 @@
   | { readonly kind: 'workers-figures'; readonly figures: WorkerFigures }
   | { readonly kind: 'state-figures'; readonly counts: StateCounts };
 
-/** Set in the environment of a child: the program then serves its parent. */
+/** Environment variable of a child process: if it is set, the program serves its parent instead of running a test. */
 export const CHILD_ENVIRONMENT_KEY = 'LILACVALVE_SCALE_CHILD';
--- a/packages/scale-test/src/process-usage.ts
+++ b/packages/scale-test/src/process-usage.ts
@@ -1,11 +1,11 @@
-/** What a process has spent and holds, by the kernel's accounts. */
+/** CPU time, memory and open-file limit of processes, read from `/proc`. */
 import { readFileSync } from 'node:fs';
 
-/** Usage of one process at one moment. */
+/** Resource usage of a process at one point in time. */
 export interface ProcessUsage {
-  /** Processor time since its start, milliseconds. */
+  /** CPU time since the process started, in milliseconds. */
   readonly cpuMs: number;
-  /** Memory that it holds now, and held at its most, MB. */
+  /** Current and peak resident memory, in MB. */
   readonly residentMb: number;
   readonly peakMb: number;
 }
@@ -13,10 +13,10 @@
 const TICKS_PER_S = 100;
 const KB_PER_MB = 1024;
 
-const field = (status: string, name: string): number =>
+const readMegabytes = (status: string, name: string): number =>
   Number(new RegExp(`${name}:\\s+(\\d+)`).exec(status)?.[1] ?? 0) / KB_PER_MB;
 
-/** Usage of a process by its id; null: there is none. */
+/** Returns the usage of a process; null if there is no process with this id. */
 export const usageOf = (pid: number): ProcessUsage | null => {
   try {
     const stat = readFileSync(`/proc/${pid}/stat`, 'utf8');
@@ -24,17 +24,17 @@
     const status = readFileSync(`/proc/${pid}/status`, 'utf8');
     return {
       cpuMs: ((Number(fields[11]) + Number(fields[12])) * 1000) / TICKS_PER_S,
-      residentMb: field(status, 'VmRSS'),
-      peakMb: field(status, 'VmHWM'),
+      residentMb: readMegabytes(status, 'VmRSS'),
+      peakMb: readMegabytes(status, 'VmHWM'),
     };
   } catch {
     return null;
   }
 };
 
-/** Open files that this process may have; sockets are files. */
+/** Returns the maximum number of open files, including sockets, of this process. */
 export const openFileLimit = (): number => {
   const limits = readFileSync('/proc/self/limits', 'utf8');
-  const soft = /Max open files\s+(\S+)/.exec(limits)?.[1] ?? '0';
-  return soft === 'unlimited' ? Number.POSITIVE_INFINITY : Number(soft);
+  const softLimit = /Max open files\s+(\S+)/.exec(limits)?.[1] ?? '0';
+  return softLimit === 'unlimited' ? Number.POSITIVE_INFINITY : Number(softLimit);
 };
--- a/packages/scale-test/src/random.ts
+++ b/packages/scale-test/src/random.ts
@@ -1,25 +1,25 @@
-/** The seeded random source of the stand-ins. */
+/** The seeded random source of the simulated users, workers, cloud and faults. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-/** Draws are uniform. */
+/** A source of uniformly distributed random numbers. */
 export interface Random {
-  /** A whole number from 0 to below `n`. */
+  /** Returns an integer from 0 to `n` - 1. */
   below(n: number): number;
-  /** A number from `low` to below `high`. */
+  /** Returns a number from `low` (inclusive) to `high` (exclusive). */
   between(low: number, high: number): number;
-  /** true with the given probability. */
+  /** Returns true with the given probability. */
   chance(probability: number): boolean;
 }
 
-/** The same seed gives the same draws. */
+/** Returns a random source. The same seed gives the same sequence of numbers. */
 export const seededRandom = (seed: number): Random => {
   const generator = xoroshiro128plus(seed);
-  const unit = (): number => uniformFloat64(generator);
+  const nextFraction = (): number => uniformFloat64(generator);
   return {
     below: (n) => uniformInt(generator, 0, n - 1),
-    between: (low, high) => low + unit() * (high - low),
-    chance: (probability) => unit() < probability,
+    between: (low, high) => low + nextFraction() * (high - low),
+    chance: (probability) => nextFraction() < probability,
   };
 };
--- a/packages/scale-test/src/resource-guard.ts
+++ b/packages/scale-test/src/resource-guard.ts
@@ -1,18 +1,22 @@
-/** Keeps a run within its part of the machine: it is stopped once it holds too much memory or too many processes. */
+/**
+ * Measures the memory and the number of processes of a run, and compares them with the limits at which it is stopped.
+ */
 import { usageOf } from './process-usage.js';
 
-/** What a run may hold at most. */
+/** Maximum memory and number of processes of a run. */
 export interface ResourceLimits {
   readonly memoryMb: number;
   readonly processes: number;
 }
-/** What it holds. */
+/** Current memory and number of processes of a run. */
 export interface ResourceUse {
   readonly memoryMb: number;
   readonly processes: number;
 }
 
-/** Memory counts what each process has resident; pages that they share count in each. */
+/**
+ * Returns the resource use of the running processes. Memory is resident memory; shared pages count in every process.
+ */
 export const resourceUse = (pids: readonly number[]): ResourceUse => {
   let memoryMb = 0;
   let processes = 0;
@@ -25,8 +29,8 @@
   return { memoryMb, processes };
 };
 
-/** What is exceeded, in words; null: nothing. */
-export const exceeded = (use: ResourceUse, limits: ResourceLimits): string | null => {
+/** Describes the exceeded limit; null if none is exceeded. */
+export const describeExceededLimit = (use: ResourceUse, limits: ResourceLimits): string | null => {
   if (use.processes > limits.processes) return `${use.processes} processes, at most ${limits.processes}`;
   if (use.memoryMb > limits.memoryMb)
     return `${Math.round(use.memoryMb)} MB of memory, at most ${limits.memoryMb}`;
--- a/packages/scale-test/src/role-usage.ts
+++ b/packages/scale-test/src/role-usage.ts
@@ -1,11 +1,11 @@
-/** What the processes of each role of a run spend. */
+/** CPU time and memory used by the processes of each role of a run. */
 import { type ProcessUsage, usageOf } from './process-usage.js';
 import type { RoleUsage } from './run-model.js';
 
-/** Usage of processes at one moment, by process id. */
+/** Usage of processes at one point in time, by process id. */
 export type UsageByPid = ReadonlyMap<number, ProcessUsage>;
 
-/** The usage of those that still run. */
+/** Returns the usage of those processes that are still running. */
 export const usageByPid = (pids: readonly number[]): UsageByPid => {
   const usages = new Map<number, ProcessUsage>();
   for (const pid of pids) {
@@ -15,7 +15,7 @@
   return usages;
 };
 
-/** Of one role between two moments: processor time of all its processes together, memory of the largest. */
+/** Returns the usage of one role between two points in time: total CPU time of its processes, memory of the largest. */
 export const roleUsage = (
   role: string,
   pids: readonly number[],
@@ -27,11 +27,11 @@
   let residentMb = 0;
   let peakMb = 0;
   for (const pid of pids) {
-    const now = after.get(pid);
-    if (now === undefined) continue;
-    cpuMs += now.cpuMs - (before.get(pid)?.cpuMs ?? 0);
-    residentMb = Math.max(residentMb, now.residentMb);
-    peakMb = Math.max(peakMb, now.peakMb);
+    const current = after.get(pid);
+    if (current === undefined) continue;
+    cpuMs += current.cpuMs - (before.get(pid)?.cpuMs ?? 0);
+    residentMb = Math.max(residentMb, current.residentMb);
+    peakMb = Math.max(peakMb, current.peakMb);
   }
   return { role, processes: pids.length, cores: cpuMs / 1000 / lengthS, residentMb, peakMb };
 };
--- a/packages/scale-test/src/scale-run.ts
+++ b/packages/scale-test/src/scale-run.ts
@@ -1,40 +1,40 @@
-/** One scale run: starts everything, plays the users, injects a fault, measures, and checks the rules. */
+/** Runs one scale test: starts all processes, simulates users, injects a fault, measures and checks the rules. */
 import { nowMs, sleepMs } from './clock.js';
 import { EventOrder } from './event-order.js';
 import { GangCoordinator } from './gang-coordinator.js';
 import type { FromChild } from './messages.js';
 import type { ControllerAddress, Timing } from './model.js';
 import { seededRandom } from './random.js';
-import { exceeded, resourceUse } from './resource-guard.js';
+import { describeExceededLimit, resourceUse } from './resource-guard.js';
 import { roleUsage, usageByPid } from './role-usage.js';
 import { RuleChecker } from './rule-checker.js';
 import type { Fault, Progress, RunOptions, RunResult } from './run-model.js';
 import type { StateCounts } from './state-service.js';
 import { TestCluster } from './test-cluster.js';
 import { Users } from './users.js';
-import { unpackHistogram } from './worker-figures.js';
+import { decodeHistogram } from './worker-figures.js';
 import { teamSettings, Workload } from './workload.js';
 
 const CHECK_EVERY_MS = 100;
-const GUARD_EVERY_MS = 1000;
+const RESOURCE_CHECK_EVERY_MS = 1000;
 const PROGRESS_EVERY_MS = 1000;
-const GANG_WAIT_MS = 35_000;
-const GANG_PEER_MS = 5000;
-/** The fault comes after this part of the measured time. */
-const FAULT_AT = 0.3;
-const RESTARTED_SHARE = 0.1;
-/** Events of the last moments come within this time. */
-const LAST_EVENTS_MS = 1600;
+const GANG_WAIT_TIMEOUT_MS = 35_000;
+const GANG_PEER_TIMEOUT_MS = 5000;
+/** Fraction of the measurement after which the fault is injected. */
+const FAULT_AT_FRACTION = 0.3;
+const RESTARTED_FRACTION = 0.1;
+/** Delay within which the last events of the measurement arrive from the worker processes. */
+const LAST_EVENTS_DELAY_MS = 1600;
 
-const timingOf = ({ reportS, leaseS, cancelS }: RunOptions): Timing => ({
+const workerTiming = ({ reportS, leaseS, cancelS }: RunOptions): Timing => ({
   reportMs: reportS * 1000,
   leaseMs: leaseS * 1000,
-  gangWaitMs: GANG_WAIT_MS,
-  gangPeerMs: GANG_PEER_MS,
+  gangWaitMs: GANG_WAIT_TIMEOUT_MS,
+  gangPeerMs: GANG_PEER_TIMEOUT_MS,
   cancelMs: cancelS * 1000,
 });
 
-/** Plays one run; it can be played once. */
+/** One scale test. `play` may be called once. */
 export class ScaleRun {
   private readonly random;
   private readonly cluster: TestCluster;
@@ -42,23 +42,23 @@
   private readonly gangs: GangCoordinator;
   private readonly events: EventOrder;
   private submitting = true;
-  /** Why the run is cut short; null: it is not. */
-  private stopped: string | null = null;
+  /** Why the run ends early; null while no limit is exceeded. */
+  private stopReason: string | null = null;
 
-  /** `childProgram`: see `TestClusterParts`. */
+  /** `childProgram` is the program file that `TestClusterDependencies` describes. */
   constructor(
     private readonly options: RunOptions,
     childProgram: string,
     private readonly onProgress: (progress: Progress) => void,
   ) {
     this.random = seededRandom(options.seed);
-    const timing = timingOf(options);
+    const timing = workerTiming(options);
     this.cluster = new TestCluster({
       options,
       timing,
       random: this.random,
       childProgram,
-      onWorkerMessage: (message) => this.fromWorkers(message),
+      onWorkerMessage: (message) => this.handleWorkerMessage(message),
     });
     this.checker = new RuleChecker({
       limits: new Map(
@@ -71,23 +71,23 @@
       machine: (id) => this.cluster.machine(id),
     });
     this.gangs = new GangCoordinator(
-      GANG_PEER_MS,
+      GANG_PEER_TIMEOUT_MS,
       (id) => this.checker.description(id),
       (command) => this.cluster.broadcast(command),
     );
     this.events = new EventOrder((event) => this.checker.handleEvent(event));
   }
 
-  /** Resolves once all that was started has ended; rejects where something could not be started. */
+  /** Resolves once every started process has been stopped. Rejects if a process could not be started. */
   async play(): Promise<RunResult> {
     const timers: NodeJS.Timeout[] = [];
     let users: Users | null = null;
     try {
-      users = this.usersOf(await this.cluster.start());
-      timers.push(setInterval(() => this.check(), CHECK_EVERY_MS));
-      timers.push(setInterval(() => this.guard(), GUARD_EVERY_MS));
-      void this.submit(users);
-      await this.wait('warming up', this.options.warmupS);
+      users = this.createUsers(await this.cluster.start());
+      timers.push(setInterval(() => this.checkRules(), CHECK_EVERY_MS));
+      timers.push(setInterval(() => this.checkResources(), RESOURCE_CHECK_EVERY_MS));
+      void this.submitJobs(users);
+      await this.waitFor('warming up', this.options.warmupS);
       return await this.measure(users);
     } finally {
       for (const timer of timers) clearInterval(timer);
@@ -98,7 +98,7 @@
     }
   }
 
-  private usersOf(controllers: readonly ControllerAddress[]): Users {
+  private createUsers(controllers: readonly ControllerAddress[]): Users {
     return new Users({
       controllers,
       isUp: (label) => this.cluster.isControllerUp(label),
@@ -108,7 +108,7 @@
     });
   }
 
-  private fromWorkers(message: FromChild): void {
+  private handleWorkerMessage(message: FromChild): void {
     if (message.kind === 'events') {
       this.events.add(message.events);
       for (const event of message.events) {
@@ -121,29 +121,29 @@
       this.cluster.broadcast({ kind: 'finished', job: message.job, task: message.task });
   }
 
-  private async submit(users: Users): Promise<void> {
+  private async submitJobs(users: Users): Promise<void> {
     const workload = new Workload(this.options, this.random);
-    let at = nowMs();
+    let nextSubmissionAt = nowMs();
     while (this.submitting) {
       const { job, cancels } = workload.next();
       void users.play(job, cancels);
-      at += (job.tasks / this.options.starts) * 1000;
-      await sleepMs(Math.max(0, at - nowMs()));
+      nextSubmissionAt += (job.tasks / this.options.starts) * 1000;
+      await sleepMs(Math.max(0, nextSubmissionAt - nowMs()));
     }
   }
 
-  private check(): void {
+  private checkRules(): void {
     this.events.flush(nowMs());
     this.checker.checkCancelled(nowMs());
   }
 
-  private guard(): void {
-    this.stopped ??= exceeded(resourceUse(this.cluster.pids()), this.options.resourceLimits);
+  private checkResources(): void {
+    this.stopReason ??= describeExceededLimit(resourceUse(this.cluster.pids()), this.options.resourceLimits);
   }
 
-  private async wait(phase: string, seconds: number): Promise<void> {
+  private async waitFor(phase: string, seconds: number): Promise<void> {
     const until = nowMs() + seconds * 1000;
-    while (nowMs() < until && this.stopped === null) {
+    while (nowMs() < until && this.stopReason === null) {
       await sleepMs(Math.min(PROGRESS_EVERY_MS, until - nowMs()));
       this.onProgress({
         phase,
@@ -157,7 +157,7 @@
 
   private async measure(users: Users): Promise<RunResult> {
     const { options, cluster, checker } = this;
-    await cluster.lookForLeader();
+    await cluster.readLeader();
     const roles = cluster.pidsByRole();
     cluster.resetFigures();
     users.resetFigures();
@@ -167,16 +167,16 @@
     const startedBefore = checker.started;
     checker.longestPauseMs = 0;
     const completedBefore = checker.completed;
-    const began = nowMs();
-    await this.wait('measuring', options.lengthS * FAULT_AT);
+    const beganAt = nowMs();
+    await this.waitFor('measuring', options.lengthS * FAULT_AT_FRACTION);
     await this.inject(options.fault);
-    await this.wait('measuring', options.lengthS * (1 - FAULT_AT));
-    const lengthS = (nowMs() - began) / 1000;
+    await this.waitFor('measuring', options.lengthS * (1 - FAULT_AT_FRACTION));
+    const lengthS = (nowMs() - beganAt) / 1000;
     const usageAfter = usageByPid(cluster.pids());
     const stateAfter = await cluster.stateCounts();
     const workers = await cluster.workerFigures();
-    await this.takeLastEvents();
-    const bytes = unpackHistogram(workers.workerBytes);
+    await this.flushLastEvents();
+    const bytes = decodeHistogram(workers.workerBytes);
     return {
       lengthS,
       machines: cluster.size,
@@ -185,7 +185,7 @@
       endsPerS: (checker.completed - completedBefore) / lengthS,
       longestPauseMs: Math.round(checker.longestPauseMs),
       workers,
-      answerMs: unpackHistogram(workers.answerMs),
+      answerMs: decodeHistogram(workers.answerMs),
       workerBytesPerS: {
         median: bytes.getValueAtPercentile(50) / lengthS,
         p99: bytes.getValueAtPercentile(99) / lengthS,
@@ -196,18 +196,19 @@
       cloudCalls: cluster.cloudCalls - cloudCallsBefore,
       unexpectedEnds: cluster.unexpectedEnds,
       violations: checker.violations,
-      stopped: this.stopped,
+      stopped: this.stopReason,
     };
   }
 
-  private async takeLastEvents(): Promise<void> {
+  private async flushLastEvents(): Promise<void> {
     this.events.flush(nowMs(), true);
-    await sleepMs(LAST_EVENTS_MS);
+    await sleepMs(LAST_EVENTS_DELAY_MS);
     this.events.flush(nowMs(), true);
   }
 
   private async inject(fault: Fault): Promise<void> {
-    if (fault === 'restart-tenth') this.cluster.broadcast({ kind: 'restart-share', share: RESTARTED_SHARE });
+    if (fault === 'restart-tenth')
+      this.cluster.broadcast({ kind: 'restart-share', share: RESTARTED_FRACTION });
     if (fault === 'kill-leader') await this.cluster.killLeader();
   }
 }
--- a/packages/scale-test/src/scale-test.ts
+++ b/packages/scale-test/src/scale-test.ts
@@ -1,7 +1,7 @@
 /**
- * The scale run: real controller processes beside hollow workers, users, a cloud and a state service on loopback. Run by
- * `npm run scale`. Exit status 1 when a rule was broken or a controller ended by itself, 2 for bad flags or too few
- * sockets, 3 when the run would have taken more of the machine than it may.
+ * The scale test: real controller processes with hollow workers, users, a cloud and a state service on loopback. Run by
+ * `npm run scale`. The exit status is 1 if a rule was violated or a controller exited unexpectedly, 2 for invalid flags
+ * or too few sockets, and 3 if the run was stopped because it exceeded its memory or process limit.
  */
 import { exitOnClosedPipe } from '@lilacvalve/runtime/closed-pipe';
 import { parsePositiveNumber, parseFraction, parsePositiveInteger } from '@lilacvalve/runtime/flag-values';
@@ -10,14 +10,15 @@
 import { deployedFlags } from './controllers.js';
 import { CHILD_ENVIRONMENT_KEY } from './messages.js';
 import { openFileLimit } from './process-usage.js';
-import { MOST_MEMORY_MB, MOST_PROCESSES, flagsFault } from './refusal.js';
+import { MAX_MEMORY_MB, MAX_PROCESSES, validateFlags } from './flag-validation.js';
 import { asJson, asTable, progressLine } from './report.js';
 import { FAULTS, type RunOptions } from './run-model.js';
 import { ScaleRun } from './scale-run.js';
 
-/** Exit status for flags that make no run. */
-const BAD_FLAGS = 2;
-const PIPE_PROGRESS_EVERY = 10;
+/** Exit status for invalid flags. */
+const INVALID_FLAGS_STATUS = 2;
+/** If stderr is not a terminal, one of this many progress lines is printed. */
+const PIPED_PROGRESS_INTERVAL = 10;
 
 interface Flags extends Omit<RunOptions, 'zones' | 'flags' | 'limits' | 'profileDir'> {
   readonly zoneCount: number;
@@ -29,72 +30,67 @@
 const command = (): Command =>
   new Command()
     .name('scale')
-    .description('Real controllers beside hollow workers at a given size, with the rules checked')
-    .option('--machines <n>', 'hollow workers', parsePositiveInteger, 2634)
-    .option('--slots <n>', 'tasks of one CPU that a machine has room for', parsePositiveInteger, 20)
-    .option('--controllers <n>', 'controllers', parsePositiveInteger, 5)
-    .option('--zone-count <n>', 'zones', parsePositiveInteger, 3)
-    .option('--teams <n>', 'teams', parsePositiveInteger, 80)
-    .option('--team-limit <share>', 'part of all room that one team may use', parseFraction, 0.1)
-    .option('--starts <n>', 'task starts a second that users ask for', parsePositiveNumber, 2400)
-    .option('--run-s <s>', 'seconds that a task runs, give or take a half', parsePositiveNumber, 19.4)
-    .option('--tasks <n>', 'tasks of an array', parsePositiveInteger, 1000)
-    .option('--gangs <share>', 'part of the starts in gangs of up to 64', parseFraction, 0.05)
-    .option('--urgent <share>', 'part of the starts that is urgent', parseFraction, 0.02)
-    .option('--accelerated <share>', 'part of the starts that takes an accelerator', parseFraction, 0)
-    .option('--cancelled <share>', 'part of the jobs that their users cancel', parseFraction, 0.02)
-    .option('--report-s <s>', 'seconds between two reports of a worker', parsePositiveNumber, 2.5)
-    .option('--lease-s <s>', 'seconds of a worker’s lease', parsePositiveNumber, 15.25)
-    .option('--cancel-s <s>', 'seconds after which cancelled tasks must be gone', parsePositiveNumber, 40.25)
-    .option(
-      '--requests-per-s <n>',
-      'requests that the state service takes a second',
-      parsePositiveNumber,
-      180,
-    )
-    .option('--writes-per-s <n>', 'changes that the state service takes a second', parsePositiveNumber, 60)
-    .option('--value-kb <n>', 'KiB of one value of the state service', parsePositiveNumber, 32)
-    .option('--transaction-ops <n>', 'changes of one transaction', parsePositiveInteger, 24)
-    .option('--cores <n>', 'share of a core, as the controllers’ settings say it', parsePositiveNumber, 1)
-    .option('--memory-mb <n>', 'memory, as the controllers’ settings say it', parsePositiveNumber, 350)
-    .option('--connections <n>', 'sockets, as the controllers’ settings say it', parsePositiveInteger, 1945)
-    .option('--workers-per-process <n>', 'hollow workers that share a process', parsePositiveInteger, 440)
-    .option('--warmup-s <s>', 'seconds before the measurement', parsePositiveNumber, 45)
-    .option('--length-s <s>', 'seconds of the measurement', parsePositiveNumber, 45)
+    .description('Run real controllers with hollow workers and check the rules of the protocol')
+    .option('--machines <n>', 'number of hollow workers', parsePositiveInteger, 2634)
+    .option('--slots <n>', 'tasks of one CPU that fit on a machine', parsePositiveInteger, 20)
+    .option('--controllers <n>', 'number of controllers', parsePositiveInteger, 5)
+    .option('--zone-count <n>', 'number of zones', parsePositiveInteger, 3)
+    .option('--teams <n>', 'number of teams', parsePositiveInteger, 80)
+    .option('--team-limit <share>', 'fraction of all resources that a team may use', parseFraction, 0.1)
+    .option('--starts <n>', 'task starts per second that users request', parsePositiveNumber, 2400)
+    .option('--run-s <s>', 'run time of a task in seconds, plus or minus 50%', parsePositiveNumber, 19.4)
+    .option('--tasks <n>', 'tasks per array', parsePositiveInteger, 1000)
+    .option('--gangs <share>', 'fraction of the starts in gangs of up to 64', parseFraction, 0.05)
+    .option('--urgent <share>', 'fraction of the starts that are urgent', parseFraction, 0.02)
+    .option('--accelerated <share>', 'fraction of the starts that need an accelerator', parseFraction, 0)
+    .option('--cancelled <share>', 'fraction of the jobs that users cancel', parseFraction, 0.02)
+    .option('--report-s <s>', 'seconds between two heartbeats of a worker', parsePositiveNumber, 2.5)
+    .option('--lease-s <s>', 'duration of a worker’s lease, in seconds', parsePositiveNumber, 15.25)
+    .option('--cancel-s <s>', 'seconds until cancelled tasks must be stopped', parsePositiveNumber, 40.25)
+    .option('--requests-per-s <n>', 'request rate limit of the state service', parsePositiveNumber, 180)
+    .option('--writes-per-s <n>', 'change rate limit of the state service', parsePositiveNumber, 60)
+    .option('--value-kb <n>', 'maximum size of a value in the state service, in KiB', parsePositiveNumber, 32)
+    .option('--transaction-ops <n>', 'maximum number of changes per transaction', parsePositiveInteger, 24)
+    .option('--cores <n>', 'cores per controller, for its settings', parsePositiveNumber, 1)
+    .option('--memory-mb <n>', 'memory per controller, for its settings', parsePositiveNumber, 350)
+    .option('--connections <n>', 'sockets per controller, for its settings', parsePositiveInteger, 1945)
+    .option('--workers-per-process <n>', 'hollow workers per process', parsePositiveInteger, 440)
+    .option('--warmup-s <s>', 'seconds to run before the measurement', parsePositiveNumber, 45)
+    .option('--length-s <s>', 'duration of the measurement, in seconds', parsePositiveNumber, 45)
     .addOption(
-      new Option('--fault <fault>', 'after a third of the measurement').choices(FAULTS).default('none'),
+      new Option('--fault <fault>', 'injected after 30% of the measurement').choices(FAULTS).default('none'),
     )
-    .option('--seed <n>', 'seed of the stand-ins', parsePositiveInteger, 1)
-    .option('--program <file>', 'the built controller', 'target/main.cjs')
-    .option('--deploy <file>', 'the deploy file whose interpreter flags are taken', 'deploy/service.toml')
-    .option('--prof <dir>', 'write a processor profile of each controller there')
+    .option('--seed <n>', 'seed of the random source', parsePositiveInteger, 1)
+    .option('--program <file>', 'program file of the controller', 'target/main.cjs')
+    .option('--deploy <file>', 'file with the interpreter flags of the controllers', 'deploy/service.toml')
+    .option('--prof <dir>', 'directory for a CPU profile of each controller')
     .option('--log-level <level>', 'log level of the controllers', 'error')
-    .option('--json', 'one line of JSON instead of the table');
+    .option('--json', 'print one line of JSON instead of the table');
 
 const reportProgress = (): ((progress: Parameters<typeof progressLine>[0]) => void) => {
-  let lines = 0;
+  let lineCount = 0;
   return (progress) => {
     const line = progressLine(progress);
     if (process.stderr.isTTY) process.stderr.write(`\r${line}\u001b[K`);
-    else if (lines++ % PIPE_PROGRESS_EVERY === 0) process.stderr.write(`${line}\n`);
+    else if (lineCount++ % PIPED_PROGRESS_INTERVAL === 0) process.stderr.write(`${line}\n`);
   };
 };
 
 const main = async (): Promise<void> => {
   exitOnClosedPipe();
   const cli = command()
-    .exitOverride((e) => process.exit(e.exitCode === 0 ? 0 : BAD_FLAGS))
+    .exitOverride((error) => process.exit(error.exitCode === 0 ? 0 : INVALID_FLAGS_STATUS))
     .parse();
   const flags = cli.opts<Flags>();
-  const refused = flagsFault(flags, openFileLimit());
-  if (refused !== null) cli.error(`scale: ${refused}`, { exitCode: BAD_FLAGS });
-  const { zoneCount, prof, deploy, json, ...rest } = flags;
+  const flagsError = validateFlags(flags, openFileLimit());
+  if (flagsError !== null) cli.error(`scale: ${flagsError}`, { exitCode: INVALID_FLAGS_STATUS });
+  const { zoneCount, prof, deploy, json, ...remainingFlags } = flags;
   const options: RunOptions = {
-    ...rest,
+    ...remainingFlags,
     zones: Array.from({ length: zoneCount }, (_, i) => `zone-${i}`),
     flags: deployedFlags(deploy),
     ...(prof === undefined ? {} : { profileDir: prof }),
-    resourceLimits: { memoryMb: MOST_MEMORY_MB, processes: MOST_PROCESSES },
+    resourceLimits: { memoryMb: MAX_MEMORY_MB, processes: MAX_PROCESSES },
   };
   const result = await new ScaleRun(options, __filename, reportProgress()).play();
   if (process.stderr.isTTY) process.stderr.write('\n');
--- a/packages/scale-test/src/state-service.ts
+++ b/packages/scale-test/src/state-service.ts
@@ -1,31 +1,32 @@
 /**
- * Stand-in for the state service, by the protocol's "Controller nodes -> state service": kept in memory, with its rate
- * limits, leases and watches. Nothing is durable; `lose` takes data away as a broken service would.
+ * In-memory stand-in for the state service, as the section "Controller nodes -> state service" of the protocol
+ * describes it, with rate limits, leases and watches. Nothing is durable; `loseData` simulates a service that loses
+ * data.
  */
 import type { JsonRequest, Respond } from './json-server.js';
 
-/** Changes that a watch may still ask for. */
-const HISTORY = 10_000;
-const HISTORY_KEPT = 20 * HISTORY;
-const MOST_ENTRIES = 1000;
-const MOST_PAGE_BYTES = 500_000;
-const LONGEST_WATCH_MS = 60_000;
-/** A lease may end this much late. */
-const LEASE_LATE_MS = 50;
+/** Number of past changes that a watch can still read. */
+const WATCH_HISTORY = 10_000;
+const MAX_LOG_ENTRIES = 20 * WATCH_HISTORY;
+const MAX_PAGE_ENTRIES = 1000;
+const MAX_PAGE_BYTES = 500_000;
+const MAX_WATCH_MS = 60_000;
+/** Delay between the end of a lease's time to live and its expiry. */
+const LEASE_EXPIRY_DELAY_MS = 50;
 
-/** Rates that the service takes; more is answered 429. */
+/** Rates that the service accepts; requests above them get status 429. */
 export interface StateLimits {
   readonly requestsPerS: number;
   readonly writesPerS: number;
 }
-/** Counts since the service's start. */
+/** Counters since the service's start. */
 export interface StateCounts {
   requests: number;
   changes: number;
   refused: number;
-  /** Bytes of answers to watches. */
+  /** Bytes of responses to watches. */
   followBytes: number;
-  /** Bytes of the values that were set. */
+  /** Bytes of the values written. */
   writtenBytes: number;
 }
 interface StoredValue {
@@ -35,7 +36,7 @@
 }
 interface Change {
   readonly key: string;
-  /** undefined: deleted. */
+  /** The new value; undefined if the key was deleted. */
   readonly value: unknown;
   readonly revision: number;
   readonly lease: number | null;
@@ -59,28 +60,31 @@
   readonly when?: readonly WireCondition[];
   readonly then?: readonly WireWrite[];
 }
-type Reply = readonly [status: number, body: unknown];
+type StatusAndBody = readonly [status: number, body: unknown];
 
-/** A rate with bursts worth one second. */
+/** Token bucket that allows bursts of up to one second's worth. */
 class RateLimit {
-  private left: number;
-  private at = 0;
+  private available: number;
+  private refilledAt = 0;
 
-  constructor(private readonly perS: number) {
-    this.left = perS;
+  constructor(private readonly ratePerS: number) {
+    this.available = ratePerS;
   }
 
   take(cost: number): boolean {
-    const at = performance.now();
-    this.left = Math.min(this.perS, this.left + ((at - this.at) / 1000) * this.perS);
-    this.at = at;
-    if (this.left < cost) return false;
-    this.left -= cost;
+    const now = performance.now();
+    this.available = Math.min(
+      this.ratePerS,
+      this.available + ((now - this.refilledAt) / 1000) * this.ratePerS,
+    );
+    this.refilledAt = now;
+    if (this.available < cost) return false;
+    this.available -= cost;
     return true;
   }
 }
 
-/** One service; whoever serves it over HTTP hands requests to `handle`. */
+/** The state service without its HTTP server, which passes each request to `handle`. */
 export class StateService {
   readonly counts: StateCounts = { requests: 0, changes: 0, refused: 0, followBytes: 0, writtenBytes: 0 };
   private keys = new Map<string, StoredValue>();
@@ -99,35 +103,41 @@
     this.writes = new RateLimit(limits.writesPerS);
   }
 
-  /** The value of a key; undefined: there is none. */
+  /** Returns the value of a key; undefined if the key does not exist. */
   get(key: string): unknown {
     return this.keys.get(key)?.value;
   }
 
-  /** Keys with a prefix, in the order in which they were first set. */
+  /** Returns the keys with a prefix, in the order in which they were first set. */
   keysUnder(prefix: string): string[] {
-    return [...this.keys.keys()].filter((k) => k.startsWith(prefix));
+    return [...this.keys.keys()].filter((key) => key.startsWith(prefix));
   }
 
-  /** true: it is down and answers 503. After an outage every lease has its full time again. */
-  setOutage(on: boolean): void {
-    this.isDown = on;
+  /**
+   * Begins or ends an outage, in which every request gets status 503. When it ends, every lease gets its full time
+   * again.
+   */
+  setOutage(down: boolean): void {
+    this.isDown = down;
     for (const [id, lease] of [...this.leases]) {
-      if (on) clearTimeout(lease.timer);
-      else this.arm(id, lease.ttlMs);
+      if (down) clearTimeout(lease.timer);
+      else this.startLease(id, lease.ttlMs);
     }
-    if (!on) this.notify();
+    if (!down) this.notify();
   }
 
-  /** Loses everything (`lastMs` null), or what came in the last so many milliseconds; leases go with their keys. */
+  /**
+   * Loses all data (`lastMs` null) or the changes of the last `lastMs` milliseconds. All leases and their keys are lost
+   * too.
+   */
   loseData(lastMs: number | null): void {
     const until = lastMs === null ? Number.NEGATIVE_INFINITY : performance.now() - lastMs;
     for (const lease of this.leases.values()) clearTimeout(lease.timer);
     this.leases.clear();
     if (lastMs === null) this.nextLease = 1;
-    // Further back than the history reaches, nothing is left.
-    const whole = this.log.length > 0 && this.log[0]!.revision <= 1;
-    const kept = whole ? this.log.filter((e) => e.at <= until) : [];
+    // Without the complete history the earlier state cannot be restored, so everything is lost.
+    const historyIsComplete = this.log.length > 0 && this.log[0]!.revision <= 1;
+    const kept = historyIsComplete ? this.log.filter((change) => change.at <= until) : [];
     this.keys = new Map();
     this.sorted = null;
     this.log = kept;
@@ -139,7 +149,7 @@
     this.notify();
   }
 
-  /** One request; a watch is answered later. */
+  /** Handles one request. The response to a watch may be sent later. */
   handle({ method, url, body }: JsonRequest, respond: Respond): void {
     if (this.isDown) return void respond(503, { error: 'trouble' });
     this.counts.requests++;
@@ -149,10 +159,10 @@
     }
     const path = url.pathname;
     if (path === '/follow') return this.follow(url, respond);
-    respond(...this.answer(method, path, url, body));
+    respond(...this.handleImmediate(method, path, url, body));
   }
 
-  private answer(method: string, path: string, url: URL, body: unknown): Reply {
+  private handleImmediate(method: string, path: string, url: URL, body: unknown): StatusAndBody {
     if (path === '/multi') return this.transact(body as WireTransaction);
     if (path === '/kv') return [200, this.page(url)];
     if (path.startsWith('/kv/')) return this.read(path.slice('/kv/'.length));
@@ -160,23 +170,23 @@
     return this.leaseCall(method, path);
   }
 
-  private grant(ttlMs: number): Reply {
+  private grant(ttlMs: number): StatusAndBody {
     const id = this.nextLease++;
-    this.arm(id, ttlMs);
+    this.startLease(id, ttlMs);
     return [200, { tenancy: id }];
   }
 
-  private leaseCall(method: string, path: string): Reply {
+  private leaseCall(method: string, path: string): StatusAndBody {
     const match = /^\/grants\/(\d+)(\/extend)?$/.exec(path);
     if (match === null) return [400, {}];
     const id = Number(match[1]);
     const lease = this.leases.get(id);
-    if (match[2] !== undefined && lease !== undefined) this.arm(id, lease.ttlMs);
+    if (match[2] !== undefined && lease !== undefined) this.startLease(id, lease.ttlMs);
     if (method === 'DELETE') this.expire(id);
     return [lease === undefined ? 404 : 200, {}];
   }
 
-  private read(key: string): Reply {
+  private read(key: string): StatusAndBody {
     const stored = this.keys.get(key);
     return stored === undefined
       ? [404, { ledgerRev: this.revision }]
@@ -186,14 +196,14 @@
   private page(url: URL): unknown {
     const prefix = url.searchParams.get('prefix') ?? '';
     const after = url.searchParams.get('after');
-    const limit = Math.min(MOST_ENTRIES, Number(url.searchParams.get('limit') ?? MOST_ENTRIES));
+    const limit = Math.min(MAX_PAGE_ENTRIES, Number(url.searchParams.get('limit') ?? MAX_PAGE_ENTRIES));
     this.sorted ??= [...this.keys.keys()].sort();
     const entries: unknown[] = [];
     let size = 0;
     let more = false;
     for (const key of this.sorted) {
       if (!key.startsWith(prefix) || (after !== null && key <= after)) continue;
-      if (entries.length >= limit || size > MOST_PAGE_BYTES) {
+      if (entries.length >= limit || size > MAX_PAGE_BYTES) {
         more = true;
         break;
       }
@@ -204,7 +214,7 @@
     return { entries, more, ledgerRev: this.revision };
   }
 
-  private transact({ when = [], then = [] }: WireTransaction): Reply {
+  private transact({ when = [], then = [] }: WireTransaction): StatusAndBody {
     if (!this.writes.take(then.length)) {
       this.counts.refused++;
       return [429, { error: 'changes' }];
@@ -212,7 +222,9 @@
     this.counts.changes += then.length;
     for (const { tenancy } of then)
       if (tenancy !== undefined && !this.leases.has(tenancy)) return [400, { error: 'no such lease' }];
-    const failed = when.filter((c) => (this.keys.get(c.k)?.revision ?? 0) !== c.stamp).map((c) => c.k);
+    const failed = when
+      .filter((condition) => (this.keys.get(condition.k)?.revision ?? 0) !== condition.stamp)
+      .map((condition) => condition.k);
     if (failed.length > 0) return [409, { failed, ledgerRev: this.revision }];
     if (then.length === 0) return [200, { ledgerRev: this.revision }];
     this.revision++;
@@ -233,21 +245,21 @@
     else this.keys.set(key, { value, revision: this.revision, lease });
     this.sorted = null;
     this.log.push({ key, value, revision: this.revision, lease, at: performance.now() });
-    if (this.log.length > HISTORY_KEPT) this.log.splice(0, HISTORY);
+    if (this.log.length > MAX_LOG_ENTRIES) this.log.splice(0, WATCH_HISTORY);
   }
 
-  private arm(id: number, ttlMs: number): void {
+  private startLease(id: number, ttlMs: number): void {
     clearTimeout(this.leases.get(id)?.timer);
-    this.leases.set(id, { ttlMs, timer: setTimeout(() => this.expire(id), ttlMs + LEASE_LATE_MS) });
+    this.leases.set(id, { ttlMs, timer: setTimeout(() => this.expire(id), ttlMs + LEASE_EXPIRY_DELAY_MS) });
   }
 
   private expire(id: number): void {
     clearTimeout(this.leases.get(id)?.timer);
     this.leases.delete(id);
-    const gone = [...this.keys].filter(([, stored]) => stored.lease === id).map(([key]) => key);
-    if (gone.length === 0) return;
+    const expiredKeys = [...this.keys].filter(([, stored]) => stored.lease === id).map(([key]) => key);
+    if (expiredKeys.length === 0) return;
     this.revision++;
-    for (const key of gone) this.put(key, undefined, null);
+    for (const key of expiredKeys) this.put(key, undefined, null);
     this.notify();
   }
 
@@ -255,38 +267,39 @@
     for (const check of [...this.watchers]) check();
   }
 
-  /** Changes of keys with a prefix after a revision; null: the history does not reach so far back. */
+  /** Returns the changes of keys with a prefix after a revision; null if the history no longer contains them all. */
   private changes(prefix: string, after: number): unknown[] | null {
-    const oldest = this.log[Math.max(0, this.log.length - HISTORY)];
+    const oldest = this.log[Math.max(0, this.log.length - WATCH_HISTORY)];
     if (oldest !== undefined && after < oldest.revision - 1) return null;
-    const out: unknown[] = [];
+    const changes: unknown[] = [];
     for (let i = this.log.length - 1; i >= 0 && this.log[i]!.revision > after; i--) {
       const { key, value, revision: stamp } = this.log[i]!;
       if (!key.startsWith(prefix)) continue;
-      out.push(value === undefined ? { delete: key, stamp } : { set: key, value, stamp });
+      changes.push(value === undefined ? { delete: key, stamp } : { set: key, value, stamp });
     }
-    return out.reverse();
+    return changes.reverse();
   }
 
   private follow(url: URL, respond: Respond): void {
     const prefix = url.searchParams.get('prefix') ?? '';
     const after = Number(url.searchParams.get('after'));
-    const blockMs = Math.min(LONGEST_WATCH_MS, Number(url.searchParams.get('blockMs') ?? 0));
-    const say = (log: unknown[] | null): void => {
+    const blockMs = Math.min(MAX_WATCH_MS, Number(url.searchParams.get('blockMs') ?? 0));
+    const respondWithChanges = (log: unknown[] | null): void => {
       if (log === null) respond(410, {});
       else this.counts.followBytes += respond(200, { ledgerRev: this.revision, log });
     };
-    const first = this.changes(prefix, after);
-    if (first === null || first.length > 0 || blockMs === 0) return say(first);
-    const end = (): void => {
+    const pastChanges = this.changes(prefix, after);
+    if (pastChanges === null || pastChanges.length > 0 || blockMs === 0)
+      return respondWithChanges(pastChanges);
+    const finish = (): void => {
       this.watchers.delete(check);
       clearTimeout(timer);
-      say(this.changes(prefix, after));
+      respondWithChanges(this.changes(prefix, after));
     };
     const check = (): void => {
-      if (!this.isDown && this.changes(prefix, after)?.length !== 0) end();
+      if (!this.isDown && this.changes(prefix, after)?.length !== 0) finish();
     };
-    const timer = setTimeout(end, blockMs);
+    const timer = setTimeout(finish, blockMs);
     this.watchers.add(check);
   }
 }
--- a/packages/scale-test/src/test-cluster.ts
+++ b/packages/scale-test/src/test-cluster.ts
@@ -1,4 +1,4 @@
-/** All that a scale run starts: the cloud, the state service, hollow workers in processes, and the real controllers. */
+/** The processes and servers of a scale run: cloud, state service, hollow workers and real controllers. */
 import { ChildHandle } from './child-handle.js';
 import { Cloud } from './cloud.js';
 import { controllerAddresses, ControllerProcess, settingsDirectory, settingsText } from './controllers.js';
@@ -13,31 +13,31 @@
 import { machineKinds, objectives, teamSettings } from './workload.js';
 
 const BOOT_MS = 2000;
-/** A controller that has ended is started again after so long, as a platform does. */
-const CONTROLLER_BACK_MS = 6000;
-const STOP_WITHIN_MS = 8000;
-const LEADER_ANSWER_WITHIN_MS = 2000;
-/** The leader lease in the state service. */
+/** Delay before an exited controller is restarted, similar to the restart delay of a deployment platform. */
+const CONTROLLER_RESTART_DELAY_MS = 6000;
+const STOP_TIMEOUT_MS = 8000;
+const LEADER_RESPONSE_TIMEOUT_MS = 2000;
+/** Key of the leader lease in the state service. */
 const LEADER_KEY = 's/leader';
 
-/** What a cluster is made of and whom it tells. */
-export interface TestClusterParts {
+/** Options and callbacks of a test cluster. */
+export interface TestClusterDependencies {
   readonly options: RunOptions;
   readonly timing: Timing;
   readonly random: Random;
-  /** The program that serves this process as a child: hollow workers, or the state service. */
+  /** Program file that is forked as a child process to run hollow workers or the state service. */
   readonly childProgram: string;
-  /** Messages of the hollow workers' processes that answer no question. */
+  /** Receives messages from the hollow workers' processes that are not responses to a request. */
   readonly onWorkerMessage: (message: FromChild) => void;
 }
 
-/** Started once and ended once; what has been started is ended even if a later start failed. */
+/** A cluster that is started and ended once. `end` also stops what was started before a failed `start`. */
 export class TestCluster {
   readonly unexpectedEnds: string[] = [];
   private readonly kinds: readonly MachineKind[];
   private readonly cloud: Cloud;
   private readonly machines = new Map<string, MachineDescription>();
-  private readonly hostOf = new Map<string, ChildHandle>();
+  private readonly processOf = new Map<string, ChildHandle>();
   private readonly state: ChildHandle;
   private readonly workers: readonly ChildHandle[];
   private controllers: readonly ControllerProcess[] = [];
@@ -46,22 +46,22 @@
   private leaderLabel: string | null = null;
   private ending = false;
 
-  constructor(private readonly parts: TestClusterParts) {
-    const { options, random, childProgram } = parts;
+  constructor(private readonly dependencies: TestClusterDependencies) {
+    const { options, random, childProgram } = dependencies;
     this.kinds = machineKinds(options);
     this.cloud = new Cloud({
       kinds: this.kinds,
       bootMs: BOOT_MS,
       random,
       up: (machine) => this.machineUp(machine),
-      down: (id) => this.hostOf.get(id)?.send({ kind: 'command', command: { kind: 'machine-down', id } }),
+      down: (id) => this.processOf.get(id)?.send({ kind: 'command', command: { kind: 'machine-down', id } }),
     });
     this.state = new ChildHandle(childProgram);
     const groups = Math.ceil(options.machines / options.workersPerProcess);
     this.workers = Array.from({ length: groups }, () => new ChildHandle(childProgram));
   }
 
-  /** Machines that are rented. */
+  /** Number of rented machines. */
   get size(): number {
     return this.cloud.size;
   }
@@ -70,7 +70,7 @@
     return this.cloud.calls;
   }
 
-  /** A machine that is up, or was. */
+  /** Returns a machine that is or was running; undefined if no machine with this id has booted. */
   machine(id: string): MachineDescription | undefined {
     return this.machines.get(id);
   }
@@ -79,44 +79,44 @@
     return this.controllers.find((controller) => controller.address.label === label)?.isUp === true;
   }
 
-  /** Starts everything, the controllers last; returns where they listen. */
+  /** Starts all processes, the controllers last, and returns the controllers' addresses. */
   async start(): Promise<readonly ControllerAddress[]> {
-    const { options } = this.parts;
+    const { options } = this.dependencies;
     const addresses = await controllerAddresses(options.controllers, options.zones);
     this.cloudServer = await serveJson((request, respond) => this.cloud.handle(request, respond));
     const { requestsPerS, writesPerS } = options;
     this.stateAddress =
       (await this.state.setUp({ role: 'state', limits: { requestsPerS, writesPerS } })) ?? '';
     await Promise.all(this.workers.map((child, i) => this.setUpWorkers(child, i, addresses)));
-    this.controllers = this.controllersAt(addresses, this.cloudServer.address);
+    this.controllers = this.createControllers(addresses, this.cloudServer.address);
     for (const controller of this.controllers) controller.start();
     return addresses;
   }
 
-  /** Tells all hollow workers. */
+  /** Sends a command to all processes of hollow workers. */
   broadcast(command: WorkerCommand): void {
     for (const child of this.workers) child.send({ kind: 'command', command });
   }
 
-  /** The hollow workers count from here on. */
+  /** Resets the counters of all hollow workers. */
   resetFigures(): void {
     for (const child of this.workers) child.send({ kind: 'reset' });
   }
 
-  /** What the hollow workers have counted. */
+  /** Returns the merged figures of all hollow workers since the last reset. */
   async workerFigures(): Promise<WorkerFigures> {
-    const answers = await Promise.all(
-      this.workers.map((child) => child.ask({ kind: 'figures' }, 'workers-figures')),
+    const responses = await Promise.all(
+      this.workers.map((child) => child.request({ kind: 'figures' }, 'workers-figures')),
     );
-    return mergeFigures(answers.map(({ figures }) => figures));
+    return mergeFigures(responses.map(({ figures }) => figures));
   }
 
-  /** What the state service has counted since its start. */
+  /** Returns the counters of the state service since its start. */
   async stateCounts(): Promise<StateCounts> {
-    return (await this.state.ask({ kind: 'figures' }, 'state-figures')).counts;
+    return (await this.state.request({ kind: 'figures' }, 'state-figures')).counts;
   }
 
-  /** Processes by role; the leader is the one that was last looked for. */
+  /** Process ids by role. The leader is the one found by the last `readLeader`. */
   pidsByRole(): Map<string, number[]> {
     const pidsOf = (isLeader: boolean): number[] =>
       this.controllers.flatMap(({ address, pid }) =>
@@ -131,36 +131,36 @@
     ]);
   }
 
-  /** All processes of the run. */
+  /** Process ids of the whole run. */
   pids(): number[] {
     return [...this.pidsByRole().values()].flat();
   }
 
-  /** Reads who holds the leader lease; without an answer the former leader stays. */
-  async lookForLeader(): Promise<void> {
+  /** Reads the holder of the leader lease from the state service. Without a response the previous leader is kept. */
+  async readLeader(): Promise<void> {
     const connection = new HttpConnection();
     const path = `/kv/${LEADER_KEY}`;
-    const reply = await connection.request(this.stateAddress, 'GET', path, '', LEADER_ANSWER_WITHIN_MS);
+    const response = await connection.request(this.stateAddress, 'GET', path, '', LEADER_RESPONSE_TIMEOUT_MS);
     connection.close();
-    if (reply?.status !== 200) return;
-    this.leaderLabel = (JSON.parse(reply.body) as { value: { node: string } }).value.node;
+    if (response?.status !== 200) return;
+    this.leaderLabel = (JSON.parse(response.body) as { value: { node: string } }).value.node;
   }
 
-  /** Kills the leader with SIGKILL; it is started again after a while. */
+  /** Kills the leader with SIGKILL and schedules its restart. */
   async killLeader(): Promise<void> {
-    await this.lookForLeader();
+    await this.readLeader();
     const leader = this.controllers.find(({ address }) => address.label === this.leaderLabel);
     if (leader === undefined) return;
     leader.kill('SIGKILL');
-    await leader.ended(STOP_WITHIN_MS);
-    this.startLater(leader);
+    await leader.waitForExit(STOP_TIMEOUT_MS);
+    this.scheduleRestart(leader);
   }
 
-  /** Ends all processes; resolves once the controllers are gone. */
+  /** Stops all processes; resolves once the controllers have exited. */
   async end(): Promise<void> {
     this.ending = true;
     for (const controller of this.controllers) controller.kill('SIGTERM');
-    await Promise.all(this.controllers.map((controller) => controller.ended(STOP_WITHIN_MS)));
+    await Promise.all(this.controllers.map((controller) => controller.waitForExit(STOP_TIMEOUT_MS)));
     this.cloud.end();
     this.cloudServer?.close();
     for (const child of [...this.workers, this.state]) child.end();
@@ -171,14 +171,14 @@
     index: number,
     controllers: readonly ControllerAddress[],
   ): Promise<string | null> {
-    const { options, timing, onWorkerMessage } = this.parts;
+    const { options, timing, onWorkerMessage } = this.dependencies;
     child.onMessage = onWorkerMessage;
     const seed = options.seed + index + 1;
     return child.setUp({ role: 'workers', kinds: this.kinds, controllers, timing, seed });
   }
 
-  private controllersAt(addresses: readonly ControllerAddress[], cloud: string): ControllerProcess[] {
-    const { options, timing } = this.parts;
+  private createControllers(addresses: readonly ControllerAddress[], cloud: string): ControllerProcess[] {
+    const { options, timing } = this.dependencies;
     const settings = {
       cloud,
       state: this.stateAddress,
@@ -196,27 +196,27 @@
           flags: options.flags,
           logLevel: options.logLevel,
           ...(options.profileDir === undefined ? {} : { profileDir: options.profileDir }),
-          onUnexpectedEnd: (label, code) => this.endedByItself(label, code),
+          onUnexpectedExit: (label, code) => this.handleUnexpectedExit(label, code),
         }),
     );
   }
 
-  private endedByItself(label: string, code: number | null): void {
-    this.unexpectedEnds.push(`${label} ended with status ${code}`);
+  private handleUnexpectedExit(label: string, code: number | null): void {
+    this.unexpectedEnds.push(`${label} exited unexpectedly with status ${code}`);
     const controller = this.controllers.find(({ address }) => address.label === label);
-    if (controller !== undefined) this.startLater(controller);
+    if (controller !== undefined) this.scheduleRestart(controller);
   }
 
-  private startLater(controller: ControllerProcess): void {
+  private scheduleRestart(controller: ControllerProcess): void {
     setTimeout(() => {
       if (!this.ending) controller.start();
-    }, CONTROLLER_BACK_MS);
+    }, CONTROLLER_RESTART_DELAY_MS);
   }
 
   private machineUp(machine: MachineDescription): void {
     this.machines.set(machine.id, machine);
-    const host = this.workers[this.machines.size % this.workers.length]!;
-    this.hostOf.set(machine.id, host);
-    host.send({ kind: 'command', command: { kind: 'machine-up', machine } });
+    const child = this.workers[this.machines.size % this.workers.length]!;
+    this.processOf.set(machine.id, child);
+    child.send({ kind: 'command', command: { kind: 'machine-up', machine } });
   }
 }
--- a/packages/scale-test/src/users.ts
+++ b/packages/scale-test/src/users.ts
@@ -1,46 +1,46 @@
 /**
- * Users of a run: each submits a job until it is accepted, asks for it until it is done, and some cancel theirs. What they
- * are told goes to the rule checker; what they waited for, into histograms.
+ * Simulated users: each submits a job until it is accepted and polls it until it is finished; some cancel their job.
+ * The rule checker receives the responses, and histograms record the waiting times.
  */
 import type { Histogram } from 'hdr-histogram-js';
 import { nowMs, sleepMs } from './clock.js';
-import { HttpConnection, type HttpReply } from './http-connection.js';
+import { HttpConnection, type HttpResponse } from './http-connection.js';
 import type { ControllerAddress, JobDescription } from './model.js';
 import type { Random } from './random.js';
 import type { ReportedState, RuleChecker } from './rule-checker.js';
 import { newHistogram } from './worker-figures.js';
 
-/** What users wait for, by the protocol. */
+/** Timeout of a submission or cancellation, as the protocol sets it. */
 const SUBMIT_TIMEOUT_MS = 5000;
 const POLL_TIMEOUT_MS = 2000;
 const POLL_EVERY_MS = 5000;
-const POLL_SPREAD = 0.1;
-/** Longer than events wait for their order. */
-const TOLD_LATER_MS = 1500;
-/** A cancelling user lets a job run for so long. */
-const CANCEL_AFTER_MS = { least: 1000, most: 8000 };
+const POLL_JITTER = 0.1;
+/** Delay before the rule checker gets a response; longer than `EventOrder` holds events back. */
+const CHECK_DELAY_MS = 1500;
+/** Range of the delay between a job's acceptance and its cancellation. */
+const CANCEL_DELAY_MS = { min: 1000, max: 8000 };
 
-/** What users did and waited for since the measurement began. */
+/** Counters and waiting times of the users since the measurement began. */
 export interface UserFigures {
   submitted: number;
   accepted: number;
   rejected: number;
   done: number;
   cancelled: number;
-  /** Submissions that were refused or not answered, and sent again. */
+  /** Submissions sent again because the response was a temporary error or missing. */
   retries: number;
   polls: number;
   pollsRefused: number;
   pollsUnanswered: number;
   submitMs: Histogram;
   pollMs: Histogram;
-  /** From the first attempt to submit until a task of urgent work is on a machine. */
+  /** Time from the first submission request of an urgent job until each of its tasks has started. */
   urgentWaitMs: Histogram;
   urgentTasks: number;
   urgentStarted: number;
 }
 
-const noFigures = (): UserFigures => ({
+const emptyFigures = (): UserFigures => ({
   submitted: 0,
   accepted: 0,
   rejected: 0,
@@ -57,21 +57,21 @@
   urgentStarted: 0,
 });
 
-/** What users need. */
-export interface UserParts {
+/** Controllers, callbacks and the rule checker that users work with. */
+export interface UsersDependencies {
   readonly controllers: readonly ControllerAddress[];
   readonly isUp: (label: string) => boolean;
   readonly random: Random;
   readonly checker: RuleChecker;
-  /** Workers fetch the job from now on. */
+  /** Makes the job available to workers. */
   readonly upload: (job: JobDescription) => void;
 }
 
-/** Its wait is measured. */
+/** Whether a job's waiting time is measured. */
 export const isUrgent = (job: JobDescription): boolean =>
   job.urgency === 'high' || job.urgency === 'production';
 
-/** The wire form of a submission. `dueS`: seconds within which it is due; null: none. */
+/** Returns the body of a submission request. `dueS`: deadline in seconds from now; null for none. */
 export const writeSubmission = (job: JobDescription, dueS: number | null = null): string =>
   JSON.stringify({
     id: job.id,
@@ -96,123 +96,134 @@
     dueS,
   });
 
-/** All users of a run. */
+/** The simulated users of a run, one for each job. */
 export class Users {
-  figures = noFigures();
+  figures = emptyFigures();
   private stopping = false;
-  /** When urgent jobs were first submitted. */
-  private readonly urgentSince = new Map<string, number>();
-  private measuredFrom = 0;
-
-  constructor(private readonly parts: UserParts) {
-    parts.checker.onStarted = (job, event) => {
-      const since = this.urgentSince.get(job.id);
-      if (since === undefined || since < this.measuredFrom) return;
+  /** Time of each urgent job's first submission request. */
+  private readonly urgentSubmittedAt = new Map<string, number>();
+  private measurementBeganAt = 0;
+
+  constructor(private readonly dependencies: UsersDependencies) {
+    dependencies.checker.onStarted = (job, event) => {
+      const submittedAt = this.urgentSubmittedAt.get(job.id);
+      if (submittedAt === undefined || submittedAt < this.measurementBeganAt) return;
       this.figures.urgentStarted++;
-      this.figures.urgentWaitMs.recordValue(Math.max(0, Math.round(event.at - since)));
+      this.figures.urgentWaitMs.recordValue(Math.max(0, Math.round(event.at - submittedAt)));
     };
   }
 
-  /** A measurement begins: only urgent jobs submitted from now on count. */
+  /** Begins a measurement. Waiting times of urgent jobs submitted earlier are not recorded. */
   resetFigures(): void {
-    this.figures = noFigures();
-    this.measuredFrom = nowMs();
+    this.figures = emptyFigures();
+    this.measurementBeganAt = nowMs();
   }
 
-  /** Users ask nothing any more. */
+  /** Stops all users: no further request is sent. */
   stop(): void {
     this.stopping = true;
   }
 
-  /** Plays one user from the first attempt to submit until the job is over. */
+  /** Simulates one user from the first submission request until the job is finished. */
   async play(job: JobDescription, cancels: boolean): Promise<void> {
     const connection = new HttpConnection();
-    this.parts.checker.jobSubmitted(job);
-    this.parts.upload(job);
+    this.dependencies.checker.jobSubmitted(job);
+    this.dependencies.upload(job);
     if (isUrgent(job)) {
-      this.urgentSince.set(job.id, nowMs());
+      this.urgentSubmittedAt.set(job.id, nowMs());
       this.figures.urgentTasks += job.tasks;
     }
     if (await this.submit(connection, job)) {
       if (cancels) await this.cancel(connection, job);
-      await this.watch(connection, job);
+      await this.pollUntilFinished(connection, job);
     }
     connection.close();
   }
 
-  private ask(
+  private request(
     connection: HttpConnection,
     method: string,
     path: string,
     body: string,
     timeoutMs: number,
-  ): Promise<HttpReply | null> {
-    const up = this.parts.controllers.filter((c) => this.parts.isUp(c.label));
-    if (up.length === 0) return Promise.resolve(null);
-    const to = up[this.parts.random.below(up.length)]!;
-    return connection.request(to.listen, method, path, body, timeoutMs);
+  ): Promise<HttpResponse | null> {
+    const running = this.dependencies.controllers.filter((controller) =>
+      this.dependencies.isUp(controller.label),
+    );
+    if (running.length === 0) return Promise.resolve(null);
+    const controller = running[this.dependencies.random.below(running.length)]!;
+    return connection.request(controller.listen, method, path, body, timeoutMs);
   }
 
-  /** false: it was rejected, or the run is over. */
+  /** Returns whether the job was accepted; false if it was rejected or the run was stopped. */
   private async submit(connection: HttpConnection, job: JobDescription): Promise<boolean> {
     const body = writeSubmission(job);
-    const began = nowMs();
+    const beganAt = nowMs();
     this.figures.submitted++;
     while (!this.stopping) {
-      const reply = await this.ask(connection, 'POST', '/work', body, SUBMIT_TIMEOUT_MS);
-      if (reply !== null) this.parts.checker.submissionAnswered(job.id, reply.status);
-      if (reply?.status === 200 || reply?.status === 201) {
+      const response = await this.request(connection, 'POST', '/work', body, SUBMIT_TIMEOUT_MS);
+      if (response !== null) this.dependencies.checker.handleSubmissionResponse(job.id, response.status);
+      if (response?.status === 200 || response?.status === 201) {
         this.figures.accepted++;
-        this.figures.submitMs.recordValue(Math.round(nowMs() - began));
+        this.figures.submitMs.recordValue(Math.round(nowMs() - beganAt));
         return true;
       }
-      if (reply?.status === 400 || reply?.status === 422) {
+      if (response?.status === 400 || response?.status === 422) {
         this.figures.rejected++;
         return false;
       }
       this.figures.retries++;
-      await sleepMs(Math.max(1, reply?.retryAfterS ?? 1) * 1000);
+      await sleepMs(Math.max(1, response?.retryAfterS ?? 1) * 1000);
     }
     return false;
   }
 
   private async cancel(connection: HttpConnection, job: JobDescription): Promise<void> {
-    await sleepMs(this.parts.random.between(CANCEL_AFTER_MS.least, CANCEL_AFTER_MS.most));
-    this.parts.checker.cancelRequested(job.id);
+    await sleepMs(this.dependencies.random.between(CANCEL_DELAY_MS.min, CANCEL_DELAY_MS.max));
+    this.dependencies.checker.cancelRequested(job.id);
     while (!this.stopping) {
-      const reply = await this.ask(connection, 'POST', `/work/${job.id}/withdraw`, '', SUBMIT_TIMEOUT_MS);
-      if (reply?.status === 200) {
-        this.told(job, reply);
+      const response = await this.request(
+        connection,
+        'POST',
+        `/work/${job.id}/withdraw`,
+        '',
+        SUBMIT_TIMEOUT_MS,
+      );
+      if (response?.status === 200) {
+        this.passToChecker(job, response);
         return;
       }
-      await sleepMs(Math.max(1, reply?.retryAfterS ?? 1) * 1000);
+      await sleepMs(Math.max(1, response?.retryAfterS ?? 1) * 1000);
     }
   }
 
-  private async watch(connection: HttpConnection, job: JobDescription): Promise<void> {
+  private async pollUntilFinished(connection: HttpConnection, job: JobDescription): Promise<void> {
     while (!this.stopping) {
-      await sleepMs(POLL_EVERY_MS * this.parts.random.between(1 - POLL_SPREAD, 1 + POLL_SPREAD));
+      await sleepMs(POLL_EVERY_MS * this.dependencies.random.between(1 - POLL_JITTER, 1 + POLL_JITTER));
       if (this.stopping) return;
-      const asked = nowMs();
-      const reply = await this.ask(connection, 'GET', `/work/${job.id}`, '', POLL_TIMEOUT_MS);
+      const requestedAt = nowMs();
+      const response = await this.request(connection, 'GET', `/work/${job.id}`, '', POLL_TIMEOUT_MS);
       this.figures.polls++;
-      if (reply === null) this.figures.pollsUnanswered++;
-      else if (reply.status !== 200 && reply.status !== 404) this.figures.pollsRefused++;
-      else this.figures.pollMs.recordValue(Math.round(nowMs() - asked));
-      if (reply === null) continue;
-      const state = this.told(job, reply);
+      if (response === null) this.figures.pollsUnanswered++;
+      else if (response.status !== 200 && response.status !== 404) this.figures.pollsRefused++;
+      else this.figures.pollMs.recordValue(Math.round(nowMs() - requestedAt));
+      if (response === null) continue;
+      const state = this.passToChecker(job, response);
       if (state === 'done') this.figures.done++;
       if (state === 'aborted') this.figures.cancelled++;
       if (state === 'done' || state === 'aborted') return;
     }
   }
 
-  private told(job: JobDescription, reply: HttpReply): ReportedState | undefined {
+  private passToChecker(job: JobDescription, response: HttpResponse): ReportedState | undefined {
     const state =
-      reply.status === 200 ? (JSON.parse(reply.body) as { status?: ReportedState }).status : undefined;
-    // Events of the hollow workers' processes come a little later than what users are told of them.
+      response.status === 200 ? (JSON.parse(response.body) as { status?: ReportedState }).status : undefined;
+    // Events from the hollow workers' processes arrive later than the responses that depend on them.
     const at = nowMs();
-    setTimeout(() => this.parts.checker.jobReported(job.id, reply.status, state, at), TOLD_LATER_MS);
+    setTimeout(
+      () => this.dependencies.checker.handleJobResponse(job.id, response.status, state, at),
+      CHECK_DELAY_MS,
+    );
     return state;
   }
 }
--- a/packages/scale-test/src/worker-figures.ts
+++ b/packages/scale-test/src/worker-figures.ts
@@ -1,4 +1,4 @@
-/** What a group of hollow workers counts while it runs, in a form that passes between processes. */
+/** Counters and histograms of a group of hollow workers, in a form that can be sent between processes. */
 import {
   build,
   decodeFromCompressedBase64,
@@ -6,7 +6,7 @@
   type Histogram,
 } from 'hdr-histogram-js';
 
-/** Counts since the measurement began. */
+/** Counters since the measurement began. */
 export interface WorkerCounters {
   reports: number;
   renewed: number;
@@ -18,17 +18,17 @@
   completed: number;
 }
 
-/** The counts of a group, with histograms. */
+/** Counters and histograms of a group of hollow workers. */
 export interface WorkerFigures {
   readonly counters: WorkerCounters;
   readonly workers: number;
   readonly tasksHeld: number;
-  /** Compressed histograms: answers to reports in milliseconds, and bytes of each worker. */
+  /** Compressed histograms: response times of heartbeats in milliseconds, and bytes sent and received per worker. */
   readonly answerMs: string;
   readonly workerBytes: string;
 }
 
-/** All counts at 0. */
+/** Returns counters that are all 0. */
 export const emptyCounters = (): WorkerCounters => ({
   reports: 0,
   renewed: 0,
@@ -40,36 +40,36 @@
   completed: 0,
 });
 
-const DIGITS = 3;
-/** A histogram of whole numbers from 0 on that grows as it needs. */
+const SIGNIFICANT_DIGITS = 3;
+/** Returns an empty histogram of non-negative integers that resizes itself. */
 export const newHistogram = (): Histogram =>
-  build({ numberOfSignificantValueDigits: DIGITS, autoResize: true });
+  build({ numberOfSignificantValueDigits: SIGNIFICANT_DIGITS, autoResize: true });
 
-/** A histogram as text that passes between processes. */
-export const packHistogram = (histogram: Histogram): string => encodeIntoCompressedBase64(histogram);
-/** A histogram from its text. */
-export const unpackHistogram = (text: string): Histogram => decodeFromCompressedBase64(text);
+/** Encodes a histogram as text that can be sent between processes. */
+export const encodeHistogram = (histogram: Histogram): string => encodeIntoCompressedBase64(histogram);
+/** Decodes a histogram from the text that `packHistogram` returned. */
+export const decodeHistogram = (text: string): Histogram => decodeFromCompressedBase64(text);
 
-/** The sum of what several groups have counted. */
-export const mergeFigures = (all: readonly WorkerFigures[]): WorkerFigures => {
+/** Merges the figures of several groups. */
+export const mergeFigures = (groups: readonly WorkerFigures[]): WorkerFigures => {
   const counters = emptyCounters();
-  const answers = newHistogram();
+  const responseTimes = newHistogram();
   const bytes = newHistogram();
   let workers = 0;
   let tasksHeld = 0;
-  for (const figures of all) {
+  for (const group of groups) {
     for (const name of Object.keys(counters) as (keyof WorkerCounters)[])
-      counters[name] += figures.counters[name];
-    workers += figures.workers;
-    tasksHeld += figures.tasksHeld;
-    answers.add(unpackHistogram(figures.answerMs));
-    bytes.add(unpackHistogram(figures.workerBytes));
+      counters[name] += group.counters[name];
+    workers += group.workers;
+    tasksHeld += group.tasksHeld;
+    responseTimes.add(decodeHistogram(group.answerMs));
+    bytes.add(decodeHistogram(group.workerBytes));
   }
   return {
     counters,
     workers,
     tasksHeld,
-    answerMs: packHistogram(answers),
-    workerBytes: packHistogram(bytes),
+    answerMs: encodeHistogram(responseTimes),
+    workerBytes: encodeHistogram(bytes),
   };
 };
