--- a/packages/simulation/src/experiment.ts
+++ b/packages/simulation/src/experiment.ts
@@ -123,7 +123,7 @@
   readonly name: string;
   readonly size: Size;
   readonly jobs: number;
-  readonly room: boolean;
+  readonly hasSufficientCapacity: boolean;
   readonly troubledUs: number;
   readonly quietUs: number;
   readonly troubles: Faults;
@@ -176,7 +176,7 @@
     name: file.name,
     size: { small: SMALL, grown: GROWN, crowded: LOAD_BURST }[file.size],
     jobs: file.jobs,
-    room: file.room,
+    hasSufficientCapacity: file.room,
     troubledUs: toMicros(file.troubled_s),
     quietUs: toMicros(file.quiet_s),
     troubles: {
--- a/packages/simulation/src/shrink.ts
+++ b/packages/simulation/src/shrink.ts
@@ -2,7 +2,7 @@
 import type { Experiment } from './experiment.js';
 
 /** Every variant of an experiment with one fault, crash, loss or link less, or with half of the jobs. */
-export const smaller = (
+export const smallerExperiments = (
   experiment: Experiment,
 ): { readonly without: string; readonly experiment: Experiment }[] => {
   const variants: { without: string; experiment: Experiment }[] = [];
@@ -60,7 +60,7 @@
   onRemoved: (without: string) => void = () => undefined,
 ): Experiment => {
   for (let current = experiment; ;) {
-    const failing = smaller(current).find((variant) => fails(variant.experiment));
+    const failing = smallerExperiments(current).find((variant) => fails(variant.experiment));
     if (failing === undefined) return current;
     onRemoved(failing.without);
     current = failing.experiment;
--- a/packages/simulation/src/world/accounts-check.ts
+++ b/packages/simulation/src/world/accounts-check.ts
@@ -2,7 +2,14 @@
 import { encodeRows } from '@lilacvalve/controller/accounts/codec';
 import type { Controller } from '@lilacvalve/controller/controller';
 import type { Controllers } from './controllers.js';
-import { beyondGaps, type UsageCount, differences, type Held, pagesWrong, sumsOf } from './usage-count.js';
+import {
+  gapExcesses,
+  type UsageCount,
+  differences,
+  type ControllerAccounts,
+  pageErrors,
+  sumsOf,
+} from './usage-count.js';
 import type { StateService } from './state-service/state-service.js';
 
 type RunningController = ReturnType<Controllers['up']>[number];
@@ -17,7 +24,7 @@
   ) {}
 
   /** Returns the differences between the accounts of controllers that have applied the same log entries. */
-  apart(): string[] {
+  compareControllers(): string[] {
     const violations: string[] = [];
     const first = new Map<string, { readonly name: string; readonly text: string }>();
     for (const { name, node } of this.current()) {
@@ -43,8 +50,8 @@
    * through which some usage became unknown, only outside of the gaps that the accounts list. `lossless`: no data was
    * lost so far, so that the stored pages can be compared too.
    */
-  wrong(lossless: boolean): string[] {
-    const violations = this.count.early.map((early) => `accounts: ${early}`);
+  compareWithCount(lossless: boolean): string[] {
+    const violations = this.count.earlyDeletions.map((early) => `accounts: ${early}`);
     if (this.count.forked) return violations;
     for (const { name, node } of this.current()) {
       const { accounts } = node.jobState;
@@ -54,11 +61,11 @@
       const differing =
         accounts.gaps.length === 0
           ? differences(counted, reported)
-          : beyondGaps(counted, reported, accounts.gaps);
+          : gapExcesses(counted, reported, accounts.gaps);
       // The stored pages are taken as of the controller's own revision, since its view may not have received the
       // latest page yet.
       if (lossless)
-        differing.push(...pagesWrong(this.state.entriesAt(node.jobState.revision), accounts, placed));
+        differing.push(...pageErrors(this.state.entriesAt(node.jobState.revision), accounts, placed));
       violations.push(
         ...differing.map((difference) => `accounts: ${name} as of log entry ${accounts.upTo}: ${difference}`),
       );
@@ -67,8 +74,8 @@
   }
 
   /** Returns the tasks that are placed according to a controller's view. */
-  private placedTasks(node: Controller): Held['open'] {
-    const tasks: Held['open'][number][] = [];
+  private placedTasks(node: Controller): ControllerAccounts['open'] {
+    const tasks: ControllerAccounts['open'][number][] = [];
     for (const { spec, placed } of node.jobState.jobs.values())
       for (const placement of placed.values())
         tasks.push({
--- a/packages/simulation/src/world/calendar-operators.ts
+++ b/packages/simulation/src/world/calendar-operators.ts
@@ -1,7 +1,7 @@
 /** Simulates the operators who publish calendars during a day, two of them concurrently while the leader crashes. */
 import type { RandomSource } from '@lilacvalve/controller/support/random-source';
 import { type Controllers, DAY_BEGINS } from './controllers.js';
-import { calendarOf, Cutoffs } from './cutoffs.js';
+import { testCalendar, CutoffCheck } from './cutoffs.js';
 import type { FaultLog } from './fault-log.js';
 import type { Rules } from './rules.js';
 import type { StateService } from './state-service/state-service.js';
@@ -26,27 +26,27 @@
  * Schedules the publication of three calendars before `faultsUntil`, and checks the cutoffs of all jobs until the end
  * of the day.
  */
-export const applyCalendars = (faultsUntil: number, options: CalendarOperatorsOptions): Cutoffs => {
+export const applyCalendars = (faultsUntil: number, options: CalendarOperatorsOptions): CutoffCheck => {
   const { controllers, log, lostAt, random, rules, state, time } = options;
-  const cutoffs = new Cutoffs({
+  const cutoffs = new CutoffCheck({
     time,
     state,
     dayBegins: DAY_BEGINS,
     views: () => controllers.up().flatMap(({ node }) => (node.lossDetector.suspected ? [] : [node.jobState])),
     lostAt,
-    isReported: (id) => rules.isTold(id),
-    onViolation: (rule, details) => void rules.broken.push(`${rule}: ${details}`),
+    isReported: (id) => rules.isAcceptanceConfirmed(id),
+    onViolation: (rule, details) => void rules.violations.push(`${rule}: ${details}`),
   });
-  time.after(1e6, () => cutoffs.apply('operator', calendarOf(1, DAY_BEGINS)));
+  time.after(1e6, () => cutoffs.apply('operator', testCalendar(1, DAY_BEGINS)));
   time.after(random.between(20e6, faultsUntil * 0.5), () => {
-    log.strike('cutoffs');
+    log.recordInjected('cutoffs');
     const leader = controllers.leader();
     time.after(random.between(0, 60_000), () => controllers.crash(leader ?? '', random.between(1e6, 6e6)));
-    cutoffs.apply('operator', calendarOf(2, DAY_BEGINS));
-    if (random.chance(0.5)) cutoffs.apply('other', calendarOf(2, DAY_BEGINS, 1));
+    cutoffs.apply('operator', testCalendar(2, DAY_BEGINS));
+    if (random.chance(0.5)) cutoffs.apply('other', testCalendar(2, DAY_BEGINS, 1));
   });
   time.after(random.between(faultsUntil * 0.6, faultsUntil), () =>
-    cutoffs.apply('other', calendarOf(3, DAY_BEGINS)),
+    cutoffs.apply('other', testCalendar(3, DAY_BEGINS)),
   );
   const check = (): void => {
     cutoffs.check();
--- a/packages/simulation/src/world/cloud.ts
+++ b/packages/simulation/src/world/cloud.ts
@@ -10,8 +10,8 @@
 import { TYPES } from '@lilacvalve/controller/support/settings';
 import type { FaultLog } from './fault-log.js';
 import type { Scenarios } from './scenarios/scenarios.js';
-import type { BootWays } from './scenarios/scenario-kit.js';
-import type { Place, Rules } from './rules.js';
+import type { BootFaults } from './scenarios/scenario-kit.js';
+import type { MachineInfo, Rules } from './rules.js';
 import type { Time } from './time.js';
 import type { Worker } from './worker/worker.js';
 
@@ -29,7 +29,7 @@
   readonly zone: string;
   readonly spot: boolean;
   /** Time of the rental, in microseconds of simulated time. */
-  readonly at: number;
+  readonly rentedAt: number;
   status: ListedMachine['status'];
   deleted: boolean;
 }
@@ -47,7 +47,7 @@
   /** Running machines by ID. The cloud adds machines that booted and removes machines that ended. */
   readonly workers: Map<string, Worker>;
   /** Starts the worker of a machine that has booted. */
-  readonly startWorker: (place: Place, type: MachineType) => Worker;
+  readonly startWorker: (place: MachineInfo, type: MachineType) => Worker;
   readonly scenarios: () => Scenarios | null;
   /** Called before machines are rented without a delay that a scenario asked for. */
   readonly onRent: (count: number) => void;
@@ -60,7 +60,7 @@
   /** Machines rented before this time boot several times slower than stated, or never. */
   lateUntil = 0;
   /** Boot behavior that scenarios ask for. */
-  readonly ways: BootWays = { fastUntil: 0, muteUntil: 0 };
+  readonly bootModes: BootFaults = { fastUntil: 0, muteUntil: 0 };
   private readonly machines = new Map<string, RentedMachine>();
   /** IDs of the machines rented by each request, by request name. A repeated request gets the same machines. */
   private readonly requests = new Map<string, string[]>();
@@ -112,7 +112,7 @@
   }
 
   /** Ends a machine without notice. The list shows it as failed only later. */
-  lose(id: string): void {
+  failMachine(id: string): void {
     const machine = this.machines.get(id);
     if (machine) this.options.time.after(LISTED_AS_FAILED_AFTER, () => (machine.status = 'failed'));
     this.endWorker(id);
@@ -136,7 +136,9 @@
   private list(): ListedMachine[] {
     const { random, scenarios, time, listAge } = this.options;
     const asOf = time.now - random.between(0, listAge);
-    const listed = [...this.machines.values()].filter((machine) => !machine.deleted && machine.at <= asOf);
+    const listed = [...this.machines.values()].filter(
+      (machine) => !machine.deleted && machine.rentedAt <= asOf,
+    );
     scenarios()?.listed(listed.map((machine) => machine.id));
     return listed.map((machine) => ({
       id: machine.id,
@@ -145,13 +147,13 @@
       zone: machine.zone,
       spot: machine.spot,
       status: machine.status,
-      age: micros(asOf - machine.at),
+      age: micros(asOf - machine.rentedAt),
     }));
   }
 
   private requestRental(request: RentRequest, isEntitled: () => boolean): ReturnType<CloudPort['rent']> {
     const { random, scenarios, time } = this.options;
-    const behavior = scenarios()?.rentalWay() ?? null;
+    const behavior = scenarios()?.rentalTiming() ?? null;
     const rent = (): readonly string[] | null => this.rent(request, behavior);
     const ifEntitled = <A>(action: () => A): A | CloudRefused =>
       isEntitled() ? action() : new CloudRefused({ status: 0, reason: 'no longer entitled' });
@@ -172,9 +174,12 @@
    * Carries out a rental and returns the machines' IDs; null: the zone is full. A repeated request gets the response
    * to the first one.
    */
-  private rent(request: RentRequest, behavior: ReturnType<Scenarios['rentalWay']>): readonly string[] | null {
+  private rent(
+    request: RentRequest,
+    behavior: ReturnType<Scenarios['rentalTiming']>,
+  ): readonly string[] | null {
     const { onRent, rules, scenarios } = this.options;
-    rules.hired(request.name, `${request.type} ${request.zone} ${request.spot} ${request.count}`);
+    rules.rented(request.name, `${request.type} ${request.zone} ${request.spot} ${request.count}`);
     const earlierIds = this.requests.get(request.name);
     if (earlierIds) return earlierIds;
     const rentedCount = [...this.machines.values()].filter(
@@ -193,14 +198,22 @@
   private add(type: MachineType, zone: string, spot: boolean): string {
     const { log, random, time } = this.options;
     const id = `vm-${String(++this.lastNumber).padStart(6, '0')}`;
-    const machine: RentedMachine = { id, type, zone, spot, at: time.now, status: 'booting', deleted: false };
+    const machine: RentedMachine = {
+      id,
+      type,
+      zone,
+      spot,
+      rentedAt: time.now,
+      status: 'booting',
+      deleted: false,
+    };
     this.machines.set(id, machine);
     const bootsLate = time.now < this.lateUntil;
-    if (bootsLate) log.strike('lateBoots');
+    if (bootsLate) log.recordInjected('lateBoots');
     // Some machines never boot.
     if (random.chance(bootsLate ? 0.25 : 0.03)) return id;
     const bootTimeRatio = bootsLate ? random.between(3, 8) : random.between(0.1, 1.5);
-    const bootsFast = time.now < this.ways.fastUntil && random.chance(0.6);
+    const bootsFast = time.now < this.bootModes.fastUntil && random.chance(0.6);
     time.after(bootsFast ? random.between(50_000, 2e6) : type.boot * bootTimeRatio, () => this.boot(machine));
     return id;
   }
--- a/packages/simulation/src/world/cutoffs.ts
+++ b/packages/simulation/src/world/cutoffs.ts
@@ -33,7 +33,7 @@
  * two calendars of the same version. From version 3 on one cutoff is missing, so that its jobs fall back to their own
  * due time.
  */
-export const calendarOf = (version: number, dayBegins: number, variant = 0): Calendar => {
+export const testCalendar = (version: number, dayBegins: number, variant = 0): Calendar => {
   const names = version >= 3 ? ['red-work', 'all'] : ['red-work', 'blue-work', 'all'];
   return makeCalendar(
     {
@@ -82,7 +82,7 @@
 }
 
 /** Counts of a day with cutoffs. The properties are written out under these names. */
-export interface CutoffDay {
+export interface CutoffCounts {
   /** Jobs with a cutoff binding. */
   readonly tied: number;
   /** Calendars that took effect. */
@@ -94,7 +94,7 @@
 }
 
 /** Publishes calendars and checks the rules about cutoffs. */
-export class Cutoffs {
+export class CutoffCheck {
   /** Binding of every job that a user knows of. */
   private readonly bindings = new Map<string, string>();
   /**
@@ -135,7 +135,7 @@
    */
   check(): void {
     const { state, onViolation } = this.options;
-    if (state.out) return;
+    if (state.isDown) return;
     const incarnation = [...state.keys.keys()].filter((key) => key.startsWith(INCARNATION)).join();
     if (incarnation !== this.incarnation) {
       // A new incarnation of the store has its own log entries, so the state derived from the old ones is dropped.
@@ -225,7 +225,7 @@
   }
 
   /** Returns the counts of the day. */
-  summary(): CutoffDay {
+  summary(): CutoffCounts {
     const tied = [...this.bindings.values()].filter((binding) => binding !== '').length;
     return { tied, applied: this.applied, refused: this.refused, said: { ...this.riskCounts } };
   }
@@ -234,7 +234,7 @@
    * Checks at the end of a day without data losses that every finished job with a binding is counted exactly once.
    * Returns the mismatch; null: none.
    */
-  counted(): string | null {
+  countMismatch(): string | null {
     let counted = 0;
     for (const [key, stored] of this.options.state.keys)
       if (key.startsWith(OCCURRENCE)) {
--- a/packages/simulation/src/world/duplicate-delivery.ts
+++ b/packages/simulation/src/world/duplicate-delivery.ts
@@ -27,7 +27,7 @@
   ) {}
 
   /** Records a sent request. `deliverAgain` delivers a copy of it, whose response is discarded. */
-  sending(from: string, deliverAgain: () => void): void {
+  recordSent(from: string, deliverAgain: () => void): void {
     if (!this.enabled) return;
     const requests = this.sent.get(from) ?? [];
     requests.push({ at: this.time.now, deliverAgain });
@@ -37,7 +37,7 @@
   }
 
   /** Handles the exit of a process or a machine: some of its recent requests are delivered once more afterwards. */
-  senderEnded(from: string): void {
+  senderExited(from: string): void {
     for (const request of this.sent.get(from) ?? [])
       if (request.at > this.time.now - MAX_REPLAY_AGE && this.random.chance(0.5))
         this.deliverLate(request.deliverAgain);
@@ -46,7 +46,7 @@
 
   private deliverLate(deliverAgain: () => void): void {
     const delay = this.random.chance(0.2) ? this.random.between(2e6, 40e6) : this.random.between(1000, 2e6);
-    this.log.strike('echoes');
+    this.log.recordInjected('echoes');
     this.time.after(delay, deliverAgain);
   }
 }
--- a/packages/simulation/src/world/history.ts
+++ b/packages/simulation/src/world/history.ts
@@ -9,13 +9,13 @@
  */
 
 /** Kind of a user's request. */
-export type Ask = 'submit' | 'poll' | 'cancel';
+export type RequestKind = 'submit' | 'poll' | 'cancel';
 /** Final state of a job, as users see it. */
 export type FinalState = 'done' | 'aborted';
 
 /** A request that a user sent. */
-export interface Asked {
-  readonly ask: Ask;
+export interface SentRequest {
+  readonly ask: RequestKind;
   readonly id: string;
   /** Label of the controller that the request was sent to. */
   readonly node: string;
@@ -23,7 +23,7 @@
   readonly began: number;
 }
 /** A request that has no response yet. */
-export interface Open extends Asked {
+export interface PendingRequest extends SentRequest {
   /** The newest state of the job that had been reported when the request was sent. The response must not be older. */
   readonly floor: ReportedState;
 }
@@ -43,7 +43,7 @@
 }
 
 /** The response to a user's request, as far as the checker needs it. */
-export interface Answered {
+export interface ReportedResponse {
   readonly status: number;
   /** State of the job in the response body; undefined: the body has none. */
   readonly state?: string | undefined;
@@ -61,7 +61,7 @@
   private readonly cancelled = new Set<string>();
 
   /** Records that a request is sent. */
-  begins(ask: Ask, id: string, node: string, now: number): Open {
+  requestSent(ask: RequestKind, id: string, node: string, now: number): PendingRequest {
     if (ask === 'submit') this.submitted.add(id);
     if (ask === 'cancel') this.cancelled.add(id);
     return { ask, id, node, began: now, floor: this.told.get(id) ?? NOTHING_REPORTED };
@@ -71,7 +71,7 @@
    * Checks the response to a request and returns the violations, one line each. Responses without a result (such as
    * 429 or 503) are not checked, apart from 404, 400 and 422 for a job that was reported as accepted.
    */
-  ends(asked: Open, response: Answered, now: number): string[] {
+  responseReceived(asked: PendingRequest, response: ReportedResponse, now: number): string[] {
     const { ask, id, node, floor } = asked;
     const violations: string[] = [];
     const span = `${ask} of ${id} at ${node}, ${asked.began} to ${now}`;
--- a/packages/simulation/src/world/job-truth.ts
+++ b/packages/simulation/src/world/job-truth.ts
@@ -1,11 +1,11 @@
 /** The actual state of a job in the simulation, independent of what controllers know about it. */
-import type { Spec } from './rules.js';
+import type { JobRequirements } from './rules.js';
 
 /** Memory that every task takes on its machine, in GB. */
 export const TASK_MEM_GB = 2;
 
 /** A job as its user submitted it, and the progress of its tasks. Times in microseconds. */
-export interface JobTruth extends Spec {
+export interface JobTruth extends JobRequirements {
   readonly jobClass: string;
   /** Run time of a task. */
   readonly runUs: number;
--- a/packages/simulation/src/world/links.ts
+++ b/packages/simulation/src/world/links.ts
@@ -78,7 +78,7 @@
   }
 
   /** Sends the response to a message that was sent from `from` to `to`. */
-  answer(from: string, to: string, arrive: () => void, fail?: () => void): void {
+  sendResponse(from: string, to: string, arrive: () => void, fail?: () => void): void {
     if (this.state(from, to) === 'unanswered') return;
     this.send(to, from, arrive, fail);
   }
--- a/packages/simulation/src/world/scenario-host.ts
+++ b/packages/simulation/src/world/scenario-host.ts
@@ -33,7 +33,7 @@
 
 /** By task that the acting leader counts against a team's limit: its attempt; null: no controller acts as leader. */
 const countedAgainstLimit = (controllers: Controllers, team: string): Map<string, number> | null => {
-  const controller = controllers.leading()?.node;
+  const controller = controllers.leaderProcess()?.node;
   const registry = controller?.registry() ?? null;
   if (controller === undefined || registry === null) return null;
   const counted = new Map<string, number>();
@@ -49,32 +49,33 @@
 export const createScenarioWorld = (options: ScenarioHostOptions): ScenarioWorld => {
   const { cloud, controllers, links, log, random, rules, settings, state, time, users, workers } = options;
   return {
-    cloud: cloud.ways,
+    cloud: cloud.bootModes,
     time,
     random,
     state,
     rules,
     jobs: users.jobs,
     workers,
-    nodes: controllers.nodes,
+    nodes: controllers.labels,
     zones: ZONES,
     lease: settings.lease,
-    cancelWithin: settings.cancel,
-    strike: (what) => log.strike(what),
-    disturbed: (lasts) => log.disturbed(lasts),
+    cancelTimeout: settings.cancel,
+    recordInjection: (what) => log.recordInjected(what),
+    markDisruption: (lasts) => log.disruptedFor(lasts),
     leader: () => controllers.leader(),
-    term: () => controllers.leading()?.node.leadership.currentTermNumber() ?? null,
+    term: () => controllers.leaderProcess()?.node.leadership.currentTermNumber() ?? null,
     process: (label) => controllers.process(label),
-    answering: (label) => (controllers.process(label)?.node.leadership.respondingTerm() ?? null) !== null,
-    heardFrom: (machine) => controllers.leading()?.node.registry()?.machines.get(machine)?.reported === true,
+    isResponding: (label) => (controllers.process(label)?.node.leadership.respondingTerm() ?? null) !== null,
+    hasReported: (machine) =>
+      controllers.leaderProcess()?.node.registry()?.machines.get(machine)?.reported === true,
     countedAgainstLimit: (team) => countedAgainstLimit(controllers, team),
     hasPlaced: (label, job) =>
       (controllers.process(label)?.node.jobState.jobs.get(job)?.placed.size ?? 0) > 0,
     placedOn: (machine) => [
-      ...(controllers.leading()?.node.jobState.placementsByMachine.get(machine)?.keys() ?? []),
+      ...(controllers.leaderProcess()?.node.jobState.placementsByMachine.get(machine)?.keys() ?? []),
     ],
     isDeleted: (machine) => cloud.isDeleted(machine),
-    anyNode: () => controllers.any(),
+    anyController: () => controllers.randomLabel(),
     cacheSizes: () =>
       controllers.up().map(({ node: { jobState } }) => ({
         jobs: jobState.jobs.size,
@@ -83,7 +84,7 @@
       })),
     crash: (label, back) => controllers.crash(label, back),
     freeze: (label, lasts) => {
-      log.disturbed(lasts);
+      log.disruptedFor(lasts);
       controllers.freeze(label, lasts);
     },
     stepDown: (label, forMicros) => {
@@ -92,10 +93,10 @@
     },
     cut: (one, other, linkState, lasts) => options.injector().cut(one, other, linkState, lasts),
     link: (from, to, linkState, lasts) => {
-      log.disturbed(lasts);
+      log.disruptedFor(lasts);
       links.set(from, to, linkState, lasts);
     },
-    loseMachine: (machine) => cloud.lose(machine),
+    loseMachine: (machine) => cloud.failMachine(machine),
     submit: (arrival, via) => users.submit({ arrival, via }),
     submissions: users.bodies,
     call: (label, method, path, body, then) => users.call(label, method, path, body, then),
--- a/packages/simulation/src/world/scenarios/cancel-and-hang.ts
+++ b/packages/simulation/src/world/scenarios/cancel-and-hang.ts
@@ -31,21 +31,23 @@
     begin: () => {
       const { random } = world;
       kit.longJobs(6);
-      world.disturbed(25e6);
+      world.markDisruption(25e6);
       kit.after(random.between(18e6, 25e6), () => {
         const longJobs = [...world.jobs.values()].filter(
           (job) =>
-            job.runUs >= MIN_RUN_US && world.rules.isOn(job.id) && world.rules.state(job.id) === 'accepted',
+            job.runUs >= MIN_RUN_US &&
+            world.rules.hasPlacedTask(job.id) &&
+            world.rules.state(job.id) === 'accepted',
         );
         const chosen = longJobs.sort(() => random.next() - 0.5).slice(0, 1 + random.int(6));
         const ids = new Set(chosen.map((job) => job.id));
         if (ids.size === 0) return;
-        world.strike('cancelAndHang');
+        world.recordInjection('cancelAndHang');
         for (const id of ids) kit.after(random.between(0, 200_000), () => kit.cancel(id));
         if (random.chance(0.15)) return;
         const durationUs =
           world.lease * (injections++ % 2 === 0 ? random.between(0.2, 0.98) : random.between(1.02, 1.8));
-        world.disturbed(durationUs);
+        world.markDisruption(durationUs);
         const leader = world.leader();
         if (leader !== undefined && random.chance(0.3))
           kit.after(random.between(0, durationUs), () => kit.changeLeader(leader));
--- a/packages/simulation/src/world/scenarios/cancel-during-handover.ts
+++ b/packages/simulation/src/world/scenarios/cancel-during-handover.ts
@@ -85,11 +85,11 @@
     begin: () => {
       const { random } = world;
       const ids = kit.longJobs(6);
-      world.disturbed(25e6);
+      world.markDisruption(25e6);
       kit.after(random.between(18e6, 25e6), () => {
         const old = world.leader();
         if (old === undefined) return;
-        world.strike('cancelDuringHandover');
+        world.recordInjection('cancelDuringHandover');
         const before = world.term();
         const kind = HANDOVER_KINDS[injections++ % HANDOVER_KINDS.length]!;
         const confirmed: Confirmation[] = [];
@@ -100,7 +100,7 @@
           const via = draw < 0.3 ? () => old : draw < 0.6 ? other : () => world.leader() ?? other();
           world.cancel(id, via, (by) => {
             cancelled.add(id);
-            if (world.rules.isOn(id)) confirmed.push({ by, at: world.time.now });
+            if (world.rules.hasPlacedTask(id)) confirmed.push({ by, at: world.time.now });
           });
         };
         for (const id of ids) if (random.chance(0.8)) kit.after(random.between(0, 5e6), () => cancel(id));
@@ -108,10 +108,10 @@
         for (let i = 0; i < 4; i++)
           kit.after(random.between(0, 2e6), () => {
             const job = { ...PLAIN_JOB, tasks: 2, cpus: 1, runUs: random.between(40e6, 60e6) };
-            const id = world.submit({ job, urgency: 'high', due: null }, () => world.anyNode());
+            const id = world.submit({ job, urgency: 'high', due: null }, () => world.anyController());
             if (id !== undefined) kit.after(random.between(500_000, 4e6), () => cancel(id));
           });
-        world.disturbed(6e6);
+        world.markDisruption(6e6);
         kit.after(random.between(500_000, 1.5e6), () => handOver(kind, old));
         recordConfirmations(kind, old, before, confirmed);
       });
--- a/packages/simulation/src/world/scenarios/concurrent-reads.ts
+++ b/packages/simulation/src/world/scenarios/concurrent-reads.ts
@@ -1,4 +1,4 @@
-import type { Answered, Ask, Asked } from '../history.js';
+import type { ReportedResponse, RequestKind, SentRequest } from '../history.js';
 import { PLAIN_JOB, type ScenarioKit, type Scenario } from './scenario-kit.js';
 
 /** The state of a job that a user has just learnt from a response. */
@@ -22,19 +22,19 @@
   let until = 0;
   const lastUpdate = new Map<string, JobUpdate>();
 
-  const count = (asked: Asked, response: Answered | null): void => {
+  const count = (asked: SentRequest, response: ReportedResponse | null): void => {
     kit.record(FOLLOW_UPS);
     if (response === null) kit.record(UNANSWERED);
     else if (response.status === 503 || response.status === 429) kit.record(REFUSED);
     else if (response.status === 404 && !world.jobs.has(asked.id)) kit.record('404 for an unknown job');
   };
-  const ask = (delay: number, request: Ask, id: string, node: string, onResponse = count): void =>
+  const ask = (delay: number, request: RequestKind, id: string, node: string, onResponse = count): void =>
     kit.after(delay, () => world.ask(request, id, node, onResponse));
 
   /** Sends follow-up requests to all controllers after `responder` has reported a job's new state. */
   const sendFollowUps = (id: string, update: JobUpdate, responder: string): void => {
     const updatedAt = world.time.now;
-    const onResponse = (asked: Asked, response: Answered | null): void => {
+    const onResponse = (asked: SentRequest, response: ReportedResponse | null): void => {
       count(asked, response);
       if (response?.status === 200 && asked.node !== responder && asked.began - updatedAt <= IMMEDIATE_US)
         kit.record(
@@ -45,20 +45,20 @@
       for (const maxDelay of [2000, IMMEDIATE_US, 60_000, 500_000])
         ask(random.between(0, maxDelay), 'poll', id, node, onResponse);
     for (const maxDelay of [IMMEDIATE_US, 100_000])
-      ask(random.between(0, maxDelay), 'submit', id, world.anyNode(), onResponse);
+      ask(random.between(0, maxDelay), 'submit', id, world.anyController(), onResponse);
     ask(
       random.between(0, IMMEDIATE_US),
       'poll',
       `job-8${String(random.int(1e8)).padStart(10, '0')}`,
-      world.anyNode(),
+      world.anyController(),
     );
     if (update === 'accepted' && random.chance(0.25))
-      kit.after(random.between(0, IMMEDIATE_US), () => world.cancel(id, () => world.anyNode(), () => kit.record('cancelled right after acceptance'))); // prettier-ignore
+      kit.after(random.between(0, IMMEDIATE_US), () => world.cancel(id, () => world.anyController(), () => kit.record('cancelled right after acceptance'))); // prettier-ignore
   };
 
   return {
     begin: () => {
-      world.strike('concurrentReads');
+      world.recordInjection('concurrentReads');
       const durationUs = random.between(15e6, 30e6);
       until = Math.max(until, world.time.now + durationUs);
       const from = Math.floor(world.time.now / 1e6);
@@ -69,7 +69,7 @@
       for (let i = 0; i < 6; i++)
         kit.after(random.between(0, durationUs * 0.7), () => {
           const job = { ...PLAIN_JOB, tasks: 1 + random.int(2), cpus: 1, runUs: random.between(1e6, 8e6) };
-          world.submit({ job, urgency: 'high', due: null }, () => world.anyNode());
+          world.submit({ job, urgency: 'high', due: null }, () => world.anyController());
         });
     },
     answered: (asked, response) => {
--- a/packages/simulation/src/world/scenarios/handover.ts
+++ b/packages/simulation/src/world/scenarios/handover.ts
@@ -5,12 +5,12 @@
   begin: () => {
     const { world } = kit;
     const { random } = world;
-    world.strike('handover');
+    world.recordInjection('handover');
     if (random.chance(0.5)) {
       // Repeated step-downs, which may return the leadership to the first leader.
       const first = world.leader();
       for (let i = 0, delay = 0; i < 2 + random.int(5); i++, delay += random.between(200_000, 5e6)) {
-        world.disturbed(delay);
+        world.markDisruption(delay);
         kit.after(delay, () => {
           const leader = world.leader();
           if (leader === undefined) return;
@@ -21,7 +21,7 @@
       return;
     }
     // All controllers crash, some after stepping down, and one restarts within a second.
-    const survivor = world.anyNode();
+    const survivor = world.anyController();
     for (const controller of world.nodes) {
       const delay = random.between(0, 300_000);
       if (random.chance(0.4)) kit.after(delay, () => world.stepDown(controller, 0));
@@ -32,7 +32,7 @@
         ),
       );
     }
-    world.disturbed(2e6);
+    world.markDisruption(2e6);
     const check = (remainingChecks: number): void => {
       if (
         world.leader() === survivor &&
--- a/packages/simulation/src/world/scenarios/late-writes.ts
+++ b/packages/simulation/src/world/scenarios/late-writes.ts
@@ -40,11 +40,11 @@
   return {
     begin: () => {
       const { world } = kit;
-      world.strike('lateWrites');
+      world.recordInjection('lateWrites');
       const durationUs = world.random.between(8e6, 30e6);
-      world.state.lateShare = world.random.between(0.05, 0.4);
-      world.disturbed(durationUs + 12e6);
-      kit.after(durationUs, () => (world.state.lateShare = 0));
+      world.state.lateFraction = world.random.between(0.05, 0.4);
+      world.markDisruption(durationUs + 12e6);
+      kit.after(durationUs, () => (world.state.lateFraction = 0));
       // Transactions of the old leader are committed under the new leader.
       const leader = world.leader();
       if (leader !== undefined && world.random.chance(0.7))
--- a/packages/simulation/src/world/scenarios/leader-churn.ts
+++ b/packages/simulation/src/world/scenarios/leader-churn.ts
@@ -12,7 +12,7 @@
     begin() {
       if (active) return;
       active = true;
-      world.strike('leaderChurn');
+      world.recordInjection('leaderChurn');
       const until = world.time.now + DURATION_US;
       const terms = new Set<number>();
       let outageStartedAt: number | null = null;
@@ -20,11 +20,11 @@
       let termDurationUs = 0;
       if (random.chance(0.7))
         kit.after(random.between(10e6, 90e6), () => {
-          if (world.state.out) return;
+          if (world.state.isDown) return;
           outageStartedAt = world.time.now;
           const outageUs = random.between(4e6, 14e6);
           world.state.outage(true);
-          world.disturbed(outageUs);
+          world.markDisruption(outageUs);
           kit.after(outageUs, () => {
             world.state.outage(false);
             outageStartedAt = null;
@@ -40,7 +40,7 @@
           active = false;
           return;
         }
-        world.disturbed(8e6);
+        world.markDisruption(8e6);
         const term = world.term();
         if (term !== null && !terms.has(term)) {
           terms.add(term);
@@ -56,7 +56,7 @@
             world.leader() ??
             (outageStartedAt === null
               ? undefined
-              : world.nodes.find((candidate) => world.answering(candidate)));
+              : world.nodes.find((candidate) => world.isResponding(candidate)));
           if (
             controller !== undefined &&
             (outageStartedAt === null || now - outageStartedAt > 4.5e6 || random.chance(0.05))
--- a/packages/simulation/src/world/scenarios/lost-responses.ts
+++ b/packages/simulation/src/world/scenarios/lost-responses.ts
@@ -70,11 +70,11 @@
   };
   return {
     begin: () => {
-      world.strike('lostResponses');
+      world.recordInjection('lostResponses');
       const durationUs = world.random.between(10e6, 30e6);
-      world.state.unansweredShare = world.random.between(0.1, 0.4);
-      world.disturbed(durationUs + 5e6);
-      kit.after(durationUs, () => (world.state.unansweredShare = 0));
+      world.state.unansweredFraction = world.random.between(0.1, 0.4);
+      world.markDisruption(durationUs + 5e6);
+      kit.after(durationUs, () => (world.state.unansweredFraction = 0));
       for (let i = 0; i < 6; i++)
         kit.after(world.random.between(0, durationUs), () => {
           const job = {
@@ -83,9 +83,9 @@
             cpus: 1,
             runUs: world.random.between(2e6, 20e6),
           };
-          const id = world.submit({ job, urgency: 'high', due: null }, () => world.anyNode());
+          const id = world.submit({ job, urgency: 'high', due: null }, () => world.anyController());
           if (id !== undefined && world.random.chance(0.5))
-            kit.after(world.random.between(1e6, 10e6), () => world.cancel(id, () => world.anyNode(), () => undefined)); // prettier-ignore
+            kit.after(world.random.between(1e6, 10e6), () => world.cancel(id, () => world.anyController(), () => undefined)); // prettier-ignore
         });
       for (
         let delay = world.random.between(1e6, 4e6);
--- a/packages/simulation/src/world/scenarios/overload.ts
+++ b/packages/simulation/src/world/scenarios/overload.ts
@@ -10,7 +10,7 @@
     begin() {
       if (active) return;
       active = true;
-      world.strike('overload');
+      world.recordInjection('overload');
       const durationUs = random.between(40e6, 70e6);
       let degradedLinks = 0;
       const endpoints = ['state', 'users', ...world.nodes, ...ZONES.map((zone) => `zone:${zone}`)];
@@ -37,7 +37,7 @@
               oneZone: random.chance(0.2),
               runUs: limited ? random.between(8e6, 15e6) : random.between(15e6, 30e6),
             };
-            const id = world.submit({ job, urgency, due: null }, () => world.anyNode());
+            const id = world.submit({ job, urgency, due: null }, () => world.anyController());
             if (id !== undefined) ids.push(id);
           });
         return ids;
--- a/packages/simulation/src/world/scenarios/scenario-kit.ts
+++ b/packages/simulation/src/world/scenarios/scenario-kit.ts
@@ -2,7 +2,7 @@
 import type { HttpResponse } from '@lilacvalve/runtime/http-server';
 import type { RandomSource } from '@lilacvalve/controller/support/random-source';
 import type { Arrival } from '../load-burst.js';
-import type { Answered, Ask, Asked } from '../history.js';
+import type { ReportedResponse, RequestKind, SentRequest } from '../history.js';
 import type { LinkState } from '../links.js';
 import type { Observation, Rules } from '../rules.js';
 import type { StateService } from '../state-service/state-service.js';
@@ -12,14 +12,14 @@
 import type { ScenarioName } from './scenario-names.js';
 
 /** Temporary faults of booting machines; times in microseconds. */
-export interface BootWays {
+export interface BootFaults {
   /** Until when new machines boot within two seconds. */
   fastUntil: number;
   /** Until when new machines may boot without reaching any controller. */
   muteUntil: number;
 }
 /** Delays of a rental request, in microseconds. */
-export interface RentalWay {
+export interface RentalTiming {
   /** How late the cloud carries the request out. */
   readonly late: number;
   /** How long after that the cloud responds; null: it never responds. */
@@ -28,7 +28,7 @@
 
 /** Everything of the simulation that scenarios observe and act on. Times in microseconds. */
 export interface ScenarioWorld {
-  readonly cloud: BootWays;
+  readonly cloud: BootFaults;
   readonly time: Time;
   readonly random: RandomSource;
   readonly state: StateService;
@@ -40,11 +40,11 @@
   /** Duration of a worker lease. */
   readonly lease: number;
   /** Maximum duration from a cancellation request to the stop of all tasks of the job. */
-  readonly cancelWithin: number;
+  readonly cancelTimeout: number;
   /** Counts an injection of the scenario's fault. */
-  strike(name: ScenarioName): true;
+  recordInjection(name: ScenarioName): true;
   /** Marks a disruption of this duration, from now on. */
-  disturbed(durationUs: number): void;
+  markDisruption(durationUs: number): void;
   /** The label of the acting leader; undefined: no controller leads. */
   leader(): string | undefined;
   /** The term of the acting leader; null: no controller leads. */
@@ -52,9 +52,9 @@
   /** The current process of a controller, which differs after a restart; undefined: the controller is down. */
   process(node: string): object | undefined;
   /** Whether the controller responds to heartbeats, under its leader lease or under a read lease. */
-  answering(node: string): boolean;
+  isResponding(node: string): boolean;
   /** Whether the acting leader has received a heartbeat of the machine. */
-  heardFrom(machine: string): boolean;
+  hasReported(machine: string): boolean;
   /** By task that the acting leader counts against the team's limit: the attempt; null: no controller leads. */
   countedAgainstLimit(team: string): ReadonlyMap<string, number> | null;
   /** Whether a task of the job is placed according to the controller's view. */
@@ -64,7 +64,7 @@
   /** Whether the cloud has confirmed the machine's deletion. */
   isDeleted(machine: string): boolean;
   /** A controller drawn at random. */
-  anyNode(): string;
+  anyController(): string;
   /** The sizes of the in-memory state of each running controller. */
   cacheSizes(): readonly { readonly jobs: number; readonly tail: number; readonly finals: number }[];
   /** Crashes a controller, which restarts after the delay. */
@@ -82,7 +82,12 @@
   /** Submits a job for a user; returns its ID, or undefined if the user submits nothing. */
   submit(job: Arrival, via: () => string): string | undefined;
   /** Sends one request about a job to one controller, besides the requests of its user. */
-  ask(request: Ask, id: string, node: string, then?: (asked: Asked, a: Answered | null) => void): void;
+  ask(
+    request: RequestKind,
+    id: string,
+    node: string,
+    then?: (asked: SentRequest, a: ReportedResponse | null) => void,
+  ): void;
   /** The bodies that users have submitted, by job. */
   readonly submissions: ReadonlyMap<string, string>;
   /** Sends one request of a user; `then` receives the response, or null if there is none. */
@@ -114,9 +119,9 @@
   /** Called when a task starts on a machine, after its image was fetched. */
   started?(task: string, machine: string): void;
   /** Returns the delays of a rental request that is being sent to the cloud; null: the usual ones. */
-  rentalWay?(): RentalWay | null;
+  rentalTiming?(): RentalTiming | null;
   /** Called when a machine was rented by a request with these delays. */
-  rented?(machine: string, timing: RentalWay): void;
+  rented?(machine: string, timing: RentalTiming): void;
   /** Called when a controller receives a list of these machines from the cloud. */
   listed?(machines: readonly string[]): void;
   /** Called when a worker has started. */
@@ -126,7 +131,7 @@
   /** Called when a task has completed. */
   completed?(task: string): void;
   /** Called with the response to a user's request, null: none in time. Not called on days with data losses. */
-  answered?(asked: Asked, answer: Answered | null): void;
+  answered?(asked: SentRequest, answer: ReportedResponse | null): void;
   /** Called when the state service has committed a value; undefined: the key is deleted. */
   committed?(key: string, value: string | undefined): void;
   /** Called when a machine has executed the order to start a task. */
@@ -162,14 +167,14 @@
   /** Draws a controller: the leader with a probability of at least 0.75. */
   mostlyLeader(): string {
     const { world } = this;
-    return world.random.chance(0.75) ? (world.leader() ?? world.anyNode()) : world.anyNode();
+    return world.random.chance(0.75) ? (world.leader() ?? world.anyController()) : world.anyController();
   }
 
   /** Cancels a job for a user through controllers drawn at random. */
   cancel(id: string): void {
     this.world.cancel(
       id,
-      () => this.world.anyNode(),
+      () => this.world.anyController(),
       () => undefined,
     );
   }
@@ -190,7 +195,7 @@
         cpus: 1 + random.int(2),
         runUs: random.between(60e6, 130e6),
       };
-      return this.world.submit({ job, urgency: 'high', due: null }, () => this.world.anyNode());
+      return this.world.submit({ job, urgency: 'high', due: null }, () => this.world.anyController());
     }).flatMap((id) => id ?? []);
   }
 
@@ -204,11 +209,11 @@
   /** Makes the state service refuse a controller's requests for a duration in microseconds. */
   refuseFor(node: string, durationUs: number): void {
     const { world } = this;
-    world.state.refusedTo.add(node);
-    world.disturbed(durationUs);
+    world.state.refusedControllers.add(node);
+    world.markDisruption(durationUs);
     this.after(durationUs, () => {
-      world.state.refusedTo.delete(node);
-      world.state.served();
+      world.state.refusedControllers.delete(node);
+      world.state.resumeWatches();
     });
   }
 }
--- a/packages/simulation/src/world/scenarios/scenarios.ts
+++ b/packages/simulation/src/world/scenarios/scenarios.ts
@@ -3,7 +3,7 @@
  * and users cancel jobs. A scenario begins among the day's other randomly drawn faults or is added by `scheduleCompound`.
  */
 import type { Worker } from '../worker/worker.js';
-import type { Answered, Asked } from '../history.js';
+import type { ReportedResponse, SentRequest } from '../history.js';
 import { cancelAtCompletion } from './cancel-at-completion.js';
 import { concurrentReads } from './concurrent-reads.js';
 import { atLimit } from './at-limit.js';
@@ -25,7 +25,7 @@
 import { stateRefuses } from './state-refuses.js';
 import { stateSlow } from './state-slow.js';
 import { SCENARIO_NAMES, type ScenarioName } from './scenario-names.js';
-import { type RentalWay, ScenarioKit, type ScenarioWorld, type Scenario } from './scenario-kit.js';
+import { type RentalTiming, ScenarioKit, type ScenarioWorld, type Scenario } from './scenario-kit.js';
 import { staleHeartbeats } from './stale-heartbeats.js';
 import { leaderChurn } from './leader-churn.js';
 import { zonePartition } from './zone-partition.js';
@@ -93,7 +93,7 @@
   }
 
   /** Notes a response with a job's final state; returns whether an earlier response had it too. */
-  reportedOverBefore(id: string): boolean {
+  markReportedFinished(id: string): boolean {
     const before = this.reportedFinished.has(id);
     this.reportedFinished.add(id);
     return before;
@@ -106,7 +106,7 @@
     for (const fraction of [random.between(0.12, 0.25), random.between(0.55, 0.7)])
       for (const name of chosen) {
         const beginsAt = Math.max(10e6, fraction * faultyDurationUs + random.between(-6e6, 20e6));
-        this.world.rules.quiescentAt = Math.max(this.world.rules.quiescentAt, beginsAt);
+        this.world.rules.disruptedUntil = Math.max(this.world.rules.disruptedUntil, beginsAt);
         this.kit.after(beginsAt, this.begin[name]);
       }
   }
@@ -129,14 +129,14 @@
   started(task: string, machine: string): void {
     for (const scenario of this.all) scenario.started?.(task, machine);
   }
-  rentalWay(): RentalWay | null {
+  rentalTiming(): RentalTiming | null {
     for (const scenario of this.all) {
-      const timing = scenario.rentalWay?.() ?? null;
+      const timing = scenario.rentalTiming?.() ?? null;
       if (timing !== null) return timing;
     }
     return null;
   }
-  rented(machine: string, timing: RentalWay): void {
+  rented(machine: string, timing: RentalTiming): void {
     for (const scenario of this.all) scenario.rented?.(machine, timing);
   }
   listed(machines: readonly string[]): void {
@@ -151,7 +151,7 @@
   completed(task: string): void {
     for (const scenario of this.all) scenario.completed?.(task);
   }
-  answered(asked: Asked, answer: Answered | null): void {
+  answered(asked: SentRequest, answer: ReportedResponse | null): void {
     for (const scenario of this.all) scenario.answered?.(asked, answer);
   }
   committed(key: string, value: string | undefined): void {
--- a/packages/simulation/src/world/scenarios/staggered-completions.ts
+++ b/packages/simulation/src/world/scenarios/staggered-completions.ts
@@ -27,7 +27,7 @@
     begin: () => {
       const { world } = kit;
       const { random } = world;
-      world.strike('staggeredCompletions');
+      world.recordInjection('staggeredCompletions');
       for (let i = 0; i < 4; i++) {
         const runTimes = [
           random.between(2e6, 6e6),
@@ -43,7 +43,7 @@
           cpus: gang ? 4 : 1,
           runUs: gang ? random.between(5e6, 20e6) : runTimes[0]!,
         };
-        const id = world.submit({ job, urgency: 'high', due: null }, () => world.anyNode());
+        const id = world.submit({ job, urgency: 'high', due: null }, () => world.anyController());
         if (id !== undefined) staggeredJobs.add(id);
       }
     },
@@ -58,7 +58,7 @@
         const leader = world.leader();
         if (leader !== undefined && world.random.chance(0.6))
           kit.after(world.random.between(0, 2.5e6), () => kit.changeLeader(leader));
-        world.disturbed(8e6);
+        world.markDisruption(8e6);
         // A gang completes as a whole: some of its machines hang and report the completion to a later leader.
         if (world.jobs.get(id)?.shape === 'ensemble')
           for (const worker of world.workers.values())
@@ -96,7 +96,7 @@
       if (termOfFirstCompletion.has(id) && rules.state(id) === 'accepted')
         kit.record('task reaped between two completions of its job');
       if (done && !isCompletionDurable(id, Number(task.slice(slash + 1))))
-        rules.broken.push(`reaped_early: ${task} at ${kit.world.time.now}`);
+        rules.violations.push(`reaped_early: ${task} at ${kit.world.time.now}`);
     },
   };
 };
--- a/packages/simulation/src/world/scenarios/stale-heartbeats.ts
+++ b/packages/simulation/src/world/scenarios/stale-heartbeats.ts
@@ -38,7 +38,7 @@
     const term = world.term();
     const leader = world.leader();
     if (worker.alive && leader !== undefined && term !== null) {
-      const isFirst = !world.heardFrom(worker.place.id);
+      const isFirst = !world.hasReported(worker.place.id);
       const current = new Map(
         [...worker.tasks.values()].flatMap((task) => (task.status === 'ended' ? [] : [[task.key, task]])),
       );
@@ -96,7 +96,7 @@
         kit.after(random.between(0, 2.5e6), () =>
           world.cancel(
             id,
-            () => world.anyNode(),
+            () => world.anyController(),
             () => undefined,
           ),
         );
@@ -128,26 +128,26 @@
   return {
     begin() {
       if (active) return;
-      world.strike('staleHeartbeats');
+      world.recordInjection('staleHeartbeats');
       active = true;
       const ids = kit.longJobs(6);
       const beginsAfterUs = random.between(24e6, 30e6);
       // These tasks have completed by then and leave machines free.
       const shortJob = { ...PLAIN_JOB, tasks: 6, cpus: 6, runUs: 4e6 };
-      world.submit({ job: shortJob, urgency: 'high', due: null }, () => world.anyNode());
-      world.disturbed(beginsAfterUs + 10e6);
+      world.submit({ job: shortJob, urgency: 'high', due: null }, () => world.anyController());
+      world.markDisruption(beginsAfterUs + 10e6);
       // Some jobs start in the last seconds, so that older heartbeats lack their tasks.
       for (let i = 0; i < 7; i++)
         kit.after(beginsAfterUs - random.between(1e6, 6e6), () => {
           const gang = random.chance(0.5) ? { shape: 'ensemble', tasks: 3, cpus: 3 } : { tasks: 2, cpus: 1 };
           const job = { ...PLAIN_JOB, ...gang, runUs: random.between(4e6, 40e6) };
-          world.submit({ job, urgency: 'high', due: null }, () => world.anyNode());
+          world.submit({ job, urgency: 'high', due: null }, () => world.anyController());
         });
       // Team `red` is at its limit with these jobs: a task wrongly taken to have exited would free capacity within the limit.
       for (let i = 0; i < 6; i++)
         kit.after(beginsAfterUs - random.between(600_000, 4e6), () => {
           const job = { ...PLAIN_JOB, team: 'red', tasks: 2, cpus: 4, runUs: random.between(30e6, 60e6) };
-          const id = world.submit({ job, urgency: 'high', due: null }, () => world.anyNode());
+          const id = world.submit({ job, urgency: 'high', due: null }, () => world.anyController());
           if (id !== undefined) ids.push(id);
         });
       // Some machines receive a recall notice and are lost later.
--- a/packages/simulation/src/world/scenarios/stalled-machine.ts
+++ b/packages/simulation/src/world/scenarios/stalled-machine.ts
@@ -7,11 +7,11 @@
     begin: () => {
       const { world } = kit;
       const { random } = world;
-      world.strike('stalledMachine');
+      world.recordInjection('stalledMachine');
       const machines = [...world.workers.keys()].filter(() => random.chance(0.5));
       const durationUs = random.between(10e6, 30e6);
       stalled = { until: world.time.now + durationUs, machines: new Set(machines) };
-      world.disturbed(durationUs + 1.4 * world.lease);
+      world.markDisruption(durationUs + 1.4 * world.lease);
     },
     stallFor: (worker) => {
       const { world } = kit;
--- a/packages/simulation/src/world/scenarios/state-refuses.ts
+++ b/packages/simulation/src/world/scenarios/state-refuses.ts
@@ -5,8 +5,8 @@
   begin: () => {
     const { world } = kit;
     const controller = kit.mostlyLeader();
-    if (world.state.refusedTo.has(controller)) return;
-    world.strike('stateRefuses');
+    if (world.state.refusedControllers.has(controller)) return;
+    world.recordInjection('stateRefuses');
     if (controller === world.leader()) kit.record('state service refused the leader');
     kit.refuseFor(controller, world.random.between(2e6, 30e6));
   },
--- a/packages/simulation/src/world/scenarios/state-slow.ts
+++ b/packages/simulation/src/world/scenarios/state-slow.ts
@@ -6,9 +6,9 @@
 export const stateSlow = (kit: ScenarioKit): Scenario => ({
   begin: () => {
     const { world } = kit;
-    world.strike('stateSlow');
+    world.recordInjection('stateSlow');
     const durationUs = world.random.between(4e6, 25e6);
     world.state.slowUntil = world.time.now + durationUs;
-    world.disturbed(durationUs + 8e6);
+    world.markDisruption(durationUs + 8e6);
   },
 });
--- a/packages/simulation/src/world/scenarios/zone-machine-loss.ts
+++ b/packages/simulation/src/world/scenarios/zone-machine-loss.ts
@@ -30,7 +30,7 @@
   const hang = (worker: Worker, durationUs: number): void => {
     if (worker.hanging) return;
     worker.hanging = true;
-    world.disturbed(durationUs);
+    world.markDisruption(durationUs);
     kit.after(durationUs, () => (worker.hanging = false));
   };
   /**
@@ -92,7 +92,7 @@
     begin() {
       if (active) return;
       active = true;
-      world.strike('zoneMachineLoss');
+      world.recordInjection('zoneMachineLoss');
       const ids: string[] = [];
       for (let i = 0; i < 5; i++) {
         const gang = random.chance(0.35);
@@ -107,13 +107,13 @@
           spot: random.chance(0.3),
           runUs: random.between(25e6, 60e6),
         };
-        const id = world.submit({ job, urgency: 'high', due: null }, () => world.anyNode());
+        const id = world.submit({ job, urgency: 'high', due: null }, () => world.anyController());
         if (id !== undefined) ids.push(id);
       }
       let delay = random.between(16e6, 24e6);
-      world.disturbed(delay + 10e6);
+      world.markDisruption(delay + 10e6);
       for (let i = 0; i < 5; i++, delay += random.between(1e6, 8e6)) {
-        world.disturbed(delay + 5e6);
+        world.markDisruption(delay + 5e6);
         kit.after(delay, () => loseMachines(ids));
       }
       kit.after(delay, () => (active = false));
--- a/packages/simulation/src/world/start-latency-check.ts
+++ b/packages/simulation/src/world/start-latency-check.ts
@@ -16,7 +16,7 @@
 const MIN_LARGEST = 5;
 
 /** How the jobs of one group fared. The field names are those of the day's JSON line. */
-export interface LeastRow {
+export interface ServiceLevel {
   /** `class render`, `team red` or `largest render`. */
   readonly of: string;
   readonly jobs: number;
@@ -73,7 +73,7 @@
    * The measures of each group. `state`: the latest state of a job that its user received. Cancelled jobs, jobs that were
    * never accepted and jobs whose tasks fail are left out.
    */
-  rows(state: (id: string) => string | undefined): LeastRow[] {
+  rows(state: (id: string) => string | undefined): ServiceLevel[] {
     const groups = new Map<string, Submitted[]>();
     const classes = new Map<string, Submitted[]>();
     const add = (target: Map<string, Submitted[]>, name: string, submission: Submitted): void => {
--- a/packages/simulation/src/world/usage-count.ts
+++ b/packages/simulation/src/world/usage-count.ts
@@ -125,7 +125,7 @@
   /** Sequence number of the last log entry that the accounts checkpoint in the store includes. */
   private checkpoint = 0;
   /** Violations: log entries deleted before a checkpoint included them. */
-  readonly early: string[] = [];
+  readonly earlyDeletions: string[] = [];
   private readonly gaps = new Set<string>();
   /** Number of log entries that a rebuild did not recover. */
   lost = 0;
@@ -153,7 +153,7 @@
     if (value === undefined) {
       const seq = Number(key.slice(LOG_ENTRY_PREFIX.length));
       if (key.startsWith(LOG_ENTRY_PREFIX) && seq > this.checkpoint && !this.unreadable.has(key))
-        this.early.push(
+        this.earlyDeletions.push(
           `log entry ${seq} deleted, but the checkpoint includes entries up to ${this.checkpoint} only`,
         );
       return;
@@ -195,7 +195,7 @@
  * The usage of the period of each page, which is the booked usage plus the change of the usage not yet booked, must be that
  * of the placements in the period.
  */
-export const pagesWrong = (
+export const pageErrors = (
   entries: Iterable<{ readonly key: string; readonly value: unknown }>,
   accounts: Accounts,
   placed: Placements,
@@ -230,7 +230,7 @@
 };
 
 /** The accounts that a controller holds. */
-export interface Held {
+export interface ControllerAccounts {
   readonly accounts: Accounts;
   /** The placed tasks: their group, since when they are placed, and the resources that they use. */
   readonly open: readonly {
@@ -241,7 +241,7 @@
 }
 
 /** The usage of each group in a controller's accounts. Tasks still placed count up to the last log entry. */
-export const sumsOf = ({ accounts, open }: Held): Map<string, Sums> => {
+export const sumsOf = ({ accounts, open }: ControllerAccounts): Map<string, Sums> => {
   const totals = new Map<string, Sums>();
   const add = (group: string, amounts: readonly bigint[]): void => {
     const sums = totals.get(group) ?? [0n, 0n, 0n, 0n];
@@ -312,7 +312,7 @@
  * Descriptions of the resources whose total usage differs from the accounts by more than the gaps allow. Each gap allows
  * the capacity of all machines over its duration, which may be missing or counted twice.
  */
-export const beyondGaps = (
+export const gapExcesses = (
   expected: ReadonlyMap<string, Sums>,
   reported: ReadonlyMap<string, Sums>,
   gaps: Accounts['gaps'],
--- a/packages/simulation/src/world/worker/wire.ts
+++ b/packages/simulation/src/world/worker/wire.ts
@@ -1,5 +1,5 @@
 /** Codec of the workers' messages. Only this module uses the protocol's names of fields. */
-import type { Place } from '../rules.js';
+import type { MachineInfo } from '../rules.js';
 import type { Task } from './task-runner.js';
 
 /** An order of a controller about one attempt of a task. */
@@ -30,7 +30,7 @@
 
 /** The content of a heartbeat. */
 export interface Heartbeat {
-  readonly place: Place;
+  readonly place: MachineInfo;
   readonly incarnation: number;
   readonly sequence: number;
   readonly token: number;
--- a/packages/simulation/src/world/worker/worker.ts
+++ b/packages/simulation/src/world/worker/worker.ts
@@ -3,7 +3,7 @@
 import type { HttpResponse, HttpRequest } from '@lilacvalve/runtime/http-server';
 import type { RandomSource } from '@lilacvalve/controller/support/random-source';
 import type { Links } from '../links.js';
-import type { Place, Rules } from '../rules.js';
+import type { MachineInfo, Rules } from '../rules.js';
 import type { Time } from '../time.js';
 import type { Amounts } from '../starvation-check.js';
 import { type GangTiming, type Task, type TaskHost, TaskRunner, type TaskWorld } from './task-runner.js';
@@ -52,7 +52,7 @@
 
 /** The properties of a machine, and the components of the simulation that its worker depends on. */
 export interface WorkerOptions {
-  readonly place: Place;
+  readonly place: MachineInfo;
   readonly capacity: { readonly cpus: number; readonly gpus: number; readonly memGb: number };
   readonly time: Time;
   readonly random: RandomSource;
@@ -75,7 +75,7 @@
   /** The highest term from which the worker has accepted orders. */
   token = 0;
   /** When the latest heartbeat with a valid response was sent, in microseconds. */
-  answeredFrom = 0;
+  confirmedAt = 0;
   alive = true;
   hanging = false;
   /** Whether all messages to the worker are lost. */
@@ -110,7 +110,7 @@
     this.checkLease();
   }
 
-  get place(): Place {
+  get place(): MachineInfo {
     return this.options.place;
   }
 
@@ -133,12 +133,12 @@
   }
 
   /** The tasks that have not exited, including those that fetch their image. */
-  held(): string[] {
+  heldTasks(): string[] {
     return this.runner.held();
   }
 
   /** The free resources; null: the machine can run no task, or the cloud is about to reclaim it. */
-  spare(): Amounts | null {
+  freeResources(): Amounts | null {
     if (!this.alive || this.hanging || this.deaf || this.mute || this.faulty || this.recallAt !== null)
       return null;
     return this.runner.spare();
@@ -236,7 +236,7 @@
     if (!this.alive) return;
     const { onKilled, time } = this.options;
     if (time.now >= this.leaseEnd) {
-      const tasks = this.held().length;
+      const tasks = this.heldTasks().length;
       if (tasks > 0) onKilled(tasks);
       this.runner.killAll();
       this.incarnation++;
@@ -288,7 +288,7 @@
     const { links } = this.options.network;
     const zone = `zone:${this.place.zone}`;
     const sendBack = (response: HttpResponse | null): void =>
-      links.answer(
+      links.sendResponse(
         zone,
         label,
         () => this.deaf || this.whenAwake(() => finish(response)),
@@ -315,7 +315,7 @@
     const newTerm = token > this.token;
     this.token = token;
     this.leaseStart = Math.max(this.leaseStart, sent);
-    this.answeredFrom = sent;
+    this.confirmedAt = sent;
     const before = this.runner.signature();
     this.runner.execute(orders);
     return newTerm || before !== this.runner.signature() ? CHANGED_HEARTBEAT_INTERVAL : delay;
