--- a/packages/controller/src/accounts/share.ts
+++ b/packages/controller/src/accounts/share.ts
@@ -117,7 +117,7 @@
 ): GroupShare[] => {
   if (result.unplaced.length === 0) return [];
   const capacity: Resources = [0, 0, 0];
-  for (const node of input.machines) add(capacity, node.total);
+  for (const machine of input.machines) add(capacity, machine.total);
   const groups = new Map<
     string,
     { team: string; jobClass: string; had: Resources; want: Resources; jobs: Job[] }
--- a/packages/controller/src/calendar/cutoff-tracking.ts
+++ b/packages/controller/src/calendar/cutoff-tracking.ts
@@ -90,7 +90,7 @@
     if (job.spec.cutoffBinding === null || job.cancelled || isComplete(job)) continue;
     // A job that the same log entry completes is not at risk, but it may have missed its cutoff.
     const exits = context.registry.exits.get(job.spec.id);
-    const completes = exits !== undefined && job.completed.size + exits.done.size >= job.spec.tasks;
+    const completes = exits !== undefined && job.completed.size + exits.completed.size >= job.spec.tasks;
     const risk = newCutoffRisk(job, calendars.current, day, slackInputs, () => delayCausesOf(context, job));
     if (risk === null || (completes && isRisk(risk))) continue;
     out.set(job.spec.id, risk);
--- a/packages/controller/src/scheduler/cycle-input.ts
+++ b/packages/controller/src/scheduler/cycle-input.ts
@@ -164,7 +164,11 @@
   // One task of a suspect job shows as well as all tasks whether the job still fails.
   const count = gang ? job.spec.tasks : suspect ? 1 : maxPlaced - job.placed.size;
   for (let task = 0; task < job.spec.tasks && tasks.length < count; task++) {
-    if (job.completed.has(task) || exits?.done.has(task) || (job.placed.has(task) && !exits?.gone.has(task)))
+    if (
+      job.completed.has(task) ||
+      exits?.completed.has(task) ||
+      (job.placed.has(task) && !exits?.exited.has(task))
+    )
       continue;
     tasks.push(task);
   }
--- a/packages/controller/src/scheduler/draft.ts
+++ b/packages/controller/src/scheduler/draft.ts
@@ -71,10 +71,10 @@
 interface JobExits {
   readonly job: Job;
   /** Tasks that completed. */
-  readonly done: readonly number[];
+  readonly completed: readonly number[];
   /** Tasks that exited without completing, or were lost with their machine. */
-  readonly gone: readonly number[];
-  /** Those of `gone` that failed by themselves. */
+  readonly exited: readonly number[];
+  /** Those of `exited` that failed by themselves. */
   readonly failed: readonly number[];
 }
 
@@ -138,9 +138,9 @@
   /** Reserves bytes for the usage rows of all exits; jobs of the same team and class usually share rows. */
   reserveRows(exitsByJob: readonly JobExits[]): void {
     const bytesByGroup = new Map<string, number>();
-    for (const { job, done, gone } of exitsByJob) {
+    for (const { job, completed, exited } of exitsByJob) {
       const group = `${job.spec.team} ${job.spec.jobClass}`;
-      const rowBytes = this.usageRows.bytesToAdd(job, [...done, ...gone]);
+      const rowBytes = this.usageRows.bytesToAdd(job, [...completed, ...exited]);
       bytesByGroup.set(group, Math.max(bytesByGroup.get(group) ?? 0, rowBytes));
     }
     const bound = [...bytesByGroup.values()].reduce((a, b) => a + b, 0);
@@ -235,7 +235,7 @@
   }
 
   /** Adds the exits of a job's tasks with their usage rows, if they fit. */
-  addExits({ job, done: completed, gone: exited, failed }: JobExits): void {
+  addExits({ job, completed, exited, failed }: JobExits): void {
     const rowBytes = this.usageRows.bytesToAdd(job, [...completed, ...exited]);
     if (!this.add(job.spec.id, (present) => ({ ...present, completed, exited, failed }), rowBytes)) return;
     this.usageRows.add(job, completed, 'done');
@@ -263,12 +263,12 @@
     const job = context.jobState.jobs.get(id);
     if (!job) continue;
     // A gang completes as a whole: completion overrides other exits of its members.
-    const gone = [...exits.gone].filter((task) => !exits.done.has(task));
+    const exited = [...exits.exited].filter((task) => !exits.completed.has(task));
     exitsByJob.push({
       job,
-      done: [...exits.done],
-      gone,
-      failed: gone.filter((task) => exits.failed.has(task)),
+      completed: [...exits.completed],
+      exited,
+      failed: exited.filter((task) => exits.failed.has(task)),
     });
   }
   return exitsByJob;
--- a/packages/controller/src/workers/observed-exits.ts
+++ b/packages/controller/src/workers/observed-exits.ts
@@ -9,10 +9,10 @@
 /** Observed exits of one job's tasks, by task number. */
 export interface TaskExits {
   /** Tasks that completed. */
-  readonly done: Set<number>;
+  readonly completed: Set<number>;
   /** Tasks that exited without completing or were lost with their machine. */
-  readonly gone: Set<number>;
-  /** The subset of `gone` that failed by themselves. */
+  readonly exited: Set<number>;
+  /** The subset of `exited` that failed by themselves. */
   readonly failed: Set<number>;
 }
 
@@ -25,7 +25,7 @@
 
 /** Whether `exits` contains an exit of `task`. */
 export const hasExited = (exits: TaskExits, task: number): boolean =>
-  exits.done.has(task) || exits.gone.has(task);
+  exits.completed.has(task) || exits.exited.has(task);
 
 /** Exits that workers have reported and that are in no committed log entry yet. */
 export class ObservedExits {
@@ -58,15 +58,15 @@
    */
   isBrokenGang(job: Job): boolean {
     if (job.spec.shape !== 'gang' || job.placed.size === 0) return false;
-    return job.placed.size < job.spec.tasks || (this.byJob.get(job.spec.id)?.gone.size ?? 0) > 0;
+    return job.placed.size < job.spec.tasks || (this.byJob.get(job.spec.id)?.exited.size ?? 0) > 0;
   }
 
   /** Records the completion of a task. The completion of one member completes the whole gang. */
   recordCompletion(job: Job, task: number): void {
     const exits = this.exitsOf(job);
     if (job.spec.shape === 'gang')
-      for (let member = 0; member < job.spec.tasks; member++) exits.done.add(member);
-    else exits.done.add(task);
+      for (let member = 0; member < job.spec.tasks; member++) exits.completed.add(member);
+    else exits.completed.add(task);
     this.requestCycle();
   }
 
@@ -77,7 +77,7 @@
   recordExit(job: Job, task: number, failed = false): void {
     this.forgetProgress(taskKey(job.spec.id, task));
     const exits = this.exitsOf(job);
-    if (!exits.done.has(task)) exits.gone.add(task);
+    if (!exits.completed.has(task)) exits.exited.add(task);
     if (failed) exits.failed.add(task);
     this.requestCycle();
   }
@@ -92,10 +92,10 @@
   dropDurable(jobId: string, done: readonly number[], gone: readonly number[]): void {
     const exits = this.byJob.get(jobId);
     if (!exits) return;
-    for (const task of done) exits.done.delete(task);
+    for (const task of done) exits.completed.delete(task);
     // A completed gang may also have exits that its members reported before one of them reported the completion.
     for (const task of [...done, ...gone]) {
-      exits.gone.delete(task);
+      exits.exited.delete(task);
       exits.failed.delete(task);
     }
     for (const task of [...done, ...gone]) {
@@ -103,13 +103,13 @@
       this.forgetProgress(key);
       this.phases.forget(key);
     }
-    if (exits.done.size === 0 && exits.gone.size === 0) this.byJob.delete(jobId);
+    if (exits.completed.size === 0 && exits.exited.size === 0) this.byJob.delete(jobId);
   }
 
   private exitsOf(job: Job): TaskExits {
     const { id } = job.spec;
     let exits = this.byJob.get(id);
-    if (!exits) this.byJob.set(id, (exits = { done: new Set(), gone: new Set(), failed: new Set() }));
+    if (!exits) this.byJob.set(id, (exits = { completed: new Set(), exited: new Set(), failed: new Set() }));
     return exits;
   }
 }
--- a/packages/controller/src/workers/orphaned-tasks.ts
+++ b/packages/controller/src/workers/orphaned-tasks.ts
@@ -79,7 +79,7 @@
       return !this.abortedUnknownJobs.has(id);
     const task = Number(reported.key.slice(slash + 1));
     if (reported.status === 'exited')
-      return reported.cause === 'done' && this.exits.byJob.get(id)?.done.has(task) === true;
+      return reported.cause === 'done' && this.exits.byJob.get(id)?.completed.has(task) === true;
     return (
       this.byJob.get(id)?.get(task)?.machine === machine.id &&
       !this.unadoptable.has(id) &&
@@ -115,7 +115,7 @@
         if (machineTasks) machineTasks.push(task);
         else tasksByMachine.set(machine, [task]);
       }
-      starts.push({ job, attempt, tasksByMachine: tasksByMachine });
+      starts.push({ job, attempt, tasksByMachine });
     }
     return starts;
   }
--- a/packages/simulation/src/world/calendar-operators.ts
+++ b/packages/simulation/src/world/calendar-operators.ts
@@ -32,7 +32,10 @@
     time,
     state,
     dayBegins: DAY_BEGINS,
-    views: () => controllers.up().flatMap(({ node }) => (node.lossDetector.suspected ? [] : [node.jobState])),
+    views: () =>
+      controllers
+        .up()
+        .flatMap(({ controller }) => (controller.lossDetector.suspected ? [] : [controller.jobState])),
     lostAt,
     isReported: (id) => rules.isAcceptanceConfirmed(id),
     onViolation: (rule, details) => void rules.violations.push(`${rule}: ${details}`),
--- a/packages/simulation/src/world/controllers.ts
+++ b/packages/simulation/src/world/controllers.ts
@@ -31,7 +31,7 @@
 
 /** One process of a controller, from its start to its crash. */
 export interface ControllerProcess extends Process {
-  readonly node: Controller;
+  readonly controller: Controller;
   readonly host: ControllerHost;
   readonly fiber: Fiber.RuntimeFiber<unknown, unknown>;
 }
@@ -52,9 +52,9 @@
   /** Whether some orders that are sent directly to workers are lost. */
   readonly losesOrders: boolean;
   /** Called when a worker's heartbeat has reached a controller. */
-  readonly onHeartbeat: (node: string) => void;
+  readonly onHeartbeat: (controller: string) => void;
   /** Called when a controller has crashed. */
-  readonly onCrash: (node: Controller) => void;
+  readonly onCrash: (controller: Controller) => void;
 }
 
 /**
@@ -110,13 +110,13 @@
   }
 
   /** Returns the controllers that are running. */
-  up(): { readonly name: string; readonly node: Controller }[] {
-    return [...this.running].map(([name, process]) => ({ name, node: process.node }));
+  up(): { readonly name: string; readonly controller: Controller }[] {
+    return [...this.running].map(([name, process]) => ({ name, controller: process.controller }));
   }
 
   /** Returns the label of the controller that may act as leader. */
   leader(): string | undefined {
-    return this.labels.find((label) => this.running.get(label)?.node.leadership.currentTerm());
+    return this.labels.find((label) => this.running.get(label)?.controller.leadership.currentTerm());
   }
 
   /** Returns the process of the controller that may act as leader. */
@@ -132,7 +132,7 @@
   /** Whether the controller is running and reports itself ready for requests. */
   ready(label: string): boolean {
     const process = this.running.get(label);
-    return process !== undefined && process.node.unreadyReason() === null;
+    return process !== undefined && process.controller.unreadyReason() === null;
   }
 
   /** Returns the host that the controller runs on. */
@@ -151,7 +151,7 @@
     const host = new ControllerHost(label);
     const store = this.storePort(label, host, clock);
     const { time } = this.options;
-    const node = createController(this.options.settings(label), {
+    const controller = createController(this.options.settings(label), {
       store,
       cloud: this.cloudPort(host),
       workers: { sendOrders: (address, body) => Effect.sync(() => this.sendOrders(label, address, body)) },
@@ -160,7 +160,7 @@
       dayTime: () => micros(time.now + DAY_BEGINS + (this.clockOffsets.get(label) ?? 0)),
       snapshots: null,
     });
-    this.running.set(label, { label, node, host, fiber: time.fork(node.run, host) });
+    this.running.set(label, { label, controller, host, fiber: time.fork(controller.run, host) });
   }
 
   /**
@@ -174,7 +174,7 @@
     log.disruptedFor(restartDelayUs);
     duplicates.senderExited(label);
     this.running.delete(label);
-    onCrash(process.node);
+    onCrash(process.controller);
     time.fork(Fiber.interruptFork(process.fiber));
     time.after(restartDelayUs, () => this.start(label));
   }
@@ -192,8 +192,8 @@
     const process = this.running.get(label);
     if (!process) return null;
     if (request.path === '/agent/beat') this.options.onHeartbeat(label);
-    const { node, host } = process;
-    const response = handleRequest(node.quick, (incoming) => node.handle(incoming), request);
+    const { controller, host } = process;
+    const response = handleRequest(controller.quick, (incoming) => controller.handle(incoming), request);
     return Effect.zipLeft(Effect.zipRight(host.whenResumed, response), host.whenResumed);
   }
 
@@ -257,7 +257,7 @@
           this.exchange(host, label, peer.label, PEER_HEARTBEAT_TIMEOUT, (receiver) =>
             Effect.zipRight(
               receiver.host.whenResumed,
-              Effect.sync(() => receiver.node.peers.receive(heartbeat)),
+              Effect.sync(() => receiver.controller.peers.receive(heartbeat)),
             ),
           ),
       },
@@ -266,7 +266,7 @@
           this.exchange(host, label, peer.label, PEER_REQUEST_TIMEOUT, (receiver) =>
             Effect.zipRight(
               receiver.host.whenResumed,
-              receiver.node.handlePeer({ method: 'POST', path, body }),
+              receiver.controller.handlePeer({ method: 'POST', path, body }),
             ),
           ).pipe(
             Effect.flatMap((response) =>
@@ -282,8 +282,8 @@
             this.options.log.recordInjected('relayed');
             const request = { method: 'POST', path: '/relay', body: batch };
             const response = handleRequest(
-              receiver.node.quickPeer,
-              (incoming) => receiver.node.handlePeer(incoming),
+              receiver.controller.quickPeer,
+              (incoming) => receiver.controller.handlePeer(incoming),
               request,
             );
             return Effect.zipLeft(
--- a/packages/simulation/src/world/data-loss.ts
+++ b/packages/simulation/src/world/data-loss.ts
@@ -56,8 +56,8 @@
   constructor(private readonly options: DataLossOptions) {}
 
   /** Handles the crash of a controller. */
-  crashed(node: Controller): void {
-    this.witnesses?.delete(node);
+  crashed(controller: Controller): void {
+    this.witnesses?.delete(controller);
   }
 
   /** Starts sampling the status of all running controllers. */
@@ -72,7 +72,7 @@
         process,
         fine:
           !process.host.isFrozen &&
-          process.node.unreadyReason() === null &&
+          process.controller.unreadyReason() === null &&
           !state.isDown &&
           !state.refusedControllers.has(process.label) &&
           connected(process.label, 'state'),
@@ -184,8 +184,10 @@
     const { controllers, state, time } = this.options;
     const up = controllers.up();
     this.lossTimes.push(time.now);
-    this.witnesses = new Set(up.flatMap(({ node }) => (node.lossDetector.incarnation ? [node] : [])));
-    this.incarnation = up[0]?.node.lossDetector.incarnation?.id ?? null;
+    this.witnesses = new Set(
+      up.flatMap(({ controller }) => (controller.lossDetector.incarnation ? [controller] : [])),
+    );
+    this.incarnation = up[0]?.controller.lossDetector.incarnation?.id ?? null;
     const keptUntil = loss.kind === 'window' ? time.now - loss.since : loss.kind === 'copies' ? Infinity : 0;
     this.memory.recordLoss(time.now, keptUntil);
     state.loseData(loss);
--- a/packages/simulation/src/world/history.ts
+++ b/packages/simulation/src/world/history.ts
@@ -18,7 +18,7 @@
   readonly ask: RequestKind;
   readonly id: string;
   /** Label of the controller that the request was sent to. */
-  readonly node: string;
+  readonly controller: string;
   /** Time at which the request was sent, in microseconds. */
   readonly began: number;
 }
@@ -56,15 +56,15 @@
 
 /** Keeps the newest reported state of every job, and checks each response against it. */
 export class History {
-  private readonly told = new Map<string, ReportedState>();
+  private readonly reportedStates = new Map<string, ReportedState>();
   private readonly submitted = new Set<string>();
   private readonly cancelled = new Set<string>();
 
   /** Records that a request is sent. */
-  requestSent(ask: RequestKind, id: string, node: string, now: number): PendingRequest {
+  requestSent(ask: RequestKind, id: string, controller: string, now: number): PendingRequest {
     if (ask === 'submit') this.submitted.add(id);
     if (ask === 'cancel') this.cancelled.add(id);
-    return { ask, id, node, began: now, floor: this.told.get(id) ?? NOTHING_REPORTED };
+    return { ask, id, controller, began: now, floor: this.reportedStates.get(id) ?? NOTHING_REPORTED };
   }
 
   /**
@@ -72,9 +72,9 @@
    * 429 or 503) are not checked, apart from 404, 400 and 422 for a job that was reported as accepted.
    */
   responseReceived(asked: PendingRequest, response: ReportedResponse, now: number): string[] {
-    const { ask, id, node, floor } = asked;
+    const { ask, id, controller, floor } = asked;
     const violations: string[] = [];
-    const span = `${ask} of ${id} at ${node}, ${asked.began} to ${now}`;
+    const span = `${ask} of ${id} at ${controller}, ${asked.began} to ${now}`;
     const describe = (source: Source): string => `${source.controller} reported it at ${source.at}`;
     const unknown =
       response.status === 404 || (ask === 'submit' && (response.status === 400 || response.status === 422));
@@ -100,7 +100,7 @@
       violations.push(
         `older_answer: ${span}: ${response.done} tasks completed, but ${floor.done} before: ${describe(floor.doneReportedBy!)}`,
       );
-    const newest = this.told.get(id) ?? NOTHING_REPORTED;
+    const newest = this.reportedStates.get(id) ?? NOTHING_REPORTED;
     // A job can't have both final states, in whatever order responses report them.
     if (
       isFinal(response.state) &&
@@ -111,9 +111,9 @@
       violations.push(
         `two_ends: ${span}: state ${response.state}, but also ${newest.end.state}: ${describe(newest.end)}`,
       );
-    const source = { controller: node, at: now };
+    const source = { controller, at: now };
     const advanced = (response.done ?? 0) > newest.done;
-    this.told.set(id, {
+    this.reportedStates.set(id, {
       accepted: newest.accepted ?? source,
       done: advanced ? response.done! : newest.done,
       doneReportedBy: advanced ? source : newest.doneReportedBy,
@@ -124,11 +124,11 @@
 
   /** Returns the final state that a user was given for the job; null: none yet. */
   finalState(id: string): FinalState | null {
-    return this.told.get(id)?.end?.state ?? null;
+    return this.reportedStates.get(id)?.end?.state ?? null;
   }
 
   /** Whether a user got any result about the job. */
   isReported(id: string): boolean {
-    return this.told.has(id);
+    return this.reportedStates.has(id);
   }
 }
--- a/packages/simulation/src/world/scenario-host.ts
+++ b/packages/simulation/src/world/scenario-host.ts
@@ -33,7 +33,7 @@
 
 /** By task that the acting leader counts against a team's limit: its attempt; null: no controller acts as leader. */
 const countedAgainstLimit = (controllers: Controllers, team: string): Map<string, number> | null => {
-  const controller = controllers.leaderProcess()?.node;
+  const controller = controllers.leaderProcess()?.controller;
   const registry = controller?.registry() ?? null;
   if (controller === undefined || registry === null) return null;
   const counted = new Map<string, number>();
@@ -63,21 +63,22 @@
     recordInjection: (what) => log.recordInjected(what),
     markDisruption: (lasts) => log.disruptedFor(lasts),
     leader: () => controllers.leader(),
-    term: () => controllers.leaderProcess()?.node.leadership.currentTermNumber() ?? null,
+    term: () => controllers.leaderProcess()?.controller.leadership.currentTermNumber() ?? null,
     process: (label) => controllers.process(label),
-    isResponding: (label) => (controllers.process(label)?.node.leadership.respondingTerm() ?? null) !== null,
+    isResponding: (label) =>
+      (controllers.process(label)?.controller.leadership.respondingTerm() ?? null) !== null,
     hasReported: (machine) =>
-      controllers.leaderProcess()?.node.registry()?.machines.get(machine)?.reported === true,
+      controllers.leaderProcess()?.controller.registry()?.machines.get(machine)?.reported === true,
     countedAgainstLimit: (team) => countedAgainstLimit(controllers, team),
     hasPlaced: (label, job) =>
-      (controllers.process(label)?.node.jobState.jobs.get(job)?.placed.size ?? 0) > 0,
+      (controllers.process(label)?.controller.jobState.jobs.get(job)?.placed.size ?? 0) > 0,
     placedOn: (machine) => [
-      ...(controllers.leaderProcess()?.node.jobState.placementsByMachine.get(machine)?.keys() ?? []),
+      ...(controllers.leaderProcess()?.controller.jobState.placementsByMachine.get(machine)?.keys() ?? []),
     ],
     isDeleted: (machine) => cloud.isDeleted(machine),
     anyController: () => controllers.randomLabel(),
     cacheSizes: () =>
-      controllers.up().map(({ node: { jobState } }) => ({
+      controllers.up().map(({ controller: { jobState } }) => ({
         jobs: jobState.jobs.size,
         tail: jobState.logTail.size,
         finals: jobState.finalStates.size,
@@ -89,7 +90,7 @@
     },
     stepDown: (label, forMicros) => {
       const process = controllers.process(label);
-      if (process) time.fork(process.node.leadership.stepDown('handover', forMicros), process.host);
+      if (process) time.fork(process.controller.leadership.stepDown('handover', forMicros), process.host);
     },
     cut: (one, other, linkState, lasts) => options.injector().cut(one, other, linkState, lasts),
     link: (from, to, linkState, lasts) => {
--- a/packages/simulation/src/world/scenarios/scenario-kit.ts
+++ b/packages/simulation/src/world/scenarios/scenario-kit.ts
@@ -50,15 +50,15 @@
   /** The term of the acting leader; null: no controller leads. */
   term(): number | null;
   /** The current process of a controller, which differs after a restart; undefined: the controller is down. */
-  process(node: string): object | undefined;
+  process(controller: string): object | undefined;
   /** Whether the controller responds to heartbeats, under its leader lease or under a read lease. */
-  isResponding(node: string): boolean;
+  isResponding(controller: string): boolean;
   /** Whether the acting leader has received a heartbeat of the machine. */
   hasReported(machine: string): boolean;
   /** By task that the acting leader counts against the team's limit: the attempt; null: no controller leads. */
   countedAgainstLimit(team: string): ReadonlyMap<string, number> | null;
   /** Whether a task of the job is placed according to the controller's view. */
-  hasPlaced(node: string, job: string): boolean;
+  hasPlaced(controller: string, job: string): boolean;
   /** The tasks that the acting leader has placed on the machine. */
   placedOn(machine: string): readonly string[];
   /** Whether the cloud has confirmed the machine's deletion. */
@@ -68,11 +68,11 @@
   /** The sizes of the in-memory state of each running controller. */
   cacheSizes(): readonly { readonly jobs: number; readonly tail: number; readonly finals: number }[];
   /** Crashes a controller, which restarts after the delay. */
-  crash(node: string, restartDelayUs: number): void;
+  crash(controller: string, restartDelayUs: number): void;
   /** Suspends a controller while its clocks run on. */
-  freeze(node: string, durationUs: number): void;
+  freeze(controller: string, durationUs: number): void;
   /** Makes a controller give up the leadership and not campaign for the given time. */
-  stepDown(node: string, forMicros: number): void;
+  stepDown(controller: string, forMicros: number): void;
   /** Cuts the links between two endpoints in both directions. */
   cut(a: string, b: string, state: 'held' | 'reset', durationUs: number): void;
   /** Sets the state of a link in one direction. */
@@ -85,14 +85,14 @@
   ask(
     request: RequestKind,
     id: string,
-    node: string,
+    controller: string,
     then?: (asked: SentRequest, a: ReportedResponse | null) => void,
   ): void;
   /** The bodies that users have submitted, by job. */
   readonly submissions: ReadonlyMap<string, string>;
   /** Sends one request of a user; `then` receives the response, or null if there is none. */
   call(
-    node: string,
+    controller: string,
     method: string,
     path: string,
     body: string | null,
@@ -107,13 +107,13 @@
   /** Injects the faults of the scenario. */
   begin(): void;
   /** Called when a worker has sent a heartbeat. */
-  heartbeatSent?(worker: Worker, node: string, body: Buffer): void;
+  heartbeatSent?(worker: Worker, controller: string, body: Buffer): void;
   /** Returns how long the machine stalls before it acts on the response or order that it has just received. */
   stallFor?(worker: Worker): number;
   /** Called when a stalled machine has resumed; `order`: with a direct order, otherwise with a response. */
   resumed?(leaseExpired: boolean, order: boolean): void;
   /** Called when a controller receives a worker's heartbeat. */
-  heartbeatReceived?(node: string): void;
+  heartbeatReceived?(controller: string): void;
   /** Called when an order sent directly to a worker has stopped one of its tasks. */
   stoppedDirectly?(worker: Worker, task: string): void;
   /** Called when a task starts on a machine, after its image was fetched. */
@@ -207,12 +207,12 @@
   }
 
   /** Makes the state service refuse a controller's requests for a duration in microseconds. */
-  refuseFor(node: string, durationUs: number): void {
+  refuseFor(controller: string, durationUs: number): void {
     const { world } = this;
-    world.state.refusedControllers.add(node);
+    world.state.refusedControllers.add(controller);
     world.markDisruption(durationUs);
     this.after(durationUs, () => {
-      world.state.refusedControllers.delete(node);
+      world.state.refusedControllers.delete(controller);
       world.state.resumeWatches();
     });
   }
--- a/packages/simulation/src/world/users.ts
+++ b/packages/simulation/src/world/users.ts
@@ -149,7 +149,7 @@
     if (body === undefined) return;
     const path = kind === 'submit' ? '/work' : `/work/${id}${kind === 'cancel' ? '/withdraw' : ''}`;
     if (kind === 'cancel') rules.requestCancel(id);
-    const asked = { ask: kind, id, node: label, began: time.now };
+    const asked = { ask: kind, id, controller: label, began: time.now };
     this.call(label, kind === 'poll' ? 'GET' : 'POST', path, body, (response, observation) => {
       const outcome = response === null ? null : outcomeOf(response);
       if (outcome !== null && kind === 'submit')
--- a/packages/simulation/src/world/world.ts
+++ b/packages/simulation/src/world/world.ts
@@ -138,7 +138,7 @@
       workers: this.workers,
       losesOrders: faults.lending === true,
       onHeartbeat: (label) => this.scenarios?.heartbeatReceived(label),
-      onCrash: (node) => this.dataLoss.crashed(node),
+      onCrash: (controller) => this.dataLoss.crashed(controller),
     });
     const { controllers } = this;
     this.dataLoss = new DataLoss({ time, random, links, state, controllers, rules, log });
@@ -220,7 +220,7 @@
   }
 
   /** The running controllers. */
-  up(): { readonly name: string; readonly node: Controller }[] {
+  up(): { readonly name: string; readonly controller: Controller }[] {
     return this.controllers.up();
   }
 
@@ -407,7 +407,7 @@
     if (!this.loans) return;
     this.loans.check(
       this.time.now,
-      this.up().map(({ node }) => node.jobState),
+      this.up().map(({ controller }) => controller.jobState),
       this.leader() !== undefined,
     );
     const running = new Map<string, number>();
